--- /dev/null
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -0,0 +1,379 @@
+//! A digest over everything that the nodes decide in a history.
+//!
+//! It absorbs the values of each effect under tags of its own, never the names of types or
+//! fields, so that renaming and moving code leaves it as it is. Left out are what people
+//! read: the text of log lines, reasons of refusals, and the operators' view.
+
+use plankhead_core::protocol::*;
+use plankhead_core::shard_messages::{HolderReport, LeaderOrders, ShardMessage};
+use plankhead_fencing::gate::Basis;
+use plankhead_reachability::coverage::Coverage;
+use std::time::Duration;
+
+/// The digest so far; nothing is absorbed until it is switched on.
+#[derive(Debug, Default)]
+pub struct TraceDigest {
+    hasher: Option<blake3::Hasher>,
+    effects: u64,
+}
+
+impl TraceDigest {
+    pub fn enable(&mut self) {
+        self.hasher = Some(blake3::Hasher::new());
+    }
+
+    /// The digest in hexadecimal digits, with the number of effects.
+    pub fn finish(&self) -> String {
+        let hasher = self.hasher.as_ref().expect("the digest was not switched on");
+        format!("{} effects {}", self.effects, hasher.finalize().to_hex())
+    }
+
+    /// Absorbs the effects of one step of a node.
+    pub fn absorb(&mut self, now: Duration, node: usize, effects: &[Effect]) {
+        let Some(hasher) = &mut self.hasher else { return };
+        let mut sink = Sink(hasher);
+        for effect in effects.iter().filter(|effect| !matches!(effect, Effect::Log(..))) {
+            self.effects += 1;
+            sink.duration(now);
+            sink.number(node as u64);
+            sink.effect(effect);
+        }
+    }
+}
+
+struct Sink<'a>(&'a mut blake3::Hasher);
+
+impl Sink<'_> {
+    fn tag(&mut self, tag: u8) {
+        self.0.update(&[tag]);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.0.update(&number.to_le_bytes());
+    }
+
+    fn flag(&mut self, flag: bool) {
+        self.tag(u8::from(flag));
+    }
+
+    fn text(&mut self, text: &str) {
+        self.number(text.len() as u64);
+        self.0.update(text.as_bytes());
+    }
+
+    fn duration(&mut self, duration: Duration) {
+        self.0.update(&duration.as_nanos().to_le_bytes());
+    }
+
+    fn optional<T>(&mut self, value: Option<T>, absorb: impl FnOnce(&mut Self, T)) {
+        self.flag(value.is_some());
+        if let Some(value) = value {
+            absorb(self, value);
+        }
+    }
+
+    fn effect(&mut self, effect: &Effect) {
+        match effect {
+            Effect::Answer { ask, answer } => {
+                self.tag(1);
+                self.number(*ask);
+                self.answer(answer);
+            }
+            Effect::State { call, op } => {
+                self.tag(2);
+                self.number(*call);
+                self.state_op(op);
+            }
+            Effect::Cloud { call, op } => {
+                self.tag(3);
+                self.number(*call);
+                self.cloud_op(op);
+            }
+            Effect::Orders { call, address, token, shift, orders } => {
+                self.tag(4);
+                self.number(*call);
+                self.text(address);
+                self.number(*token);
+                self.number(*shift);
+                self.orders(orders);
+            }
+            Effect::Pulse(pulse) => {
+                self.tag(5);
+                self.text(&pulse.host);
+                self.flag(pulse.state_ok);
+                self.number(pulse.token);
+                self.number(pulse.progress.len() as u64);
+                for progress in &pulse.progress {
+                    self.text(&progress.id);
+                    self.number(u64::from(progress.done));
+                    self.number(u64::from(progress.running));
+                }
+            }
+            Effect::Coverage(coverage) => {
+                self.tag(6);
+                self.coverage(coverage);
+            }
+            Effect::Shard { call, to, message } => {
+                self.tag(7);
+                self.number(*call);
+                self.text(to);
+                match message {
+                    ShardMessage::Report(report) => self.holder_report(report),
+                    ShardMessage::Orders(orders) => self.leader_orders(orders),
+                }
+            }
+            Effect::Log(..) => {}
+        }
+    }
+
+    fn answer(&mut self, answer: &Answer) {
+        match answer {
+            Answer::Job { fresh, id, status, done, running } => {
+                self.tag(1);
+                self.flag(*fresh);
+                self.text(id.as_str());
+                self.tag(match status {
+                    Status::Queued => 0,
+                    Status::Running => 1,
+                    Status::Done => 2,
+                    Status::Cancelled => 3,
+                });
+                self.number(u64::from(*done));
+                self.number(u64::from(*running));
+            }
+            Answer::Malformed(_) => self.tag(2),
+            Answer::Impossible(_) => self.tag(3),
+            Answer::NotFound => self.tag(4),
+            Answer::Unavailable { retry } => {
+                self.tag(5);
+                self.duration(*retry);
+            }
+            Answer::Beat { token, orders } => {
+                self.tag(6);
+                self.number(*token);
+                self.orders(orders);
+            }
+            Answer::Elsewhere { foreman } => {
+                self.tag(7);
+                self.optional(foreman.as_deref(), Self::text);
+            }
+            Answer::Relay { foreman } => {
+                self.tag(8);
+                self.text(foreman);
+            }
+            Answer::View(_) => self.tag(9),
+            Answer::Shard(delivery) => {
+                self.tag(10);
+                self.number(*delivery as u64);
+            }
+        }
+    }
+
+    fn orders(&mut self, orders: &[Order]) {
+        self.number(orders.len() as u64);
+        for order in orders {
+            match order {
+                Order::Run { task, attempt } => {
+                    self.tag(1);
+                    self.attempt(task, *attempt);
+                }
+                Order::Kill { task, attempt, leeway } => {
+                    self.tag(2);
+                    self.attempt(task, *attempt);
+                    self.duration(*leeway);
+                }
+                Order::Reap { task, attempt } => {
+                    self.tag(3);
+                    self.attempt(task, *attempt);
+                }
+            }
+        }
+    }
+
+    fn attempt(&mut self, task: &TaskId, attempt: u64) {
+        self.text(task.job.as_str());
+        self.number(u64::from(task.index));
+        self.number(attempt);
+    }
+
+    fn state_op(&mut self, op: &StateOp) {
+        match op {
+            StateOp::Get { key } => {
+                self.tag(1);
+                self.text(key);
+            }
+            StateOp::List { prefix, after } => {
+                self.tag(2);
+                self.text(prefix);
+                self.optional(after.as_deref(), Self::text);
+            }
+            StateOp::Txn { conditions, changes } => {
+                self.tag(3);
+                self.number(conditions.len() as u64);
+                for condition in conditions {
+                    self.text(&condition.key);
+                    self.number(condition.stamp);
+                }
+                self.number(changes.len() as u64);
+                changes.iter().for_each(|change| self.change(change));
+            }
+            StateOp::Grant { life } => {
+                self.tag(4);
+                self.duration(*life);
+            }
+            StateOp::Touch { hold } => {
+                self.tag(5);
+                self.number(*hold);
+            }
+            StateOp::Revoke { hold } => {
+                self.tag(6);
+                self.number(*hold);
+            }
+            StateOp::Follow { prefix, after, wait } => {
+                self.tag(7);
+                self.text(prefix);
+                self.number(*after);
+                self.duration(*wait);
+            }
+        }
+    }
+
+    fn change(&mut self, change: &Change) {
+        match change {
+            Change::Write { key, value, hold } => {
+                self.tag(1);
+                self.text(key);
+                self.text(value);
+                self.optional(*hold, Self::number);
+            }
+            Change::Drop { key } => {
+                self.tag(2);
+                self.text(key);
+            }
+        }
+    }
+
+    fn cloud_op(&mut self, op: &CloudOp) {
+        match op {
+            CloudOp::Catalog => self.tag(1),
+            CloudOp::List { after } => {
+                self.tag(2);
+                self.optional(after.as_deref(), Self::text);
+            }
+            CloudOp::Act(permitted) => {
+                self.tag(3);
+                self.text(&permitted.action().digest().to_string());
+                match permitted.basis() {
+                    Basis::Recorded { revision } => self.number(revision),
+                    Basis::Compelled => self.tag(1),
+                    Basis::Unfenced => self.tag(2),
+                }
+            }
+        }
+    }
+
+    fn coverage(&mut self, coverage: &Coverage) {
+        self.text(&coverage.host);
+        self.number(coverage.boot);
+        self.number(coverage.sequence);
+        self.number(coverage.token);
+        self.tag(coverage.mode.code());
+        self.number(coverage.numbering);
+        for bitmap in [&coverage.heard, &coverage.reached] {
+            self.bitmap(bitmap);
+        }
+        self.number(u64::from(coverage.expected));
+        self.number(coverage.peers.len() as u64);
+        coverage.peers.iter().for_each(|peer| self.text(peer));
+        self.optional(coverage.successor.as_deref(), Self::text);
+    }
+
+    fn bitmap(&mut self, bitmap: &roaring::RoaringBitmap) {
+        self.number(bitmap.len());
+        for number in bitmap {
+            self.number(u64::from(number));
+        }
+    }
+
+    fn holder_report(&mut self, report: &HolderReport) {
+        self.tag(1);
+        self.text(&report.host);
+        self.number(report.stamp.boot);
+        self.number(report.stamp.sequence);
+        self.text(&report.zone);
+        self.number(report.term);
+        self.flag(report.sees_records);
+        self.number(report.shards.len() as u64);
+        for held in &report.shards {
+            self.text(&held.shard.to_string());
+            self.number(held.epoch);
+            self.flag(held.released);
+        }
+        self.number(report.stream);
+        self.flag(report.first);
+        self.number(report.news.len() as u64);
+        for news in &report.news {
+            self.number(u64::from(news.number));
+            self.report(&news.report);
+            self.flag(news.proven);
+            self.flag(news.deaf);
+            self.number(u64::from(news.unanswered));
+            self.duration(news.age);
+        }
+        self.bitmap(&report.alive);
+        self.duration(report.alive_age);
+    }
+
+    fn leader_orders(&mut self, orders: &LeaderOrders) {
+        self.tag(2);
+        self.text(&orders.host);
+        self.number(orders.stamp.boot);
+        self.number(orders.stamp.sequence);
+        self.number(orders.answers);
+        self.number(orders.token);
+        self.number(orders.shards.len() as u64);
+        for (shard, epoch) in &orders.shards {
+            self.text(&shard.to_string());
+            self.number(*epoch);
+        }
+        self.number(orders.latest_epoch);
+        self.number(orders.machines.len() as u64);
+        for machine in &orders.machines {
+            self.text(&machine.host);
+            self.number(machine.shard as u64);
+            self.number(machine.shift);
+            self.orders(&machine.orders);
+        }
+        self.number(orders.gone.len() as u64);
+        orders.gone.iter().for_each(|host| self.text(host));
+        self.number(orders.snapshot.len() as u64);
+        orders.snapshot.iter().for_each(|report| self.report(report));
+    }
+
+    fn report(&mut self, report: &Report) {
+        self.text(&report.host);
+        self.text(&report.address);
+        self.text(&report.rig);
+        self.text(&report.zone);
+        self.flag(report.spot);
+        self.number(report.shift);
+        self.number(report.tick);
+        self.number(report.token);
+        self.optional(report.warning, Self::duration);
+        self.number(report.tasks.len() as u64);
+        for listed in report.tasks.iter() {
+            self.attempt(&listed.task, listed.attempt);
+            match listed.seen {
+                Seen::Pulling => self.tag(1),
+                Seen::Waiting => self.tag(2),
+                Seen::Running => self.tag(3),
+                Seen::Saving => self.tag(4),
+                Seen::Other => self.tag(5),
+                Seen::Ended(cause) => {
+                    self.tag(6);
+                    self.tag(cause as u8);
+                }
+            }
+        }
+    }
+}
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -3,6 +3,7 @@
 //! troubles. It knows all, and asserts the rules at every step.
 
 pub mod cuts;
+mod digest;
 mod fencing;
 mod gang;
 mod kv;
@@ -553,6 +554,8 @@
     pub clocks: [Clock; 3],
     /// What the cloud did, and for whom.
     pub effects: Effects,
+    /// All that the nodes decide, as one digest.
+    pub trace: digest::TraceDigest,
 }
 
 /// The zone of a node.
@@ -691,6 +694,7 @@
             other_half: [false; 3],
             clocks: [TRUE_CLOCK; 3],
             effects: Effects::default(),
+            trace: digest::TraceDigest::default(),
         };
         for node in 0..3 {
             world.at(ms(10 * node as u64), Happening::Start { node });
@@ -924,6 +928,11 @@
         self.kv.count(prefix)
     }
 
+    /// Keys in the state service that begin so, with their values and revisions.
+    pub fn stored(&self, prefix: &str) -> Vec<(String, String, u64)> {
+        self.kv.rows(prefix)
+    }
+
     /// Jobs that ran when their users were told that they are cancelled.
     pub fn cancelled_running(&self) -> usize {
         self.jobs.iter().filter(|j| j.cut_short).count()
@@ -1218,6 +1227,7 @@
         let boot = *boot;
         core.lags(self.lag);
         let effects = core.step(times, batch);
+        self.trace.absorb(now, node, &effects);
         let asked = core.next_wake(times.now);
         let wake = if self.on_demand { self.true_time(node, asked) } else { now + ms(100) };
         let due = self.wakes[node] <= now;
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -2,6 +2,7 @@
 
 use crate::coverage::{decode, encode, MAX_MESSAGE};
 use crate::reachability::{parse, ReachabilityFile, SCHEMA};
+use crate::tests::compare_with_fixture;
 use crate::views::{disagreements, read, table, NodeView, Views};
 use plankhead_reachability::coverage::{Coverage, CoverageFault};
 use plankhead_reachability::mode::Mode;
@@ -31,6 +32,14 @@
     assert_eq!(decode(&bytes), Ok(coverage()));
 }
 
+/// What version 749ebcd sent for the same coverage, byte for byte.
+#[test]
+fn coverage_is_the_same_bytes_as_before() {
+    let small = Coverage { heard: (0..40).collect(), reached: (3..9).collect(), ..coverage() };
+    compare_with_fixture("coverage.bin", &encode(&small).unwrap());
+    assert_eq!(decode(include_bytes!("../../tests/fixtures/coverage.bin")), Ok(small));
+}
+
 #[test]
 fn bad_messages_are_refused() {
     let bytes = encode(&coverage()).unwrap();
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -3,6 +3,7 @@
 use crate::shard_messages::{decode, encode, MAX_WIRE};
 use crate::shard_table::Shards;
 use crate::sharding::{self, ShardingFile};
+use crate::tests::compare_with_fixture;
 use plankhead_core::job::JobId;
 use plankhead_core::protocol::{Cause, Listed, Order, Report, Seen, TaskId};
 use plankhead_core::shard_messages::{
@@ -117,6 +118,18 @@
     assert!(bytes < 60_000, "{bytes} bytes");
 }
 
+/// What version 749ebcd sent for the same messages, byte for byte: versions run side by side.
+#[test]
+fn messages_are_the_same_bytes_as_before() {
+    let orders = ShardMessage::Orders(Box::new(leader_orders()));
+    compare_with_fixture("holder-report.bin", &encode(&holder_report(1)).unwrap());
+    compare_with_fixture("holder-report-compressed.bin", &encode(&holder_report(8)).unwrap());
+    compare_with_fixture("leader-orders.bin", &encode(&orders).unwrap());
+    assert_eq!(decode(include_bytes!("../../tests/fixtures/leader-orders.bin")).unwrap(), orders);
+    let compressed = include_bytes!("../../tests/fixtures/holder-report-compressed.bin");
+    assert_eq!(decode(compressed).unwrap(), holder_report(8));
+}
+
 #[test]
 fn bad_messages_are_refused_with_their_reason() {
     let good = encode(&holder_report(200)).unwrap();
