--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/election.rs
@@ -54,7 +54,7 @@
 /// What the election tells the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    None,
+    Unchanged,
     Won { token: u64 },
     Lost,
 }
@@ -151,7 +151,7 @@
         if let Stage::Leading { hold, .. } = self.stage {
             if !self.touching && now >= self.next_touch {
                 self.touching = true;
-                out.state(Purpose::Election(Step::Touch { hold, sent: now }), StateOp::Touch { hold });
+                out.state(Purpose::Election(Step::Touch { hold, sent: now }), StateOp::RenewLease { hold });
             }
             return;
         }
@@ -162,9 +162,9 @@
         let (step, op) = match self.stage {
             Stage::Unknown => (Step::Read, StateOp::Get { key: KEY.into() }),
             Stage::Watching { after } => {
-                (Step::Watch, StateOp::Follow { prefix: KEY.into(), after, wait: WATCH })
+                (Step::Watch, StateOp::Watch { prefix: KEY.into(), after, wait: WATCH })
             }
-            _ => (Step::Grant, StateOp::Grant { life: self.lease }),
+            _ => (Step::Grant, StateOp::GrantLease { life: self.lease }),
         };
         out.state(Purpose::Election(step), op);
     }
@@ -180,19 +180,19 @@
             return self.touched(now, hold, sent, reply);
         }
         if step == Step::Revoke {
-            return Verdict::None;
+            return Verdict::Unchanged;
         }
         self.pending = false;
         match (step, reply) {
-            (Step::Read, Ok(StateReply::Got(row))) => return self.read(now, row, out),
+            (Step::Read, Ok(StateReply::Value(row))) => return self.read(now, row, out),
             (Step::Watch, Ok(StateReply::Events { epoch, events })) => {
-                let mut verdict = Verdict::None;
+                let mut verdict = Verdict::Unchanged;
                 for event in events {
                     match event {
-                        KeyEvent::Written(row) if row.key == KEY => {
+                        KeyEvent::Put(row) if row.key == KEY => {
                             verdict = self.read(now, Some(row), out);
                         }
-                        KeyEvent::Dropped { key, .. } if key == KEY => {
+                        KeyEvent::Delete { key, .. } if key == KEY => {
                             self.vacant(now);
                         }
                         _ => {}
@@ -203,17 +203,20 @@
                 }
                 return verdict;
             }
-            (Step::Grant, Ok(StateReply::Granted { hold })) => self.claim(hold, out),
+            (Step::Grant, Ok(StateReply::LeaseGranted { hold })) => self.claim(hold, out),
             (Step::Claim { hold }, Ok(StateReply::Committed { epoch })) => {
                 return self.won(now, epoch, hold);
             }
             (Step::Claim { hold }, Ok(_))
-            | (Step::Claim { hold }, Err(CallError::Refused | CallError::Busy | CallError::TooLarge)) => {
-                out.state(Purpose::Election(Step::Revoke), StateOp::Revoke { hold });
+            | (
+                Step::Claim { hold },
+                Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
+            ) => {
+                out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold });
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
-            (Step::Claim { hold }, Err(CallError::Lost)) => {
+            (Step::Claim { hold }, Err(CallError::OutcomeUnknown)) => {
                 self.doubt = Some(hold);
                 self.stage = Stage::Unknown;
                 self.not_before = now + PAUSE;
@@ -223,7 +226,7 @@
                 self.not_before = now + PAUSE;
             }
         }
-        Verdict::None
+        Verdict::Unchanged
     }
 
     fn claim(&mut self, hold: u64, out: &mut Out) {
@@ -234,7 +237,7 @@
             Purpose::Election(Step::Claim { hold }),
             StateOp::Txn {
                 conditions: vec![Condition { key: KEY.into(), stamp: 0 }],
-                changes: vec![Change::Write { key: KEY.into(), value, hold: Some(hold) }],
+                changes: vec![Change::Put { key: KEY.into(), value, hold: Some(hold) }],
             },
         );
     }
@@ -242,12 +245,12 @@
     fn read(&mut self, now: Duration, row: Option<Row>, out: &mut Out) -> Verdict {
         let Some(row) = row else {
             self.vacant(now);
-            return Verdict::None;
+            return Verdict::Unchanged;
         };
         let Ok(holder) = serde_json::from_str::<Holder>(&row.value) else {
             out.log(Level::Error, "the key of the leader holds something strange".into());
             self.not_before = now + PAUSE;
-            return Verdict::None;
+            return Verdict::Unchanged;
         };
         if holder.host == self.host {
             if self.doubt == Some(holder.hold) && holder.boot == self.boot {
@@ -256,12 +259,12 @@
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.state(Purpose::Election(Step::Revoke), StateOp::Revoke { hold: holder.hold });
+            out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold: holder.hold });
         } else {
             self.foreman = Some((holder.host, row.stamp));
         }
         self.stage = Stage::Watching { after: row.stamp };
-        Verdict::None
+        Verdict::Unchanged
     }
 
     fn won(&mut self, now: Duration, token: u64, hold: u64) -> Verdict {
@@ -284,19 +287,19 @@
     ) -> Verdict {
         // One of an earlier term says nothing of this one.
         if !matches!(self.stage, Stage::Leading { hold, .. } if hold == renewed) {
-            return Verdict::None;
+            return Verdict::Unchanged;
         }
         self.touching = false;
         self.shaken = reply.is_err();
         match reply {
-            Ok(StateReply::Touched) => {
+            Ok(StateReply::LeaseRenewed) => {
                 self.touched = self.touched.max(sent);
                 self.next_touch = now.max(sent + TOUCH);
             }
-            Ok(StateReply::NoGrant) => return self.lost(),
+            Ok(StateReply::NoSuchLease) => return self.lost(),
             _ => self.next_touch = now + PAUSE,
         }
-        Verdict::None
+        Verdict::Unchanged
     }
 
     /// Steps down of its own will, so that a node that hears the workers can
@@ -310,7 +313,7 @@
     /// Gives the key up, if it is still there.
     pub fn resign(&mut self, out: &mut Out) -> Verdict {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.state(Purpose::Election(Step::Revoke), StateOp::Revoke { hold });
+            out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold });
         }
         self.lost()
     }
--- a/crates/plankhead-core/src/fleet.rs
+++ b/crates/plankhead-core/src/fleet.rs
@@ -67,28 +67,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Leaving {
     Surplus,
-    Silent,
-    NeverUp,
-    Failed,
+    HeartbeatTimeout,
+    BootTimeout,
+    InstanceFailed,
     Faulty,
-    CancelDue,
-    Unlisted,
+    CancellationDue,
+    NotInInventory,
     /// It reports, but what we tell it does not arrive.
-    Deaf,
+    IgnoresCommands,
     /// It lost attempts that it had listed.
-    Forgetful,
+    LostAttempts,
     /// A former leader had begun to give it back.
-    Returning,
+    ReturnInherited,
 }
 
 /// What a report is to this leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
     /// A late copy, or of a machine that is gone.
-    Old,
+    Stale,
     /// Of the same tasks in the same states as the one before.
-    Same,
-    News,
+    Unchanged,
+    Changed,
 }
 
 #[derive(Debug, Clone)]
@@ -233,7 +233,7 @@
         let shown = |(task, attempt, run): &(TaskId, u64, bool)| {
             let listed = report.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
             match listed.map(|l| l.seen) {
-                Some(Seen::Ended(_) | Seen::Saving) => true,
+                Some(Seen::Exited(_) | Seen::Checkpointing) => true,
                 Some(_) => *run,
                 None => !*run,
             }
@@ -267,7 +267,7 @@
         since: Duration,
         now: Duration,
     ) -> &mut Machine {
-        let leaving = self.returning.contains(name).then_some(Leaving::Returning);
+        let leaving = self.returning.contains(name).then_some(Leaving::ReturnInherited);
         self.machines.entry(name.clone()).or_insert_with(|| Machine {
             name: name.clone(),
             address,
@@ -317,7 +317,7 @@
         for host in hosts.iter().filter(|host| !self.gone.contains(*host)) {
             self.returning.insert(host.clone());
             if let Some(machine) = self.machines.get_mut(host) {
-                machine.leaving.get_or_insert(Leaving::Returning);
+                machine.leaving.get_or_insert(Leaving::ReturnInherited);
             }
         }
     }
@@ -329,14 +329,14 @@
     /// Takes in a report that came at `now` to the leader under the token `own`.
     pub fn observe(&mut self, report: &Report, own: u64, now: Duration) -> Heard {
         if self.gone.contains(&report.host) {
-            return Heard::Old;
+            return Heard::Stale;
         }
         if !self.machines.contains_key(&report.host) {
             self.insert(&report.host, report.address.clone(), Pool::of(report), now, now);
         }
-        let Some(machine) = self.machines.get_mut(&report.host) else { return Heard::Old };
+        let Some(machine) = self.machines.get_mut(&report.host) else { return Heard::Stale };
         if machine.newest.is_some_and(|newest| (report.shift, report.tick) <= newest) {
-            return Heard::Old;
+            return Heard::Stale;
         }
         let first = machine.newest.is_none();
         let alike =
@@ -346,7 +346,7 @@
             // Its lease ran out although we answered: it does not hear us.
             let lately = machine.answered.is_some_and(|at| now.saturating_sub(at) < DEAF);
             if !first && lately {
-                machine.leaving.get_or_insert(Leaving::Deaf);
+                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
             }
             // Orders of an earlier session are refused from now on.
             machine.unconfirmed_runs.retain(|(_, _, shift)| *shift >= report.shift);
@@ -359,7 +359,7 @@
         } else {
             machine.unheeded += 1;
             if machine.unheeded >= MOST_UNHEEDED {
-                machine.leaving.get_or_insert(Leaving::Deaf);
+                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
             }
         }
         machine.asked.clear();
@@ -380,9 +380,9 @@
         machine.notice |= report.warning.is_some();
         machine.report = Some(report.clone());
         if same {
-            Heard::Same
+            Heard::Unchanged
         } else {
-            Heard::News
+            Heard::Changed
         }
     }
 
@@ -477,7 +477,7 @@
                 machine.address = host.address.clone();
             }
             if host.status == HostStatus::Failed {
-                machine.leaving.get_or_insert(Leaving::Failed);
+                machine.leaving.get_or_insert(Leaving::InstanceFailed);
             }
         }
         for machine in self.machines.values_mut() {
@@ -535,11 +535,12 @@
             // it: only silence tells, not the patience for a boot.
             let reason = if machine.newest.is_none() && !machine.was_up {
                 let patience = boot.mul_f64(BOOT_PATIENCE);
-                (now.saturating_sub(machine.since) > patience && quiet > silent).then_some(Leaving::NeverUp)
+                (now.saturating_sub(machine.since) > patience && quiet > silent)
+                    .then_some(Leaving::BootTimeout)
             } else if (quiet > silent || mute) && !spared {
-                Some(Leaving::Silent)
+                Some(Leaving::HeartbeatTimeout)
             } else if machine.is_unlisted() && quiet > missed.max(silent / 2) {
-                Some(Leaving::Unlisted)
+                Some(Leaving::NotInInventory)
             } else if machine.errors >= MOST_ERRORS {
                 Some(Leaving::Faulty)
             } else {
@@ -563,7 +564,7 @@
             return;
         }
         for machine in self.machines.values_mut().filter(|m| silent(m)) {
-            machine.leaving = Some(Leaving::Silent);
+            machine.leaving = Some(Leaving::HeartbeatTimeout);
         }
     }
 
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -105,7 +105,7 @@
         commands.told.extend(orders.iter().filter_map(Order::asked));
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
-        let call = HolderCall::Orders { host: host.clone(), shift, runs };
+        let call = HolderCall::SendCommands { host: host.clone(), shift, runs };
         out.orders(Purpose::Holder(call), address, epoch, shift, orders);
     }
 
@@ -135,11 +135,11 @@
                 sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
             }
             Order::Kill { .. } => true,
-            Order::Reap { task, attempt } => !machine.has_unconfirmed_run(task, *attempt),
+            Order::Acknowledge { task, attempt } => !machine.has_unconfirmed_run(task, *attempt),
         };
         let mut orders: Vec<Order> =
             ordered.into_iter().flat_map(|commands| &commands.orders).filter(due).cloned().collect();
-        for listed in report.tasks.iter().filter(|listed| !matches!(listed.seen, Seen::Ended(_))) {
+        for listed in report.tasks.iter().filter(|listed| !matches!(listed.seen, Seen::Exited(_))) {
             let (task, attempt) = (&listed.task, listed.attempt);
             let killed =
                 |order: &Order| order.asked().is_some_and(|(t, n, run)| !run && t == *task && n == attempt);
@@ -164,8 +164,8 @@
         };
         commands.orders.retain(|order| match order {
             Order::Run { task, attempt } => seen(task, *attempt).is_none(),
-            Order::Kill { task, attempt, .. } => !matches!(seen(task, *attempt), Some(Seen::Ended(_))),
-            Order::Reap { task, attempt } => seen(task, *attempt).is_some(),
+            Order::Kill { task, attempt, .. } => !matches!(seen(task, *attempt), Some(Seen::Exited(_))),
+            Order::Acknowledge { task, attempt } => seen(task, *attempt).is_some(),
         });
     }
 
@@ -217,7 +217,7 @@
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.shift() else { continue };
             let address = machine.begin_command(&[]);
-            let call = HolderCall::Orders { host, shift, runs: Vec::new() };
+            let call = HolderCall::SendCommands { host, shift, runs: Vec::new() };
             out.orders(Purpose::Holder(call), address, epoch, shift, Vec::new());
         }
     }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -56,7 +56,7 @@
 
     pub fn tick(&mut self, now: Duration, out: &mut Out) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(Purpose::Holder(super::HolderCall::Jobs(step)), op);
+            out.state(Purpose::Holder(super::HolderCall::WatchJobs(step)), op);
         }
     }
 
@@ -81,9 +81,9 @@
 
     fn event(&mut self, event: KeyEvent, requests: &mut RequestHandler, news: &mut JobNews) {
         match event {
-            KeyEvent::Written(row) => self.row(&row, requests, news),
+            KeyEvent::Put(row) => self.row(&row, requests, news),
             // Its leader has seen all of it gone.
-            KeyEvent::Dropped { key, .. } => {
+            KeyEvent::Delete { key, .. } => {
                 if let Some(id) = job_of(&key) {
                     self.cancelled.remove(&id);
                     news.over.insert(id);
@@ -96,7 +96,7 @@
         let Some(id) = job_of(&row.key) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
-            Phase::Live => {}
+            Phase::Active => {}
             Phase::Done => {
                 requests.over(&id, Status::Done, record.tasks);
                 news.over.insert(id);
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -45,9 +45,9 @@
 /// What a holder's call is for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderCall {
-    Jobs(key_watch::Step),
-    Orders { host: HostName, shift: u64, runs: Vec<(TaskId, u64)> },
-    Report { leader: u64, machines: Vec<HostName> },
+    WatchJobs(key_watch::Step),
+    SendCommands { host: HostName, shift: u64, runs: Vec<(TaskId, u64)> },
+    ReportStatus { leader: u64, machines: Vec<HostName> },
 }
 
 /// A shard that this node holds.
@@ -282,16 +282,17 @@
             return Answer::Unavailable { retry: Duration::from_secs(1) };
         }
         let orders = self.orders(&report.host, sight, now);
-        let Some(machine) = self.fleet.machines.get_mut(&report.host).filter(|_| heard != Heard::Old) else {
+        let Some(machine) = self.fleet.machines.get_mut(&report.host).filter(|_| heard != Heard::Stale)
+        else {
             // A copy gets no orders, nor counts as heard.
-            return Answer::Beat { token: epoch, orders: Vec::new() };
+            return Answer::Commands { token: epoch, orders: Vec::new() };
         };
         machine.relayed = relayed;
         if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Answer::Elsewhere { foreman: None };
+            return Answer::Redirect { foreman: None };
         }
         machine.note_answer(&orders, now);
-        Answer::Beat { token: epoch, orders }
+        Answer::Commands { token: epoch, orders }
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
@@ -302,14 +303,14 @@
         };
         let host = &report.host;
         match heard {
-            Heard::Old => return heard,
-            Heard::Same => {
+            Heard::Stale => return heard,
+            Heard::Unchanged => {
                 if self.alive.is_empty() {
                     self.alive_since = now;
                 }
                 self.alive.insert(host.clone());
             }
-            Heard::News => {
+            Heard::Changed => {
                 self.news.insert(host.clone());
             }
         }
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -49,8 +49,8 @@
             alive: numbers,
             alive_age: now.saturating_sub(self.alive_since),
         };
-        let call = HolderCall::Report { leader: token, machines };
-        out.shard_message(Purpose::Holder(call), leader, ShardMessage::Report(Box::new(report)));
+        let call = HolderCall::ReportStatus { leader: token, machines };
+        out.shard_message(Purpose::Holder(call), leader, ShardMessage::HolderStatus(Box::new(report)));
     }
 
     fn held_shards(&self, now: Duration) -> Vec<HeldShard> {
@@ -85,7 +85,7 @@
                 number,
                 report: report.clone(),
                 proven: machine.proven,
-                deaf: machine.leaving == Some(Leaving::Deaf),
+                deaf: machine.leaving == Some(Leaving::IgnoresCommands),
                 unanswered: machine.unanswered,
                 age: now.saturating_sub(machine.heard),
             });
@@ -100,12 +100,12 @@
         // Of an earlier leader, which all machines are told of anew since.
         let Some(known) = known else { return };
         known.unsupported = delivery == Delivery::Unsupported;
-        if delivery == Delivery::TellAll {
+        if delivery == Delivery::FullSyncNeeded {
             self.restart_stream();
             self.report_due = now;
             return;
         }
-        if delivery == Delivery::Taken {
+        if delivery == Delivery::Accepted {
             self.stream_begun = true;
             self.report_due = now + HEARTBEAT;
             self.hasten(now);
--- a/crates/plankhead-core/src/job.rs
+++ b/crates/plankhead-core/src/job.rs
@@ -216,7 +216,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    Live,
+    #[serde(rename = "live")]
+    Active,
     Done,
     Cancelled,
 }
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -79,7 +79,7 @@
         self.pending = true;
         let prefix = self.prefix.into();
         if let Some(after) = self.revision {
-            return Some((Step::Watch { sent: now }, StateOp::Follow { prefix, after, wait: self.wait }));
+            return Some((Step::Watch { sent: now }, StateOp::Watch { prefix, after, wait: self.wait }));
         }
         let sent = *self.list_sent.get_or_insert(now);
         let after = self.page_after.clone();
--- a/crates/plankhead-core/src/leader/clock.rs
+++ b/crates/plankhead-core/src/leader/clock.rs
@@ -40,8 +40,8 @@
         }
         if let Some(epoch) = self.epoch.filter(|_| !self.following && now >= self.follow_due) {
             self.following = true;
-            let op = StateOp::Follow { prefix: "job/".into(), after: epoch, wait: WATCH };
-            self.state(LeaderCall::Follow { sent: now }, op, out);
+            let op = StateOp::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
+            self.state(LeaderCall::WatchJobs { sent: now }, op, out);
         }
         let places = firm && self.permits(Action::Place, now);
         let rents = firm && self.surveyed && self.permits(Action::Rent, now);
@@ -78,7 +78,7 @@
         self.minded = now + MIND;
         self.mind_machines(now, sight, out);
         // A new leader's rentals took the cloud's rate while a cancellation was due.
-        if self.fleet.machines.values().any(|m| m.leaving == Some(Leaving::CancelDue)) {
+        if self.fleet.machines.values().any(|m| m.leaving == Some(Leaving::CancellationDue)) {
             self.release(now, sight, out);
         }
         if rents {
@@ -128,7 +128,10 @@
             self.listing = true;
             self.hosts_due = now + self.settings.list_lag.max(Duration::from_secs(3));
             let after = self.list.last().map(|h| h.host.clone());
-            out.cloud(Purpose::Leader(self.token, LeaderCall::Hosts), CloudOp::List { after });
+            out.cloud(
+                Purpose::Leader(self.token, LeaderCall::ListInstances),
+                CloudOp::ListInstances { after },
+            );
         }
     }
 
@@ -229,7 +232,7 @@
         for host in overdue.into_iter().filter(|_| reclaims) {
             self.fleet.expect(&host, now);
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.leaving.get_or_insert(Leaving::CancelDue);
+                machine.leaving.get_or_insert(Leaving::CancellationDue);
             }
         }
     }
@@ -241,7 +244,8 @@
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.shift() else { continue };
             let address = machine.begin_command(&[]);
-            let call = Purpose::Leader(self.token, LeaderCall::Orders { host, shift, runs: Vec::new() });
+            let call =
+                Purpose::Leader(self.token, LeaderCall::SendCommands { host, shift, runs: Vec::new() });
             out.orders(call, address, token, shift, Vec::new());
         }
     }
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -142,7 +142,7 @@
             Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
             Action::Return(back) => LeaderCall::Release { hosts: back.hosts.clone(), duty: key.clone() },
         };
-        out.cloud(Purpose::Leader(self.token, leader_call), CloudOp::Act(permitted));
+        out.cloud(Purpose::Leader(self.token, leader_call), CloudOp::Execute(permitted));
     }
 
     /// Sends the duties that may go now.
@@ -264,8 +264,8 @@
             let key = page.key();
             conditions.push(Condition { key: key.clone(), stamp: expected });
             changes.push(match value {
-                Some(value) => Change::Write { key, value, hold: None },
-                None => Change::Drop { key },
+                Some(value) => Change::Put { key, value, hold: None },
+                None => Change::Delete { key },
             });
         }
         (conditions, changes)
@@ -286,7 +286,7 @@
                 return false;
             }
             Ok(StateReply::Conflict { .. }) => WriteOutcome::Conflict,
-            Err(CallError::Busy) => WriteOutcome::Busy,
+            Err(CallError::RateLimited) => WriteOutcome::Busy,
             Err(CallError::Refused | CallError::TooLarge) => WriteOutcome::Refused,
             _ => WriteOutcome::Lost,
         };
@@ -312,8 +312,8 @@
     ) {
         self.duties.reading.remove(&page);
         match reply {
-            Ok(StateReply::Got(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.stamp)),
-            Err(CallError::Busy) => self.hold_until = now + PAUSE,
+            Ok(StateReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.stamp)),
+            Err(CallError::RateLimited) => self.hold_until = now + PAUSE,
             _ => {
                 self.hold_until = now + PAUSE;
                 if now.saturating_sub(sent) < FRESH_FAILURE {
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -98,18 +98,18 @@
     ListJobs,
     ListChunks,
     ReadTarget,
-    Follow {
+    WatchJobs {
         sent: Duration,
     },
-    Write(Batch),
+    Commit(Batch),
     ReadChunk(JobId, u32),
     ReadJob(JobId),
-    Sweep(Vec<StoredKey>),
+    DeleteGarbage(Vec<StoredKey>),
     /// The revision of a key that is to go.
-    ReadGarbage(String),
-    Archive(Vec<Final>),
-    Target,
-    Hosts,
+    ReadGarbageRevision(String),
+    ArchiveJobs(Vec<Final>),
+    WriteTarget,
+    ListInstances,
     Rent(PendingRental),
     Release {
         hosts: Vec<HostName>,
@@ -124,7 +124,7 @@
         page: PageId,
         sent: Duration,
     },
-    Orders {
+    SendCommands {
         host: HostName,
         shift: u64,
         runs: Vec<(TaskId, u64)>,
@@ -134,7 +134,7 @@
         sent: Duration,
     },
     /// Commands for machines of shards that another node holds.
-    ShardOrders {
+    SendShardCommands {
         to: String,
         told: ToldHolder,
     },
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -17,7 +17,7 @@
     fn is_within(&self, bound: Bound, now: Duration) -> bool {
         let blind = now.saturating_sub(self.fresh);
         match bound {
-            Bound::JobsSeen => blind < STALE,
+            Bound::JobsSynced => blind < STALE,
             // Leases must run out before a cancellation that was not seen is due.
             Bound::CancellationUnseen => {
                 let settings = &self.settings;
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placing.rs
@@ -122,7 +122,7 @@
 
     /// The pending work, with the ids of its jobs.
     pub(super) fn work(&mut self, now: Duration, teams: &[TeamRoom]) -> (Vec<JobId>, Vec<Work>) {
-        let live = |e: &Entry| e.phase == Phase::Live && e.done < e.spec.tasks;
+        let live = |e: &Entry| e.phase == Phase::Active && e.done < e.spec.tasks;
         let mut needs = Vec::new();
         let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
         for (id, entry) in self.ledger.jobs.iter().filter(|(_, e)| live(e)) {
--- a/crates/plankhead-core/src/leader/renting.rs
+++ b/crates/plankhead-core/src/leader/renting.rs
@@ -150,8 +150,8 @@
             return;
         }
         let may = |why: Leaving| match why {
-            Leaving::CancelDue => true,
-            Leaving::Silent => free || sight.among_all,
+            Leaving::CancellationDue => true,
+            Leaving::HeartbeatTimeout => free || sight.among_all,
             _ => free,
         };
         let machines = self.fleet.machines.values();
@@ -160,9 +160,9 @@
             leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_HOSTS).collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
-        let due = leaving.iter().any(|(_, why)| *why == Leaving::CancelDue);
+        let due = leaving.iter().any(|(_, why)| *why == Leaving::CancellationDue);
         if due && self.duties.fenced() {
-            leaving.retain(|(_, why)| *why == Leaving::CancelDue);
+            leaving.retain(|(_, why)| *why == Leaving::CancellationDue);
         }
         if !leaving.is_empty() && self.cloud.take(now, 1) {
             self.return_machines(&leaving, (due || !free, !due), out);
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -23,12 +23,12 @@
                 return self.shards_written(now, (writes, sent), reply, out);
             }
             LeaderCall::ReadDuties { page, sent } => self.duties_reread(now, page, sent, reply),
-            LeaderCall::Follow { sent } => {
+            LeaderCall::WatchJobs { sent } => {
                 self.following = false;
                 match reply {
                     Ok(StateReply::Events { epoch, events }) => {
                         for event in events {
-                            if let KeyEvent::Written(row) = event {
+                            if let KeyEvent::Put(row) = event {
                                 self.job_row(times, &row, requests);
                             }
                         }
@@ -40,10 +40,10 @@
                     _ => self.follow_due = now + PAUSE,
                 }
             }
-            LeaderCall::Write(batch) => return self.written(times, batch, reply, requests, out),
+            LeaderCall::Commit(batch) => return self.written(times, batch, reply, requests, out),
             LeaderCall::ReadChunk(id, number) => {
                 self.reading.remove(&self.chunk_key(&id, number));
-                if let Ok(StateReply::Got(row)) = reply {
+                if let Ok(StateReply::Value(row)) = reply {
                     self.ledger.restamp(&id, number, row.map_or(0, |r| r.stamp));
                 } else {
                     self.hold_until = now + PAUSE;
@@ -52,15 +52,15 @@
             LeaderCall::ReadJob(id) => {
                 self.reading.remove(&id.key());
                 match reply {
-                    Ok(StateReply::Got(Some(row))) => self.job_row(times, &row, requests),
-                    Ok(StateReply::Got(None)) => {
+                    Ok(StateReply::Value(Some(row))) => self.job_row(times, &row, requests),
+                    Ok(StateReply::Value(None)) => {
                         out.log(Level::Error, format!("the record of {id} is missing"));
                         self.hold_until = now + PAUSE;
                     }
                     _ => self.hold_until = now + PAUSE,
                 }
             }
-            LeaderCall::Sweep(keys) => {
+            LeaderCall::DeleteGarbage(keys) => {
                 self.sweeping = false;
                 match reply {
                     Ok(StateReply::Committed { .. }) => {}
@@ -71,8 +71,8 @@
                     _ => self.garbage.extend(keys),
                 }
             }
-            LeaderCall::ReadGarbage(key) => self.garbage_read(key, reply),
-            LeaderCall::Archive(finals) => {
+            LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
+            LeaderCall::ArchiveJobs(finals) => {
                 self.sweeping = false;
                 match reply {
                     Ok(StateReply::Committed { .. }) => {}
@@ -87,7 +87,7 @@
                     _ => self.archive.extend(finals),
                 }
             }
-            LeaderCall::Target => {
+            LeaderCall::WriteTarget => {
                 self.target_writing = false;
                 match reply {
                     Ok(StateReply::Committed { .. }) => {}
@@ -135,7 +135,7 @@
                 return true;
             }
             Ok(StateReply::Conflict { failed: keys }) => failed = keys,
-            Err(CallError::Refused | CallError::Busy | CallError::TooLarge) => {
+            Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 self.hold_until = now + PAUSE;
             }
             _ => lost = true,
@@ -175,7 +175,7 @@
             self.cloud_heard = Some(now);
         }
         match (leader_call, reply) {
-            (LeaderCall::Hosts, Ok(CloudReply::Page { hosts, truncated })) => {
+            (LeaderCall::ListInstances, Ok(CloudReply::Instances { hosts, truncated })) => {
                 self.listing = false;
                 self.list.extend(hosts);
                 if truncated {
@@ -186,11 +186,11 @@
                     self.surveyed = true;
                 }
             }
-            (LeaderCall::Hosts, _) => {
+            (LeaderCall::ListInstances, _) => {
                 self.listing = false;
                 self.list.clear();
             }
-            (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Hired(hosts))) => {
+            (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Rented(hosts))) => {
                 self.rentals.retain(|rental| rental.name != name);
                 self.fleet.hired(&hosts, &pool, count, now);
                 self.confirm_duty(&DutyKey::new(&name), out);
@@ -234,7 +234,7 @@
     }
 
     pub fn orders_reply(&mut self, times: Times, leader_call: LeaderCall, reply: OrdersReply, out: &mut Out) {
-        let LeaderCall::Orders { host, shift, runs } = leader_call else { return };
+        let LeaderCall::SendCommands { host, shift, runs } = leader_call else { return };
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
         if let OrdersReply::Answered(report) = reply {
--- a/crates/plankhead-core/src/leader/rounds.rs
+++ b/crates/plankhead-core/src/leader/rounds.rs
@@ -177,7 +177,7 @@
         // Nor does the rush of the first seconds tell what comes later.
         let expected = if cold { Vec::new() } else { self.expected(now) };
         let slots: Vec<Slot> = self.slots(now).into_iter().map(|(_, slot)| slot).collect();
-        let running = |e: &&Entry| e.phase == Phase::Live && e.placed > 0 && e.pending() == 0;
+        let running = |e: &&Entry| e.phase == Phase::Active && e.placed > 0 && e.pending() == 0;
         let running = self.ledger.jobs.values().filter(running).count();
         let mut trials = Vec::new();
         for rig in self.fleet.rigs.keys().cloned().collect::<Vec<_>>() {
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -32,7 +32,7 @@
     /// The holder of the machine's shard.
     Holder { host: String, epoch: u64 },
     /// Perhaps a holder whose record this leader has not seen yet.
-    Doubt,
+    HolderUnknown,
     /// The worker knows a later leader's token.
     Superseded,
 }
@@ -142,7 +142,7 @@
         };
         if report.token > shards.registry.highest_epoch() {
             let doubt = shards.registry.is_in_doubt();
-            return if doubt { LeaderRoute::Doubt } else { LeaderRoute::Superseded };
+            return if doubt { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
         }
         let shard = shards.registry.shard_of(&report.zone, &report.host);
         match self.other_holder(&shard) {
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -20,7 +20,7 @@
         shards.refresh_due = now + REFRESH;
         let waits = |machine: &&Machine| {
             let report = machine.report.as_ref();
-            let ended = report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.seen, Seen::Ended(_))));
+            let ended = report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.seen, Seen::Exited(_))));
             ended || self.ledger.on_host(&machine.name).next().is_some()
         };
         let hosts: Vec<HostName> =
@@ -111,8 +111,8 @@
             snapshot,
         };
         let told = ToldHolder { machines: told, fresh, gone, replaced };
-        let call = LeaderCall::ShardOrders { to: to.to_owned(), told };
-        let message = ShardMessage::Orders(Box::new(message));
+        let call = LeaderCall::SendShardCommands { to: to.to_owned(), told };
+        let message = ShardMessage::LeaderCommands(Box::new(message));
         out.shard_message(Purpose::Leader(self.token, call), to.to_owned(), message);
     }
 
@@ -145,7 +145,7 @@
         let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(to)) else { return };
         peer.sending = false;
         peer.retry = now + self.settings.message_pause();
-        if delivery != Delivery::Taken {
+        if delivery != Delivery::Accepted {
             peer.retry = now + RETRY;
             for host in told.machines {
                 peer.sent.remove(&host);
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -64,8 +64,8 @@
             let key = write.shard.key();
             let value = write.record.as_ref().and_then(|record| serde_json::to_string(record).ok());
             match value {
-                Some(value) => Change::Write { key, value, hold: None },
-                None => Change::Drop { key },
+                Some(value) => Change::Put { key, value, hold: None },
+                None => Change::Delete { key },
             }
         };
         let changes = writes.iter().map(change).collect();
@@ -86,8 +86,10 @@
             Ok(StateReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
-            Ok(_) | Err(CallError::Refused | CallError::Busy | CallError::TooLarge) => WriteOutcome::Failed,
-            Err(CallError::Lost) => WriteOutcome::Lost,
+            Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
+                WriteOutcome::Failed
+            }
+            Err(CallError::OutcomeUnknown) => WriteOutcome::Lost,
         };
         let Some(shards) = &mut self.shards else { return true };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
--- a/crates/plankhead-core/src/leader/shards/reports.rs
+++ b/crates/plankhead-core/src/leader/shards/reports.rs
@@ -12,7 +12,7 @@
         let admitted = if meant { shards.guard.admit(&message.host, message.stamp).ok() } else { None };
         let Some(admission) = admitted else {
             shards.refused += 1;
-            return Delivery::NotTaken;
+            return Delivery::Rejected;
         };
         let peer = shards.peers.entry(message.host.clone()).or_default();
         peer.heard = now;
@@ -49,9 +49,9 @@
             }
         }
         match (taken, other_stream && !message.first) {
-            (false, _) => Delivery::NotTaken,
-            (true, true) => Delivery::TellAll,
-            (true, false) => Delivery::Taken,
+            (false, _) => Delivery::Rejected,
+            (true, true) => Delivery::FullSyncNeeded,
+            (true, false) => Delivery::Accepted,
         }
     }
 
@@ -86,7 +86,7 @@
         if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
             machine.unanswered = news.unanswered;
             if news.deaf {
-                machine.leaving.get_or_insert(Leaving::Deaf);
+                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
             }
         }
         self.order_due(&report.host);
--- a/crates/plankhead-core/src/leader/takeover.rs
+++ b/crates/plankhead-core/src/leader/takeover.rs
@@ -93,7 +93,7 @@
         reply: Result<StateReply, CallError>,
         out: &mut Out,
     ) {
-        let Ok(StateReply::Got(row)) = reply else {
+        let Ok(StateReply::Value(row)) = reply else {
             return self.load_failed(times.now);
         };
         let now = times.now;
@@ -134,7 +134,7 @@
         self.stage = Stage::Ready;
         let reports: Vec<Report> = self.fleet.machines.values().filter_map(|m| m.report.clone()).collect();
         for report in reports {
-            self.observe(times, &report, Heard::News, out);
+            self.observe(times, &report, Heard::Changed, out);
         }
         out.log(
             Level::Info,
@@ -185,13 +185,13 @@
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
             // comes with the first events.
-            Phase::Live if self.stage == Stage::Ready && requests.is_over(&id) => return,
-            Phase::Live => {}
+            Phase::Active if self.stage == Stage::Ready && requests.is_over(&id) => return,
+            Phase::Active => {}
         }
         let accepted = times.at_wall(record.accepted_ms);
         let cancelled = record.cancelled_ms.map(|ms| times.at_wall(ms));
         let per_chunk = record.per_chunk.max(1);
-        if record.phase == Phase::Live && !self.ledger.jobs.contains_key(&id) {
+        if record.phase == Phase::Active && !self.ledger.jobs.contains_key(&id) {
             // What waits when a service opens is a backlog and tells no rate.
             let opened = *self.opened.get_or_insert(accepted);
             let rush = accepted < opened + RUSH;
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -9,7 +9,7 @@
 
     pub fn all_progress(&self, most: usize) -> Vec<Progress> {
         let moving =
-            self.ledger.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == Phase::Live);
+            self.ledger.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == Phase::Active);
         moving
             .take(most)
             .map(|(id, e)| Progress { id: id.to_string(), done: e.done, running: e.running })
@@ -29,7 +29,7 @@
     /// What a gang that does not run waits for.
     pub(super) fn waits_for(&self, entry: &Entry) -> Option<&'static str> {
         let all = |seen: fn(Option<Seen>) -> bool| self.ledger.placements(entry).all(|a| seen(a.seen));
-        if entry.gang.is_none() || entry.phase != Phase::Live || entry.done > 0 {
+        if entry.gang.is_none() || entry.phase != Phase::Active || entry.done > 0 {
             return None;
         }
         if entry.placed == 0 {
@@ -44,7 +44,7 @@
         if !entry.complete() {
             return Some("its placements to be written");
         }
-        let there = all(|seen| matches!(seen, Some(Seen::Waiting)));
+        let there = all(|seen| matches!(seen, Some(Seen::WaitingForGang)));
         Some(if there { "its other tasks" } else { "images" })
     }
 
@@ -53,7 +53,7 @@
             return;
         }
         self.late_due = now + LATE_SCAN;
-        let live = |e: &Entry| e.phase == Phase::Live && !e.told_late;
+        let live = |e: &Entry| e.phase == Phase::Active && !e.told_late;
         let news: Vec<(JobId, bool, bool, Option<&str>)> = self
             .ledger
             .jobs
@@ -81,7 +81,7 @@
             .ledger
             .jobs
             .iter()
-            .filter(|(_, e)| e.phase == Phase::Live && (self.late(e, now) || self.stuck(e, now)))
+            .filter(|(_, e)| e.phase == Phase::Active && (self.late(e, now) || self.stuck(e, now)))
             .take(1000)
             .map(|(id, e)| {
                 serde_json::json!({
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -44,20 +44,20 @@
         let heard = self.hear(times, &report, false, out);
         let token = self.token_for(&host);
         let orders = self.orders(now, &host, requests);
-        let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != Heard::Old) else {
+        let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != Heard::Stale) else {
             // A copy gets no orders, nor counts as heard.
-            return Answer::Beat { token, orders: Vec::new() };
+            return Answer::Commands { token, orders: Vec::new() };
         };
         machine.relayed = relayed;
         if !relayed {
             machine.direct = now;
         }
         if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Answer::Elsewhere { foreman: None };
+            return Answer::Redirect { foreman: None };
         }
         machine.note_answer(&orders, now);
         self.note_offers(&orders, token);
-        Answer::Beat { token, orders }
+        Answer::Commands { token, orders }
     }
 
     /// Notes which attempts a worker may be told to run from now on, and under which token.
@@ -80,7 +80,7 @@
             false => self.fleet.observe(report, self.token, times.now),
         };
         self.dirty |= up(&self.fleet) != before;
-        if heard != Heard::Old && self.stage == Stage::Ready {
+        if heard != Heard::Stale && self.stage == Stage::Ready {
             self.observe(times, report, heard, out);
         }
         heard
@@ -90,18 +90,18 @@
     pub(super) fn observe(&mut self, times: Times, report: &Report, heard: Heard, out: &mut Out) {
         let now = times.now;
         let (ended, lost) = match heard {
-            Heard::News => self.ledger.observe(report, report.token >= self.token, now),
+            Heard::Changed => self.ledger.observe(report, report.token >= self.token, now),
             _ => Default::default(),
         };
         if lost > 0 {
             // Such an attempt is neither there nor proven gone.
             if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
-                machine.leaving.get_or_insert(Leaving::Forgetful);
+                machine.leaving.get_or_insert(Leaving::LostAttempts);
             }
         }
-        for listed in report.tasks.iter().filter(|_| heard == Heard::News) {
+        for listed in report.tasks.iter().filter(|_| heard == Heard::Changed) {
             // Who waits for other tasks of a gang has the image.
-            if !matches!(listed.seen, Seen::Running | Seen::Waiting) {
+            if !matches!(listed.seen, Seen::Running | Seen::WaitingForGang) {
                 continue;
             }
             if let Some(spec) = self.ledger.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
@@ -118,7 +118,7 @@
         }
         self.tell_urgent(now, out);
         if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
-            let idle = report.tasks.iter().all(|t| matches!(t.seen, Seen::Ended(_)));
+            let idle = report.tasks.iter().all(|t| matches!(t.seen, Seen::Exited(_)));
             match (idle && self.ledger.on_host(&report.host).next().is_none(), machine.idle_since) {
                 (true, None) => {
                     machine.idle_since = Some(now);
@@ -153,7 +153,7 @@
         let Some(entry) = self.ledger.jobs.get_mut(&end.task.job) else { return };
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         match end.cause {
-            Some(Cause::Done) => {
+            Some(Cause::Completed) => {
                 machine.errors = 0;
                 entry.errors = 0;
                 entry.error_hosts.clear();
@@ -163,7 +163,7 @@
                     *mean += 0.1 * (ratio - *mean);
                 }
             }
-            Some(Cause::Error) => {
+            Some(Cause::Failed) => {
                 entry.errors += 1;
                 entry.error_hosts.insert(host.clone());
                 // A job that fails on every machine is the job's fault.
@@ -176,10 +176,13 @@
                 }
                 out.log(Level::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
             }
-            Some(Cause::Full | Cause::Busy) => machine.full_until = now + FULL_PAUSE,
-            Some(Cause::Unknown) => entry.not_before = now + Duration::from_secs(1),
+            Some(Cause::InsufficientResources | Cause::AttemptConflict) => {
+                machine.full_until = now + FULL_PAUSE
+            }
+            Some(Cause::UnknownJob) => entry.not_before = now + Duration::from_secs(1),
             // Another task's fault, or nobody's.
-            Some(Cause::Stopped | Cause::MatesGone | Cause::Incomplete | Cause::Other) | None => {}
+            Some(Cause::Stopped | Cause::GangMemberLost | Cause::GangIncomplete | Cause::Unrecognized)
+            | None => {}
         }
     }
 
@@ -191,12 +194,12 @@
         let (reaps, kills) = (self.permits(Action::AcknowledgeEnds, now), self.permits(Action::Kill, now));
         for Listed { task, attempt, seen } in report.tasks.iter() {
             let attempt = *attempt;
-            if matches!(seen, Seen::Ended(_)) {
+            if matches!(seen, Seen::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
                 let unconfirmed = machine.has_unconfirmed_run(task, attempt);
                 let over = !self.ledger.jobs.contains_key(&task.job) && requests.is_over(&task.job);
                 if reaps && !unconfirmed && (over || self.ledger.may_reap(task, attempt)) {
-                    orders.push(Order::Reap { task: task.clone(), attempt });
+                    orders.push(Order::Acknowledge { task: task.clone(), attempt });
                 }
             } else if let Some(leeway) = self.unwanted(host, task, attempt, requests).filter(|_| kills) {
                 orders.push(Order::Kill { task: task.clone(), attempt, leeway });
@@ -221,7 +224,7 @@
         };
         match self.ledger.attempt(task) {
             Some(a) if a.number == attempt && a.host == *host => {
-                (a.stop || entry.phase != Phase::Live).then(|| self.leeway(task))
+                (a.stop || entry.phase != Phase::Active).then(|| self.leeway(task))
             }
             _ => Some(Duration::ZERO),
         }
@@ -231,7 +234,7 @@
     pub(super) fn leeway(&self, task: &TaskId) -> Duration {
         let Some(entry) = self.ledger.jobs.get(&task.job) else { return Duration::ZERO };
         // A gang that lost a task saves nothing any more.
-        let saves = entry.phase == Phase::Live && entry.spec.checkpoint > 0.0 && !entry.broken();
+        let saves = entry.phase == Phase::Active && entry.spec.checkpoint > 0.0 && !entry.broken();
         let save = Duration::from_secs_f64(entry.spec.save.min(3600.0));
         if saves && save <= MOST_LEEWAY {
             MOST_LEEWAY
@@ -247,7 +250,7 @@
         let mut orders = Vec::new();
         let sighted = self.sighted(now);
         for task in self.ledger.on_host(&machine.name).filter(|_| sighted) {
-            let ending = |e: &&Entry| e.phase == Phase::Live && e.ending();
+            let ending = |e: &&Entry| e.phase == Phase::Active && e.ending();
             let found = self.ledger.jobs.get(&task.job).filter(ending).and(self.ledger.attempt(task));
             let Some(attempt) = found else { continue };
             let told = attempt.offered.is_some() && attempt.seen.is_none() && attempt.shift == report.shift;
@@ -272,7 +275,7 @@
         let shift = machine.shift();
         self.ledger.on_host(&machine.name).filter_map(move |task| {
             let attempt = self.ledger.attempt(task)?;
-            let live = self.ledger.jobs.get(&task.job)?.phase == Phase::Live;
+            let live = self.ledger.jobs.get(&task.job)?.phase == Phase::Active;
             let due = live
                 && sighted
                 && Some(attempt.shift) == shift
@@ -337,7 +340,7 @@
         }
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
-        let leader_call = LeaderCall::Orders { host: host.clone(), shift, runs };
+        let leader_call = LeaderCall::SendCommands { host: host.clone(), shift, runs };
         out.orders(Purpose::Leader(self.token, leader_call), address, token, shift, orders);
     }
 
--- a/crates/plankhead-core/src/leader/writing.rs
+++ b/crates/plankhead-core/src/leader/writing.rs
@@ -41,7 +41,7 @@
             }
             self.txns += 1;
             let op = StateOp::Txn { conditions: txn.conditions, changes: txn.changes };
-            self.state(LeaderCall::Write(txn.batch), op, out);
+            self.state(LeaderCall::Commit(txn.batch), op, out);
         }
     }
 
@@ -75,7 +75,7 @@
             let Some(entry) = self.ledger.jobs.get(&id) else { continue };
             let Some(chunk) = entry.chunks.get(&number) else { continue };
             let closing = entry.done == entry.spec.tasks;
-            if entry.phase != Phase::Live || entry.stale || entry.finishing || closing {
+            if entry.phase != Phase::Active || entry.stale || entry.finishing || closing {
                 continue;
             }
             if chunk.writing || chunk.stale {
@@ -89,7 +89,7 @@
             txn.condition(Condition { key: id.key(), stamp: entry.stamp });
             txn.condition(Condition { key: key.clone(), stamp: chunk.stamp });
             txn.bytes += value.len() + 400;
-            txn.changes.push(Change::Write { key, value, hold: None });
+            txn.changes.push(Change::Put { key, value, hold: None });
             txn.batch.chunks.push((id.clone(), number, version));
             if let Some(chunk) = self.ledger.jobs.get_mut(&id).and_then(|e| e.chunks.get_mut(&number)) {
                 chunk.writing = true;
@@ -105,7 +105,7 @@
             }
             let Some(entry) = self.ledger.jobs.get_mut(&id) else { continue };
             let writing = entry.chunks.values().any(|c| c.writing);
-            if entry.phase != Phase::Live || entry.stale || entry.finishing || writing {
+            if entry.phase != Phase::Active || entry.stale || entry.finishing || writing {
                 continue;
             }
             let record = JobRecord::last(Phase::Done, entry.spec.tasks);
@@ -114,7 +114,7 @@
             let stamp = entry.stamp;
             txn.condition(Condition { key: id.key(), stamp });
             txn.bytes += value.len() + 200;
-            txn.changes.push(Change::Write { key: id.key(), value, hold: None });
+            txn.changes.push(Change::Put { key: id.key(), value, hold: None });
             txn.batch.finals.push(id.clone());
         }
     }
@@ -130,7 +130,7 @@
         for id in self.ledger.closing.clone() {
             let Some(entry) = self.ledger.jobs.get(&id) else { continue };
             let writing = entry.chunks.values().any(|c| c.writing);
-            if entry.phase == Phase::Live || entry.placed > 0 || writing {
+            if entry.phase == Phase::Active || entry.placed > 0 || writing {
                 continue;
             }
             if entry.phase == Phase::Done {
@@ -184,8 +184,8 @@
         }
         self.target_dirty = false;
         self.target_writing = true;
-        let changes = vec![Change::Write { key: TARGET.into(), value, hold: None }];
-        self.state(LeaderCall::Target, StateOp::Txn { conditions: vec![self.lead()], changes }, out);
+        let changes = vec![Change::Put { key: TARGET.into(), value, hold: None }];
+        self.state(LeaderCall::WriteTarget, StateOp::Txn { conditions: vec![self.lead()], changes }, out);
     }
 
     /// Drops chunks that nobody needs, when there is room to write.
@@ -216,8 +216,8 @@
             let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), stamp: k.revision? });
             conditions.extend(keys.iter().filter_map(revision));
         }
-        let changes = keys.iter().map(|k| Change::Drop { key: k.key.clone() }).collect();
-        self.state(LeaderCall::Sweep(keys), StateOp::Txn { conditions, changes }, out);
+        let changes = keys.iter().map(|k| Change::Delete { key: k.key.clone() }).collect();
+        self.state(LeaderCall::DeleteGarbage(keys), StateOp::Txn { conditions, changes }, out);
     }
 
     /// Where duties are fenced, a key goes only at the revision that is known to be over:
@@ -225,7 +225,7 @@
     fn of_known_revision(&self, keys: Vec<StoredKey>, out: &mut Out) -> Vec<StoredKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
         for StoredKey { key, .. } in unknown {
-            self.state(LeaderCall::ReadGarbage(key.clone()), StateOp::Get { key }, out);
+            self.state(LeaderCall::ReadGarbageRevision(key.clone()), StateOp::Get { key }, out);
         }
         known
     }
@@ -245,11 +245,12 @@
     /// again: then its records are its own.
     pub(super) fn garbage_read(&mut self, key: String, reply: Result<StateReply, CallError>) {
         let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
-        let needed = job.is_some_and(|id| self.ledger.jobs.get(&id).is_some_and(|e| e.phase == Phase::Live));
+        let needed =
+            job.is_some_and(|id| self.ledger.jobs.get(&id).is_some_and(|e| e.phase == Phase::Active));
         match reply {
             _ if needed => {}
-            Ok(StateReply::Got(None)) => {}
-            Ok(StateReply::Got(Some(row))) => {
+            Ok(StateReply::Value(None)) => {}
+            Ok(StateReply::Value(Some(row))) => {
                 self.garbage.push(StoredKey { key, revision: Some(row.stamp) });
             }
             _ => self.garbage.push(StoredKey { key, revision: None }),
@@ -269,9 +270,9 @@
         for (id, stamp, record) in &finals {
             let Ok(value) = serde_json::to_string(record) else { continue };
             conditions.push(Condition { key: id.key(), stamp: *stamp });
-            changes.push(Change::Write { key: id.over_key(), value, hold: None });
-            changes.push(Change::Drop { key: id.key() });
+            changes.push(Change::Put { key: id.over_key(), value, hold: None });
+            changes.push(Change::Delete { key: id.key() });
         }
-        self.state(LeaderCall::Archive(finals), StateOp::Txn { conditions, changes }, out);
+        self.state(LeaderCall::ArchiveJobs(finals), StateOp::Txn { conditions, changes }, out);
     }
 }
--- a/crates/plankhead-core/src/ledger.rs
+++ b/crates/plankhead-core/src/ledger.rs
@@ -290,7 +290,7 @@
             }
             entry.stamp = stamp;
             entry.stale = false;
-            if record.phase == Phase::Cancelled && entry.phase == Phase::Live {
+            if record.phase == Phase::Cancelled && entry.phase == Phase::Active {
                 entry.phase = Phase::Cancelled;
                 entry.cancelled = cancelled;
                 self.settle(id);
@@ -347,7 +347,7 @@
         }
         let Some(entry) = self.jobs.get(id) else { return };
         let over = match entry.phase {
-            Phase::Live => entry.done == entry.spec.tasks,
+            Phase::Active => entry.done == entry.spec.tasks,
             _ => entry.placed == 0,
         };
         if over {
@@ -552,7 +552,7 @@
         now: Duration,
     ) -> Option<TaskId> {
         let entry = self.jobs.get_mut(id)?;
-        if entry.phase != Phase::Live || entry.pending() == 0 {
+        if entry.phase != Phase::Active || entry.pending() == 0 {
             return None;
         }
         if let Some(gang) = &mut entry.gang {
@@ -662,7 +662,7 @@
         let Some(task) = chunk.tasks.get(&id.index) else { return false };
         let current = matches!(&task.state, TaskState::Placed(a) if a.number == number);
         let kept = match entry.phase {
-            Phase::Live => chunk.durable >= task.end_version,
+            Phase::Active => chunk.durable >= task.end_version,
             // The job's end was written, which is that of all its tasks.
             Phase::Done => true,
             Phase::Cancelled => false,
@@ -745,10 +745,10 @@
                     self.note_end(&id, now);
                 }
                 None => lost += u32::from(attempt.seen.is_some()),
-                Some(Seen::Ended(cause)) => {
+                Some(Seen::Exited(cause)) => {
                     let ran = running.map(|at| now.saturating_sub(at));
                     ended.push(finish(Some(*cause), ran));
-                    self.end(&id, *cause == Cause::Done);
+                    self.end(&id, *cause == Cause::Completed);
                     self.note_end(&id, now);
                 }
                 Some(seen) => self.saw(&id, *seen, now),
@@ -768,7 +768,7 @@
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
         let orderly = gang.stopping && end.cause == Some(Cause::Stopped);
-        if entry.placed > 0 && entry.phase == Phase::Live && !gang.done && !orderly {
+        if entry.placed > 0 && entry.phase == Phase::Active && !gang.done && !orderly {
             self.break_gang(&end.task.job);
         }
     }
@@ -794,7 +794,7 @@
         }
         // An earlier leader began to stop the gang: whoever is not told in time
         // spoils what the others save.
-        if seen == Seen::Saving && entry.gang.is_some() {
+        if seen == Seen::Checkpointing && entry.gang.is_some() {
             self.stop(id);
         }
     }
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -234,13 +234,13 @@
                 self.requests.submit(times, ask, id, job, takes, &mut self.out);
             }
             Event::Poll { ask, id } => self.requests.poll(now, ask, id, &mut self.out),
-            Event::Abort { ask, id } => self.requests.abort(now, ask, id, &mut self.out),
-            Event::Beat { ask, report, relayed } => {
+            Event::Cancel { ask, id } => self.requests.abort(now, ask, id, &mut self.out),
+            Event::Heartbeat { ask, report, relayed } => {
                 let Some(report) = self.hold(now, ask, report, relayed) else { return };
                 let answer = self.beat(times, report, relayed);
                 self.out.answer(ask, answer);
             }
-            Event::State { call, reply } => {
+            Event::KvReply { call, reply } => {
                 if let Some(reach) = &mut self.reach {
                     reach.state_reply(call, &reply, now);
                 }
@@ -252,7 +252,7 @@
                             self.out.log(Level::Info, text);
                         }
                     }
-                    Err(CallError::Busy) => {}
+                    Err(CallError::RateLimited) => {}
                     Err(CallError::TooLarge) => {
                         self.out.log(Level::Error, "a change was larger than is allowed by now".into());
                         let news = self.version_barrier.pass(&mut self.out);
@@ -271,13 +271,13 @@
                         let news = self.version_barrier.reply(step, reply, &mut self.out);
                         self.opened(news);
                     }
-                    Some(Purpose::Reach(reach_call)) => {
+                    Some(Purpose::Reachability(reach_call)) => {
                         if let Some(reach) = &mut self.reach {
                             reach.reply(reach_call, reply, now, &mut self.out);
                         }
                     }
-                    Some(Purpose::RequestHandler(request)) => self.request(times, request, reply),
-                    Some(Purpose::Records(step)) => self.records_reply(now, step, reply),
+                    Some(Purpose::UserRequest(request)) => self.request(times, request, reply),
+                    Some(Purpose::ShardRecords(step)) => self.records_reply(now, step, reply),
                     Some(Purpose::Holder(call)) => self.holder_state_reply(now, call, reply),
                     Some(Purpose::Leader(token, leader_call)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
@@ -296,12 +296,12 @@
                     _ => {}
                 }
             }
-            Event::Cloud { call, reply } => {
+            Event::CloudReply { call, reply } => {
                 if let Some(reach) = &mut self.reach {
                     reach.cloud_reply(call, &reply, now);
                 }
                 match self.out.calls.remove(&call) {
-                    Some(Purpose::Catalog) => self.catalog(now, reply),
+                    Some(Purpose::MachineTypes) => self.catalog(now, reply),
                     Some(Purpose::Leader(token, leader_call)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
                             leader.cloud_reply(times, leader_call, reply, &mut self.out);
@@ -310,7 +310,7 @@
                     _ => {}
                 }
             }
-            Event::Orders { call, reply } => {
+            Event::CommandReply { call, reply } => {
                 if let Some(reach) = &mut self.reach {
                     reach.orders_reply(call, &reply, now);
                 }
@@ -324,14 +324,14 @@
                     _ => {}
                 }
             }
-            Event::Shard { ask, message } => {
+            Event::ShardMessage { ask, message } => {
                 let delivery = self.shard_message(times, message);
-                self.out.answer(ask, Answer::Shard(delivery));
+                self.out.answer(ask, Answer::ShardMessageDelivery(delivery));
             }
-            Event::ShardTold { call, delivery } => self.shard_told(now, call, delivery),
-            Event::Pulse(pulse) => self.pulse(times, pulse),
+            Event::ShardMessageDelivery { call, delivery } => self.shard_told(now, call, delivery),
+            Event::PeerHeartbeat(pulse) => self.pulse(times, pulse),
             Event::Coverage(coverage) => self.coverage(now, coverage),
-            Event::PeerTold { host, confirmed } => {
+            Event::PeerDelivery { host, confirmed } => {
                 if let Some(reach) = &mut self.reach {
                     reach.peer_told(&host, confirmed, now);
                 }
@@ -365,7 +365,7 @@
 
     fn verdict(&mut self, times: Times, verdict: Verdict) {
         match verdict {
-            Verdict::None => {}
+            Verdict::Unchanged => {}
             Verdict::Won { token } => {
                 self.tokens.learn(token);
                 self.out.log(Level::Info, format!("leads under token {token}"));
@@ -416,7 +416,7 @@
     fn catalog(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
         self.catalog_asked = false;
         match reply {
-            Ok(CloudReply::Catalog(rigs)) if !rigs.is_empty() => {
+            Ok(CloudReply::MachineTypes(rigs)) if !rigs.is_empty() => {
                 self.rigs = rigs.into_iter().map(|r| (r.label.clone(), r)).collect();
                 self.catalog_due = now + CATALOG_AGE;
                 if let Some(leader) = &mut self.leader {
@@ -479,7 +479,7 @@
         self.version_barrier.tick(now, &mut self.out);
         if now >= self.catalog_due && !self.catalog_asked {
             self.catalog_asked = true;
-            self.out.cloud(Purpose::Catalog, CloudOp::Catalog);
+            self.out.cloud(Purpose::MachineTypes, CloudOp::ListMachineTypes);
         }
         self.requests.tick(times, &mut self.out);
         self.tick_sharding(times);
@@ -513,7 +513,7 @@
                 Some(leader) => leader.all_progress(MOST_PROGRESS),
                 None => Vec::new(),
             };
-            self.out.effects.push(Effect::Pulse(Pulse {
+            self.out.effects.push(Effect::SendPeerHeartbeat(Pulse {
                 host: self.settings.host.clone(),
                 state_ok: self.state_bad.is_none(),
                 token: self.leader.as_ref().map_or(0, |l| l.token),
--- a/crates/plankhead-core/src/node/out.rs
+++ b/crates/plankhead-core/src/node/out.rs
@@ -16,14 +16,14 @@
 pub enum Purpose {
     Election(election::Step),
     VersionBarrier(version_barrier::Step),
-    RequestHandler(PendingRequest),
+    UserRequest(PendingRequest),
     /// Under a token, so that replies to an earlier term are ignored.
     Leader(u64, LeaderCall),
-    Reach(ReachCall),
+    Reachability(ReachCall),
     /// The records of shards.
-    Records(key_watch::Step),
+    ShardRecords(key_watch::Step),
     Holder(HolderCall),
-    Catalog,
+    MachineTypes,
 }
 
 /// Collects effects and remembers what replies are for.
@@ -43,12 +43,12 @@
 
     pub fn state(&mut self, purpose: Purpose, op: StateOp) {
         let call = self.call(purpose);
-        self.effects.push(Effect::State { call, op });
+        self.effects.push(Effect::CallKv { call, op });
     }
 
     pub fn cloud(&mut self, purpose: Purpose, op: CloudOp) {
         let call = self.call(purpose);
-        self.effects.push(Effect::Cloud { call, op });
+        self.effects.push(Effect::CallCloud { call, op });
     }
 
     pub fn orders(
@@ -60,16 +60,16 @@
         orders: Vec<Order>,
     ) {
         let call = self.call(purpose);
-        self.effects.push(Effect::Orders { call, address, token, shift, orders });
+        self.effects.push(Effect::SendCommands { call, address, token, shift, orders });
     }
 
     pub fn shard_message(&mut self, purpose: Purpose, to: String, message: ShardMessage) {
         let call = self.call(purpose);
-        self.effects.push(Effect::Shard { call, to, message });
+        self.effects.push(Effect::SendShardMessage { call, to, message });
     }
 
     pub fn answer(&mut self, ask: Ask, answer: Answer) {
-        self.effects.push(Effect::Answer { ask, answer });
+        self.effects.push(Effect::Respond { ask, answer });
     }
 
     pub fn log(&mut self, level: Level, text: String) {
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -88,7 +88,7 @@
         let standing = self.standing(now);
         let blind = standing.records.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
         let adrift = (blind || standing.failing) && !self.company(now);
-        let Some(sharding) = &mut self.sharding else { return Answer::Elsewhere { foreman: None } };
+        let Some(sharding) = &mut self.sharding else { return Answer::Redirect { foreman: None } };
         sharding.holder.beat(times, report, of, (relayed, adrift), standing)
     }
 
@@ -149,13 +149,14 @@
         reply: Result<StateReply, CallError>,
     ) {
         let standing = self.standing(now);
-        let (Some(sharding), HolderCall::Jobs(step)) = (&mut self.sharding, call) else { return };
+        let (Some(sharding), HolderCall::WatchJobs(step)) = (&mut self.sharding, call) else { return };
         sharding.holder.state_reply(now, step, reply, &mut self.requests, standing, &mut self.out);
     }
 
     pub(super) fn holder_orders_reply(&mut self, now: Duration, call: HolderCall, reply: OrdersReply) {
         let standing = self.standing(now);
-        let (Some(sharding), HolderCall::Orders { host, shift, runs }) = (&mut self.sharding, call) else {
+        let (Some(sharding), HolderCall::SendCommands { host, shift, runs }) = (&mut self.sharding, call)
+        else {
             return;
         };
         if self.leader.is_none() {
@@ -175,31 +176,33 @@
             (Err(fault), _) => {
                 sharding.malformed += 1;
                 self.out.log(Level::Info, format!("a message about shards was refused: {fault}"));
-                Delivery::NotTaken
+                Delivery::Rejected
             }
-            (Ok(ShardMessage::Report(report)), Some(leader)) => {
+            (Ok(ShardMessage::HolderStatus(report)), Some(leader)) => {
                 leader.holder_report(times, *report, &mut self.out)
             }
-            (Ok(ShardMessage::Orders(orders)), None) if self.settings.siblings.contains(&orders.host) => {
+            (Ok(ShardMessage::LeaderCommands(orders)), None)
+                if self.settings.siblings.contains(&orders.host) =>
+            {
                 let taken = sharding.holder.leader_orders(times.now, *orders, standing, &mut self.out);
                 if taken {
-                    Delivery::Taken
+                    Delivery::Accepted
                 } else {
-                    Delivery::NotTaken
+                    Delivery::Rejected
                 }
             }
-            _ => Delivery::NotTaken,
+            _ => Delivery::Rejected,
         }
     }
 
     pub(super) fn shard_told(&mut self, now: Duration, call: Call, delivery: Delivery) {
         match self.out.calls.remove(&call) {
-            Some(Purpose::Holder(HolderCall::Report { leader, machines })) => {
+            Some(Purpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
                 if let Some(sharding) = &mut self.sharding {
                     sharding.holder.reported(now, leader, machines, delivery);
                 }
             }
-            Some(Purpose::Leader(token, LeaderCall::ShardOrders { to, told })) => {
+            Some(Purpose::Leader(token, LeaderCall::SendShardCommands { to, told })) => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
                     leader.orders_told(now, &to, told, delivery);
                 }
--- a/crates/plankhead-core/src/node/workers.rs
+++ b/crates/plankhead-core/src/node/workers.rs
@@ -55,7 +55,7 @@
                 LeaderRoute::Holder { host, epoch } => {
                     return self.redirect(now, report, (epoch, host), relayed)
                 }
-                LeaderRoute::Doubt => return Answer::Unavailable { retry: Duration::from_secs(1) },
+                LeaderRoute::HolderUnknown => return Answer::Unavailable { retry: Duration::from_secs(1) },
                 LeaderRoute::Superseded => {}
             }
             // A worker has seen a later token than ours.
@@ -72,7 +72,7 @@
         let least = report.token.max(self.highest_token());
         match self.foreman(now, least) {
             Some(leader) => self.redirect(now, report, leader, relayed),
-            None => Answer::Elsewhere { foreman: None },
+            None => Answer::Redirect { foreman: None },
         }
     }
 
@@ -99,7 +99,7 @@
         if self.sent.len() < MOST_SENT {
             self.sent.insert(report.host, (token, now));
         }
-        Answer::Elsewhere { foreman: Some(foreman) }
+        Answer::Redirect { foreman: Some(foreman) }
     }
 
     /// What a report tells of the links to workers.
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -25,43 +25,43 @@
         ask: Ask,
         id: JobId,
     },
-    Abort {
+    Cancel {
         ask: Ask,
         id: JobId,
     },
     /// `relayed`: through a sibling, since the worker can't reach this node.
-    Beat {
+    Heartbeat {
         ask: Ask,
         report: Report,
         relayed: bool,
     },
-    State {
+    KvReply {
         call: Call,
         reply: Result<StateReply, CallError>,
     },
-    Cloud {
+    CloudReply {
         call: Call,
         reply: Result<CloudReply, CallError>,
     },
-    Orders {
+    CommandReply {
         call: Call,
         reply: OrdersReply,
     },
-    Pulse(Pulse),
+    PeerHeartbeat(Pulse),
     /// What a peer tells of its reach, or why its message was refused.
     Coverage(Result<Box<Coverage>, CoverageFault>),
     /// A message of a peer about shards, or why it was refused.
-    Shard {
+    ShardMessage {
         ask: Ask,
         message: Result<ShardMessage, ShardFault>,
     },
     /// What became of a message about shards.
-    ShardTold {
+    ShardMessageDelivery {
         call: Call,
         delivery: Delivery,
     },
     /// What came of telling a peer something.
-    PeerTold {
+    PeerDelivery {
         host: String,
         confirmed: bool,
     },
@@ -73,19 +73,19 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    Answer {
+    Respond {
         ask: Ask,
         answer: Answer,
     },
-    State {
+    CallKv {
         call: Call,
         op: StateOp,
     },
-    Cloud {
+    CallCloud {
         call: Call,
         op: CloudOp,
     },
-    Orders {
+    SendCommands {
         call: Call,
         address: Arc<str>,
         token: u64,
@@ -93,11 +93,11 @@
         orders: Vec<Order>,
     },
     /// Tells every sibling.
-    Pulse(Pulse),
+    SendPeerHeartbeat(Pulse),
     /// Tells every sibling of this node's reach.
-    Coverage(Box<Coverage>),
+    SendCoverage(Box<Coverage>),
     /// Tells one sibling something about shards; what becomes of it comes back.
-    Shard {
+    SendShardMessage {
         call: Call,
         to: String,
         message: ShardMessage,
@@ -139,19 +139,19 @@
         done: u32,
         running: u32,
     },
-    Malformed(String),
-    Impossible(String),
+    BadRequest(String),
+    Unprocessable(String),
     NotFound,
     /// 503, with the time after which to try again.
     Unavailable {
         retry: Duration,
     },
-    Beat {
+    Commands {
         token: u64,
         orders: Vec<Order>,
     },
     /// 421, with the node to report to where it is known.
-    Elsewhere {
+    Redirect {
         foreman: Option<String>,
     },
     /// The worker knows this leader already, so that it can't reach it now:
@@ -161,7 +161,7 @@
     },
     View(serde_json::Value),
     /// What became of a peer's message about shards.
-    Shard(Delivery),
+    ShardMessageDelivery(Delivery),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -175,8 +175,8 @@
 impl Status {
     pub fn of(phase: Phase, running: u32) -> Self {
         match phase {
-            Phase::Live if running > 0 => Self::Running,
-            Phase::Live => Self::Queued,
+            Phase::Active if running > 0 => Self::Running,
+            Phase::Active => Self::Queued,
             Phase::Done => Self::Done,
             Phase::Cancelled => Self::Cancelled,
         }
@@ -217,37 +217,37 @@
 /// What a worker says of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Seen {
-    Pulling,
+    FetchingImage,
     /// A task of a gang that waits for the others.
-    Waiting,
+    WaitingForGang,
     Running,
-    Saving,
+    Checkpointing,
     /// A word that is not known here: the attempt is there, and no more is said.
-    Other,
-    Ended(Cause),
+    Unrecognized,
+    Exited(Cause),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    Done,
+    Completed,
     Stopped,
-    Error,
-    Full,
-    Busy,
-    Unknown,
+    Failed,
+    InsufficientResources,
+    AttemptConflict,
+    UnknownJob,
     /// Another task of the gang is gone.
-    MatesGone,
+    GangMemberLost,
     /// The gang was not complete in time.
-    Incomplete,
+    GangIncomplete,
     /// A word that is not known here: the attempt is over all the same.
-    Other,
+    Unrecognized,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
     Run { task: TaskId, attempt: u64 },
     Kill { task: TaskId, attempt: u64, leeway: Duration },
-    Reap { task: TaskId, attempt: u64 },
+    Acknowledge { task: TaskId, attempt: u64 },
 }
 
 impl Order {
@@ -256,7 +256,7 @@
         match self {
             Order::Run { task, attempt } => Some((task.clone(), *attempt, true)),
             Order::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
-            Order::Reap { .. } => None,
+            Order::Acknowledge { .. } => None,
         }
     }
 }
@@ -277,9 +277,9 @@
     /// Certainly not carried out.
     Refused,
     /// Certainly not carried out, since too much was asked at the moment.
-    Busy,
+    RateLimited,
     /// May have been carried out, or may be later.
-    Lost,
+    OutcomeUnknown,
     /// Certainly not carried out, since it was larger than is allowed by now.
     TooLarge,
 }
@@ -289,10 +289,10 @@
     Get { key: String },
     List { prefix: String, after: Option<String> },
     Txn { conditions: Vec<Condition>, changes: Vec<Change> },
-    Grant { life: Duration },
-    Touch { hold: u64 },
-    Revoke { hold: u64 },
-    Follow { prefix: String, after: u64, wait: Duration },
+    GrantLease { life: Duration },
+    RenewLease { hold: u64 },
+    RevokeLease { hold: u64 },
+    Watch { prefix: String, after: u64, wait: Duration },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -304,12 +304,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// The value is JSON text.
-    Write {
+    Put {
         key: String,
         value: String,
         hold: Option<u64>,
     },
-    Drop {
+    Delete {
         key: String,
     },
 }
@@ -323,7 +323,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateReply {
-    Got(Option<Row>),
+    Value(Option<Row>),
     Page {
         rows: Vec<Row>,
         truncated: bool,
@@ -336,11 +336,11 @@
         failed: Vec<String>,
     },
     /// The grant named by a write or a touch is over.
-    NoGrant,
-    Granted {
+    NoSuchLease,
+    LeaseGranted {
         hold: u64,
     },
-    Touched,
+    LeaseRenewed,
     Events {
         epoch: u64,
         events: Vec<KeyEvent>,
@@ -351,25 +351,25 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyEvent {
-    Written(Row),
-    Dropped { key: String, stamp: u64 },
+    Put(Row),
+    Delete { key: String, stamp: u64 },
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudOp {
-    Catalog,
-    List {
+    ListMachineTypes,
+    ListInstances {
         after: Option<HostName>,
     },
     /// What can't be taken back, once it has passed the gate.
-    Act(Permitted),
+    Execute(Permitted),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    Catalog(Vec<Rig>),
-    Page { hosts: Vec<ListedHost>, truncated: bool },
-    Hired(Vec<HostName>),
+    MachineTypes(Vec<Rig>),
+    Instances { hosts: Vec<ListedHost>, truncated: bool },
+    Rented(Vec<HostName>),
     NoCapacity,
     Released,
 }
--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reach.rs
@@ -98,9 +98,9 @@
 fn state_link(op: &StateOp) -> LinkId {
     match op {
         StateOp::Get { .. } | StateOp::List { .. } => LinkId::StateReads,
-        StateOp::Txn { .. } | StateOp::Grant { .. } | StateOp::Revoke { .. } => LinkId::StateWrites,
-        StateOp::Touch { .. } => LinkId::StateRenewal,
-        StateOp::Follow { .. } => LinkId::StateWatch,
+        StateOp::Txn { .. } | StateOp::GrantLease { .. } | StateOp::RevokeLease { .. } => LinkId::StateWrites,
+        StateOp::RenewLease { .. } => LinkId::StateRenewal,
+        StateOp::Watch { .. } => LinkId::StateWatch,
     }
 }
 
@@ -170,9 +170,9 @@
     pub fn sent(&mut self, effects: &[Effect], now: Duration) {
         for effect in effects {
             let (call, link) = match effect {
-                Effect::State { call, op } => (*call, state_link(op)),
-                Effect::Cloud { call, .. } => (*call, LinkId::Cloud),
-                Effect::Orders { call, .. } => (*call, LinkId::Commands),
+                Effect::CallKv { call, op } => (*call, state_link(op)),
+                Effect::CallCloud { call, .. } => (*call, LinkId::Cloud),
+                Effect::SendCommands { call, .. } => (*call, LinkId::Commands),
                 _ => continue,
             };
             self.calls.insert(call, link);
@@ -188,15 +188,15 @@
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
             // It is there, and has too much to do.
-            Err(CallError::Busy) => self.monitor.dropped(link, call),
-            Err(CallError::Refused | CallError::Lost) => self.monitor.unanswered(link, call, now),
+            Err(CallError::RateLimited) => self.monitor.dropped(link, call),
+            Err(CallError::Refused | CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
         }
     }
 
     pub fn cloud_reply<T>(&mut self, call: Call, reply: &Result<T, CallError>, now: Duration) {
         let Some(link) = self.calls.remove(&call) else { return };
         match reply {
-            Err(CallError::Lost) => self.monitor.unanswered(link, call, now),
+            Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
             _ => self.monitor.answered(link, call, now),
         }
     }
@@ -326,7 +326,7 @@
             peers,
             successor,
         };
-        out.effects.push(Effect::Coverage(Box::new(coverage)));
+        out.effects.push(Effect::SendCoverage(Box::new(coverage)));
     }
 
     /// The node that this leader should hand over to now; the others are told.
@@ -407,25 +407,25 @@
         let lead = Condition { key: election::KEY.into(), stamp: token };
         let page = Condition { key: write.key.clone(), stamp: write.revision };
         let (key, value) = (write.key, write.value);
-        let changes = vec![Change::Write { key: key.clone(), value: value.clone(), hold: None }];
+        let changes = vec![Change::Put { key: key.clone(), value: value.clone(), hold: None }];
         let call = ReachCall::WritePage { key, value };
-        out.state(Purpose::Reach(call), StateOp::Txn { conditions: vec![lead, page], changes });
+        out.state(Purpose::Reachability(call), StateOp::Txn { conditions: vec![lead, page], changes });
     }
 
     fn list(&self, out: &mut Out) {
         let op = StateOp::List { prefix: numbering::PREFIX.into(), after: self.list_after.clone() };
-        out.state(Purpose::Reach(ReachCall::ListPages), op);
+        out.state(Purpose::Reachability(ReachCall::ListPages), op);
     }
 
     /// Tries links that fail and that nothing else uses.
     fn probe(&mut self, now: Duration, out: &mut Out) {
         if self.monitor.wants_probe(LinkId::StateReads, now) {
-            out.state(Purpose::Reach(ReachCall::Probe), StateOp::Get { key: election::KEY.into() });
+            out.state(Purpose::Reachability(ReachCall::Probe), StateOp::Get { key: election::KEY.into() });
         }
         if self.monitor.wants_probe(LinkId::StateWrites, now) {
             let conditions = vec![Condition { key: election::KEY.into(), stamp: NO_REVISION }];
-            let changes = vec![Change::Drop { key: election::KEY.into() }];
-            out.state(Purpose::Reach(ReachCall::Probe), StateOp::Txn { conditions, changes });
+            let changes = vec![Change::Delete { key: election::KEY.into() }];
+            out.state(Purpose::Reachability(ReachCall::Probe), StateOp::Txn { conditions, changes });
         }
     }
 
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -37,7 +37,7 @@
 pub enum PendingRequest {
     Create(Vec<Create>),
     /// `over`: in the place of jobs that are over, since the first one is empty.
-    Look {
+    Lookup {
         ask: Ask,
         id: JobId,
         why: LookupReason,
@@ -53,12 +53,12 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum LookupReason {
-    Poll,
+    Status,
     /// A repeated submission, or one whose commit is in doubt.
-    Repeat,
+    RepeatedSubmission,
     /// If the job is not known, this is the answer.
-    Refuse(Answer),
-    Abort {
+    RejectUnlessKnown(Answer),
+    Cancel {
         attempts: u32,
     },
 }
@@ -186,7 +186,7 @@
         }
         self.pending += 1;
         let key = if over { id.over_key() } else { id.key() };
-        out.state(Purpose::RequestHandler(PendingRequest::Look { ask, id, why, over }), StateOp::Get { key });
+        out.state(Purpose::UserRequest(PendingRequest::Lookup { ask, id, why, over }), StateOp::Get { key });
     }
 
     fn known(&self, ask: Ask, id: &JobId, out: &mut Out) -> bool {
@@ -221,27 +221,39 @@
         let spec = match job {
             Ok(spec) => spec,
             Err(reason) => {
-                return self.look(times.now, ask, id, LookupReason::Refuse(Answer::Malformed(reason)), out);
+                return self.look(
+                    times.now,
+                    ask,
+                    id,
+                    LookupReason::RejectUnlessKnown(Answer::BadRequest(reason)),
+                    out,
+                );
             }
         };
         if rigs.is_empty() {
             let later = Answer::Unavailable { retry: RETRY };
-            return self.look(times.now, ask, id, LookupReason::Refuse(later), out);
+            return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(reason) = self.impossible(&spec, rigs) {
-            return self.look(times.now, ask, id, LookupReason::Refuse(Answer::Impossible(reason)), out);
+            return self.look(
+                times.now,
+                ask,
+                id,
+                LookupReason::RejectUnlessKnown(Answer::Unprocessable(reason)),
+                out,
+            );
         }
         // An older node would take it for an array.
         if spec.gang && !takes_gangs {
             let later = Answer::Unavailable { retry: RETRY };
-            return self.look(times.now, ask, id, LookupReason::Refuse(later), out);
+            return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(same) = self.waiting.iter_mut().find(|c| c.id == id) {
             same.asks.push(ask);
             return;
         }
         let record = JobRecord {
-            phase: Phase::Live,
+            phase: Phase::Active,
             tasks: spec.tasks,
             per_chunk: tasks_per_chunk(self.settings.value_bytes),
             spec: Some(spec),
@@ -254,8 +266,8 @@
                 self.waiting.push_back(Create { asks: vec![ask], id, value, since: times.now });
             }
             _ => {
-                let answer = Answer::Malformed("the job's description is too long".into());
-                self.look(times.now, ask, id, LookupReason::Refuse(answer), out);
+                let answer = Answer::BadRequest("the job's description is too long".into());
+                self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(answer), out);
             }
         }
     }
@@ -294,7 +306,7 @@
 
     pub fn poll(&mut self, now: Duration, ask: Ask, id: JobId, out: &mut Out) {
         if !self.known(ask, &id, out) && self.admit(now, ask, out) {
-            self.look(now, ask, id, LookupReason::Poll, out);
+            self.look(now, ask, id, LookupReason::Status, out);
         }
     }
 
@@ -306,7 +318,7 @@
             return Self::unavailable(ask, out);
         }
         if self.admit(now, ask, out) {
-            self.look(now, ask, id, LookupReason::Abort { attempts: 0 }, out);
+            self.look(now, ask, id, LookupReason::Cancel { attempts: 0 }, out);
         }
     }
 
@@ -347,10 +359,10 @@
             let conditions = keys.map(|key| Condition { key, stamp: 0 }).collect();
             let changes = batch
                 .iter()
-                .map(|c| Change::Write { key: c.id.key(), value: c.value.clone(), hold: None })
+                .map(|c| Change::Put { key: c.id.key(), value: c.value.clone(), hold: None })
                 .collect();
             out.state(
-                Purpose::RequestHandler(PendingRequest::Create(batch)),
+                Purpose::UserRequest(PendingRequest::Create(batch)),
                 StateOp::Txn { conditions, changes },
             );
         }
@@ -365,7 +377,7 @@
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
         out: &mut Out,
     ) -> Vec<Row> {
-        self.failing = matches!(reply, Err(CallError::Refused | CallError::Lost));
+        self.failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         let now = times.now;
         match request {
             PendingRequest::Create(batch) => {
@@ -373,7 +385,7 @@
                 self.pending = self.pending.saturating_sub(batch.len());
                 self.created(now, batch, reply, out)
             }
-            PendingRequest::Look { ask, id, why, over } => {
+            PendingRequest::Lookup { ask, id, why, over } => {
                 self.pending -= 1;
                 self.looked(times, (ask, id, why), over, reply, progress, out);
                 Vec::new()
@@ -419,7 +431,7 @@
                 for create in batch {
                     if failed.contains(&create.id.key()) || failed.contains(&create.id.over_key()) {
                         for ask in create.asks {
-                            self.look(now, ask, create.id.clone(), LookupReason::Repeat, out);
+                            self.look(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
                         }
                     } else {
                         self.pending += 1;
@@ -433,7 +445,7 @@
                 }
             }
             // Others used the budget: it comes back within the patience.
-            Err(CallError::Busy) => {
+            Err(CallError::RateLimited) => {
                 self.pending += batch.len();
                 self.held = now + BUSY;
                 for create in batch.into_iter().rev() {
@@ -444,7 +456,7 @@
             _ => {
                 for create in batch {
                     for ask in create.asks {
-                        self.look(now, ask, create.id.clone(), LookupReason::Repeat, out);
+                        self.look(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
                     }
                 }
             }
@@ -462,7 +474,7 @@
         out: &mut Out,
     ) {
         let row = match reply {
-            Ok(StateReply::Got(row)) => row,
+            Ok(StateReply::Value(row)) => row,
             _ => return Self::unavailable(ask, out),
         };
         // The read may be older than what was told meanwhile.
@@ -475,9 +487,9 @@
                 return self.look_at(times.now, (ask, id, why), true, out);
             }
             return match why {
-                LookupReason::Poll | LookupReason::Abort { .. } => out.answer(ask, Answer::NotFound),
-                LookupReason::Repeat => Self::unavailable(ask, out),
-                LookupReason::Refuse(answer) => out.answer(ask, answer),
+                LookupReason::Status | LookupReason::Cancel { .. } => out.answer(ask, Answer::NotFound),
+                LookupReason::RepeatedSubmission => Self::unavailable(ask, out),
+                LookupReason::RejectUnlessKnown(answer) => out.answer(ask, answer),
             };
         };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
@@ -486,13 +498,13 @@
         match record.phase {
             Phase::Done => self.over(&id, Status::Done, record.tasks),
             Phase::Cancelled => self.over(&id, Status::Cancelled, 0),
-            Phase::Live => {
-                if let LookupReason::Abort { attempts } = why {
+            Phase::Active => {
+                if let LookupReason::Cancel { attempts } = why {
                     return self.cancel(times, ask, id, record, row.stamp, attempts, out);
                 }
                 let known = progress(&id).or_else(|| self.seen.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
-                let status = Status::of(Phase::Live, running);
+                let status = Status::of(Phase::Active, running);
                 return out.answer(ask, Answer::Job { fresh: false, id, status, done, running });
             }
         }
@@ -521,10 +533,10 @@
         self.pending += 1;
         let key = id.key();
         out.state(
-            Purpose::RequestHandler(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
+            Purpose::UserRequest(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
             StateOp::Txn {
                 conditions: vec![Condition { key: key.clone(), stamp }],
-                changes: vec![Change::Write { key, value, hold: None }],
+                changes: vec![Change::Put { key, value, hold: None }],
             },
         );
     }
@@ -547,9 +559,11 @@
                 let Some(value) = record.text(self.settings.value_bytes) else { return Vec::new() };
                 return vec![Row { key: id.key(), value, stamp: epoch }];
             }
-            Err(CallError::Refused | CallError::Busy | CallError::TooLarge) => Self::unavailable(ask, out),
+            Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
+                Self::unavailable(ask, out)
+            }
             // Changed meanwhile, or in doubt: look again and go on from there.
-            _ => self.look(now, ask, id, LookupReason::Abort { attempts: attempts + 1 }, out),
+            _ => self.look(now, ask, id, LookupReason::Cancel { attempts: attempts + 1 }, out),
         }
         Vec::new()
     }
--- a/crates/plankhead-core/src/shard_messages.rs
+++ b/crates/plankhead-core/src/shard_messages.rs
@@ -17,8 +17,8 @@
 /// A message on the path for shards.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShardMessage {
-    Report(Box<HolderReport>),
-    Orders(Box<LeaderOrders>),
+    HolderStatus(Box<HolderReport>),
+    LeaderCommands(Box<LeaderOrders>),
 }
 
 /// What a controller tells the leader of the shards that it holds; without shards, that it
@@ -106,15 +106,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     /// Taken in.
-    Taken,
+    Accepted,
     /// Taken in, by a leader that does not know the stream: all is to be told anew.
-    TellAll,
+    FullSyncNeeded,
     /// Refused: its receiver is not whom it is meant for, or not yet.
-    NotTaken,
+    Rejected,
     /// Its receiver does not divide machines.
     Unsupported,
     /// Without an answer; it may come late.
-    Lost,
+    NoResponse,
 }
 
 /// Why a message was refused before it reached the core.
--- a/crates/plankhead-core/src/shard_records.rs
+++ b/crates/plankhead-core/src/shard_records.rs
@@ -37,7 +37,7 @@
 
     pub fn tick(&mut self, now: Duration, out: &mut Out) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(Purpose::Records(step), op);
+            out.state(Purpose::ShardRecords(step), op);
         }
     }
 
@@ -72,8 +72,8 @@
 
     fn event(&mut self, event: KeyEvent, out: &mut Out) {
         match event {
-            KeyEvent::Written(row) => self.write(&row, out),
-            KeyEvent::Dropped { key, stamp } => self.table.remove(&key, stamp),
+            KeyEvent::Put(row) => self.write(&row, out),
+            KeyEvent::Delete { key, stamp } => self.table.remove(&key, stamp),
         }
     }
 
--- a/crates/plankhead-core/src/version_barrier.rs
+++ b/crates/plankhead-core/src/version_barrier.rs
@@ -65,7 +65,7 @@
         let (step, op) = match (self.marked, serde_json::to_string(&Shown { format: FORMAT })) {
             (false, Ok(value)) => {
                 let conditions = vec![Condition { key: key.clone(), stamp: 0 }];
-                let changes = vec![Change::Write { key, value, hold: None }];
+                let changes = vec![Change::Put { key, value, hold: None }];
                 (Step::Mark, StateOp::Txn { conditions, changes })
             }
             _ => (Step::Look, StateOp::List { prefix: PREFIX.into(), after: None }),
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -45,7 +45,7 @@
 /// A ledger with `placed` of ten tasks on one machine, all durable.
 fn ledger(placed: usize) -> Ledger {
     let mut ledger = Ledger::default();
-    ledger.upsert(&id(), record(Phase::Live, 10), 5, NOW, None, 4);
+    ledger.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
     for _ in 0..placed {
         ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     }
@@ -127,10 +127,10 @@
 #[test]
 fn a_later_shift_an_end_and_a_release_are_evidence() {
     let mut ledger = ledger(3);
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Ended(Cause::Done))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Completed))]), false, NOW);
     assert_eq!((placed(&ledger), ledger.jobs[&id()].done), (2, 1));
     // The end of another attempt of the same task says nothing of this one.
-    ledger.observe(&report(3, 2, &[(1, 9, Seen::Ended(Cause::Done))]), false, NOW);
+    ledger.observe(&report(3, 2, &[(1, 9, Seen::Exited(Cause::Completed))]), false, NOW);
     assert_eq!(placed(&ledger), 2);
     ledger.observe(&report(4, 3, &[]), false, NOW);
     assert_eq!((placed(&ledger), ledger.jobs[&id()].again.len()), (0, 2));
@@ -145,7 +145,7 @@
 fn reap_waits_for_the_write() {
     let mut ledger = ledger(1);
     let task = TaskId { job: id(), index: 0 };
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Ended(Cause::Done))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Completed))]), false, NOW);
     assert!(!ledger.may_reap(&task, 1));
     commit(&mut ledger);
     assert!(ledger.may_reap(&task, 1));
@@ -160,7 +160,7 @@
     ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     assert_eq!(placed(&ledger), 1);
     assert!(ledger.closing.is_empty());
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Ended(Cause::Stopped))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Stopped))]), false, NOW);
     assert!(ledger.closing.contains(&id()));
 }
 
@@ -210,12 +210,12 @@
 fn chunks_survive_a_takeover() {
     let mut old = ledger(6);
     old.observe(
-        &report(3, 1, &[(1, 1, Seen::Ended(Cause::Done)), (2, 1, Seen::Ended(Cause::Error))]),
+        &report(3, 1, &[(1, 1, Seen::Exited(Cause::Completed)), (2, 1, Seen::Exited(Cause::Failed))]),
         false,
         NOW,
     );
     let mut new = Ledger::default();
-    new.upsert(&id(), record(Phase::Live, 10), 5, NOW, None, 4);
+    new.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
     for chunk in 0..2 {
         let (text, _) = old.encode(&id(), chunk).unwrap();
         new.load_chunk(&id(), chunk, &text, 7, NOW).unwrap();
@@ -237,7 +237,7 @@
     use plankhead_core::ledger::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
     let mut ledger = Ledger::default();
-    ledger.upsert(&id(), record(Phase::Live, 100_000), 5, NOW, None, per_chunk);
+    ledger.upsert(&id(), record(Phase::Active, 100_000), 5, NOW, None, per_chunk);
     for n in 0..per_chunk {
         let host: HostName = format!("i-{n:012}").into();
         ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
@@ -251,13 +251,13 @@
 fn late_reports_are_ignored() {
     let mut fleet = Fleet::default();
     let mut heard = |shift, tick| fleet.observe(&report(shift, tick, &[]), 0, NOW);
-    assert_eq!(heard(3, 5), Heard::News);
-    assert_eq!(heard(3, 6), Heard::Same);
-    assert_eq!(heard(3, 4), Heard::Old);
-    assert_eq!(heard(2, 9), Heard::Old);
-    assert_eq!(heard(4, 1), Heard::News);
+    assert_eq!(heard(3, 5), Heard::Changed);
+    assert_eq!(heard(3, 6), Heard::Unchanged);
+    assert_eq!(heard(3, 4), Heard::Stale);
+    assert_eq!(heard(2, 9), Heard::Stale);
+    assert_eq!(heard(4, 1), Heard::Changed);
     fleet.released(&"i-1".into());
-    assert_eq!(fleet.observe(&report(5, 1, &[]), 0, NOW), Heard::Old);
+    assert_eq!(fleet.observe(&report(5, 1, &[]), 0, NOW), Heard::Stale);
     assert!(fleet.machines.is_empty());
 }
 
@@ -270,7 +270,7 @@
     fleet.expect(&"i-1".into(), NOW);
     assert_eq!(fleet.judge(NOW + settings.silence(), &settings), 0);
     assert_eq!(fleet.judge(NOW + settings.silence() + Duration::from_millis(1), &settings), 1);
-    assert_eq!(fleet.machines["i-1"].leaving, Some(Leaving::Silent));
+    assert_eq!(fleet.machines["i-1"].leaving, Some(Leaving::HeartbeatTimeout));
 }
 
 /// With a report every 5 s, a worker that got no answer to one is back after 11.8 s
@@ -323,7 +323,7 @@
     let well = fleet.machines.get_mut("i-4").unwrap();
     (well.heard, well.direct) = (later, later);
     assert_eq!(fleet.judge(later, &settings), 1);
-    assert_eq!(fleet.machines["i-5"].leaving, Some(Leaving::Silent));
+    assert_eq!(fleet.machines["i-5"].leaving, Some(Leaving::HeartbeatTimeout));
     fleet.machines.get_mut("i-4").unwrap().heard = NOW + second * 60;
     assert_eq!(fleet.judge(NOW + second * 60, &settings), 4);
 }
@@ -340,7 +340,7 @@
         fleet.observe(&report(shift, 2, &[]), 0, NOW + second * 11);
         fleet.machines["i-1"].leaving
     };
-    assert_eq!(heard(4, 9), Some(Leaving::Deaf));
+    assert_eq!(heard(4, 9), Some(Leaving::IgnoresCommands));
     assert_eq!(heard(4, 0), None, "it was silent, or hung");
     assert_eq!(heard(3, 9), None);
     // Three answers in a row asked for a task that the reports do not show.
@@ -354,8 +354,8 @@
         let machine = &fleet.machines["i-1"];
         (machine.leaving, machine.doubtful(NOW, second))
     };
-    assert_eq!(asked(&[]), (Some(Leaving::Deaf), true));
-    assert_eq!(asked(&[(0, 1, Seen::Pulling)]), (None, false));
+    assert_eq!(asked(&[]), (Some(Leaving::IgnoresCommands), true));
+    assert_eq!(asked(&[(0, 1, Seen::FetchingImage)]), (None, false));
 }
 
 /// Only when every pool has refused is the type's size known.
@@ -388,7 +388,7 @@
 /// A gang of three on machines i-1, i-2 and i-3, durable and offered.
 fn gang() -> Ledger {
     let mut ledger = Ledger::default();
-    let mut record = record(Phase::Live, 3);
+    let mut record = record(Phase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
@@ -420,7 +420,7 @@
 fn a_gang_that_lost_a_task_ends_as_a_whole() {
     let mut ledger = gang();
     for (index, host) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
-        ledger.observe(&from(host, 1, &[(index as u32, 1, Seen::Waiting)]), true, NOW);
+        ledger.observe(&from(host, 1, &[(index as u32, 1, Seen::WaitingForGang)]), true, NOW);
     }
     assert!(ledger.urgent.is_empty());
     ledger.host_gone("i-2", NOW);
@@ -431,11 +431,11 @@
         (stopped(&ledger, 0), stopped(&ledger, 1), stopped(&ledger, 2)),
         (Some(true), None, Some(true))
     );
-    ledger.observe(&from("i-1", 2, &[(0, 1, Seen::Ended(Cause::Stopped))]), true, NOW);
+    ledger.observe(&from("i-1", 2, &[(0, 1, Seen::Exited(Cause::Stopped))]), true, NOW);
     assert!(!ledger.jobs[&id()].placeable());
     assert_eq!(ledger.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
     // What the task says by itself is no worse than what it was told.
-    ledger.observe(&from("i-3", 2, &[(2, 1, Seen::Ended(Cause::MatesGone))]), true, NOW);
+    ledger.observe(&from("i-3", 2, &[(2, 1, Seen::Exited(Cause::GangMemberLost))]), true, NOW);
     assert!(ledger.jobs[&id()].placeable());
     place_gang(&mut ledger);
     let number = |index| ledger.attempt(&TaskId { job: id(), index }).unwrap().number;
@@ -446,13 +446,13 @@
 #[test]
 fn one_done_task_of_a_gang_is_all() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Ended(Cause::Done))]), true, NOW);
+    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Exited(Cause::Completed))]), true, NOW);
     assert!(ledger.closing.contains(&id()));
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 2));
     assert!(ledger.finished(&id()) && !ledger.finished(&id()));
     assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (Phase::Done, 2));
     ledger.host_gone("i-1", NOW);
-    ledger.observe(&from("i-3", 1, &[(2, 1, Seen::Ended(Cause::Done))]), true, NOW);
+    ledger.observe(&from("i-3", 1, &[(2, 1, Seen::Exited(Cause::Completed))]), true, NOW);
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 0));
 }
 
@@ -461,11 +461,11 @@
 #[test]
 fn a_new_leader_ends_a_torn_gang() {
     let mut ledger = gang();
-    ledger.observe(&from("i-1", 1, &[(0, 1, Seen::Ended(Cause::Error))]), true, NOW);
+    ledger.observe(&from("i-1", 1, &[(0, 1, Seen::Exited(Cause::Failed))]), true, NOW);
     let (text, _) = ledger.encode(&id(), 0).unwrap();
     let mut next = gang();
     next.remove(&id());
-    let mut record = record(Phase::Live, 3);
+    let mut record = record(Phase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
@@ -476,7 +476,7 @@
     next.observe(&from("i-2", 2, &[]), false, NOW);
     assert_eq!(placed(&next), 2, "without the own token it may come yet");
     next.observe(&from("i-2", 3, &[]), true, NOW);
-    next.observe(&from("i-3", 2, &[(2, 1, Seen::Ended(Cause::MatesGone))]), true, NOW);
+    next.observe(&from("i-3", 2, &[(2, 1, Seen::Exited(Cause::GangMemberLost))]), true, NOW);
     assert!(next.jobs[&id()].placeable());
 }
 
@@ -484,9 +484,9 @@
 #[test]
 fn a_new_leader_finishes_an_orderly_stop() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Saving)]), true, NOW);
+    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Checkpointing)]), true, NOW);
     assert!(ledger.jobs[&id()].ending() && !ledger.jobs[&id()].broken());
     assert_eq!(ledger.urgent.len(), 3);
-    ledger.observe(&from("i-2", 2, &[(1, 1, Seen::Ended(Cause::Stopped))]), true, NOW);
+    ledger.observe(&from("i-2", 2, &[(1, 1, Seen::Exited(Cause::Stopped))]), true, NOW);
     assert!(!ledger.jobs[&id()].broken(), "the others keep their time to save");
 }
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -104,7 +104,7 @@
 /// The machines that a call to the cloud gives back.
 fn released(effect: &Effect) -> Option<&[HostName]> {
     match effect {
-        Effect::Cloud { op: CloudOp::Act(permitted), .. } => match permitted.action() {
+        Effect::CallCloud { op: CloudOp::Execute(permitted), .. } => match permitted.action() {
             Action::Return(back) => Some(&back.hosts),
             Action::Rent(_) => None,
         },
@@ -140,7 +140,7 @@
         let wall = SystemTime::UNIX_EPOCH + self.now;
         for effect in self.node.step(Times { now: self.now, wall }, batch) {
             match effect {
-                Effect::State { call, op } => self.calls.push((call, op)),
+                Effect::CallKv { call, op } => self.calls.push((call, op)),
                 effect => self.effects.push(effect),
             }
         }
@@ -161,12 +161,12 @@
     fn lives(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
             self.pass(ms(50));
-            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::Touch { .. })) {
-                self.reply_to(call, Ok(StateReply::Touched));
+            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::RenewLease { .. })) {
+                self.reply_to(call, Ok(StateReply::LeaseRenewed));
             }
-            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::Follow { .. })) {
+            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::Watch { .. })) {
                 let cancelled = record(Phase::Cancelled, START);
-                let events = vec![KeyEvent::Written(row("job/job-000001", &cancelled, 10))];
+                let events = vec![KeyEvent::Put(row("job/job-000001", &cancelled, 10))];
                 self.reply_to(call, Ok(StateReply::Events { epoch: 10, events }));
             }
         }
@@ -178,8 +178,8 @@
             self.pass(ms(50));
             for (call, op) in std::mem::take(&mut self.calls) {
                 match op {
-                    StateOp::Touch { .. } => self.reply_to(call, Ok(StateReply::Touched)),
-                    StateOp::Follow { after, .. } => {
+                    StateOp::RenewLease { .. } => self.reply_to(call, Ok(StateReply::LeaseRenewed)),
+                    StateOp::Watch { after, .. } => {
                         self.reply_to(call, Ok(StateReply::Events { epoch: after, events: Vec::new() }));
                     }
                     StateOp::Txn { .. } => {
@@ -199,9 +199,9 @@
         idle.host = host.into();
         idle.tasks = [].into();
         self.lives_quietly(ms(300));
-        let ask = self.ask(|ask| Event::Beat { ask, report: idle, relayed: false });
+        let ask = self.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
         match self.answer(ask) {
-            Some(Answer::Beat { orders, .. }) => orders.clone(),
+            Some(Answer::Commands { orders, .. }) => orders.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -224,22 +224,24 @@
             .effects
             .iter()
             .filter_map(|e| match e {
-                Effect::Cloud { call, op } => Some((*call, op.clone())),
+                Effect::CallCloud { call, op } => Some((*call, op.clone())),
                 _ => None,
             })
             .collect();
         for (call, op) in calls {
             let reply = match op {
-                CloudOp::Catalog => CloudReply::Catalog(vec![rig.clone()]),
-                CloudOp::List { .. } => CloudReply::Page { hosts: Vec::new(), truncated: false },
-                CloudOp::Act(_) => continue,
+                CloudOp::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
+                CloudOp::ListInstances { .. } => {
+                    CloudReply::Instances { hosts: Vec::new(), truncated: false }
+                }
+                CloudOp::Execute(_) => continue,
             };
-            self.step(vec![Event::Cloud { call, reply: Ok(reply) }]);
+            self.step(vec![Event::CloudReply { call, reply: Ok(reply) }]);
         }
     }
 
     fn reply_to(&mut self, call: Call, reply: Result<StateReply, CallError>) {
-        self.step(vec![Event::State { call, reply }]);
+        self.step(vec![Event::KvReply { call, reply }]);
     }
 
     fn reply(&mut self, which: impl Fn(&StateOp) -> bool, reply: Result<StateReply, CallError>) {
@@ -255,26 +257,29 @@
     }
 
     fn beat(&mut self, tick: u64, token: u64) -> Ask {
-        self.ask(|ask| Event::Beat { ask, report: report(tick, token), relayed: false })
+        self.ask(|ask| Event::Heartbeat { ask, report: report(tick, token), relayed: false })
     }
 
     fn answer(&self, ask: Ask) -> Option<&Answer> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Answer { ask: a, answer } if *a == ask => Some(answer),
+            Effect::Respond { ask: a, answer } if *a == ask => Some(answer),
             _ => None,
         })
     }
 
     /// Has the node win the key under this token.
     fn wins(&mut self, token: u64) {
-        self.reply(gets("lead"), Ok(StateReply::Got(None)));
-        self.reply(|op| matches!(op, StateOp::Grant { .. }), Ok(StateReply::Granted { hold: token }));
+        self.reply(gets("lead"), Ok(StateReply::Value(None)));
+        self.reply(
+            |op| matches!(op, StateOp::GrantLease { .. }),
+            Ok(StateReply::LeaseGranted { hold: token }),
+        );
         self.reply(writes("lead"), Ok(StateReply::Committed { epoch: token }));
     }
 
     /// Has the leader read one job, live by what was read, and its placement on i-1.
     fn loads(&mut self) {
-        let rows = vec![row("job/job-000001", &record(Phase::Live, self.now), 5)];
+        let rows = vec![row("job/job-000001", &record(Phase::Active, self.now), 5)];
         let page = |rows| Ok(StateReply::Page { rows, truncated: false, epoch: 9 });
         self.reply(lists("job/"), page(rows));
         self.loads_placements();
@@ -284,7 +289,7 @@
         let text = r#"{"h":[["i-1",3,"z"]],"t":[[0,1,0]],"d":[]}"#;
         let rows = vec![row("run/job-000001/0", text, 6)];
         self.reply(lists("run/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
-        self.reply(gets("target"), Ok(StateReply::Got(None)));
+        self.reply(gets("target"), Ok(StateReply::Value(None)));
     }
 }
 
@@ -298,7 +303,7 @@
 
 fn writes(key: &'static str) -> impl Fn(&StateOp) -> bool {
     move |op| {
-        let here = |c: &Change| matches!(c, Change::Write { key: k, .. } if k == key);
+        let here = |c: &Change| matches!(c, Change::Put { key: k, .. } if k == key);
         matches!(op, StateOp::Txn { changes, .. } if changes.iter().any(here))
     }
 }
@@ -314,7 +319,11 @@
     assert_eq!(bench.answer(early), None);
     bench.pass(ms(300));
     bench.loads();
-    assert!(matches!(bench.answer(early), Some(Answer::Beat { token: 41, .. })), "{:?}", bench.answer(early));
+    assert!(
+        matches!(bench.answer(early), Some(Answer::Commands { token: 41, .. })),
+        "{:?}",
+        bench.answer(early)
+    );
 
     let mut bench = Bench::new();
     bench.wins(41);
@@ -340,10 +349,10 @@
     let mut bench = Bench::new();
     bench.wins(41);
     let page = bench.taken(lists("job/")).unwrap();
-    let live = record(Phase::Live, bench.now);
+    let live = record(Phase::Active, bench.now);
     let poll = bench.ask(|ask| Event::Poll { ask, id: id() });
     let cancelled = row("job/job-000001", &record(Phase::Cancelled, bench.now), 10);
-    bench.reply(gets("job/job-000001"), Ok(StateReply::Got(Some(cancelled))));
+    bench.reply(gets("job/job-000001"), Ok(StateReply::Value(Some(cancelled))));
     assert!(matches!(bench.answer(poll), Some(Answer::Job { status: Status::Cancelled, .. })));
     // The list was read before that, and its reply comes after.
     let rows = vec![row("job/job-000001", &live, 5)];
@@ -364,7 +373,7 @@
     bench.loads();
     let mut copy = report(9, 7);
     copy.shift = 2;
-    bench.ask(|ask| Event::Beat { ask, report: copy, relayed: false });
+    bench.ask(|ask| Event::Heartbeat { ask, report: copy, relayed: false });
     bench.lives(ms(900));
     bench.beat(30, 7);
     bench.lives(ms(900));
@@ -385,30 +394,30 @@
         // Two others go on reporting, a sibling is there and does not lead.
         for host in ["i-2", "i-3"] {
             let up = Report { host: host.into(), tasks: [].into(), ..report(tick, 7) };
-            bench.ask(|ask| Event::Beat { ask, report: up, relayed: false });
+            bench.ask(|ask| Event::Heartbeat { ask, report: up, relayed: false });
         }
-        bench.step(vec![Event::Pulse(Pulse { host: "plank-1".into(), ..Pulse::default() })]);
+        bench.step(vec![Event::PeerHeartbeat(Pulse { host: "plank-1".into(), ..Pulse::default() })]);
         bench.lives(ms(500));
         for (call, _) in std::mem::take(&mut bench.calls) {
             bench.reply_to(call, Err(CallError::Refused));
         }
         let asked = |e: &Effect| match e {
-            Effect::Cloud { call, op: CloudOp::List { .. } } => Some(*call),
+            Effect::CallCloud { call, op: CloudOp::ListInstances { .. } } => Some(*call),
             _ => None,
         };
         let lists: Vec<Call> = bench.effects.iter().filter_map(asked).collect();
         for call in lists {
-            let reply = Ok(CloudReply::Page { hosts: Vec::new(), truncated: false });
-            bench.step(vec![Event::Cloud { call, reply }]);
+            let reply = Ok(CloudReply::Instances { hosts: Vec::new(), truncated: false });
+            bench.step(vec![Event::CloudReply { call, reply }]);
         }
         bench.effects.retain(|e| asked(e).is_none());
     }
     let call = bench.effects.iter().filter(|e| released(e)).find_map(|e| match e {
-        Effect::Cloud { call, .. } => Some(*call),
+        Effect::CallCloud { call, .. } => Some(*call),
         _ => None,
     });
     let call = call.unwrap();
-    bench.step(vec![Event::Cloud { call, reply: Ok(CloudReply::Released) }]);
+    bench.step(vec![Event::CloudReply { call, reply: Ok(CloudReply::Released) }]);
     // The state service is back.
     let mut reads = None;
     for _ in 0..40 {
@@ -418,13 +427,13 @@
             break;
         }
     }
-    let rows = vec![row("job/job-000001", &record(Phase::Live, START), 5)];
+    let rows = vec![row("job/job-000001", &record(Phase::Active, START), 5)];
     bench.reply_to(reads.unwrap().0, Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
     bench.loads_placements();
     bench.lives(Duration::from_secs(6));
     // Its user has called it off meanwhile, so that nothing of it is kept.
     let drops = |op: &StateOp| {
-        let gone = |c: &Change| matches!(c, Change::Drop { key } if key == "run/job-000001/0");
+        let gone = |c: &Change| matches!(c, Change::Delete { key } if key == "run/job-000001/0");
         matches!(op, StateOp::Txn { changes, .. } if changes.iter().any(gone))
     };
     assert!(bench.taken(drops).is_some(), "the placement stays for ever");
@@ -440,11 +449,11 @@
     let holder = r#"{"host":"plank-0","boot":1,"hold":41}"#;
     // The history of changes is gone, so that it has to read anew.
     bench.reply(
-        |op| matches!(op, StateOp::Follow { prefix, .. } if prefix == "job/"),
+        |op| matches!(op, StateOp::Watch { prefix, .. } if prefix == "job/"),
         Ok(StateReply::Compacted),
     );
     bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(StateReply::Got(Some(row("lead", holder, 41)))));
+    bench.reply(gets("lead"), Ok(StateReply::Value(Some(row("lead", holder, 41)))));
     let led = |b: &Bench| {
         b.effects
             .iter()
@@ -454,11 +463,11 @@
     assert_eq!(led(&bench), 1);
     // Its own claim whose answer was lost is another matter.
     let mut bench = Bench::new();
-    bench.reply(gets("lead"), Ok(StateReply::Got(None)));
-    bench.reply(|op| matches!(op, StateOp::Grant { .. }), Ok(StateReply::Granted { hold: 41 }));
-    bench.reply(writes("lead"), Err(CallError::Lost));
+    bench.reply(gets("lead"), Ok(StateReply::Value(None)));
+    bench.reply(|op| matches!(op, StateOp::GrantLease { .. }), Ok(StateReply::LeaseGranted { hold: 41 }));
+    bench.reply(writes("lead"), Err(CallError::OutcomeUnknown));
     bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(StateReply::Got(Some(row("lead", holder, 41)))));
+    bench.reply(gets("lead"), Ok(StateReply::Value(Some(row("lead", holder, 41)))));
     assert_eq!(led(&bench), 1);
 }
 
@@ -470,15 +479,15 @@
         let mut bench = Bench::new();
         bench.wins(41);
         bench.loads();
-        let touch = if failed { Err(CallError::Refused) } else { Ok(StateReply::Touched) };
+        let touch = if failed { Err(CallError::Refused) } else { Ok(StateReply::LeaseRenewed) };
         bench.pass(ms(450));
-        bench.reply(|op| matches!(op, StateOp::Touch { .. }), touch);
+        bench.reply(|op| matches!(op, StateOp::RenewLease { .. }), touch);
         bench.pass(ms(50));
         // The machine has not begun the task that was placed there.
         let mut idle = report(1, 7);
         idle.tasks = [].into();
-        let beat = bench.ask(|ask| Event::Beat { ask, report: idle, relayed: false });
-        let Some(Answer::Beat { orders, .. }) = bench.answer(beat) else { panic!() };
+        let beat = bench.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
+        let Some(Answer::Commands { orders, .. }) = bench.answer(beat) else { panic!() };
         let runs = orders.iter().any(|o| matches!(o, Order::Run { .. }));
         assert_eq!(runs, !failed, "{orders:?}");
     }
@@ -489,9 +498,9 @@
 #[test]
 fn a_late_answer_to_a_submission_is_not_older_than_the_cancellation() {
     let mut bench = Bench::new();
-    bench.step(vec![Event::Cloud {
+    bench.step(vec![Event::CloudReply {
         call: catalog(&bench),
-        reply: Ok(CloudReply::Catalog(vec![Rig {
+        reply: Ok(CloudReply::MachineTypes(vec![Rig {
             label: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -506,9 +515,9 @@
     }]);
     let submit = bench.ask(|ask| Event::Submit { ask, id: id(), job: Ok(spec()) });
     let create = bench.taken(writes("job/job-000001")).unwrap();
-    bench.ask(|ask| Event::Abort { ask, id: id() });
-    let live = record(Phase::Live, bench.now);
-    bench.reply(gets("job/job-000001"), Ok(StateReply::Got(Some(row("job/job-000001", &live, 5)))));
+    bench.ask(|ask| Event::Cancel { ask, id: id() });
+    let live = record(Phase::Active, bench.now);
+    bench.reply(gets("job/job-000001"), Ok(StateReply::Value(Some(row("job/job-000001", &live, 5)))));
     bench.reply(writes("job/job-000001"), Ok(StateReply::Committed { epoch: 6 }));
     bench.reply_to(create.0, Ok(StateReply::Committed { epoch: 5 }));
     assert!(
@@ -520,7 +529,7 @@
 
 fn catalog(bench: &Bench) -> Call {
     let asked = |e: &Effect| match e {
-        Effect::Cloud { call, op: CloudOp::Catalog } => Some(*call),
+        Effect::CallCloud { call, op: CloudOp::ListMachineTypes } => Some(*call),
         _ => None,
     };
     bench.effects.iter().find_map(asked).unwrap()
@@ -535,18 +544,18 @@
     for (fenced, sent) in [(false, Some("plank-1")), (true, None)] {
         let mut bench =
             Bench::of(Settings { fencing: Fencing { enabled: fenced, ..Fencing::default() }, ..settings() });
-        bench.step(vec![Event::Pulse(claim(50))]);
+        bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let early = bench.beat(1, 7);
-        assert!(matches!(bench.answer(early), Some(Answer::Elsewhere { foreman: Some(_) })));
+        assert!(matches!(bench.answer(early), Some(Answer::Redirect { foreman: Some(_) })));
         // Another leads meanwhile, as a worker shows; then the first is heard again.
         let mut later = report(2, 60);
         later.host = "i-2".into();
-        bench.ask(|ask| Event::Beat { ask, report: later, relayed: false });
-        bench.step(vec![Event::Pulse(claim(50))]);
+        bench.ask(|ask| Event::Heartbeat { ask, report: later, relayed: false });
+        bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let mut third = report(3, 7);
         third.host = "i-3".into();
-        let asked = bench.ask(|ask| Event::Beat { ask, report: third, relayed: false });
-        let Some(Answer::Elsewhere { foreman }) = bench.answer(asked) else { panic!("no answer") };
+        let asked = bench.ask(|ask| Event::Heartbeat { ask, report: third, relayed: false });
+        let Some(Answer::Redirect { foreman }) = bench.answer(asked) else { panic!("no answer") };
         assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
         let view = bench.ask(|ask| Event::View { ask });
         let Some(Answer::View(view)) = bench.answer(view) else { panic!("no view") };
@@ -561,7 +570,7 @@
     let fencing = Fencing { enabled: true, ..Fencing::default() };
     let mut bench = Bench::of(Settings { fencing, ..settings() });
     bench.wins(41);
-    let rows = vec![row("job/job-000001", &record(Phase::Live, bench.now), 5)];
+    let rows = vec![row("job/job-000001", &record(Phase::Active, bench.now), 5)];
     bench.reply(lists("job/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
     bench.reply(lists("run/"), Ok(StateReply::Page { rows: Vec::new(), truncated: false, epoch: 9 }));
     let back = Return { hosts: vec!["i-1".into()], cause: ReturnCause::Surplus };
@@ -569,7 +578,7 @@
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
     bench.reply(lists("duty/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
-    bench.reply(gets("target"), Ok(StateReply::Got(None)));
+    bench.reply(gets("target"), Ok(StateReply::Value(None)));
     bench.sees_the_cloud();
     // The machine is there, idle, with room for the waiting job.
     for tick in 1..12 {
@@ -578,21 +587,24 @@
     }
     let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().all(|h| &**h == "i-1"));
     let call = bench.effects.iter().find(|e| released(e)).map(|e| match e {
-        Effect::Cloud { call, .. } => *call,
+        Effect::CallCloud { call, .. } => *call,
         _ => 0,
     });
     assert_eq!(bench.effects.iter().filter(|e| released(e)).count(), 1, "the return was not asked for once");
-    bench.step(vec![Event::Cloud { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
+    bench.step(vec![Event::CloudReply { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
     bench.lives_quietly(Duration::from_secs(6));
     let drops = |op: &StateOp| {
-        let of = |c: &Change| matches!(c, Change::Drop { key } if key == "duty/30/0");
+        let of = |c: &Change| matches!(c, Change::Delete { key } if key == "duty/30/0");
         matches!(op, StateOp::Txn { conditions, changes } if changes.iter().any(of)
             && conditions.contains(&Condition { key: "lead".into(), stamp: 41 })
             && conditions.contains(&Condition { key: "duty/30/0".into(), stamp: 8 }))
     };
     assert!(bench.written.iter().any(drops), "its record is kept: {:?}", bench.written);
     let answered = bench.beat(20, 41);
-    assert!(!matches!(bench.answer(answered), Some(Answer::Beat { .. })), "a machine that is gone is heard");
+    assert!(
+        !matches!(bench.answer(answered), Some(Answer::Commands { .. })),
+        "a machine that is gone is heard"
+    );
     // Another machine like it takes the job.
     let orders: Vec<Order> = (1..8).flat_map(|tick| bench.idle("i-2", tick)).collect();
     assert!(orders.iter().any(|order| matches!(order, Order::Run { .. })), "nothing was placed at all");
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -382,10 +382,12 @@
         orders.stamp.sequence += u64::from(!cancelled);
         orders.machines[0].host = machine.clone();
         orders.machines[0].orders = vec![Order::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
-        let (delivery, effects) = world.deliver(node, ShardMessage::Orders(Box::new(orders)));
-        assert_eq!(delivery, Delivery::Taken);
+        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
+        assert_eq!(delivery, Delivery::Accepted);
         let run = |order: &Order| matches!(order, Order::Run { task, .. } if task.index == 90);
-        effects.iter().any(|effect| matches!(effect, Effect::Orders { orders, .. } if orders.iter().any(run)))
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::SendCommands { orders, .. } if orders.iter().any(run)))
     };
     assert!(!runs(&mut world, true), "a cancelled job's");
     assert!(runs(&mut world, false), "a live job's is passed on");
@@ -484,15 +486,19 @@
         ("a message of long ago", orders(token, 1, vec![(shard.clone(), epoch)])),
     ];
     for (what, orders) in bad {
-        let (delivery, effects) = world.deliver(node, ShardMessage::Orders(Box::new(orders)));
-        assert_eq!(delivery, Delivery::NotTaken, "{what}");
-        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Orders { .. })), "{what}: {effects:?}");
+        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
+        assert_eq!(delivery, Delivery::Rejected, "{what}");
+        assert!(
+            !effects.iter().any(|effect| matches!(effect, Effect::SendCommands { .. })),
+            "{what}: {effects:?}"
+        );
     }
     let stranger = LeaderOrders { host: "plank-9".into(), ..orders(token, sent, Vec::new()) };
-    let (delivery, _) = world.deliver(node, ShardMessage::Orders(Box::new(stranger)));
-    assert_eq!(delivery, Delivery::NotTaken, "somebody else's name");
-    let (delivery, _) = world.deliver(0, ShardMessage::Orders(Box::new(orders(token, sent, Vec::new()))));
-    assert_eq!(delivery, Delivery::NotTaken, "the leader itself takes none");
+    let (delivery, _) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(stranger)));
+    assert_eq!(delivery, Delivery::Rejected, "somebody else's name");
+    let (delivery, _) =
+        world.deliver(0, ShardMessage::LeaderCommands(Box::new(orders(token, sent, Vec::new()))));
+    assert_eq!(delivery, Delivery::Rejected, "the leader itself takes none");
     world.run(secs(1500));
     assert!(world.settled());
 }
@@ -518,11 +524,11 @@
     };
     let before = world.holders();
     let stale = world.latest_stamp(1);
-    let mut told = |report: HolderReport| world.deliver(0, ShardMessage::Report(Box::new(report))).0;
-    assert_eq!(told(report("plank-1", token - 1, 1)), Delivery::NotTaken, "a term that is over");
-    assert_eq!(told(report("plank-9", token, 1)), Delivery::NotTaken, "an unknown controller");
+    let mut told = |report: HolderReport| world.deliver(0, ShardMessage::HolderStatus(Box::new(report))).0;
+    assert_eq!(told(report("plank-1", token - 1, 1)), Delivery::Rejected, "a term that is over");
+    assert_eq!(told(report("plank-9", token, 1)), Delivery::Rejected, "an unknown controller");
     let copy = HolderReport { stamp: stale, ..report("plank-1", token, 0) };
-    assert_eq!(told(copy), Delivery::NotTaken, "a copy of what came already");
+    assert_eq!(told(copy), Delivery::Rejected, "a copy of what came already");
     world.idle(secs(3));
     assert_eq!(world.holders(), before, "a shard that was said to be released under another epoch");
     world.run(secs(1500));
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -37,7 +37,7 @@
     );
     let done = r#"{"phase":"done","tasks":12,"per_chunk":0,"accepted_ms":0}"#;
     for (text, phase) in
-        [(live(), Phase::Live), (cancelled, Phase::Cancelled), (done.to_string(), Phase::Done)]
+        [(live(), Phase::Active), (cancelled, Phase::Cancelled), (done.to_string(), Phase::Done)]
     {
         let record: JobRecord = serde_json::from_str(&text).unwrap();
         assert_eq!(record.phase, phase);
@@ -157,7 +157,7 @@
         }
         let task = TaskId { job: id(), index: 41 + round as u32 };
         let host = ledger.attempt(&task).unwrap().host.clone();
-        let seen = Seen::Ended(Cause::Done);
+        let seen = Seen::Exited(Cause::Completed);
         let report = Report {
             host,
             address: "a".into(),
@@ -259,7 +259,7 @@
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
     assert!(version_barrier.open());
     let mut out = Out::default();
-    version_barrier.reply(Step::Look, Err(CallError::Lost), &mut out);
+    version_barrier.reply(Step::Look, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
     assert!(version_barrier.open() && out.effects.is_empty());
 }
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -53,9 +53,9 @@
 fn link_of(op: &StateOp) -> Link {
     match op {
         StateOp::Get { .. } | StateOp::List { .. } => Link::Reads,
-        StateOp::Txn { .. } | StateOp::Grant { .. } | StateOp::Revoke { .. } => Link::Writes,
-        StateOp::Touch { .. } => Link::Renewal,
-        StateOp::Follow { .. } => Link::Watch,
+        StateOp::Txn { .. } | StateOp::GrantLease { .. } | StateOp::RevokeLease { .. } => Link::Writes,
+        StateOp::RenewLease { .. } => Link::Renewal,
+        StateOp::Watch { .. } => Link::Watch,
     }
 }
 
@@ -93,10 +93,10 @@
     pub(super) fn pass_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
         let fencing::Actor { node, boot, .. } = actor;
         let link = match &effect {
-            Effect::State { op, .. } => link_of(op),
-            Effect::Cloud { .. } => Link::Cloud,
-            Effect::Orders { .. } => Link::Commands,
-            Effect::Answer { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
+            Effect::CallKv { op, .. } => link_of(op),
+            Effect::CallCloud { .. } => Link::Cloud,
+            Effect::SendCommands { .. } => Link::Commands,
+            Effect::Respond { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
                 Some((_, Asked::Beat { .. })) => Link::Answers,
                 _ => return Some(effect),
             },
@@ -105,21 +105,21 @@
         let Some(how) = self.cut_of(node, link) else { return Some(effect) };
         let carried_out = how == How::LoseAnswers;
         let (patience, reply) = match effect {
-            Effect::State { call, op } => {
-                let follow = matches!(op, StateOp::Follow { .. });
+            Effect::CallKv { call, op } => {
+                let follow = matches!(op, StateOp::Watch { .. });
                 if carried_out && !follow {
                     self.at(ms(2), Happening::StateArrives { node, boot, call, op, answered: false });
                 }
-                let error = if how == How::Refuse { CallError::Refused } else { CallError::Lost };
-                (STATE_PATIENCE, Event::State { call, reply: Err(error) })
+                let error = if how == How::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
+                (STATE_PATIENCE, Event::KvReply { call, reply: Err(error) })
             }
-            Effect::Cloud { call, op } => {
+            Effect::CallCloud { call, op } => {
                 if carried_out {
                     self.at(ms(100), Happening::CloudArrives { actor, call, op, answered: false });
                 }
-                (CLOUD_PATIENCE, Event::Cloud { call, reply: Err(CallError::Lost) })
+                (CLOUD_PATIENCE, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
             }
-            Effect::Orders { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, shift, orders } => {
                 self.sent(token, &orders);
                 let host: HostName = address.as_ref().trim_start_matches("at-").into();
                 if carried_out {
@@ -127,10 +127,10 @@
                     self.at(ms(2), arrives);
                 }
                 let reply = if how == How::Refuse { OrdersReply::NotSent } else { OrdersReply::Unanswered };
-                (COMMAND_PATIENCE, Event::Orders { call, reply })
+                (COMMAND_PATIENCE, Event::CommandReply { call, reply })
             }
-            Effect::Answer { ask, answer } => {
-                if let Answer::Beat { token, orders } = &answer {
+            Effect::Respond { ask, answer } => {
+                if let Answer::Commands { token, orders } = &answer {
                     self.sent(*token, orders);
                 }
                 self.asks.remove(&(node, boot, ask));
@@ -158,7 +158,7 @@
                 let event = Event::Coverage(Ok(coverage.clone()));
                 self.at(ms(2), Happening::ToNode { node: other, boot, event });
             }
-            let event = Event::PeerTold { host: format!("plank-{other}"), confirmed: target.is_some() };
+            let event = Event::PeerDelivery { host: format!("plank-{other}"), confirmed: target.is_some() };
             self.at(ms(4), Happening::ToNode { node, boot, event });
         }
     }
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -74,22 +74,22 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Answer { ask, answer } => {
+            Effect::Respond { ask, answer } => {
                 self.tag(1);
                 self.number(*ask);
                 self.answer(answer);
             }
-            Effect::State { call, op } => {
+            Effect::CallKv { call, op } => {
                 self.tag(2);
                 self.number(*call);
                 self.state_op(op);
             }
-            Effect::Cloud { call, op } => {
+            Effect::CallCloud { call, op } => {
                 self.tag(3);
                 self.number(*call);
                 self.cloud_op(op);
             }
-            Effect::Orders { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, shift, orders } => {
                 self.tag(4);
                 self.number(*call);
                 self.text(address);
@@ -97,7 +97,7 @@
                 self.number(*shift);
                 self.orders(orders);
             }
-            Effect::Pulse(pulse) => {
+            Effect::SendPeerHeartbeat(pulse) => {
                 self.tag(5);
                 self.text(&pulse.host);
                 self.flag(pulse.state_ok);
@@ -109,17 +109,17 @@
                     self.number(u64::from(progress.running));
                 }
             }
-            Effect::Coverage(coverage) => {
+            Effect::SendCoverage(coverage) => {
                 self.tag(6);
                 self.coverage(coverage);
             }
-            Effect::Shard { call, to, message } => {
+            Effect::SendShardMessage { call, to, message } => {
                 self.tag(7);
                 self.number(*call);
                 self.text(to);
                 match message {
-                    ShardMessage::Report(report) => self.holder_report(report),
-                    ShardMessage::Orders(orders) => self.leader_orders(orders),
+                    ShardMessage::HolderStatus(report) => self.holder_report(report),
+                    ShardMessage::LeaderCommands(orders) => self.leader_orders(orders),
                 }
             }
             Effect::Log(..) => {}
@@ -141,19 +141,19 @@
                 self.number(u64::from(*done));
                 self.number(u64::from(*running));
             }
-            Answer::Malformed(_) => self.tag(2),
-            Answer::Impossible(_) => self.tag(3),
+            Answer::BadRequest(_) => self.tag(2),
+            Answer::Unprocessable(_) => self.tag(3),
             Answer::NotFound => self.tag(4),
             Answer::Unavailable { retry } => {
                 self.tag(5);
                 self.duration(*retry);
             }
-            Answer::Beat { token, orders } => {
+            Answer::Commands { token, orders } => {
                 self.tag(6);
                 self.number(*token);
                 self.orders(orders);
             }
-            Answer::Elsewhere { foreman } => {
+            Answer::Redirect { foreman } => {
                 self.tag(7);
                 self.optional(foreman.as_deref(), Self::text);
             }
@@ -162,7 +162,7 @@
                 self.text(foreman);
             }
             Answer::View(_) => self.tag(9),
-            Answer::Shard(delivery) => {
+            Answer::ShardMessageDelivery(delivery) => {
                 self.tag(10);
                 self.number(*delivery as u64);
             }
@@ -182,7 +182,7 @@
                     self.attempt(task, *attempt);
                     self.duration(*leeway);
                 }
-                Order::Reap { task, attempt } => {
+                Order::Acknowledge { task, attempt } => {
                     self.tag(3);
                     self.attempt(task, *attempt);
                 }
@@ -217,19 +217,19 @@
                 self.number(changes.len() as u64);
                 changes.iter().for_each(|change| self.change(change));
             }
-            StateOp::Grant { life } => {
+            StateOp::GrantLease { life } => {
                 self.tag(4);
                 self.duration(*life);
             }
-            StateOp::Touch { hold } => {
+            StateOp::RenewLease { hold } => {
                 self.tag(5);
                 self.number(*hold);
             }
-            StateOp::Revoke { hold } => {
+            StateOp::RevokeLease { hold } => {
                 self.tag(6);
                 self.number(*hold);
             }
-            StateOp::Follow { prefix, after, wait } => {
+            StateOp::Watch { prefix, after, wait } => {
                 self.tag(7);
                 self.text(prefix);
                 self.number(*after);
@@ -240,13 +240,13 @@
 
     fn change(&mut self, change: &Change) {
         match change {
-            Change::Write { key, value, hold } => {
+            Change::Put { key, value, hold } => {
                 self.tag(1);
                 self.text(key);
                 self.text(value);
                 self.optional(*hold, Self::number);
             }
-            Change::Drop { key } => {
+            Change::Delete { key } => {
                 self.tag(2);
                 self.text(key);
             }
@@ -255,12 +255,12 @@
 
     fn cloud_op(&mut self, op: &CloudOp) {
         match op {
-            CloudOp::Catalog => self.tag(1),
-            CloudOp::List { after } => {
+            CloudOp::ListMachineTypes => self.tag(1),
+            CloudOp::ListInstances { after } => {
                 self.tag(2);
                 self.optional(after.as_deref(), Self::text);
             }
-            CloudOp::Act(permitted) => {
+            CloudOp::Execute(permitted) => {
                 self.tag(3);
                 self.text(&permitted.action().digest().to_string());
                 match permitted.basis() {
@@ -364,12 +364,12 @@
         for listed in report.tasks.iter() {
             self.attempt(&listed.task, listed.attempt);
             match listed.seen {
-                Seen::Pulling => self.tag(1),
-                Seen::Waiting => self.tag(2),
+                Seen::FetchingImage => self.tag(1),
+                Seen::WaitingForGang => self.tag(2),
                 Seen::Running => self.tag(3),
-                Seen::Saving => self.tag(4),
-                Seen::Other => self.tag(5),
-                Seen::Ended(cause) => {
+                Seen::Checkpointing => self.tag(4),
+                Seen::Unrecognized => self.tag(5),
+                Seen::Exited(cause) => {
                     self.tag(6);
                     self.tag(cause as u8);
                 }
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -90,7 +90,7 @@
 
     /// Counts what the cloud is about to do for an actor.
     pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudOp) {
-        let CloudOp::Act(permitted) = op else { return };
+        let CloudOp::Execute(permitted) = op else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             Action::Rent(rental) => {
                 let done = self.hires.contains_key(&rental.name);
@@ -145,7 +145,7 @@
 
     /// Something writes into the state service.
     pub fn put(&mut self, key: &str, value: &str) {
-        let changes = vec![Change::Write { key: key.into(), value: value.into(), hold: None }];
+        let changes = vec![Change::Put { key: key.into(), value: value.into(), hold: None }];
         let reply = self.kv.apply(self.now, StateOp::Txn { conditions: Vec::new(), changes });
         assert!(matches!(reply, Ok(StateReply::Committed { .. })));
     }
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -53,7 +53,7 @@
     }
 
     fn gang_starts(&mut self, job: usize, attempt: u64) {
-        let waiting = self.mates(job, attempt, &[Seen::Waiting]);
+        let waiting = self.mates(job, attempt, &[Seen::WaitingForGang]);
         if (waiting.len() as u32) < self.jobs[job].spec.tasks {
             return;
         }
@@ -89,7 +89,7 @@
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
         let (tasks, save, runs) = (self.jobs[job].spec.tasks, self.jobs[job].spec.save, self.jobs[job].runs);
         let peer = self.kind.gang_peer;
-        let mates = self.mates(job, attempt, &[Seen::Running, Seen::Saving]);
+        let mates = self.mates(job, attempt, &[Seen::Running, Seen::Checkpointing]);
         let whole = mates.len() as u32 == tasks;
         if let Some((first, told)) = &run.stop {
             let saved = told.len() as u32 == tasks && whole;
@@ -103,7 +103,7 @@
                 self.jobs[job].progress = self.progress(job, *first).1;
                 // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
                 self.spoilt += u32::from((told.len() as u32) < tasks && !self.jobs[job].aborting);
-                return self.gang_over(job, attempt, Cause::MatesGone);
+                return self.gang_over(job, attempt, Cause::GangMemberLost);
             }
         } else if whole {
             run.torn = None;
@@ -111,13 +111,13 @@
                 for index in 0..tasks {
                     self.jobs[job].done.insert(index);
                 }
-                return self.gang_over(job, attempt, Cause::Done);
+                return self.gang_over(job, attempt, Cause::Completed);
             }
         } else {
             let since = *run.torn.get_or_insert(now);
             if now >= since + peer || mates.is_empty() {
                 self.jobs[job].progress = self.progress(job, since).1;
-                return self.gang_over(job, attempt, Cause::MatesGone);
+                return self.gang_over(job, attempt, Cause::GangMemberLost);
             }
         }
         self.jobs[job].run = Some(run);
@@ -129,8 +129,8 @@
         let id = self.jobs[job].id.clone();
         for worker in self.workers.values_mut() {
             for ((task, number), seen) in &mut worker.tasks {
-                if task.job == id && *number == attempt && !matches!(seen, Seen::Ended(_)) {
-                    *seen = Seen::Ended(cause);
+                if task.job == id && *number == attempt && !matches!(seen, Seen::Exited(_)) {
+                    *seen = Seen::Exited(cause);
                 }
             }
         }
@@ -156,8 +156,8 @@
         let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
             return;
         };
-        if let Some(seen @ Seen::Waiting) = worker.tasks.get_mut(&(task, attempt)) {
-            *seen = Seen::Ended(Cause::Incomplete);
+        if let Some(seen @ Seen::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
+            *seen = Seen::Exited(Cause::GangIncomplete);
         }
     }
 }
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -70,7 +70,7 @@
 
     pub fn apply(&mut self, now: Duration, op: StateOp) -> Result<StateReply, CallError> {
         Ok(match op {
-            StateOp::Get { key } => StateReply::Got(self.keys.get(&key).map(|v| Row {
+            StateOp::Get { key } => StateReply::Value(self.keys.get(&key).map(|v| Row {
                 key,
                 value: v.text.clone(),
                 stamp: v.stamp,
@@ -88,23 +88,23 @@
                 StateReply::Page { rows, truncated, epoch: self.epoch }
             }
             StateOp::Txn { conditions, changes } => return self.txn(conditions, changes),
-            StateOp::Grant { life } => {
+            StateOp::GrantLease { life } => {
                 self.last_grant += 1;
                 self.grants.insert(self.last_grant, (life, now + life));
-                StateReply::Granted { hold: self.last_grant }
+                StateReply::LeaseGranted { hold: self.last_grant }
             }
-            StateOp::Touch { hold } => match self.grants.get_mut(&hold) {
+            StateOp::RenewLease { hold } => match self.grants.get_mut(&hold) {
                 Some((life, until)) => {
                     *until = now + *life;
-                    StateReply::Touched
+                    StateReply::LeaseRenewed
                 }
-                None => StateReply::NoGrant,
+                None => StateReply::NoSuchLease,
             },
-            StateOp::Revoke { hold } => {
+            StateOp::RevokeLease { hold } => {
                 self.end(hold);
-                StateReply::Touched
+                StateReply::LeaseRenewed
             }
-            StateOp::Follow { prefix, after, .. } => self.changes(&prefix, after),
+            StateOp::Watch { prefix, after, .. } => self.changes(&prefix, after),
         })
     }
 
@@ -115,12 +115,12 @@
 
     fn txn(&mut self, conditions: Vec<Condition>, changes: Vec<Change>) -> Result<StateReply, CallError> {
         let unknown =
-            |c: &Change| matches!(c, Change::Write { hold: Some(h), .. } if !self.grants.contains_key(h));
+            |c: &Change| matches!(c, Change::Put { hold: Some(h), .. } if !self.grants.contains_key(h));
         if changes.iter().any(unknown) {
-            return Ok(StateReply::NoGrant);
+            return Ok(StateReply::NoSuchLease);
         }
         let (value_bytes, txn_ops) = self.limits.unwrap_or((8192, 8));
-        let size = |c: &Change| if let Change::Write { value, .. } = c { value.len() } else { 0 };
+        let size = |c: &Change| if let Change::Put { value, .. } = c { value.len() } else { 0 };
         if changes.len() > txn_ops || changes.iter().any(|c| size(c) > value_bytes) {
             panic!("a transaction over the limits");
         }
@@ -134,13 +134,13 @@
         self.epoch += 1;
         for change in changes {
             match change {
-                Change::Write { key, value, hold } => {
+                Change::Put { key, value, hold } => {
                     assert!(!self.mixed || before::reads(&key, &value), "older nodes misread {key}: {value}");
                     let row = Row { key: key.clone(), value: value.clone(), stamp: self.epoch };
-                    self.log.push((self.epoch, KeyEvent::Written(row)));
+                    self.log.push((self.epoch, KeyEvent::Put(row)));
                     self.keys.insert(key, Value { text: value, stamp: self.epoch, hold });
                 }
-                Change::Drop { key } => self.drop_key(key),
+                Change::Delete { key } => self.drop_key(key),
             }
         }
         Ok(StateReply::Committed { epoch: self.epoch })
@@ -148,7 +148,7 @@
 
     fn drop_key(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            self.log.push((self.epoch, KeyEvent::Dropped { key, stamp: self.epoch }));
+            self.log.push((self.epoch, KeyEvent::Delete { key, stamp: self.epoch }));
         }
     }
 
@@ -194,7 +194,7 @@
 
 fn matches(event: &KeyEvent, prefix: &str) -> bool {
     match event {
-        KeyEvent::Written(row) => row.key.starts_with(prefix),
-        KeyEvent::Dropped { key, .. } => key.starts_with(prefix),
+        KeyEvent::Put(row) => row.key.starts_with(prefix),
+        KeyEvent::Delete { key, .. } => key.starts_with(prefix),
     }
 }
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -567,7 +567,7 @@
     match op {
         StateOp::List { prefix: p, .. } => p == prefix,
         StateOp::Txn { changes, .. } => {
-            changes.iter().any(|c| matches!(c, Change::Write { key, .. } if key.starts_with(prefix)))
+            changes.iter().any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(prefix)))
         }
         _ => false,
     }
@@ -1001,7 +1001,7 @@
                     let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
                     let down = watch_cut || self.now < self.outage.max(cut);
                     let reply = match down {
-                        true => Err(CallError::Lost),
+                        true => Err(CallError::OutcomeUnknown),
                         false => Ok(self.kv.changes(&watch.prefix, watch.after)),
                     };
                     self.reply_state(watch.node, watch.boot, watch.call, reply);
@@ -1011,7 +1011,10 @@
                 let fencing::Actor { node, boot, .. } = actor;
                 self.count_effects(actor, &op);
                 let reply = self.cloud(op);
-                let event = Event::Cloud { call, reply: if answered { reply } else { Err(CallError::Lost) } };
+                let event = Event::CloudReply {
+                    call,
+                    reply: if answered { reply } else { Err(CallError::OutcomeUnknown) },
+                };
                 let pause = if answered { ms(50) } else { secs(3) };
                 self.at(pause, Happening::ToNode { node, boot, event });
             }
@@ -1069,7 +1072,7 @@
                 let id = self.jobs[job].id.clone();
                 self.ask(
                     Asked::Abort { job, known },
-                    |ask| Event::Abort { ask, id },
+                    |ask| Event::Cancel { ask, id },
                     Happening::Abort { job },
                 );
             }
@@ -1176,7 +1179,7 @@
         if let Some((boot, _)) = &self.nodes[node] {
             let boot = *boot;
             self.last_ask += 1;
-            let event = Event::Beat { ask: self.last_ask, report, relayed: false };
+            let event = Event::Heartbeat { ask: self.last_ask, report, relayed: false };
             self.at(ms(1), Happening::ToNode { node, boot, event });
         }
     }
@@ -1251,25 +1254,25 @@
     fn perform_cut(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
-            Effect::State { call, op } => {
-                if !matches!(op, StateOp::Follow { .. }) {
+            Effect::CallKv { call, op } => {
+                if !matches!(op, StateOp::Watch { .. }) {
                     self.at(held, Happening::StateArrives { node, boot, call, op, answered: false });
                 }
-                Event::State { call, reply: Err(CallError::Lost) }
+                Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::Cloud { call, op } => {
+            Effect::CallCloud { call, op } => {
                 self.at(held, Happening::CloudArrives { actor, call, op, answered: false });
-                Event::Cloud { call, reply: Err(CallError::Lost) }
+                Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::Orders { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, shift, orders } => {
                 let host: HostName = address.as_ref().trim_start_matches("at-").into();
                 let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
                 self.at(held, late);
-                Event::Orders { call, reply: OrdersReply::Unanswered }
+                Event::CommandReply { call, reply: OrdersReply::Unanswered }
             }
-            Effect::Shard { call, to, message } => {
+            Effect::SendShardMessage { call, to, message } => {
                 self.late_shard_message(held, &to, message);
-                Event::ShardTold { call, delivery: Delivery::Lost }
+                Event::ShardMessageDelivery { call, delivery: Delivery::NoResponse }
             }
             _ => return,
         };
@@ -1279,11 +1282,11 @@
     fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let inside = match &effect {
-            Effect::Answer { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
+            Effect::Respond { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
                 Some((_, Asked::Beat { host, .. })) => self.inside(node, host),
                 _ => false,
             },
-            Effect::Orders { address, .. } => self.inside(node, address.trim_start_matches("at-")),
+            Effect::SendCommands { address, .. } => self.inside(node, address.trim_start_matches("at-")),
             Effect::Log(..) => true,
             _ => false,
         };
@@ -1297,8 +1300,8 @@
         }
         let Some(effect) = self.pass_cuts(actor, effect) else { return };
         match effect {
-            Effect::Answer { ask, answer } => {
-                if let Answer::Beat { token, orders } = &answer {
+            Effect::Respond { ask, answer } => {
+                if let Answer::Commands { token, orders } = &answer {
                     if let Some((_, Asked::Beat { host, .. })) = self.asks.get(&(node, boot, ask)) {
                         let host = host.clone();
                         self.last_answer = self.now;
@@ -1312,12 +1315,12 @@
                 }
             }
             // The version before knows nothing of this.
-            Effect::State { op, .. } if self.old[node] && touches(&op, "node/") => {}
-            Effect::State { call, op } => {
+            Effect::CallKv { op, .. } if self.old[node] && touches(&op, "node/") => {}
+            Effect::CallKv { call, op } => {
                 self.duty_sent(&op);
                 let listed = matches!(op, StateOp::List { .. }) && self.now < self.unreadable;
                 let refused = self.now < self.outage || self.now < self.refused[node] || listed;
-                if refused && !matches!(op, StateOp::Follow { .. }) {
+                if refused && !matches!(op, StateOp::Watch { .. }) {
                     return self.reply_state(node, boot, call, Err(CallError::Refused));
                 }
                 let lost = self.chance(self.troubles.lost);
@@ -1330,7 +1333,7 @@
                         Happening::ToNode {
                             node,
                             boot,
-                            event: Event::State { call, reply: Err(CallError::Lost) },
+                            event: Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) },
                         },
                     );
                     if self.chance(0.3) {
@@ -1339,19 +1342,19 @@
                 }
                 self.at(delay, Happening::StateArrives { node, boot, call, op, answered: !lost });
             }
-            Effect::Cloud { call, op } => {
-                if matches!(op, CloudOp::Act(_)) {
+            Effect::CallCloud { call, op } => {
+                if matches!(op, CloudOp::Execute(_)) {
                     self.moment(Moment::CloudCalled);
                 }
                 if self.holding[node] && self.now < self.frozen[node] {
-                    let effect = Box::new(Effect::Cloud { call, op });
+                    let effect = Box::new(Effect::CallCloud { call, op });
                     return self.at(self.frozen[node] - self.now, Happening::Perform { actor, effect });
                 }
                 let answered = !self.chance(self.troubles.lost);
                 let delay = if answered { ms(100) } else { self.between(100, 20_000) };
                 self.at(delay, Happening::CloudArrives { actor, call, op, answered });
             }
-            Effect::Orders { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, shift, orders } => {
                 let starts = orders.iter().any(|o| matches!(o, Order::Run { .. }));
                 assert!(!starts || self.lag.is_zero(), "a start of its own while behind");
                 self.sent(token, &orders);
@@ -1361,7 +1364,7 @@
                 let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
                 if delay > secs(2) {
                     // Given up by the sender, and carried out all the same.
-                    let event = Event::Orders { call, reply: OrdersReply::Unanswered };
+                    let event = Event::CommandReply { call, reply: OrdersReply::Unanswered };
                     self.at(secs(2), Happening::ToNode { node, boot, event });
                     let boot = 0;
                     let late = Happening::OrdersArrive { node, boot, call, host, token, shift, orders };
@@ -1369,19 +1372,21 @@
                 }
                 self.at(delay, Happening::OrdersArrive { node, boot, call, host, token, shift, orders });
             }
-            Effect::Pulse(pulse) => {
+            Effect::SendPeerHeartbeat(pulse) => {
                 for other in (0..3).filter(|n| *n != node) {
                     let alone = self.alone[node].max(self.alone[other]);
                     let open = self.now >= self.node_cut[other].max(alone);
                     let reached = open && self.peers_reach(node, other);
                     if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
-                        let (boot, event) = (*boot, Event::Pulse(pulse.clone()));
+                        let (boot, event) = (*boot, Event::PeerHeartbeat(pulse.clone()));
                         self.at(ms(2), Happening::ToNode { node: other, boot, event });
                     }
                 }
             }
-            Effect::Coverage(coverage) => self.tell_coverage(node, boot, coverage),
-            Effect::Shard { call, to, message } => self.shard_message((node, boot, call), &to, message),
+            Effect::SendCoverage(coverage) => self.tell_coverage(node, boot, coverage),
+            Effect::SendShardMessage { call, to, message } => {
+                self.shard_message((node, boot, call), &to, message)
+            }
             Effect::Log(_, text) => {
                 if self.log {
                     println!("{:.3} plank-{node} {text}", (self.now - EPOCH).as_secs_f64());
@@ -1393,17 +1398,17 @@
     fn reply_state(&mut self, node: usize, boot: u64, call: Call, reply: Result<StateReply, CallError>) {
         // A slow service answers late, too, what it has read long before.
         let way = if self.troubles.slow { self.between(2, 600) } else { ms(2) };
-        self.at(way, Happening::ToNode { node, boot, event: Event::State { call, reply } });
+        self.at(way, Happening::ToNode { node, boot, event: Event::KvReply { call, reply } });
     }
 
     fn state(&mut self, node: usize, boot: u64, call: Call, op: StateOp, answered: bool) {
-        if self.now < self.outage && !matches!(op, StateOp::Follow { .. }) {
+        if self.now < self.outage && !matches!(op, StateOp::Watch { .. }) {
             if answered {
                 self.reply_state(node, boot, call, Err(CallError::Refused));
             }
             return;
         }
-        if let StateOp::Follow { prefix, after, wait } = op {
+        if let StateOp::Watch { prefix, after, wait } = op {
             if answered && self.alive(node, boot) {
                 self.sequence += 1;
                 let id = self.sequence;
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -85,7 +85,7 @@
 
     pub(super) fn duty_sent(&mut self, op: &StateOp) {
         let StateOp::Txn { changes, .. } = op else { return };
-        let duty = |change: &Change| matches!(change, Change::Write { key, .. } if key.starts_with("duty/"));
+        let duty = |change: &Change| matches!(change, Change::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
             self.moment(Moment::DutySent);
         }
@@ -129,7 +129,7 @@
                     self.moment(Moment::RunSent);
                 }
                 Order::Kill { .. } => self.moment(Moment::KillSent),
-                Order::Reap { .. } => {}
+                Order::Acknowledge { .. } => {}
             }
         }
     }
@@ -137,7 +137,7 @@
     /// What a transaction that the state service has carried out means.
     pub(super) fn carried_out(&mut self, changes: &[Change]) {
         for change in changes {
-            let Change::Write { key, value, .. } = change else { continue };
+            let Change::Put { key, value, .. } = change else { continue };
             if key.starts_with("duty/") {
                 let holder = key.split('/').nth(1).and_then(|token| token.parse().ok());
                 assert_eq!(self.kv.stamp("lead"), holder, "{key} was written without its holder's lease");
@@ -262,7 +262,7 @@
             Odd::Malformed => Event::Submit { ask, id, job: Err("a field is missing".into()) },
             Odd::Impossible => Event::Submit { ask, id, job: Ok(spec) },
             Odd::Unknown if ask % 2 == 0 => Event::Poll { ask, id },
-            Odd::Unknown => Event::Abort { ask, id },
+            Odd::Unknown => Event::Cancel { ask, id },
         };
         let asked = Asked::Odd { odd, known: known.filter(|_| accepted) };
         self.ask_at(node, asked, event, None);
@@ -275,8 +275,8 @@
             (Odd::Malformed | Odd::Impossible, Some(job), Answer::Job { status, .. }) => {
                 self.tell(job, status);
             }
-            (Odd::Malformed, None, Answer::Malformed(_)) => {}
-            (Odd::Impossible, None, Answer::Impossible(_)) => {}
+            (Odd::Malformed, None, Answer::BadRequest(_)) => {}
+            (Odd::Impossible, None, Answer::Unprocessable(_)) => {}
             (Odd::Unknown, None, Answer::NotFound) => {}
             (odd, known, answer) => panic!("{odd:?} of {known:?} gets {answer:?}"),
         }
@@ -327,7 +327,7 @@
         for worker in self.workers.values().filter(|w| w.up(now) && !w.faulty) {
             let mut free = 8.0;
             for ((task, _), seen) in &worker.tasks {
-                if !matches!(seen, Seen::Ended(_)) {
+                if !matches!(seen, Seen::Exited(_)) {
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
                     free -= spec.each.cpus;
                     *used.entry(&spec.team).or_default() += spec.each.cpus;
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -28,16 +28,22 @@
     ) {
         let other = node_of(to);
         self.shard_messages += 1;
-        if let ShardMessage::Report(report) = &message {
+        if let ShardMessage::HolderStatus(report) = &message {
             self.latest_stamps.insert(node, report.stamp);
         }
-        let told = |delivery| Happening::ToNode { node, boot, event: Event::ShardTold { call, delivery } };
+        let told = |delivery| Happening::ToNode {
+            node,
+            boot,
+            event: Event::ShardMessageDelivery { call, delivery },
+        };
         let alone = self.alone[node].max(self.alone[other]);
         let open = self.now >= self.node_cut[other].max(alone) && self.peers_reach(node, other);
         if !open {
-            return self.at(PATIENCE, told(Delivery::Lost));
+            return self.at(PATIENCE, told(Delivery::NoResponse));
         }
-        let Some((peer_boot, _)) = &self.nodes[other] else { return self.at(ms(4), told(Delivery::Lost)) };
+        let Some((peer_boot, _)) = &self.nodes[other] else {
+            return self.at(ms(4), told(Delivery::NoResponse));
+        };
         let peer_boot = *peer_boot;
         if self.old[other] {
             return self.at(ms(4), told(Delivery::Unsupported));
@@ -46,15 +52,15 @@
         if troubles.held > 0.0 && self.chance(troubles.held) {
             let late = self.between(1000, 9000);
             self.late_shard_message(late, to, message);
-            return self.at(PATIENCE, told(Delivery::Lost));
+            return self.at(PATIENCE, told(Delivery::NoResponse));
         }
         let way = if self.chance(troubles.lost) { self.between(200, 900) } else { ms(2) };
         self.last_ask += 1;
         let ask = self.last_ask;
         self.asks.insert((other, peer_boot, ask), (self.now, Asked::Shard { node, boot, call }));
-        let event = Event::Shard { ask, message: Ok(message) };
+        let event = Event::ShardMessage { ask, message: Ok(message) };
         self.at(way, Happening::ToNode { node: other, boot: peer_boot, event });
-        let again = Box::new(told(Delivery::Lost));
+        let again = Box::new(told(Delivery::NoResponse));
         self.at(PATIENCE, Happening::Unanswered { node: other, boot: peer_boot, ask, again });
     }
 
@@ -64,13 +70,18 @@
         let Some((boot, _)) = &self.nodes[other] else { return };
         let boot = *boot;
         self.last_ask += 1;
-        let event = Event::Shard { ask: self.last_ask, message: Ok(message) };
+        let event = Event::ShardMessage { ask: self.last_ask, message: Ok(message) };
         self.at(late, Happening::ToNode { node: other, boot, event });
     }
 
     pub(super) fn shard_answered(&mut self, (node, boot, call): (usize, u64, Call), answer: Answer) {
-        let Answer::Shard(delivery) = answer else { panic!("a message about shards gets {answer:?}") };
-        self.at(ms(2), Happening::ToNode { node, boot, event: Event::ShardTold { call, delivery } });
+        let Answer::ShardMessageDelivery(delivery) = answer else {
+            panic!("a message about shards gets {answer:?}")
+        };
+        self.at(
+            ms(2),
+            Happening::ToNode { node, boot, event: Event::ShardMessageDelivery { call, delivery } },
+        );
     }
 
     /// The holders of all shards, by the records, and their epochs.
@@ -121,12 +132,14 @@
         self.last_ask += 1;
         let ask = self.last_ask;
         let (_, core) = self.nodes[node].as_mut().unwrap();
-        let effects = core.step(times, vec![Event::Shard { ask, message: Ok(message) }]);
+        let effects = core.step(times, vec![Event::ShardMessage { ask, message: Ok(message) }]);
         let answer = effects.iter().find_map(|effect| match effect {
-            Effect::Answer { ask: of, answer: Answer::Shard(delivery) } if *of == ask => Some(*delivery),
+            Effect::Respond { ask: of, answer: Answer::ShardMessageDelivery(delivery) } if *of == ask => {
+                Some(*delivery)
+            }
             _ => None,
         });
-        let rest = effects.into_iter().filter(|effect| !matches!(effect, Effect::Answer { .. }));
+        let rest = effects.into_iter().filter(|effect| !matches!(effect, Effect::Respond { .. }));
         (answer.unwrap(), rest.collect())
     }
 
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -44,7 +44,7 @@
     }
 
     pub fn runs(&self) -> impl Iterator<Item = &(TaskId, u64)> {
-        let on = |s: &Seen| matches!(s, Seen::Waiting | Seen::Running | Seen::Saving);
+        let on = |s: &Seen| matches!(s, Seen::WaitingForGang | Seen::Running | Seen::Checkpointing);
         self.tasks.iter().filter(move |(_, s)| on(s)).map(|(k, _)| k)
     }
 
@@ -84,7 +84,7 @@
 
     pub(super) fn cloud(&mut self, op: CloudOp) -> Result<CloudReply, CallError> {
         Ok(match op {
-            CloudOp::Catalog => CloudReply::Catalog(vec![Rig {
+            CloudOp::ListMachineTypes => CloudReply::MachineTypes(vec![Rig {
                 label: "r".into(),
                 cpus: 8.0,
                 gpus: 0.0,
@@ -96,7 +96,7 @@
                 boot: secs(5),
                 zones: vec!["x".into(), "y".into()],
             }]),
-            CloudOp::List { after } => {
+            CloudOp::ListInstances { after } => {
                 // The list is three seconds old.
                 let lag = secs(3);
                 let now = self.now;
@@ -122,9 +122,9 @@
                     .collect();
                 let truncated = hosts.len() > self.kind.page;
                 hosts.truncate(self.kind.page);
-                CloudReply::Page { hosts, truncated }
+                CloudReply::Instances { hosts, truncated }
             }
-            CloudOp::Act(permitted) => return self.act(permitted.action().clone()),
+            CloudOp::Execute(permitted) => return self.act(permitted.action().clone()),
         })
     }
 
@@ -132,7 +132,7 @@
         Ok(match action {
             Action::Rent(Rental { name, zone, spot, count, .. }) => {
                 if let Some(hosts) = self.hires.get(&name) {
-                    return Ok(CloudReply::Hired(hosts.clone()));
+                    return Ok(CloudReply::Rented(hosts.clone()));
                 }
                 let held = self.workers.values().filter(|w| w.zone == zone && w.spot == spot).count() as u32;
                 let given = count.min(self.kind.pool.saturating_sub(held));
@@ -174,7 +174,7 @@
                     hosts.push(host);
                 }
                 self.hires.insert(name, hosts.clone());
-                CloudReply::Hired(hosts)
+                CloudReply::Rented(hosts)
             }
             Action::Return(back) => {
                 for host in back.hosts.iter().filter(|_| !self.troubles.lying_cloud) {
@@ -220,7 +220,7 @@
         self.last_ask += 1;
         let ask = self.last_ask;
         let again = Box::new(report.clone());
-        let event = Event::Beat { ask, report, relayed: false };
+        let event = Event::Heartbeat { ask, report, relayed: false };
         let held = if cut { self.workers[&host].cut - now } else { Duration::ZERO };
         if !self.reach(node, &host) {
             return;
@@ -259,13 +259,13 @@
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut[node].max(self.alone[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
-            let nobody = Answer::Elsewhere { foreman: None };
+            let nobody = Answer::Redirect { foreman: None };
             return self.answered(Asked::Beat { host, sent, report }, nobody);
         };
         let boot = *boot;
         self.last_ask += 1;
         let ask = self.last_ask;
-        let event = Event::Beat { ask, report: (*report).clone(), relayed: true };
+        let event = Event::Heartbeat { ask, report: (*report).clone(), relayed: true };
         self.asks.insert((node, boot, ask), (self.now, Asked::Beat { host, sent, report }));
         self.relayed += 1;
         self.at(ms(2), Happening::ToNode { node, boot, event });
@@ -286,7 +286,7 @@
         }
         worker.waiting = None;
         let pause = match answer {
-            Answer::Beat { token, orders } => {
+            Answer::Commands { token, orders } => {
                 if token < self.led.0 && token >= worker.token {
                     self.held = self.held.max(now.saturating_sub(self.led.1));
                 }
@@ -303,7 +303,7 @@
                 let report = self.kind.report.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
-            Answer::Elsewhere { foreman: Some(name) } => {
+            Answer::Redirect { foreman: Some(name) } => {
                 worker.node = name.trim_start_matches("plank-").parse().unwrap();
                 ms(200)
             }
@@ -328,7 +328,7 @@
     ) {
         let now = self.now;
         let unanswered = |world: &mut Self| {
-            let event = Event::Orders { call, reply: OrdersReply::Unanswered };
+            let event = Event::CommandReply { call, reply: OrdersReply::Unanswered };
             world.at(secs(2), Happening::ToNode { node, boot, event });
         };
         let Some(worker) = self.workers.get_mut(&host) else { return unanswered(self) };
@@ -354,7 +354,7 @@
         let Some(worker) = self.workers.get_mut(&host) else { return };
         let report = worker.report(now);
         if boot != 0 {
-            let event = Event::Orders { call, reply: OrdersReply::Answered(report) };
+            let event = Event::CommandReply { call, reply: OrdersReply::Answered(report) };
             self.at(ms(1), Happening::ToNode { node, boot, event });
         }
     }
@@ -367,18 +367,18 @@
                 if worker.tasks.contains_key(&key) {
                     return;
                 }
-                let busy = worker.tasks.iter().any(|((t, _), s)| *t == task && !matches!(s, Seen::Ended(_)));
-                let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, Seen::Ended(_)));
+                let busy = worker.tasks.iter().any(|((t, _), s)| *t == task && !matches!(s, Seen::Exited(_)));
+                let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, Seen::Exited(_)));
                 let cpus: f64 = live.map(|((t, _), _)| self.jobs[self.by_id[&t.job]].spec.each.cpus).sum();
                 let need = self.jobs[self.by_id[&task.job]].spec.each.cpus;
                 let seen = match (busy, cpus + need > 8.0) {
-                    (true, _) => Seen::Ended(Cause::Busy),
-                    (_, true) => Seen::Ended(Cause::Full),
-                    _ => Seen::Pulling,
+                    (true, _) => Seen::Exited(Cause::AttemptConflict),
+                    (_, true) => Seen::Exited(Cause::InsufficientResources),
+                    _ => Seen::FetchingImage,
                 };
                 worker.tasks.insert(key, seen);
                 let shift = worker.shift;
-                if seen == Seen::Pulling {
+                if seen == Seen::FetchingImage {
                     let pull = self.between(0, 1500);
                     self.at(pull, Happening::Pulled { host: host.clone(), task, attempt, shift });
                 }
@@ -388,22 +388,22 @@
                 if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&Seen::Running) {
                     let saves = self.gang_told(&task, attempt, leeway);
                     if let Some(worker) = self.workers.get_mut(host).filter(|_| saves) {
-                        worker.tasks.insert((task, attempt), Seen::Saving);
+                        worker.tasks.insert((task, attempt), Seen::Checkpointing);
                         return;
                     }
-                } else if there == Some(&Seen::Saving) && leeway > Duration::ZERO {
+                } else if there == Some(&Seen::Checkpointing) && leeway > Duration::ZERO {
                     return;
                 }
                 let Some(worker) = self.workers.get_mut(host) else { return };
                 if let Some(seen) = worker.tasks.get_mut(&(task, attempt)) {
-                    if !matches!(seen, Seen::Ended(_)) {
-                        *seen = Seen::Ended(Cause::Stopped);
+                    if !matches!(seen, Seen::Exited(_)) {
+                        *seen = Seen::Exited(Cause::Stopped);
                     }
                 }
             }
-            Order::Reap { task, attempt } => {
+            Order::Acknowledge { task, attempt } => {
                 let key = (task, attempt);
-                if matches!(worker.tasks.get(&key), Some(Seen::Ended(_))) {
+                if matches!(worker.tasks.get(&key), Some(Seen::Exited(_))) {
                     worker.tasks.remove(&key);
                 }
             }
@@ -422,11 +422,11 @@
         }
         worker.expire(now);
         let key = (task.clone(), attempt);
-        if worker.shift != shift || worker.tasks.get(&key) != Some(&Seen::Pulling) {
+        if worker.shift != shift || worker.tasks.get(&key) != Some(&Seen::FetchingImage) {
             return;
         }
         let gang = self.jobs[self.by_id[&task.job]].spec.gang;
-        worker.tasks.insert(key, if gang && !worker.faulty { Seen::Waiting } else { Seen::Running });
+        worker.tasks.insert(key, if gang && !worker.faulty { Seen::WaitingForGang } else { Seen::Running });
         let (zone, spot, faulty) = (worker.zone.clone(), worker.spot, worker.faulty);
         let job = &self.jobs[self.by_id[&task.job]];
         let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
@@ -468,7 +468,7 @@
         if *seen != Seen::Running {
             return;
         }
-        *seen = Seen::Ended(if faulty { Cause::Error } else { Cause::Done });
+        *seen = Seen::Exited(if faulty { Cause::Failed } else { Cause::Completed });
         if !faulty {
             let job = self.by_id[&task.job];
             self.jobs[job].done.insert(task.index);
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Bound {
     /// The jobs were seen so lately that no cancellation is likely to be unseen.
-    JobsSeen,
+    JobsSynced,
     /// A cancellation that this node did not see is not due before leases run out.
     CancellationUnseen,
     /// Every other node hears no worker either.
@@ -136,7 +136,7 @@
         (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(NoState),
         // Never changes, and needs neither side.
         (Action::AnswerFromMemory, _) => Allowed,
-        (Action::Place | Action::Start, Whole) => Within(JobsSeen),
+        (Action::Place | Action::Start, Whole) => Within(JobsSynced),
         (Action::Place | Action::Start, StateOnly) => Deferred(NoWorkers),
         (Action::Place | Action::Start, WorkersOnly) => Forbidden(NoState),
         (Action::Place | Action::Start, Isolated) => Forbidden(Neither),
@@ -149,7 +149,7 @@
         (Action::AcknowledgeEnds, WorkersOnly | Isolated) => Deferred(NoState),
         // A rental needs the state service and the cloud; a new machine's first report
         // shows whether workers are reached.
-        (Action::Rent, Whole | StateOnly) => Within(JobsSeen),
+        (Action::Rent, Whole | StateOnly) => Within(JobsSynced),
         (Action::Rent, WorkersOnly | Isolated) => Forbidden(NoState),
         (Action::Return, Whole) => Allowed,
         (Action::Return, StateOnly) => Forbidden(NoWorkers),
--- a/crates/plankhead-reachability/tests/table.rs
+++ b/crates/plankhead-reachability/tests/table.rs
@@ -7,7 +7,7 @@
 fn letter(permission: Permission) -> char {
     match permission {
         Permission::Allowed => 'a',
-        Permission::Within(Bound::JobsSeen) => 'j',
+        Permission::Within(Bound::JobsSynced) => 'j',
         Permission::Within(Bound::CancellationUnseen) => 'c',
         Permission::Within(Bound::PeersAgree) => 'p',
         Permission::Deferred(_) => 'd',
--- a/crates/plankhead/src/cloud.rs
+++ b/crates/plankhead/src/cloud.rs
@@ -13,12 +13,12 @@
 
 pub async fn call(client: &Client, op: CloudOp) -> Result<CloudReply, CallError> {
     let (method, path, body) = match &op {
-        CloudOp::Catalog => (Method::GET, "/catalog".into(), Vec::new()),
-        CloudOp::List { after } => {
+        CloudOp::ListMachineTypes => (Method::GET, "/catalog".into(), Vec::new()),
+        CloudOp::ListInstances { after } => {
             let after = after.as_ref().map(|a| format!("after={a}&")).unwrap_or_default();
             (Method::GET, format!("/hosts?{after}most={PAGE}"), Vec::new())
         }
-        CloudOp::Act(permitted) => match permitted.action() {
+        CloudOp::Execute(permitted) => match permitted.action() {
             Action::Rent(rental) => {
                 let body = wire::rental(rental).to_string().into_bytes();
                 (Method::POST, "/hosts".into(), body)
@@ -32,16 +32,16 @@
     };
     let (status, body) = client.call(method, &path, body, PATIENCE).await?;
     match (&op, status) {
-        (CloudOp::Catalog, StatusCode::OK) => {
-            wire::catalog(&body).map(CloudReply::Catalog).ok_or(CallError::Lost)
+        (CloudOp::ListMachineTypes, StatusCode::OK) => {
+            wire::catalog(&body).map(CloudReply::MachineTypes).ok_or(CallError::OutcomeUnknown)
         }
-        (CloudOp::List { .. }, StatusCode::OK) => {
-            let (hosts, truncated) = wire::hosts(&body).ok_or(CallError::Lost)?;
-            Ok(CloudReply::Page { hosts, truncated })
+        (CloudOp::ListInstances { .. }, StatusCode::OK) => {
+            let (hosts, truncated) = wire::hosts(&body).ok_or(CallError::OutcomeUnknown)?;
+            Ok(CloudReply::Instances { hosts, truncated })
         }
-        (CloudOp::Act(permitted), status) => acted(permitted.action(), status, &body),
+        (CloudOp::Execute(permitted), status) => acted(permitted.action(), status, &body),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
-        _ => Err(CallError::Lost),
+        _ => Err(CallError::OutcomeUnknown),
     }
 }
 
@@ -49,13 +49,13 @@
 fn acted(action: &Action, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
     match (action, status) {
         (Action::Rent(_), StatusCode::OK) => {
-            let names = wire::hired(body).ok_or(CallError::Lost)?;
-            Ok(CloudReply::Hired(names.into_iter().map(Into::into).collect()))
+            let names = wire::hired(body).ok_or(CallError::OutcomeUnknown)?;
+            Ok(CloudReply::Rented(names.into_iter().map(Into::into).collect()))
         }
         (Action::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if refused(body) => Ok(CloudReply::NoCapacity),
         (Action::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
-        _ => Err(CallError::Lost),
+        _ => Err(CallError::OutcomeUnknown),
     }
 }
 
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -58,9 +58,9 @@
         match self {
             Request::Submit { id, job } => Event::Submit { ask, id, job },
             Request::Poll { id } => Event::Poll { ask, id },
-            Request::Abort { id } => Event::Abort { ask, id },
-            Request::Beat { report, relayed } => Event::Beat { ask, report, relayed },
-            Request::Shard { message } => Event::Shard { ask, message },
+            Request::Abort { id } => Event::Cancel { ask, id },
+            Request::Beat { report, relayed } => Event::Heartbeat { ask, report, relayed },
+            Request::Shard { message } => Event::ShardMessage { ask, message },
             Request::View => Event::View { ask },
         }
     }
@@ -133,7 +133,7 @@
 }
 
 /// For a worker that no node could help.
-const NOBODY: Answer = Answer::Elsewhere { foreman: None };
+const NOBODY: Answer = Answer::Redirect { foreman: None };
 
 fn reply(answer: &Answer) -> Reply {
     let (status, body, retry) = wire::answer(answer);
@@ -193,30 +193,30 @@
 impl Outside {
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { ask, answer } => self.asks.answer(ask, answer),
-            Effect::State { call, op } => {
+            Effect::Respond { ask, answer } => self.asks.answer(ask, answer),
+            Effect::CallKv { call, op } => {
                 let client = self.state.clone();
-                self.spawn(async move { Event::State { call, reply: state::call(&client, op).await } });
+                self.spawn(async move { Event::KvReply { call, reply: state::call(&client, op).await } });
             }
-            Effect::Cloud { call, op } => {
+            Effect::CallCloud { call, op } => {
                 let client = self.cloud.clone();
-                self.spawn(async move { Event::Cloud { call, reply: cloud::call(&client, op).await } });
+                self.spawn(async move { Event::CloudReply { call, reply: cloud::call(&client, op).await } });
             }
-            Effect::Orders { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, shift, orders } => {
                 let agents = self.agents.clone();
                 self.spawn(async move {
-                    Event::Orders { call, reply: agents.orders(address, token, shift, orders).await }
+                    Event::CommandReply { call, reply: agents.orders(address, token, shift, orders).await }
                 });
             }
-            Effect::Pulse(pulse) => {
+            Effect::SendPeerHeartbeat(pulse) => {
                 if let Some(bytes) = peer::encode(&pulse) {
                     for sibling in self.siblings.values() {
                         sibling.tell(bytes.clone());
                     }
                 }
             }
-            Effect::Coverage(message) => self.tell_coverage(&message),
-            Effect::Shard { call, to, message } => self.send_shard_message(call, &to, &message),
+            Effect::SendCoverage(message) => self.tell_coverage(&message),
+            Effect::SendShardMessage { call, to, message } => self.send_shard_message(call, &to, &message),
             Effect::Log(level, text) => log::emit(level, &text),
         }
     }
@@ -230,9 +230,9 @@
         self.spawn(async move {
             let delivery = match (sibling, bytes) {
                 (Some(sibling), Some(bytes)) => sibling.tell_shards(bytes).await,
-                _ => Delivery::Lost,
+                _ => Delivery::NoResponse,
             };
-            Event::ShardTold { call, delivery }
+            Event::ShardMessageDelivery { call, delivery }
         });
     }
 
@@ -243,7 +243,7 @@
             let (host, sibling, bytes) = (host.clone(), sibling.clone(), bytes.clone());
             self.spawn(async move {
                 let confirmed = sibling.tell_coverage(bytes).await;
-                Event::PeerTold { host, confirmed }
+                Event::PeerDelivery { host, confirmed }
             });
         }
     }
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -67,7 +67,7 @@
     }
     let op = StateOp::Get { key: election::KEY.into() };
     match state::call(client, op).await.map_err(ListError::State)? {
-        StateReply::Got(row) => listing.leader = row.as_ref().and_then(leadership),
+        StateReply::Value(row) => listing.leader = row.as_ref().and_then(leadership),
         _ => return Err(ListError::Reply),
     }
     Ok(listing)
--- a/crates/plankhead/src/http.rs
+++ b/crates/plankhead/src/http.rs
@@ -75,7 +75,7 @@
         body: Vec<u8>,
         within: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        timeout(within, self.exchange(method, path, body)).await.map_err(|_| CallError::Lost)?
+        timeout(within, self.exchange(method, path, body)).await.map_err(|_| CallError::OutcomeUnknown)?
     }
 
     async fn exchange(
@@ -110,13 +110,13 @@
             // The kept connection was closed before the request left.
             Err(error) if error.is_canceled() => {
                 sender = self.connect().await?;
-                sender.send_request(request()?).await.map_err(|_| CallError::Lost)?
+                sender.send_request(request()?).await.map_err(|_| CallError::OutcomeUnknown)?
             }
-            Err(_) => return Err(CallError::Lost),
+            Err(_) => return Err(CallError::OutcomeUnknown),
         };
         let status = response.status();
         let body = Limited::new(response.into_body(), MOST_RESPONSE).collect().await;
-        let body = body.map_err(|_| CallError::Lost)?.to_bytes();
+        let body = body.map_err(|_| CallError::OutcomeUnknown)?.to_bytes();
         let mut idle = self.idle();
         if idle.len() < MOST_IDLE && !sender.is_closed() {
             idle.push(sender);
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -148,11 +148,11 @@
     /// Sends a message about shards.
     pub async fn tell_shards(&self, bytes: Vec<u8>) -> Delivery {
         match self.shards.call(Method::POST, shard_messages::PATH, bytes, PATIENCE).await {
-            Ok((StatusCode::OK, _)) => Delivery::Taken,
-            Ok((StatusCode::GONE, _)) => Delivery::TellAll,
+            Ok((StatusCode::OK, _)) => Delivery::Accepted,
+            Ok((StatusCode::GONE, _)) => Delivery::FullSyncNeeded,
             Ok((StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED, _)) => Delivery::Unsupported,
-            Ok(_) => Delivery::NotTaken,
-            Err(_) => Delivery::Lost,
+            Ok(_) => Delivery::Rejected,
+            Err(_) => Delivery::NoResponse,
         }
     }
 
@@ -180,7 +180,7 @@
                 tracing::debug!("a malformed pulse was dropped");
                 return Reply::error(400, "not a pulse");
             };
-            match handle.send(Command::Event(Event::Pulse(pulse))) {
+            match handle.send(Command::Event(Event::PeerHeartbeat(pulse))) {
                 Ok(()) => Reply { status: 200, body: Vec::new(), retry: None },
                 Err(_) => Reply::error(503, "too much to do"),
             }
