--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -127,20 +127,20 @@
 
 /// What a worker says of an attempt, by its code.
 const SEEN: [Seen; 14] = [
-    Seen::Pulling,
-    Seen::Waiting,
+    Seen::FetchingImage,
+    Seen::WaitingForGang,
     Seen::Running,
-    Seen::Saving,
-    Seen::Other,
-    Seen::Ended(Cause::Done),
-    Seen::Ended(Cause::Stopped),
-    Seen::Ended(Cause::Error),
-    Seen::Ended(Cause::Full),
-    Seen::Ended(Cause::Busy),
-    Seen::Ended(Cause::Unknown),
-    Seen::Ended(Cause::MatesGone),
-    Seen::Ended(Cause::Incomplete),
-    Seen::Ended(Cause::Other),
+    Seen::Checkpointing,
+    Seen::Unrecognized,
+    Seen::Exited(Cause::Completed),
+    Seen::Exited(Cause::Stopped),
+    Seen::Exited(Cause::Failed),
+    Seen::Exited(Cause::InsufficientResources),
+    Seen::Exited(Cause::AttemptConflict),
+    Seen::Exited(Cause::UnknownJob),
+    Seen::Exited(Cause::GangMemberLost),
+    Seen::Exited(Cause::GangIncomplete),
+    Seen::Exited(Cause::Unrecognized),
 ];
 
 fn millis(time: Duration) -> u64 {
@@ -152,8 +152,8 @@
 /// The bytes of a message; `None` where it would be larger than a receiver takes.
 pub fn encode(message: &ShardMessage) -> Option<Vec<u8>> {
     let message = match message {
-        ShardMessage::Report(report) => Message::Report(report_message(report)),
-        ShardMessage::Orders(orders) => Message::Orders(orders_message(orders)),
+        ShardMessage::HolderStatus(report) => Message::Report(report_message(report)),
+        ShardMessage::LeaderCommands(orders) => Message::Orders(orders_message(orders)),
     };
     let plain = rkyv::to_bytes::<Error>(&message).ok()?;
     let mut bytes = Vec::with_capacity(plain.len() + 1);
@@ -244,7 +244,7 @@
     let (kind, task, attempt, leeway) = match order {
         Order::Run { task, attempt } => (RUN, task, attempt, Duration::ZERO),
         Order::Kill { task, attempt, leeway } => (KILL, task, attempt, *leeway),
-        Order::Reap { task, attempt } => (REAP, task, attempt, Duration::ZERO),
+        Order::Acknowledge { task, attempt } => (REAP, task, attempt, Duration::ZERO),
     };
     OrderMessage {
         kind,
@@ -270,8 +270,8 @@
         _ => return Err(malformed("it has an unknown form")),
     };
     match message.map_err(|error| ShardFault::Malformed(error.to_string()))? {
-        Message::Report(report) => Ok(ShardMessage::Report(Box::new(holder_report(report)?))),
-        Message::Orders(orders) => Ok(ShardMessage::Orders(Box::new(leader_orders(orders)?))),
+        Message::Report(report) => Ok(ShardMessage::HolderStatus(Box::new(holder_report(report)?))),
+        Message::Orders(orders) => Ok(ShardMessage::LeaderCommands(Box::new(leader_orders(orders)?))),
     }
 }
 
@@ -401,7 +401,7 @@
     match message.kind {
         RUN => Ok(Order::Run { task, attempt }),
         KILL => Ok(Order::Kill { task, attempt, leeway: Duration::from_millis(message.leeway_ms) }),
-        REAP => Ok(Order::Reap { task, attempt }),
+        REAP => Ok(Order::Acknowledge { task, attempt }),
         _ => Err(ShardFault::Range("command")),
     }
 }
--- a/crates/plankhead/src/state.rs
+++ b/crates/plankhead/src/state.rs
@@ -14,7 +14,7 @@
 const WATCH_EXTRA: Duration = Duration::from_millis(1500);
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
-    serde_json::from_slice(body).map_err(|_| CallError::Lost)
+    serde_json::from_slice(body).map_err(|_| CallError::OutcomeUnknown)
 }
 
 pub async fn call(client: &Client, op: StateOp) -> Result<StateReply, CallError> {
@@ -28,20 +28,20 @@
             let body = wire::txn(conditions, changes).ok_or(CallError::Refused)?;
             (Method::POST, "/txn".into(), body, PATIENCE)
         }
-        StateOp::Grant { life } => {
+        StateOp::GrantLease { life } => {
             let body = format!("{{\"lifeMs\":{}}}", life.as_millis()).into_bytes();
             (Method::POST, "/grants".into(), body, PATIENCE)
         }
-        StateOp::Touch { hold } => (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE),
-        StateOp::Revoke { hold } => (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE),
-        StateOp::Follow { prefix, after, wait } => {
+        StateOp::RenewLease { hold } => (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE),
+        StateOp::RevokeLease { hold } => (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE),
+        StateOp::Watch { prefix, after, wait } => {
             let path = format!("/follow?prefix={prefix}&after={after}&waitMs={}", wait.as_millis());
             (Method::GET, path, Vec::new(), *wait + WATCH_EXTRA)
         }
     };
     let (status, body) = client.call(method, &path, body, within).await?;
     match status {
-        StatusCode::TOO_MANY_REQUESTS => return Err(CallError::Busy),
+        StatusCode::TOO_MANY_REQUESTS => return Err(CallError::RateLimited),
         StatusCode::SERVICE_UNAVAILABLE => return Err(CallError::Refused),
         _ => {}
     }
@@ -53,16 +53,16 @@
     let no_lease = |changes: &[Change], body: &Bytes| {
         let value: serde_json::Value = parse(body)?;
         let known = value.get("error").and_then(|e| e.as_str()) == Some("no such lease");
-        let held = changes.iter().any(|c| matches!(c, Change::Write { hold: Some(_), .. }));
+        let held = changes.iter().any(|c| matches!(c, Change::Put { hold: Some(_), .. }));
         match (known, held) {
-            (true, _) => Ok(StateReply::NoGrant),
-            (false, true) => Err(CallError::Lost),
+            (true, _) => Ok(StateReply::NoSuchLease),
+            (false, true) => Err(CallError::OutcomeUnknown),
             (false, false) => Err(CallError::TooLarge),
         }
     };
     match (op, status) {
-        (StateOp::Get { .. }, 200) => Ok(StateReply::Got(Some(Row::from(parse::<wire::StateRow>(body)?)))),
-        (StateOp::Get { .. }, 404) => parse::<wire::Epoch>(body).map(|_| StateReply::Got(None)),
+        (StateOp::Get { .. }, 200) => Ok(StateReply::Value(Some(Row::from(parse::<wire::StateRow>(body)?)))),
+        (StateOp::Get { .. }, 404) => parse::<wire::Epoch>(body).map(|_| StateReply::Value(None)),
         (StateOp::List { .. }, 200) => {
             let page: wire::Page = parse(body)?;
             let rows = page.rows.into_iter().map(Row::from).collect();
@@ -75,19 +75,19 @@
             parse::<wire::Failed>(body).map(|f| StateReply::Conflict { failed: f.failed })
         }
         (StateOp::Txn { changes, .. }, 400) => no_lease(changes, body),
-        (StateOp::Grant { .. }, 200) => {
-            parse::<wire::Hold>(body).map(|h| StateReply::Granted { hold: h.hold })
+        (StateOp::GrantLease { .. }, 200) => {
+            parse::<wire::Hold>(body).map(|h| StateReply::LeaseGranted { hold: h.hold })
         }
-        (StateOp::Touch { .. }, 200) => Ok(StateReply::Touched),
-        (StateOp::Touch { .. }, 404) => Ok(StateReply::NoGrant),
-        (StateOp::Revoke { .. }, 200 | 204 | 404) => Ok(StateReply::Touched),
-        (StateOp::Follow { .. }, 200) => {
+        (StateOp::RenewLease { .. }, 200) => Ok(StateReply::LeaseRenewed),
+        (StateOp::RenewLease { .. }, 404) => Ok(StateReply::NoSuchLease),
+        (StateOp::RevokeLease { .. }, 200 | 204 | 404) => Ok(StateReply::LeaseRenewed),
+        (StateOp::Watch { .. }, 200) => {
             let events: wire::Events = parse(body)?;
             let epoch = events.epoch;
-            let events = events.events().ok_or(CallError::Lost)?;
+            let events = events.events().ok_or(CallError::OutcomeUnknown)?;
             Ok(StateReply::Events { epoch, events })
         }
-        (StateOp::Follow { .. }, 410) => Ok(StateReply::Compacted),
-        _ => Err(CallError::Lost),
+        (StateOp::Watch { .. }, 410) => Ok(StateReply::Compacted),
+        _ => Err(CallError::OutcomeUnknown),
     }
 }
--- a/crates/plankhead/src/tests/messages.rs
+++ b/crates/plankhead/src/tests/messages.rs
@@ -22,7 +22,7 @@
                    {"piece": "job-2/0", "try": 1, "status": "ended", "cause": "done"}]});
     let parse = |v: &Value| wire::report(v.to_string().as_bytes());
     let report = parse(&good).unwrap();
-    assert_eq!((report.tasks[0].task.index, report.tasks[1].seen), (3, Seen::Ended(Cause::Done)));
+    assert_eq!((report.tasks[0].task.index, report.tasks[1].seen), (3, Seen::Exited(Cause::Completed)));
     for (pointer, bad) in [
         ("/pieces/0/piece", json!("job-1")),
         ("/pieces/0/piece", json!("job-1/-1")),
@@ -48,11 +48,11 @@
             "shift": 1, "tick": 88, "baton": 41, "warningS": null, "pieces": [piece]});
         wire::report(report.to_string().as_bytes()).unwrap().tasks[0].seen
     };
-    assert_eq!(piece("waiting", Value::Null), Seen::Waiting);
-    assert_eq!(piece("asleep", Value::Null), Seen::Other);
-    assert_eq!(piece("ended", json!("mates_gone")), Seen::Ended(Cause::MatesGone));
-    assert_eq!(piece("ended", json!("incomplete")), Seen::Ended(Cause::Incomplete));
-    assert_eq!(piece("ended", json!("bored")), Seen::Ended(Cause::Other));
+    assert_eq!(piece("waiting", Value::Null), Seen::WaitingForGang);
+    assert_eq!(piece("asleep", Value::Null), Seen::Unrecognized);
+    assert_eq!(piece("ended", json!("mates_gone")), Seen::Exited(Cause::GangMemberLost));
+    assert_eq!(piece("ended", json!("incomplete")), Seen::Exited(Cause::GangIncomplete));
+    assert_eq!(piece("ended", json!("bored")), Seen::Exited(Cause::Unrecognized));
 }
 
 #[test]
@@ -65,8 +65,8 @@
 #[test]
 fn transactions_are_written_as_published() {
     let changes = [
-        Change::Write { key: "a/b".into(), value: r#"{"x":1}"#.into(), hold: Some(7) },
-        Change::Drop { key: "c/d".into() },
+        Change::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), hold: Some(7) },
+        Change::Delete { key: "c/d".into() },
     ];
     let body: Value = serde_json::from_slice(&wire::txn(&[], &changes).unwrap()).unwrap();
     let expected =
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -47,7 +47,12 @@
 }
 
 fn report(machine: u32, tasks: u32) -> Report {
-    let seen = [Seen::Running, Seen::Ended(Cause::Done), Seen::Pulling, Seen::Ended(Cause::Other)];
+    let seen = [
+        Seen::Running,
+        Seen::Exited(Cause::Completed),
+        Seen::FetchingImage,
+        Seen::Exited(Cause::Unrecognized),
+    ];
     let listed = |n: u32| Listed { task: task(n), attempt: u64::from(n), seen: seen[n as usize % 4] };
     Report {
         host: format!("i-{machine:06}").as_str().into(),
@@ -72,7 +77,7 @@
         unanswered: n,
         age: Duration::from_millis(70),
     };
-    ShardMessage::Report(Box::new(HolderReport {
+    ShardMessage::HolderStatus(Box::new(HolderReport {
         host: "plank-1".into(),
         stamp: Stamp { boot: 5, sequence: 9 },
         zone: "a".into(),
@@ -88,7 +93,8 @@
 }
 
 fn leader_orders() -> LeaderOrders {
-    let (run, reap) = (Order::Run { task: task(4), attempt: 2 }, Order::Reap { task: task(0), attempt: 1 });
+    let (run, reap) =
+        (Order::Run { task: task(4), attempt: 2 }, Order::Acknowledge { task: task(0), attempt: 1 });
     let kill = Order::Kill { task: task(1), attempt: 1, leeway: Duration::from_secs(10) };
     LeaderOrders {
         host: "plank-0".into(),
@@ -110,7 +116,9 @@
 
 #[test]
 fn messages_are_read_as_they_were_written() {
-    for message in [holder_report(1), holder_report(200), ShardMessage::Orders(Box::new(leader_orders()))] {
+    for message in
+        [holder_report(1), holder_report(200), ShardMessage::LeaderCommands(Box::new(leader_orders()))]
+    {
         assert_eq!(decode(&encode(&message).unwrap()).unwrap(), message);
     }
     // A snapshot goes compressed: 200 machines with 16 tasks each.
@@ -121,7 +129,7 @@
 /// What version 749ebcd sent for the same messages, byte for byte: versions run side by side.
 #[test]
 fn messages_are_the_same_bytes_as_before() {
-    let orders = ShardMessage::Orders(Box::new(leader_orders()));
+    let orders = ShardMessage::LeaderCommands(Box::new(leader_orders()));
     compare_with_fixture("holder-report.bin", &encode(&holder_report(1)).unwrap());
     compare_with_fixture("holder-report-compressed.bin", &encode(&holder_report(8)).unwrap());
     compare_with_fixture("leader-orders.bin", &encode(&orders).unwrap());
@@ -140,7 +148,7 @@
     let bomb = [&[1u8][..], &u32::MAX.to_le_bytes(), &[0; 64]].concat();
     assert_eq!(decode(&bomb), Err(ShardFault::TooLarge), "what it would become is looked at first");
     // Every single byte that is wrong: refused or read as something, and never a panic.
-    let small = encode(&ShardMessage::Orders(Box::new(leader_orders()))).unwrap();
+    let small = encode(&ShardMessage::LeaderCommands(Box::new(leader_orders()))).unwrap();
     for at in 0..small.len() {
         let mut bytes = small.clone();
         bytes[at] ^= 0x55;
@@ -149,7 +157,7 @@
     let range = |change: &dyn Fn(&mut LeaderOrders)| {
         let mut orders = leader_orders();
         change(&mut orders);
-        let bytes = encode(&ShardMessage::Orders(Box::new(orders))).unwrap();
+        let bytes = encode(&ShardMessage::LeaderCommands(Box::new(orders))).unwrap();
         assert!(matches!(decode(&bytes), Err(ShardFault::Range(_))), "{:?}", decode(&bytes));
     };
     range(&|orders| orders.machines[0].shard = 1);
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -153,21 +153,25 @@
             let (done, running) = (*done, *running);
             (code, text(&JobAnswer { name_id: id.as_str(), status: status(*s), done, running }), None)
         }
-        Answer::Malformed(reason) => (400, error(reason), None),
-        Answer::Impossible(reason) => (422, error(reason), None),
+        Answer::BadRequest(reason) => (400, error(reason), None),
+        Answer::Unprocessable(reason) => (422, error(reason), None),
         Answer::NotFound => (404, error("no such job"), None),
         Answer::Unavailable { retry } => (503, error("try again later"), Some(*retry)),
-        Answer::Beat { token, orders } => {
+        Answer::Commands { token, orders } => {
             let orders = orders.iter().map(OrderMessage::from).collect();
             (200, text(&ReportAnswer { baton: *token, orders }), None)
         }
-        Answer::Elsewhere { foreman } => (421, text(&ElsewhereAnswer { foreman: foreman.as_deref() }), None),
+        Answer::Redirect { foreman } => (421, text(&ElsewhereAnswer { foreman: foreman.as_deref() }), None),
         Answer::Relay { .. } => (421, text(&ElsewhereAnswer { foreman: None }), None),
         Answer::View(view) => (200, text(view), None),
-        Answer::Shard(Delivery::Taken) => (200, Vec::new(), None),
-        Answer::Shard(Delivery::TellAll) => (410, error("the stream is not known"), None),
-        Answer::Shard(Delivery::Unsupported) => (404, error("machines are not divided"), None),
-        Answer::Shard(Delivery::NotTaken | Delivery::Lost) => (409, error("not taken"), None),
+        Answer::ShardMessageDelivery(Delivery::Accepted) => (200, Vec::new(), None),
+        Answer::ShardMessageDelivery(Delivery::FullSyncNeeded) => {
+            (410, error("the stream is not known"), None)
+        }
+        Answer::ShardMessageDelivery(Delivery::Unsupported) => (404, error("machines are not divided"), None),
+        Answer::ShardMessageDelivery(Delivery::Rejected | Delivery::NoResponse) => {
+            (409, error("not taken"), None)
+        }
     }
 }
 
@@ -307,21 +311,21 @@
     let mut tasks = Vec::with_capacity(beat.pieces.len());
     for piece in &beat.pieces {
         let seen = match (&piece.status, piece.cause) {
-            (PieceStatus::Pulling, _) => Seen::Pulling,
+            (PieceStatus::Pulling, _) => Seen::FetchingImage,
             (PieceStatus::Running, _) => Seen::Running,
-            (PieceStatus::Saving, _) => Seen::Saving,
-            (PieceStatus::Waiting, _) => Seen::Waiting,
-            (PieceStatus::Other, _) => Seen::Other,
-            (PieceStatus::Ended, Some(cause)) => Seen::Ended(match cause {
-                CauseName::Done => Cause::Done,
+            (PieceStatus::Saving, _) => Seen::Checkpointing,
+            (PieceStatus::Waiting, _) => Seen::WaitingForGang,
+            (PieceStatus::Other, _) => Seen::Unrecognized,
+            (PieceStatus::Ended, Some(cause)) => Seen::Exited(match cause {
+                CauseName::Done => Cause::Completed,
                 CauseName::Stopped => Cause::Stopped,
-                CauseName::Error => Cause::Error,
-                CauseName::Full => Cause::Full,
-                CauseName::Busy => Cause::Busy,
-                CauseName::Unknown => Cause::Unknown,
-                CauseName::MatesGone => Cause::MatesGone,
-                CauseName::Incomplete => Cause::Incomplete,
-                CauseName::Other => Cause::Other,
+                CauseName::Error => Cause::Failed,
+                CauseName::Full => Cause::InsufficientResources,
+                CauseName::Busy => Cause::AttemptConflict,
+                CauseName::Unknown => Cause::UnknownJob,
+                CauseName::MatesGone => Cause::GangMemberLost,
+                CauseName::Incomplete => Cause::GangIncomplete,
+                CauseName::Other => Cause::Unrecognized,
             }),
             (PieceStatus::Ended, None) => return Err("an ended task without a cause".into()),
         };
@@ -367,7 +371,7 @@
         let (verb, task, attempt, leeway) = match order {
             Order::Run { task, attempt } => ("run", task, attempt, None),
             Order::Kill { task, attempt, leeway } => ("kill", task, attempt, Some(leeway.as_secs_f64())),
-            Order::Reap { task, attempt } => ("reap", task, attempt, None),
+            Order::Acknowledge { task, attempt } => ("reap", task, attempt, None),
         };
         Self { verb, piece: PieceName(task), attempt: *attempt, leeway_s: leeway }
     }
@@ -556,9 +560,9 @@
     pub fn events(self) -> Option<Vec<KeyEvent>> {
         let event = |e: RawEvent| match (e.write, e.drop, e.value) {
             (Some(key), None, Some(value)) => {
-                Some(KeyEvent::Written(Row { key, value: value.get().into(), stamp: e.stamp }))
+                Some(KeyEvent::Put(Row { key, value: value.get().into(), stamp: e.stamp }))
             }
-            (None, Some(key), _) => Some(KeyEvent::Dropped { key, stamp: e.stamp }),
+            (None, Some(key), _) => Some(KeyEvent::Delete { key, stamp: e.stamp }),
             _ => None,
         };
         self.events.into_iter().map(event).collect()
@@ -576,11 +580,11 @@
     let mut apply: Vec<Box<RawValue>> = Vec::with_capacity(changes.len());
     for change in changes {
         let text = match change {
-            Change::Write { key, value, hold } => {
+            Change::Put { key, value, hold } => {
                 let value: &RawValue = serde_json::from_str(value).ok()?;
                 serde_json::to_string(&Put { write: key, value, hold: *hold })
             }
-            Change::Drop { key } => serde_json::to_string(&BTreeMap::from([("drop", key)])),
+            Change::Delete { key } => serde_json::to_string(&BTreeMap::from([("drop", key)])),
         };
         apply.push(RawValue::from_string(text.ok()?).ok()?);
     }
