--- a/crates/plankhead-core/src/budget.rs
+++ b/crates/plankhead-core/src/budget.rs
@@ -4,14 +4,14 @@
 
 /// Grants `rate` tokens a second and saves at most `burst` of them.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
         Self { rate, burst, level: burst, at: Duration::ZERO }
--- a/crates/plankhead-core/src/easy.rs
+++ b/crates/plankhead-core/src/easy.rs
@@ -5,8 +5,8 @@
 //! every machine for every job: it keeps the machines with room apart, and asks
 //! when a busy one opens only for a task that would have to fetch its image.
 
-use crate::job::{Resources, Urgency};
-use crate::queue::{TeamRoom, Turns, Work};
+use crate::job::{Priority, Resources};
+use crate::queue::{FairShareQueue, TeamUsage, Work};
 use std::time::Duration;
 
 /// A machine as a pass sees it.
@@ -65,7 +65,7 @@
     holds: Vec<(usize, Resources)>,
     at: Duration,
     /// More urgent work may break it if it finds no room elsewhere.
-    yields: Option<Urgency>,
+    yields: Option<Priority>,
     /// The work that it is for, if that may still start in this pass.
     by: Option<usize>,
 }
@@ -389,7 +389,7 @@
 }
 
 /// One pass over the queue: what may start now, and what waits for a machine.
-pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamRoom]) -> Vec<Start> {
+pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     pass_up_to(now, slots, work, teams, usize::MAX)
 }
 
@@ -398,12 +398,12 @@
     now: Duration,
     slots: &mut [Slot],
     work: &mut [Work],
-    teams: &mut [TeamRoom],
+    teams: &mut [TeamUsage],
     most: usize,
 ) -> Vec<Start> {
     let mut starts = Vec::new();
     let mut begun = 0;
-    let mut turns = Turns::new(work, teams.len());
+    let mut turns = FairShareQueue::new(work, teams.len());
     let least = least(work);
     let takes = |slot: &Slot| slot.ready <= now && least.fits(&slot.free);
     let mut room: Vec<usize> = (0..slots.len()).filter(|i| takes(&slots[*i])).collect();
@@ -498,7 +498,7 @@
     starts
 }
 
-fn start(now: Duration, slots: &mut [Slot], work: &mut Work, teams: &mut [TeamRoom], slot: usize) {
+fn start(now: Duration, slots: &mut [Slot], work: &mut Work, teams: &mut [TeamUsage], slot: usize) {
     slots[slot].take(now, work);
     work.joined(slots[slot].zone);
     teams[work.team].used.add(&work.each);
@@ -509,7 +509,7 @@
 /// not begun after the longer time if there are such (one began after 302 s in a
 /// burst), before anything else starts: small tasks that keep coming would fill every gap before it is
 /// wide enough, the more urgent ones for ever.
-fn starved(slots: &[Slot], work: &[Work], teams: &[TeamRoom], now: Duration) -> Option<Reservation> {
+fn starved(slots: &[Slot], work: &[Work], teams: &[TeamUsage], now: Duration) -> Option<Reservation> {
     let old = |w: &Work| now.saturating_sub(w.accepted) > STRICT;
     let order = |w: &Work| (w.begun || !old(w), w.accepted);
     let waits = |w: &Work| {
--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/election.rs
@@ -1,8 +1,8 @@
 //! Who leads: the node that wrote the key `lead` under its grant. The revision
 //! of that write is the fencing token.
 
-use crate::node::{Out, Purpose};
-use crate::protocol::{CallError, Change, Condition, KeyEvent, Level, Row, StateOp, StateReply};
+use crate::node::{CallPurpose, EffectSink};
+use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
 use plankhead_reachability::handover::HOLD_BACK;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -53,7 +53,7 @@
 
 /// What the election tells the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LeadershipChange {
     Unchanged,
     Won { token: u64 },
     Lost,
@@ -147,11 +147,14 @@
         }
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut Out) {
+    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Stage::Leading { hold, .. } = self.stage {
             if !self.touching && now >= self.next_touch {
                 self.touching = true;
-                out.state(Purpose::Election(Step::Touch { hold, sent: now }), StateOp::RenewLease { hold });
+                out.state(
+                    CallPurpose::Election(Step::Touch { hold, sent: now }),
+                    KvRequest::RenewLease { hold },
+                );
             }
             return;
         }
@@ -160,39 +163,39 @@
         }
         self.pending = true;
         let (step, op) = match self.stage {
-            Stage::Unknown => (Step::Read, StateOp::Get { key: KEY.into() }),
+            Stage::Unknown => (Step::Read, KvRequest::Get { key: KEY.into() }),
             Stage::Watching { after } => {
-                (Step::Watch, StateOp::Watch { prefix: KEY.into(), after, wait: WATCH })
+                (Step::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
             }
-            _ => (Step::Grant, StateOp::GrantLease { life: self.lease }),
+            _ => (Step::Grant, KvRequest::GrantLease { life: self.lease }),
         };
-        out.state(Purpose::Election(step), op);
+        out.state(CallPurpose::Election(step), op);
     }
 
     pub fn reply(
         &mut self,
         now: Duration,
         step: Step,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
-    ) -> Verdict {
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
+    ) -> LeadershipChange {
         if let Step::Touch { hold, sent } = step {
             return self.touched(now, hold, sent, reply);
         }
         if step == Step::Revoke {
-            return Verdict::Unchanged;
+            return LeadershipChange::Unchanged;
         }
         self.pending = false;
         match (step, reply) {
-            (Step::Read, Ok(StateReply::Value(row))) => return self.read(now, row, out),
-            (Step::Watch, Ok(StateReply::Events { epoch, events })) => {
-                let mut verdict = Verdict::Unchanged;
+            (Step::Read, Ok(KvReply::Value(row))) => return self.read(now, row, out),
+            (Step::Watch, Ok(KvReply::Events { epoch, events })) => {
+                let mut verdict = LeadershipChange::Unchanged;
                 for event in events {
                     match event {
-                        KeyEvent::Put(row) if row.key == KEY => {
+                        WatchEvent::Put(row) if row.key == KEY => {
                             verdict = self.read(now, Some(row), out);
                         }
-                        KeyEvent::Delete { key, .. } if key == KEY => {
+                        WatchEvent::Delete { key, .. } if key == KEY => {
                             self.vacant(now);
                         }
                         _ => {}
@@ -203,8 +206,8 @@
                 }
                 return verdict;
             }
-            (Step::Grant, Ok(StateReply::LeaseGranted { hold })) => self.claim(hold, out),
-            (Step::Claim { hold }, Ok(StateReply::Committed { epoch })) => {
+            (Step::Grant, Ok(KvReply::LeaseGranted { hold })) => self.claim(hold, out),
+            (Step::Claim { hold }, Ok(KvReply::Committed { epoch })) => {
                 return self.won(now, epoch, hold);
             }
             (Step::Claim { hold }, Ok(_))
@@ -212,7 +215,7 @@
                 Step::Claim { hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
-                out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold });
+                out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold });
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
@@ -226,31 +229,31 @@
                 self.not_before = now + PAUSE;
             }
         }
-        Verdict::Unchanged
+        LeadershipChange::Unchanged
     }
 
-    fn claim(&mut self, hold: u64, out: &mut Out) {
+    fn claim(&mut self, hold: u64, out: &mut EffectSink) {
         let holder = Holder { host: self.host.clone(), boot: self.boot, hold };
         let Ok(value) = serde_json::to_string(&holder) else { return };
         self.pending = true;
         out.state(
-            Purpose::Election(Step::Claim { hold }),
-            StateOp::Txn {
+            CallPurpose::Election(Step::Claim { hold }),
+            KvRequest::Txn {
                 conditions: vec![Condition { key: KEY.into(), stamp: 0 }],
-                changes: vec![Change::Put { key: KEY.into(), value, hold: Some(hold) }],
+                changes: vec![KvChange::Put { key: KEY.into(), value, hold: Some(hold) }],
             },
         );
     }
 
-    fn read(&mut self, now: Duration, row: Option<Row>, out: &mut Out) -> Verdict {
+    fn read(&mut self, now: Duration, row: Option<KeyValue>, out: &mut EffectSink) -> LeadershipChange {
         let Some(row) = row else {
             self.vacant(now);
-            return Verdict::Unchanged;
+            return LeadershipChange::Unchanged;
         };
         let Ok(holder) = serde_json::from_str::<Holder>(&row.value) else {
-            out.log(Level::Error, "the key of the leader holds something strange".into());
+            out.log(LogLevel::Error, "the key of the leader holds something strange".into());
             self.not_before = now + PAUSE;
-            return Verdict::Unchanged;
+            return LeadershipChange::Unchanged;
         };
         if holder.host == self.host {
             if self.doubt == Some(holder.hold) && holder.boot == self.boot {
@@ -259,15 +262,15 @@
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold: holder.hold });
+            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold: holder.hold });
         } else {
             self.foreman = Some((holder.host, row.stamp));
         }
         self.stage = Stage::Watching { after: row.stamp };
-        Verdict::Unchanged
+        LeadershipChange::Unchanged
     }
 
-    fn won(&mut self, now: Duration, token: u64, hold: u64) -> Verdict {
+    fn won(&mut self, now: Duration, token: u64, hold: u64) -> LeadershipChange {
         self.stage = Stage::Leading { token, hold };
         self.foreman = None;
         self.touched = now;
@@ -275,7 +278,7 @@
         self.touching = false;
         self.shaken = false;
         self.doubt = None;
-        Verdict::Won { token }
+        LeadershipChange::Won { token }
     }
 
     fn touched(
@@ -283,46 +286,46 @@
         now: Duration,
         renewed: u64,
         sent: Duration,
-        reply: Result<StateReply, CallError>,
-    ) -> Verdict {
+        reply: Result<KvReply, CallError>,
+    ) -> LeadershipChange {
         // One of an earlier term says nothing of this one.
         if !matches!(self.stage, Stage::Leading { hold, .. } if hold == renewed) {
-            return Verdict::Unchanged;
+            return LeadershipChange::Unchanged;
         }
         self.touching = false;
         self.shaken = reply.is_err();
         match reply {
-            Ok(StateReply::LeaseRenewed) => {
+            Ok(KvReply::LeaseRenewed) => {
                 self.touched = self.touched.max(sent);
                 self.next_touch = now.max(sent + TOUCH);
             }
-            Ok(StateReply::NoSuchLease) => return self.lost(),
+            Ok(KvReply::NoSuchLease) => return self.lost(),
             _ => self.next_touch = now + PAUSE,
         }
-        Verdict::Unchanged
+        LeadershipChange::Unchanged
     }
 
     /// Steps down of its own will, so that a node that hears the workers can
     /// lead.
-    pub fn abdicate(&mut self, now: Duration, out: &mut Out) -> Verdict {
+    pub fn abdicate(&mut self, now: Duration, out: &mut EffectSink) -> LeadershipChange {
         let verdict = self.resign(out);
         self.not_before = now + ABSTAIN;
         verdict
     }
 
     /// Gives the key up, if it is still there.
-    pub fn resign(&mut self, out: &mut Out) -> Verdict {
+    pub fn resign(&mut self, out: &mut EffectSink) -> LeadershipChange {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.state(Purpose::Election(Step::Revoke), StateOp::RevokeLease { hold });
+            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold });
         }
         self.lost()
     }
 
     /// Steps down: the key is somebody else's, or will be.
-    pub fn lost(&mut self) -> Verdict {
+    pub fn lost(&mut self) -> LeadershipChange {
         self.stage = Stage::Unknown;
         self.pending = false;
         self.not_before = Duration::ZERO;
-        Verdict::Lost
+        LeadershipChange::Lost
     }
 }
--- a/crates/plankhead-core/src/fleet.rs
+++ b/crates/plankhead-core/src/fleet.rs
@@ -2,8 +2,11 @@
 
 use crate::easy::Slot;
 use crate::job::Resources;
-use crate::places::Places;
-use crate::protocol::{HostName, HostStatus, ListedHost, Order, OrdersReply, Report, Rig, Seen, TaskId};
+use crate::places::PlacementIndex;
+use crate::protocol::{
+    CommandReply, Heartbeat, Instance, InstanceStatus, MachineName, MachineType, TaskId, TaskStatus,
+    WorkerCommand,
+};
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -47,17 +50,17 @@
 
 impl Pool {
     /// The pool that a report names.
-    fn of(report: &Report) -> Self {
+    fn of(report: &Heartbeat) -> Self {
         Self { rig: report.rig.to_string(), zone: report.zone.to_string(), spot: report.spot }
     }
 
-    fn is_of(&self, report: &Report) -> bool {
+    fn is_of(&self, report: &Heartbeat) -> bool {
         *self.rig == *report.rig && *self.zone == *report.zone && self.spot == report.spot
     }
 }
 
 #[derive(Debug, Clone, Default)]
-struct Lesson {
+struct CapacityBackoff {
     refused_until: Duration,
     /// The most machines the pool gave, and when that was learned.
     limit: Option<(u32, Duration)>,
@@ -65,7 +68,7 @@
 
 /// Why a machine goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leaving {
+pub enum RemovalReason {
     Surplus,
     HeartbeatTimeout,
     BootTimeout,
@@ -83,7 +86,7 @@
 
 /// What a report is to this leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatNews {
     /// A late copy, or of a machine that is gone.
     Stale,
     /// Of the same tasks in the same states as the one before.
@@ -93,13 +96,13 @@
 
 #[derive(Debug, Clone)]
 pub struct Machine {
-    pub name: HostName,
+    pub name: MachineName,
     pub address: Arc<str>,
     pub pool: Pool,
     pub since: Duration,
     /// The newest report's (shift, tick).
     pub newest: Option<(u64, u64)>,
-    pub report: Option<Report>,
+    pub report: Option<Heartbeat>,
     /// When it last reported, or when we began to wait for it.
     pub heard: Duration,
     /// When a report came that was newer than all before, whatever its token.
@@ -127,7 +130,7 @@
     /// answered a command. A report without the token may be a late copy.
     pub proven: bool,
     pub errors: u32,
-    pub leaving: Option<Leaving>,
+    pub leaving: Option<RemovalReason>,
     /// No starts before this time, since the worker refused one for room.
     pub full_until: Duration,
     /// When it was last answered in its present session.
@@ -170,7 +173,8 @@
 
     /// Whether the newest report lists an attempt.
     pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
-        let listed = |report: &Report| report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
+        let listed =
+            |report: &Heartbeat| report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
         self.report.as_ref().is_some_and(listed)
     }
 
@@ -195,12 +199,12 @@
     }
 
     /// What came of a direct command.
-    pub fn end_command(&mut self, shift: u64, runs: &[(TaskId, u64)], reply: &OrdersReply) {
+    pub fn end_command(&mut self, shift: u64, runs: &[(TaskId, u64)], reply: &CommandReply) {
         self.busy = false;
-        if !matches!(reply, OrdersReply::Answered(_)) {
+        if !matches!(reply, CommandReply::Answered(_)) {
             self.unanswered += 1;
         }
-        if !matches!(reply, OrdersReply::Unanswered) {
+        if !matches!(reply, CommandReply::Unanswered) {
             self.unconfirmed_runs.retain(|(t, n, s)| *s != shift || !runs.contains(&(t.clone(), *n)));
         }
     }
@@ -220,20 +224,20 @@
     /// Notes what an answer to a report asked for. The first that a node hears of a machine
     /// may be an old copy, of an earlier session: its answer reaches nobody, and who then
     /// reports a later session or nothing of what was asked is not deaf for that.
-    pub fn note_answer(&mut self, orders: &[Order], now: Duration) {
+    pub fn note_answer(&mut self, orders: &[WorkerCommand], now: Duration) {
         if self.proven {
             self.answered = Some(now);
-            self.asked = orders.iter().filter_map(Order::asked).collect();
+            self.asked = orders.iter().filter_map(WorkerCommand::asked).collect();
         }
     }
 
     /// Whether the report shows at least one of the orders in the last answer,
     /// if there were any.
-    fn heeds(&self, report: &Report) -> bool {
+    fn heeds(&self, report: &Heartbeat) -> bool {
         let shown = |(task, attempt, run): &(TaskId, u64, bool)| {
             let listed = report.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
             match listed.map(|l| l.seen) {
-                Some(Seen::Exited(_) | Seen::Checkpointing) => true,
+                Some(TaskStatus::Exited(_) | TaskStatus::Checkpointing) => true,
                 Some(_) => *run,
                 None => !*run,
             }
@@ -244,13 +248,13 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
-    pub rigs: BTreeMap<String, Rig>,
-    pub machines: BTreeMap<HostName, Machine>,
-    gone: BTreeSet<HostName>,
+    pub rigs: BTreeMap<String, MachineType>,
+    pub machines: BTreeMap<MachineName, Machine>,
+    gone: BTreeSet<MachineName>,
     /// Machines whose return a former leader had begun, known or not.
-    returning: BTreeSet<HostName>,
-    gone_order: VecDeque<HostName>,
-    lessons: HashMap<Pool, Lesson>,
+    returning: BTreeSet<MachineName>,
+    gone_order: VecDeque<MachineName>,
+    lessons: HashMap<Pool, CapacityBackoff>,
 }
 
 impl Fleet {
@@ -261,13 +265,13 @@
 
     fn insert(
         &mut self,
-        name: &HostName,
+        name: &MachineName,
         address: Arc<str>,
         pool: Pool,
         since: Duration,
         now: Duration,
     ) -> &mut Machine {
-        let leaving = self.returning.contains(name).then_some(Leaving::ReturnInherited);
+        let leaving = self.returning.contains(name).then_some(RemovalReason::ReturnInherited);
         self.machines.entry(name.clone()).or_insert_with(|| Machine {
             name: name.clone(),
             address,
@@ -303,7 +307,7 @@
     }
 
     /// A machine that attempts are on, although nobody has told of it yet.
-    pub fn expect(&mut self, host: &HostName, now: Duration) {
+    pub fn expect(&mut self, host: &MachineName, now: Duration) {
         let pool = Pool { rig: String::new(), zone: String::new(), spot: false };
         if !self.gone.contains(host) {
             let machine = self.insert(host, "".into(), pool, now, now);
@@ -313,40 +317,40 @@
     }
 
     /// Machines whose return may be carried out at any time: nothing is placed there.
-    pub fn returning(&mut self, hosts: &[HostName]) {
+    pub fn returning(&mut self, hosts: &[MachineName]) {
         for host in hosts.iter().filter(|host| !self.gone.contains(*host)) {
             self.returning.insert(host.clone());
             if let Some(machine) = self.machines.get_mut(host) {
-                machine.leaving.get_or_insert(Leaving::ReturnInherited);
+                machine.leaving.get_or_insert(RemovalReason::ReturnInherited);
             }
         }
     }
 
-    pub fn is_gone(&self, host: &HostName) -> bool {
+    pub fn is_gone(&self, host: &MachineName) -> bool {
         self.gone.contains(host)
     }
 
     /// Takes in a report that came at `now` to the leader under the token `own`.
-    pub fn observe(&mut self, report: &Report, own: u64, now: Duration) -> Heard {
+    pub fn observe(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
         if self.gone.contains(&report.host) {
-            return Heard::Stale;
+            return HeartbeatNews::Stale;
         }
         if !self.machines.contains_key(&report.host) {
             self.insert(&report.host, report.address.clone(), Pool::of(report), now, now);
         }
-        let Some(machine) = self.machines.get_mut(&report.host) else { return Heard::Stale };
+        let Some(machine) = self.machines.get_mut(&report.host) else { return HeartbeatNews::Stale };
         if machine.newest.is_some_and(|newest| (report.shift, report.tick) <= newest) {
-            return Heard::Stale;
+            return HeartbeatNews::Stale;
         }
         let first = machine.newest.is_none();
         let alike =
-            |r: &Report| (r.shift, r.token) == (report.shift, report.token) && r.tasks == report.tasks;
+            |r: &Heartbeat| (r.shift, r.token) == (report.shift, report.token) && r.tasks == report.tasks;
         let same = machine.report.as_ref().is_some_and(alike);
         if machine.shift() != Some(report.shift) {
             // Its lease ran out although we answered: it does not hear us.
             let lately = machine.answered.is_some_and(|at| now.saturating_sub(at) < DEAF);
             if !first && lately {
-                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
+                machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
             }
             // Orders of an earlier session are refused from now on.
             machine.unconfirmed_runs.retain(|(_, _, shift)| *shift >= report.shift);
@@ -359,7 +363,7 @@
         } else {
             machine.unheeded += 1;
             if machine.unheeded >= MOST_UNHEEDED {
-                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
+                machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
         machine.asked.clear();
@@ -380,14 +384,14 @@
         machine.notice |= report.warning.is_some();
         machine.report = Some(report.clone());
         if same {
-            Heard::Unchanged
+            HeartbeatNews::Unchanged
         } else {
-            Heard::Changed
+            HeartbeatNews::Changed
         }
     }
 
     /// Takes in a report that answers a command of ours, so that it is no copy.
-    pub fn answered(&mut self, report: &Report, own: u64, now: Duration) -> Heard {
+    pub fn answered(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
         if let Some(machine) = self.machines.get_mut(&report.host) {
             machine.proven = true;
             machine.unanswered = 0;
@@ -397,7 +401,7 @@
         self.observe(report, own, now)
     }
 
-    pub fn hired(&mut self, names: &[HostName], pool: &Pool, asked: u32, now: Duration) {
+    pub fn hired(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
         for name in names.iter().filter(|n| !self.gone.contains(*n)).cloned().collect::<Vec<_>>() {
             self.insert(&name, "".into(), pool.clone(), now, now);
         }
@@ -455,7 +459,7 @@
 
     /// Takes in a whole machine list; it may be old, so absence only makes
     /// suspicious.
-    pub fn listed(&mut self, hosts: &[ListedHost], now: Duration) {
+    pub fn listed(&mut self, hosts: &[Instance], now: Duration) {
         let mut names = BTreeSet::new();
         for host in hosts {
             names.insert(host.host.clone());
@@ -469,15 +473,15 @@
             machine.pool = Pool { rig: host.rig.clone(), zone: host.zone.clone(), spot: host.spot };
             machine.listed = true;
             // From now on its silence counts.
-            if host.status == HostStatus::Running && !std::mem::replace(&mut machine.was_up, true) {
+            if host.status == InstanceStatus::Running && !std::mem::replace(&mut machine.was_up, true) {
                 machine.heard = machine.heard.max(now);
             }
             machine.unlisted = 0;
             if machine.address.is_empty() {
                 machine.address = host.address.clone();
             }
-            if host.status == HostStatus::Failed {
-                machine.leaving.get_or_insert(Leaving::InstanceFailed);
+            if host.status == InstanceStatus::Failed {
+                machine.leaving.get_or_insert(RemovalReason::InstanceFailed);
             }
         }
         for machine in self.machines.values_mut() {
@@ -536,13 +540,13 @@
             let reason = if machine.newest.is_none() && !machine.was_up {
                 let patience = boot.mul_f64(BOOT_PATIENCE);
                 (now.saturating_sub(machine.since) > patience && quiet > silent)
-                    .then_some(Leaving::BootTimeout)
+                    .then_some(RemovalReason::BootTimeout)
             } else if (quiet > silent || mute) && !spared {
-                Some(Leaving::HeartbeatTimeout)
+                Some(RemovalReason::HeartbeatTimeout)
             } else if machine.is_unlisted() && quiet > missed.max(silent / 2) {
-                Some(Leaving::NotInInventory)
+                Some(RemovalReason::NotInInventory)
             } else if machine.errors >= MOST_ERRORS {
-                Some(Leaving::Faulty)
+                Some(RemovalReason::Faulty)
             } else {
                 None
             };
@@ -564,13 +568,18 @@
             return;
         }
         for machine in self.machines.values_mut().filter(|m| silent(m)) {
-            machine.leaving = Some(Leaving::HeartbeatTimeout);
+            machine.leaving = Some(RemovalReason::HeartbeatTimeout);
         }
     }
 
     /// Machines whose report is late and that are to be asked why: not too many at a time,
     /// and only `own` ones.
-    pub fn to_inquire(&self, now: Duration, gap: Duration, own: impl Fn(&Machine) -> bool) -> Vec<HostName> {
+    pub fn to_inquire(
+        &self,
+        now: Duration,
+        gap: Duration,
+        own: impl Fn(&Machine) -> bool,
+    ) -> Vec<MachineName> {
         let asked = self.machines.values().filter(|m| m.busy).count();
         let asks = |m: &&Machine| m.up() && m.takes_commands() && m.unanswered < MOST_UNANSWERED;
         let late = |m: &&Machine| now.saturating_sub(m.heard) > gap && own(m);
@@ -600,7 +609,7 @@
     }
 
     /// The cloud confirmed the release.
-    pub fn released(&mut self, name: &HostName) {
+    pub fn released(&mut self, name: &MachineName) {
         self.machines.remove(name);
         self.returning.remove(name);
         if self.gone.insert(name.clone()) {
@@ -614,7 +623,7 @@
     }
 
     /// Remembers that the machine has the image or fetches it.
-    pub fn imaged(&mut self, host: &str, image: u32, places: &Places) {
+    pub fn imaged(&mut self, host: &str, image: u32, places: &PlacementIndex) {
         let Some(machine) = self.machines.get_mut(host) else { return };
         if machine.images.front() == Some(&image) {
             return;
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -1,16 +1,16 @@
 //! What a holder tells its workers.
 
 use super::*;
-use crate::shard_messages::{LeaderOrders, MachineOrders};
+use crate::shard_messages::{LeaderCommands, MachineCommands};
 
 impl Holder {
     /// Takes in what the leader orders; false: it is not meant for this node, or over.
     pub fn leader_orders(
         &mut self,
         now: Duration,
-        message: LeaderOrders,
+        message: LeaderCommands,
         standing: Standing,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) -> bool {
         let known = self.leader.as_ref().map_or(0, |leader| leader.token);
         let sent = self.sent.iter().find(|(sequence, _)| *sequence == message.answers);
@@ -33,11 +33,11 @@
         self.latest_orders = number;
         message.gone.iter().for_each(|host| self.forget(host));
         let named: BTreeSet<&ShardId> = message.shards.iter().map(|(shard, _)| shard).collect();
-        let snapshot: Vec<&Report> = message.snapshot.iter().collect();
+        let snapshot: Vec<&Heartbeat> = message.snapshot.iter().collect();
         for report in snapshot {
             self.take_snapshot(now, report, &named);
         }
-        for MachineOrders { host, shard, shift, orders } in message.machines {
+        for MachineCommands { host, shard, shift, orders } in message.machines {
             // A machine may not have been heard here yet: its commands wait for its report.
             let Some((shard, _)) = message.shards.get(shard) else {
                 self.refused += 1;
@@ -55,7 +55,7 @@
 
     /// Shards that the leader takes others to hold. Their records say so, too; who can't read
     /// them acts no more all the same.
-    fn void_replaced(&mut self, message: &LeaderOrders, out: &mut Out) {
+    fn void_replaced(&mut self, message: &LeaderCommands, out: &mut EffectSink) {
         let listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let replaced = |(shard, held): &(&ShardId, &Held)| {
             held.epoch < message.latest_epoch && !listed(shard, held.epoch)
@@ -64,14 +64,17 @@
             self.shards.iter().filter(replaced).map(|(shard, held)| (shard.clone(), held.epoch)).collect();
         for (shard, epoch) in replaced {
             if self.void.insert(shard.clone(), epoch) != Some(epoch) {
-                out.log(Level::Info, format!("shard {shard} is somebody else's: {} says so", message.host));
+                out.log(
+                    LogLevel::Info,
+                    format!("shard {shard} is somebody else's: {} says so", message.host),
+                );
             }
         }
     }
 
     /// What the leader knows of a machine in a shard that came to this node: enough to send
     /// commands, and no sign of life.
-    fn take_snapshot(&mut self, now: Duration, report: &Report, named: &BTreeSet<&ShardId>) {
+    fn take_snapshot(&mut self, now: Duration, report: &Heartbeat, named: &BTreeSet<&ShardId>) {
         let known = self.fleet.machines.contains_key(&report.host);
         let shard = named.iter().find(|shard| {
             let of = self.shards.contains_key(**shard) && *shard.zone == *report.zone;
@@ -86,36 +89,42 @@
 
     /// Sends a machine what it should hear at once: each start and each kill once. The
     /// answers to reports repeat what got lost.
-    pub(super) fn tell(&mut self, now: Duration, host: &HostName, standing: Standing, out: &mut Out) {
+    pub(super) fn tell(
+        &mut self,
+        now: Duration,
+        host: &MachineName,
+        standing: Standing,
+        out: &mut EffectSink,
+    ) {
         let sight = self.sight(standing);
         let Some(epoch) = self.shard_of.get(host).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(host) else { return };
         let Some(shift) = machine.shift().filter(|_| machine.takes_commands()) else { return };
-        let orders: Vec<Order> = self.direct_orders(machine, sight, now);
+        let orders: Vec<WorkerCommand> = self.direct_orders(machine, sight, now);
         if orders.is_empty() {
             return;
         }
-        let run = |order: &Order| match order {
-            Order::Run { task, attempt } => Some((task.clone(), *attempt)),
+        let run = |order: &WorkerCommand| match order {
+            WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         };
         let runs: Vec<(TaskId, u64)> = orders.iter().filter_map(run).collect();
         let Some(shard) = self.shard_of.get(host).cloned() else { return };
         let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(&shard, shift));
-        commands.told.extend(orders.iter().filter_map(Order::asked));
+        commands.told.extend(orders.iter().filter_map(WorkerCommand::asked));
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
         let call = HolderCall::SendCommands { host: host.clone(), shift, runs };
-        out.orders(Purpose::Holder(call), address, epoch, shift, orders);
+        out.orders(CallPurpose::Holder(call), address, epoch, shift, orders);
     }
 
     /// Starts and kills that were not sent straight to the worker yet. A start with a kill
     /// of the same attempt goes with the answer to a report only.
-    fn direct_orders(&self, machine: &Machine, sight: Sight, now: Duration) -> Vec<Order> {
+    fn direct_orders(&self, machine: &Machine, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
         let orders = self.orders(&machine.name, sight, now);
         let told = self.commands.get(&machine.name).map(|commands| &commands.told);
-        let asked: Vec<(TaskId, u64, bool)> = orders.iter().filter_map(Order::asked).collect();
-        let direct = |order: &Order| {
+        let asked: Vec<(TaskId, u64, bool)> = orders.iter().filter_map(WorkerCommand::asked).collect();
+        let direct = |order: &WorkerCommand| {
             let Some(key) = order.asked() else { return false };
             let both = key.2 && asked.contains(&(key.0.clone(), key.1, false));
             let listed = machine.lists(&key.0, key.1);
@@ -126,25 +135,26 @@
     }
 
     /// Commands for a machine, by its newest report.
-    pub(super) fn orders(&self, host: &HostName, sight: Sight, now: Duration) -> Vec<Order> {
+    pub(super) fn orders(&self, host: &MachineName, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
         let Some(report) = &machine.report else { return Vec::new() };
         let ordered = self.commands.get(host).filter(|commands| commands.shift == report.shift);
-        let due = |order: &&Order| match order {
-            Order::Run { task, attempt } => {
+        let due = |order: &&WorkerCommand| match order {
+            WorkerCommand::Run { task, attempt } => {
                 sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
             }
-            Order::Kill { .. } => true,
-            Order::Acknowledge { task, attempt } => !machine.has_unconfirmed_run(task, *attempt),
+            WorkerCommand::Kill { .. } => true,
+            WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_run(task, *attempt),
         };
-        let mut orders: Vec<Order> =
+        let mut orders: Vec<WorkerCommand> =
             ordered.into_iter().flat_map(|commands| &commands.orders).filter(due).cloned().collect();
-        for listed in report.tasks.iter().filter(|listed| !matches!(listed.seen, Seen::Exited(_))) {
+        for listed in report.tasks.iter().filter(|listed| !matches!(listed.seen, TaskStatus::Exited(_))) {
             let (task, attempt) = (&listed.task, listed.attempt);
-            let killed =
-                |order: &Order| order.asked().is_some_and(|(t, n, run)| !run && t == *task && n == attempt);
+            let killed = |order: &WorkerCommand| {
+                order.asked().is_some_and(|(t, n, run)| !run && t == *task && n == attempt)
+            };
             if self.jobs.is_cancelled(&task.job) && !orders.iter().any(killed) {
-                orders.push(Order::Kill { task: task.clone(), attempt, leeway: Duration::ZERO });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, leeway: Duration::ZERO });
             }
         }
         orders.truncate(MAX_ORDERS);
@@ -152,7 +162,7 @@
     }
 
     /// Drops commands that the report shows carried out.
-    pub(super) fn settle_commands(&mut self, report: &Report) {
+    pub(super) fn settle_commands(&mut self, report: &Heartbeat) {
         let Some(commands) = self.commands.get_mut(&report.host) else { return };
         if commands.shift != report.shift {
             self.commands.remove(&report.host);
@@ -163,27 +173,29 @@
             listed.map(|listed| listed.seen)
         };
         commands.orders.retain(|order| match order {
-            Order::Run { task, attempt } => seen(task, *attempt).is_none(),
-            Order::Kill { task, attempt, .. } => !matches!(seen(task, *attempt), Some(Seen::Exited(_))),
-            Order::Acknowledge { task, attempt } => seen(task, *attempt).is_some(),
+            WorkerCommand::Run { task, attempt } => seen(task, *attempt).is_none(),
+            WorkerCommand::Kill { task, attempt, .. } => {
+                !matches!(seen(task, *attempt), Some(TaskStatus::Exited(_)))
+            }
+            WorkerCommand::Acknowledge { task, attempt } => seen(task, *attempt).is_some(),
         });
     }
 
     pub fn orders_reply(
         &mut self,
         now: Duration,
-        (host, shift, runs): (HostName, u64, Vec<(TaskId, u64)>),
-        reply: OrdersReply,
+        (host, shift, runs): (MachineName, u64, Vec<(TaskId, u64)>),
+        reply: CommandReply,
         standing: Standing,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
-        if !matches!(reply, OrdersReply::Answered(_)) {
+        if !matches!(reply, CommandReply::Answered(_)) {
             self.news.insert(host.clone());
         }
         let of = self.shard_of.get(&host).and_then(|shard| Some((shard.clone(), self.epoch(shard, now)?)));
-        if let (OrdersReply::Answered(report), Some(of)) = (reply, of) {
+        if let (CommandReply::Answered(report), Some(of)) = (reply, of) {
             // A later token: somebody else holds the shard, and the record will say so.
             if report.host == host && report.token <= of.1 {
                 self.hear(now, &report, of, true);
@@ -193,12 +205,12 @@
     }
 
     /// Ends tasks of cancelled jobs, without waiting for the workers' reports.
-    pub(super) fn tell_kills(&mut self, now: Duration, standing: Standing, out: &mut Out) {
+    pub(super) fn tell_kills(&mut self, now: Duration, standing: Standing, out: &mut EffectSink) {
         let holds = |machine: &&Machine| {
             let tasks = machine.report.as_ref().map(|report| &report.tasks);
             tasks.is_some_and(|tasks| tasks.iter().any(|listed| self.jobs.is_cancelled(&listed.task.job)))
         };
-        let hosts: Vec<HostName> =
+        let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(holds).map(|machine| machine.name.clone()).collect();
         for host in hosts {
             self.tell(now, &host, standing, out);
@@ -206,7 +218,7 @@
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    pub(super) fn inquire(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn inquire(&mut self, now: Duration, out: &mut EffectSink) {
         if self.behind {
             return;
         }
@@ -218,7 +230,7 @@
             let Some(shift) = machine.shift() else { continue };
             let address = machine.begin_command(&[]);
             let call = HolderCall::SendCommands { host, shift, runs: Vec::new() };
-            out.orders(Purpose::Holder(call), address, epoch, shift, Vec::new());
+            out.orders(CallPurpose::Holder(call), address, epoch, shift, Vec::new());
         }
     }
 }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -2,8 +2,8 @@
 
 use crate::job::{JobId, JobRecord, Phase};
 use crate::key_watch::{KeyWatch, Read, Step};
-use crate::node::{Out, Purpose};
-use crate::protocol::{CallError, KeyEvent, Row, StateReply, Status};
+use crate::node::{CallPurpose, EffectSink};
+use crate::protocol::{CallError, KeyValue, KvReply, Status, WatchEvent};
 use crate::requests::RequestHandler;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 
 /// The jobs that were cancelled and are not yet over for the leader.
 #[derive(Debug)]
-pub struct JobSight {
+pub struct JobWatch {
     watch: KeyWatch,
     cancelled: BTreeSet<JobId>,
 }
 
 /// What a reply brought.
 #[derive(Debug, Default)]
-pub struct JobNews {
+pub struct JobUpdate {
     /// Jobs were cancelled.
     pub cancelled: bool,
     /// Jobs of which nothing is to be started any more, whatever was ordered.
     pub over: BTreeSet<JobId>,
 }
 
-impl Default for JobSight {
+impl Default for JobWatch {
     fn default() -> Self {
         Self { watch: KeyWatch::new(PREFIX, WATCH), cancelled: BTreeSet::new() }
     }
 }
 
-impl JobSight {
+impl JobWatch {
     pub fn is_cancelled(&self, job: &JobId) -> bool {
         self.cancelled.contains(job)
     }
@@ -54,9 +54,9 @@
         self.watch.next_due()
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut Out) {
+    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(Purpose::Holder(super::HolderCall::WatchJobs(step)), op);
+            out.state(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
         }
     }
 
@@ -65,10 +65,10 @@
         &mut self,
         now: Duration,
         step: Step,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-    ) -> JobNews {
-        let mut news = JobNews::default();
+    ) -> JobUpdate {
+        let mut news = JobUpdate::default();
         match self.watch.reply(now, step, reply) {
             Read::Page { rows, .. } => rows.iter().for_each(|row| self.row(row, requests, &mut news)),
             Read::Events(events) => {
@@ -79,11 +79,11 @@
         news
     }
 
-    fn event(&mut self, event: KeyEvent, requests: &mut RequestHandler, news: &mut JobNews) {
+    fn event(&mut self, event: WatchEvent, requests: &mut RequestHandler, news: &mut JobUpdate) {
         match event {
-            KeyEvent::Put(row) => self.row(&row, requests, news),
+            WatchEvent::Put(row) => self.row(&row, requests, news),
             // Its leader has seen all of it gone.
-            KeyEvent::Delete { key, .. } => {
+            WatchEvent::Delete { key, .. } => {
                 if let Some(id) = job_of(&key) {
                     self.cancelled.remove(&id);
                     news.over.insert(id);
@@ -92,7 +92,7 @@
         }
     }
 
-    fn row(&mut self, row: &Row, requests: &mut RequestHandler, news: &mut JobNews) {
+    fn row(&mut self, row: &KeyValue, requests: &mut RequestHandler, news: &mut JobUpdate) {
         let Some(id) = job_of(&row.key) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -9,15 +9,16 @@
 pub mod jobs;
 mod reporting;
 
-use crate::fleet::{Fleet, Heard, Leaving, Machine};
+use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
 use crate::key_watch;
-use crate::node::{Out, Purpose, Times};
+use crate::node::{CallPurpose, EffectSink, StepTime};
 use crate::protocol::{
-    Answer, CallError, HostName, Level, Order, OrdersReply, Report, Seen, StateReply, TaskId,
+    CallError, CommandReply, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, TaskStatus,
+    WorkerCommand,
 };
 use crate::requests::RequestHandler;
 use crate::settings::Settings;
-use jobs::JobSight;
+use jobs::JobWatch;
 use plankhead_sharding::alive::Numbers;
 use plankhead_sharding::sequence::Stamp;
 use plankhead_sharding::shard::ShardId;
@@ -46,8 +47,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderCall {
     WatchJobs(key_watch::Step),
-    SendCommands { host: HostName, shift: u64, runs: Vec<(TaskId, u64)> },
-    ReportStatus { leader: u64, machines: Vec<HostName> },
+    SendCommands { host: MachineName, shift: u64, runs: Vec<(TaskId, u64)> },
+    ReportStatus { leader: u64, machines: Vec<MachineName> },
 }
 
 /// A shard that this node holds.
@@ -65,7 +66,7 @@
 struct Commands {
     shard: ShardId,
     shift: u64,
-    orders: Vec<Order>,
+    orders: Vec<WorkerCommand>,
     /// What was sent straight to the worker, once.
     told: BTreeSet<(TaskId, u64, bool)>,
 }
@@ -89,7 +90,7 @@
 #[derive(Debug)]
 pub struct Holder {
     settings: Arc<Settings>,
-    jobs: JobSight,
+    jobs: JobWatch,
     fleet: Fleet,
     shards: BTreeMap<ShardId, Held>,
     /// Epochs of shards that the leader has given to others since, although this node can't
@@ -98,8 +99,8 @@
     /// Into how many shards the zones of those are divided.
     shards_per_zone: HashMap<String, u32>,
     /// Under which shard each machine was taken in.
-    shard_of: HashMap<HostName, ShardId>,
-    commands: HashMap<HostName, Commands>,
+    shard_of: HashMap<MachineName, ShardId>,
+    commands: HashMap<MachineName, Commands>,
     leader: Option<KnownLeader>,
     /// The latest message of a leader: its token, which one start of one process has, and
     /// its number.
@@ -107,9 +108,9 @@
     /// Messages that were refused, and commands that were under a token that is over.
     refused: u64,
     /// Machines whose latest report the leader has not been told.
-    news: BTreeSet<HostName>,
+    news: BTreeSet<MachineName>,
     /// Machines heard with nothing new since the last message, and since when.
-    alive: BTreeSet<HostName>,
+    alive: BTreeSet<MachineName>,
     alive_since: Duration,
     numbers: Numbers,
     stream: u64,
@@ -140,7 +141,7 @@
     pub fn new(settings: Arc<Settings>) -> Self {
         Self {
             settings,
-            jobs: JobSight::default(),
+            jobs: JobWatch::default(),
             fleet: Fleet::default(),
             shards: BTreeMap::new(),
             void: BTreeMap::new(),
@@ -167,7 +168,7 @@
     }
 
     /// Takes in the records: which shards this node holds, and under which epoch.
-    pub fn adopt(&mut self, table: &ShardTable, out: &mut Out) {
+    pub fn adopt(&mut self, table: &ShardTable, out: &mut EffectSink) {
         let (host, boot) = (&self.settings.host, self.settings.boot);
         let own = |known: &plankhead_sharding::table::KnownRecord| known.record.is_held_by(host, boot);
         let held = table.iter().filter(|(_, known)| own(known)).map(|(shard, known)| {
@@ -184,7 +185,7 @@
         for (shard, now) in &held {
             let before = self.shards.get(shard);
             if before.is_none_or(|before| before.epoch != now.epoch) {
-                out.log(Level::Info, format!("holds shard {shard} under {}", now.epoch));
+                out.log(LogLevel::Info, format!("holds shard {shard} under {}", now.epoch));
             }
             // What a former leader ordered is void, and so are starts in a shard that goes.
             let renewed = before.is_some_and(|before| before.term != now.term);
@@ -193,10 +194,10 @@
             }
         }
         for shard in self.shards.keys().filter(|shard| !held.contains_key(*shard)) {
-            out.log(Level::Info, format!("holds shard {shard} no more"));
+            out.log(LogLevel::Info, format!("holds shard {shard} no more"));
         }
         let gone = |shard: &ShardId| !held.contains_key(shard);
-        let left: Vec<HostName> =
+        let left: Vec<MachineName> =
             self.shard_of.iter().filter(|(_, shard)| gone(shard)).map(|(host, _)| host.clone()).collect();
         left.iter().for_each(|host| self.forget(host));
         self.commands.retain(|_, commands| held.contains_key(&commands.shard));
@@ -206,11 +207,11 @@
     /// Drops commands for a shard's machines; `starts`: only starts.
     fn drop_commands(&mut self, shard: &ShardId, starts: bool) {
         for commands in self.commands.values_mut().filter(|commands| commands.shard == *shard) {
-            commands.orders.retain(|order| starts && !matches!(order, Order::Run { .. }));
+            commands.orders.retain(|order| starts && !matches!(order, WorkerCommand::Run { .. }));
         }
     }
 
-    fn forget(&mut self, host: &HostName) {
+    fn forget(&mut self, host: &MachineName) {
         self.fleet.machines.remove(host);
         self.shard_of.remove(host);
         self.commands.remove(host);
@@ -268,49 +269,56 @@
     /// service nor another controller is heard.
     pub fn beat(
         &mut self,
-        times: Times,
-        report: &Report,
+        times: StepTime,
+        report: &Heartbeat,
         (shard, epoch): (ShardId, u64),
         (relayed, adrift): (bool, bool),
         standing: Standing,
-    ) -> Answer {
+    ) -> Response {
         let now = times.now;
         let sight = self.sight(standing);
         let heard = self.hear(now, report, (shard, epoch), false);
         let settings = &self.settings;
         if !sight.may_renew(now, settings.lease, settings.cancel) {
-            return Answer::Unavailable { retry: Duration::from_secs(1) };
+            return Response::Unavailable { retry: Duration::from_secs(1) };
         }
         let orders = self.orders(&report.host, sight, now);
-        let Some(machine) = self.fleet.machines.get_mut(&report.host).filter(|_| heard != Heard::Stale)
+        let Some(machine) =
+            self.fleet.machines.get_mut(&report.host).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
-            return Answer::Commands { token: epoch, orders: Vec::new() };
+            return Response::Commands { token: epoch, orders: Vec::new() };
         };
         machine.relayed = relayed;
         if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Answer::Redirect { foreman: None };
+            return Response::Redirect { foreman: None };
         }
         machine.note_answer(&orders, now);
-        Answer::Commands { token: epoch, orders }
+        Response::Commands { token: epoch, orders }
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
-    fn hear(&mut self, now: Duration, report: &Report, (shard, epoch): (ShardId, u64), ours: bool) -> Heard {
+    fn hear(
+        &mut self,
+        now: Duration,
+        report: &Heartbeat,
+        (shard, epoch): (ShardId, u64),
+        ours: bool,
+    ) -> HeartbeatNews {
         let heard = match ours {
             true => self.fleet.answered(report, epoch, now),
             false => self.fleet.observe(report, epoch, now),
         };
         let host = &report.host;
         match heard {
-            Heard::Stale => return heard,
-            Heard::Unchanged => {
+            HeartbeatNews::Stale => return heard,
+            HeartbeatNews::Unchanged => {
                 if self.alive.is_empty() {
                     self.alive_since = now;
                 }
                 self.alive.insert(host.clone());
             }
-            Heard::Changed => {
+            HeartbeatNews::Changed => {
                 self.news.insert(host.clone());
             }
         }
@@ -319,14 +327,14 @@
         heard
     }
 
-    pub fn tick(&mut self, times: Times, standing: Standing, out: &mut Out) {
+    pub fn tick(&mut self, times: StepTime, standing: Standing, out: &mut EffectSink) {
         let now = times.now;
         self.behind = standing.behind;
         self.jobs.tick(now, out);
         if now >= self.look_due {
             self.look_due = now + LOOK;
             let silent = |machine: &&Machine| now.saturating_sub(machine.heard) > FORGET;
-            let silent: Vec<HostName> =
+            let silent: Vec<MachineName> =
                 self.fleet.machines.values().filter(silent).map(|machine| machine.name.clone()).collect();
             silent.iter().for_each(|host| self.forget(host));
             self.inquire(now, out);
@@ -346,15 +354,14 @@
         &mut self,
         now: Duration,
         step: key_watch::Step,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         standing: Standing,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         let news = self.jobs.reply(now, step, reply, requests);
         if !news.over.is_empty() {
-            let over =
-                |order: &Order| matches!(order, Order::Run { task, .. } if news.over.contains(&task.job));
+            let over = |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if news.over.contains(&task.job));
             self.commands.values_mut().for_each(|commands| commands.orders.retain(|order| !over(order)));
         }
         if news.cancelled {
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::shard_messages::{
-    Delivery, HeldShard, HolderReport, MachineNews, ShardMessage, MAX_MACHINES, MAX_TASKS,
+    Delivery, HolderStatus, MachineUpdate, ShardHolding, ShardMessage, MAX_MACHINES, MAX_TASKS,
 };
 use roaring::RoaringBitmap;
 
@@ -16,7 +16,7 @@
 
 impl Holder {
     /// Sends the next message, if one is due and none is under way.
-    pub(super) fn report(&mut self, now: Duration, standing: Standing, out: &mut Out) {
+    pub(super) fn report(&mut self, now: Duration, standing: Standing, out: &mut EffectSink) {
         if self.reporting || now < self.report_due {
             return;
         }
@@ -25,7 +25,7 @@
             return;
         };
         let news = self.take_news(now);
-        let machines: Vec<HostName> = news.iter().map(|news| news.report.host.clone()).collect();
+        let machines: Vec<MachineName> = news.iter().map(|news| news.report.host.clone()).collect();
         let alive = std::mem::take(&mut self.alive);
         let numbers: RoaringBitmap = alive.iter().filter_map(|host| self.numbers.get(host)).collect();
         self.sequence += 1;
@@ -35,7 +35,7 @@
             self.sent.pop_front();
         }
         self.report_sent = now;
-        let report = HolderReport {
+        let report = HolderStatus {
             host: self.settings.host.clone(),
             stamp: Stamp { boot: self.settings.boot, sequence: self.sequence },
             zone: self.settings.zone.clone(),
@@ -50,13 +50,13 @@
             alive_age: now.saturating_sub(self.alive_since),
         };
         let call = HolderCall::ReportStatus { leader: token, machines };
-        out.shard_message(Purpose::Holder(call), leader, ShardMessage::HolderStatus(Box::new(report)));
+        out.shard_message(CallPurpose::Holder(call), leader, ShardMessage::HolderStatus(Box::new(report)));
     }
 
-    fn held_shards(&self, now: Duration) -> Vec<HeldShard> {
+    fn held_shards(&self, now: Duration) -> Vec<ShardHolding> {
         let untold = |shard: &ShardId| self.news.iter().any(|host| self.shard_of.get(host) == Some(shard));
         let held = self.shards.iter().filter(|(shard, _)| self.epoch(shard, now).is_some());
-        let told = held.map(|(shard, held)| HeldShard {
+        let told = held.map(|(shard, held)| ShardHolding {
             shard: shard.clone(),
             epoch: held.epoch,
             released: held.releasing && !untold(shard),
@@ -64,9 +64,9 @@
         told.collect()
     }
 
-    fn take_news(&mut self, now: Duration) -> Vec<MachineNews> {
-        let hosts: Vec<HostName> = self.news.iter().take(MAX_MACHINES).cloned().collect();
-        let mut told: Vec<MachineNews> = Vec::with_capacity(hosts.len());
+    fn take_news(&mut self, now: Duration) -> Vec<MachineUpdate> {
+        let hosts: Vec<MachineName> = self.news.iter().take(MAX_MACHINES).cloned().collect();
+        let mut told: Vec<MachineUpdate> = Vec::with_capacity(hosts.len());
         let mut tasks = 0;
         for host in hosts {
             if tasks > MAX_TASKS {
@@ -81,11 +81,11 @@
             let Some(machine) = self.fleet.machines.get(&host) else { continue };
             let Some(report) = &machine.report else { continue };
             tasks += report.tasks.len();
-            told.push(MachineNews {
+            told.push(MachineUpdate {
                 number,
                 report: report.clone(),
                 proven: machine.proven,
-                deaf: machine.leaving == Some(Leaving::IgnoresCommands),
+                deaf: machine.leaving == Some(RemovalReason::IgnoresCommands),
                 unanswered: machine.unanswered,
                 age: now.saturating_sub(machine.heard),
             });
@@ -94,7 +94,7 @@
     }
 
     /// What became of a message.
-    pub fn reported(&mut self, now: Duration, leader: u64, machines: Vec<HostName>, delivery: Delivery) {
+    pub fn reported(&mut self, now: Duration, leader: u64, machines: Vec<MachineName>, delivery: Delivery) {
         self.reporting = false;
         let known = self.leader.as_mut().filter(|known| known.token == leader);
         // Of an earlier leader, which all machines are told of anew since.
--- a/crates/plankhead-core/src/job.rs
+++ b/crates/plankhead-core/src/job.rs
@@ -19,14 +19,14 @@
 
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("nameId must be job- followed by letters, digits, '-', '_' or '.'")]
-pub struct BadId;
+pub struct InvalidJobId;
 
 impl JobId {
-    pub fn parse(text: &str) -> Result<Self, BadId> {
-        let rest = text.strip_prefix("job-").ok_or(BadId)?;
+    pub fn parse(text: &str) -> Result<Self, InvalidJobId> {
+        let rest = text.strip_prefix("job-").ok_or(InvalidJobId)?;
         let fit = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if rest.is_empty() || text.len() > 100 || !rest.chars().all(fit) {
-            return Err(BadId);
+            return Err(InvalidJobId);
         }
         Ok(Self(text.into()))
     }
@@ -55,8 +55,8 @@
 }
 
 impl TryFrom<String> for JobId {
-    type Error = BadId;
-    fn try_from(text: String) -> Result<Self, BadId> {
+    type Error = InvalidJobId;
+    fn try_from(text: String) -> Result<Self, InvalidJobId> {
         Self::parse(&text)
     }
 }
@@ -82,7 +82,7 @@
 /// How urgent a job is; the greater, the sooner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Urgency {
+pub enum Priority {
     Idle,
     Standard,
     Urgent,
@@ -128,7 +128,7 @@
 pub struct JobSpec {
     pub class: String,
     pub team: String,
-    pub urgency: Urgency,
+    pub urgency: Priority,
     pub tasks: u32,
     pub each: Resources,
     pub image: String,
@@ -155,35 +155,35 @@
 
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{0}")]
-pub struct BadSpec(pub &'static str);
+pub struct InvalidSpec(pub &'static str);
 
 impl JobSpec {
     /// Checks ranges; types are checked where the job is parsed.
-    pub fn check(&self) -> Result<(), BadSpec> {
+    pub fn check(&self) -> Result<(), InvalidSpec> {
         let amount = |x: f64| x.is_finite() && (0.0..=MOST_AMOUNT).contains(&x);
         let text = |s: &str| !s.is_empty() && s.len() <= MOST_TEXT;
         let e = &self.each;
         if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return Err(BadSpec("pieces must be from 1 to 100000"));
+            return Err(InvalidSpec("pieces must be from 1 to 100000"));
         }
         if ![e.cpus, e.gpus, e.ram, self.image_gb, self.estimate, self.checkpoint, self.save]
             .into_iter()
             .all(amount)
         {
-            return Err(BadSpec("amounts must be finite, not negative and not over 1e9"));
+            return Err(InvalidSpec("amounts must be finite, not negative and not over 1e9"));
         }
         if self.due.is_some_and(|d| !amount(d)) {
-            return Err(BadSpec("dueS must be finite, not negative and not over 1e9"));
+            return Err(InvalidSpec("dueS must be finite, not negative and not over 1e9"));
         }
         if !text(&self.class) || !text(&self.team) || !text(&self.image) {
-            return Err(BadSpec("lane, crew and bundle must have 1 to 200 bytes"));
+            return Err(InvalidSpec("lane, crew and bundle must have 1 to 200 bytes"));
         }
         if self.zone.as_deref().is_some_and(|z| !text(z)) {
-            return Err(BadSpec("yard must have 1 to 200 bytes"));
+            return Err(InvalidSpec("yard must have 1 to 200 bytes"));
         }
         if let Some(rigs) = &self.rigs {
             if rigs.is_empty() || rigs.len() > 64 || !rigs.iter().all(|r| text(r)) {
-                return Err(BadSpec("rigs must be null or name 1 to 64 types"));
+                return Err(InvalidSpec("rigs must be null or name 1 to 64 types"));
             }
         }
         Ok(())
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -1,6 +1,6 @@
 //! Reading all keys with a prefix: a list once, and a watch from then on.
 
-use crate::protocol::{CallError, KeyEvent, Row, StateOp, StateReply};
+use crate::protocol::{CallError, KeyValue, KvReply, KvRequest, WatchEvent};
 use std::time::Duration;
 
 /// The pause after a failure.
@@ -18,10 +18,10 @@
 pub enum Read {
     /// A part of the list; `complete`: the last one.
     Page {
-        rows: Vec<Row>,
+        rows: Vec<KeyValue>,
         complete: bool,
     },
-    Events(Vec<KeyEvent>),
+    Events(Vec<WatchEvent>),
     /// Nothing: a list that was begun begins anew.
     Failed,
 }
@@ -72,24 +72,24 @@
     }
 
     /// The next call, if one is due.
-    pub fn tick(&mut self, now: Duration) -> Option<(Step, StateOp)> {
+    pub fn tick(&mut self, now: Duration) -> Option<(Step, KvRequest)> {
         if self.pending || now < self.due {
             return None;
         }
         self.pending = true;
         let prefix = self.prefix.into();
         if let Some(after) = self.revision {
-            return Some((Step::Watch { sent: now }, StateOp::Watch { prefix, after, wait: self.wait }));
+            return Some((Step::Watch { sent: now }, KvRequest::Watch { prefix, after, wait: self.wait }));
         }
         let sent = *self.list_sent.get_or_insert(now);
         let after = self.page_after.clone();
-        Some((Step::List { sent }, StateOp::List { prefix, after }))
+        Some((Step::List { sent }, KvRequest::List { prefix, after }))
     }
 
-    pub fn reply(&mut self, now: Duration, step: Step, reply: Result<StateReply, CallError>) -> Read {
+    pub fn reply(&mut self, now: Duration, step: Step, reply: Result<KvReply, CallError>) -> Read {
         self.pending = false;
         match (step, reply) {
-            (Step::List { sent }, Ok(StateReply::Page { rows, truncated, epoch })) => {
+            (Step::List { sent }, Ok(KvReply::Page { rows, truncated, epoch })) => {
                 self.page_after = rows.last().map(|row| row.key.clone());
                 let revision = *self.list_revision.get_or_insert(epoch);
                 if !truncated {
@@ -99,12 +99,12 @@
                 }
                 Read::Page { rows, complete: !truncated }
             }
-            (Step::Watch { sent }, Ok(StateReply::Events { epoch, events })) => {
+            (Step::Watch { sent }, Ok(KvReply::Events { epoch, events })) => {
                 self.revision = self.revision.max(Some(epoch));
                 self.saw(sent);
                 Read::Events(events)
             }
-            (Step::Watch { .. }, Ok(StateReply::Compacted)) => {
+            (Step::Watch { .. }, Ok(KvReply::Compacted)) => {
                 self.revision = None;
                 self.restart();
                 Read::Failed
--- a/crates/plankhead-core/src/leader/clock.rs
+++ b/crates/plankhead-core/src/leader/clock.rs
@@ -6,7 +6,13 @@
 const RELEASE: Duration = Duration::from_secs(3);
 
 impl Leader {
-    pub fn tick(&mut self, times: Times, sight: Sight, requests: &mut RequestHandler, out: &mut Out) {
+    pub fn tick(
+        &mut self,
+        times: StepTime,
+        sight: Sight,
+        requests: &mut RequestHandler,
+        out: &mut EffectSink,
+    ) {
         let (now, firm) = (times.now, sight.firm);
         self.duties.wall_ms = times.wall_ms();
         self.behind = sight.behind;
@@ -40,7 +46,7 @@
         }
         if let Some(epoch) = self.epoch.filter(|_| !self.following && now >= self.follow_due) {
             self.following = true;
-            let op = StateOp::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
+            let op = KvRequest::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
             self.state(LeaderCall::WatchJobs { sent: now }, op, out);
         }
         let places = firm && self.permits(Action::Place, now);
@@ -78,7 +84,7 @@
         self.minded = now + MIND;
         self.mind_machines(now, sight, out);
         // A new leader's rentals took the cloud's rate while a cancellation was due.
-        if self.fleet.machines.values().any(|m| m.leaving == Some(Leaving::CancellationDue)) {
+        if self.fleet.machines.values().any(|m| m.leaving == Some(RemovalReason::CancellationDue)) {
             self.release(now, sight, out);
         }
         if rents {
@@ -123,14 +129,14 @@
         due
     }
 
-    pub(super) fn list_hosts(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn list_hosts(&mut self, now: Duration, out: &mut EffectSink) {
         if !self.listing && now >= self.hosts_due && self.cloud.take(now, 1) {
             self.listing = true;
             self.hosts_due = now + self.settings.list_lag.max(Duration::from_secs(3));
             let after = self.list.last().map(|h| h.host.clone());
             out.cloud(
-                Purpose::Leader(self.token, LeaderCall::ListInstances),
-                CloudOp::ListInstances { after },
+                CallPurpose::Leader(self.token, LeaderCall::ListInstances),
+                CloudRequest::ListInstances { after },
             );
         }
     }
@@ -187,7 +193,7 @@
         self.settings.cancel.saturating_sub(self.settings.clock_off * 2)
     }
 
-    fn mind_machines(&mut self, now: Duration, sight: Sight, out: &mut Out) {
+    fn mind_machines(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
         let contact = self.in_contact(now);
         // Where no node hears any worker, the silence is theirs.
         let silence_tells = contact || self.mode == Mode::StateOnly;
@@ -212,7 +218,7 @@
         // else is silent: in an outage, or where all machines hang, too.
         let (due, grace) = (self.cancel_due(), self.cancel_grace());
         let heard = now.saturating_sub(self.began) > self.settings.silence();
-        let overdue: Vec<HostName> = self
+        let overdue: Vec<MachineName> = self
             .ledger
             .jobs
             .values()
@@ -232,20 +238,20 @@
         for host in overdue.into_iter().filter(|_| reclaims) {
             self.fleet.expect(&host, now);
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.leaving.get_or_insert(Leaving::CancellationDue);
+                machine.leaving.get_or_insert(RemovalReason::CancellationDue);
             }
         }
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    fn inquire(&mut self, now: Duration, out: &mut Out) {
+    fn inquire(&mut self, now: Duration, out: &mut EffectSink) {
         for host in self.fleet.to_inquire(now, self.settings.gap(), |machine| self.commands(machine)) {
             let token = self.token_for(&host);
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.shift() else { continue };
             let address = machine.begin_command(&[]);
             let call =
-                Purpose::Leader(self.token, LeaderCall::SendCommands { host, shift, runs: Vec::new() });
+                CallPurpose::Leader(self.token, LeaderCall::SendCommands { host, shift, runs: Vec::new() });
             out.orders(call, address, token, shift, Vec::new());
         }
     }
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -27,7 +27,7 @@
 
 /// The duties of one term.
 #[derive(Debug)]
-pub(super) struct Duties {
+pub(super) struct Intents {
     settings: Fencing,
     gate: Gate,
     log: DutyLog,
@@ -46,7 +46,7 @@
     pub(super) wall_ms: u64,
 }
 
-impl Duties {
+impl Intents {
     pub(super) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
         let fencing = settings.fencing;
         let limits = Limits {
@@ -79,7 +79,7 @@
     }
 
     /// How many machines one return names.
-    pub(super) fn returnable(&self, hosts: &[HostName], cause: ReturnCause) -> Return {
+    pub(super) fn returnable(&self, hosts: &[MachineName], cause: ReturnCause) -> Return {
         if self.fenced() {
             return self.log.returnable(hosts, cause);
         }
@@ -111,7 +111,7 @@
 impl Leader {
     /// The one way to the cloud for whatever can't be taken back there. A repeat under the
     /// same key with the same action is sent again.
-    pub(super) fn request(&mut self, key: DutyKey, action: Action, out: &mut Out) -> bool {
+    pub(super) fn request(&mut self, key: DutyKey, action: Action, out: &mut EffectSink) -> bool {
         if !self.duties.fenced() {
             self.pass_gate(&key, action, None, out);
             return true;
@@ -124,40 +124,40 @@
                 true
             }
             Err(error) => {
-                out.log(Level::Error, format!("a duty was not taken: {error}"));
+                out.log(LogLevel::Error, format!("a duty was not taken: {error}"));
                 false
             }
         }
     }
 
-    fn pass_gate(&mut self, key: &DutyKey, action: Action, proof: Option<Proof>, out: &mut Out) {
+    fn pass_gate(&mut self, key: &DutyKey, action: Action, proof: Option<Proof>, out: &mut EffectSink) {
         match self.duties.gate.pass(action, proof) {
             Ok(permitted) => self.send_action(key, permitted, out),
-            Err(refusal) => out.log(Level::Error, format!("the gate refused {key}: {refusal}")),
+            Err(refusal) => out.log(LogLevel::Error, format!("the gate refused {key}: {refusal}")),
         }
     }
 
-    fn send_action(&self, key: &DutyKey, permitted: Permitted, out: &mut Out) {
+    fn send_action(&self, key: &DutyKey, permitted: Permitted, out: &mut EffectSink) {
         let leader_call = match permitted.action() {
             Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
             Action::Return(back) => LeaderCall::Release { hosts: back.hosts.clone(), duty: key.clone() },
         };
-        out.cloud(Purpose::Leader(self.token, leader_call), CloudOp::Execute(permitted));
+        out.cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
     }
 
     /// Sends the duties that may go now.
-    fn send_ready(&mut self, out: &mut Out) {
+    fn send_ready(&mut self, out: &mut EffectSink) {
         for _ in 0..self.duties.ready.len() {
             let Some(key) = self.duties.ready.pop_front() else { return };
             match self.duties.log.issue(&key) {
                 Ok((action, proof)) => self.pass_gate(&key, action, Some(proof), out),
-                Err(error) => out.log(Level::Debug, format!("not sent: {error}")),
+                Err(error) => out.log(LogLevel::Debug, format!("not sent: {error}")),
             }
         }
     }
 
     /// Makes duties durable, and sends those that are.
-    pub(super) fn advance_duties(&mut self, times: Times, sight: Sight, out: &mut Out) {
+    pub(super) fn advance_duties(&mut self, times: StepTime, sight: Sight, out: &mut EffectSink) {
         if !self.duties.fenced() {
             return;
         }
@@ -172,7 +172,7 @@
 
     /// A rule can't wait for a state service that fails: a cancelled task must be gone in
     /// time. What was tried to be recorded in this very step, and failed, goes without.
-    fn compel(&mut self, now: Duration, sight: Sight, out: &mut Out) {
+    fn compel(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
         let forced: Vec<(DutyKey, bool)> = self.duties.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
             let state = self.duties.log.duty(&key).map(Duty::state);
@@ -182,7 +182,10 @@
             }
             let allowed = (!blind || sight.among_all) && self.cloud_near(now);
             if allowed && self.duties.log.compel(&key) {
-                out.log(Level::Info, format!("duty {key} goes without its record: the state service fails"));
+                out.log(
+                    LogLevel::Info,
+                    format!("duty {key} goes without its record: the state service fails"),
+                );
                 self.duties.forced.remove(&key);
                 self.duties.ready.push_back(key);
             }
@@ -206,14 +209,14 @@
 
     /// A rental that was refused may still be carried out from an earlier copy of its
     /// request: only its name's success makes sure that no more machines come of it.
-    fn retry_refused_rentals(&mut self, now: Duration, out: &mut Out) {
+    fn retry_refused_rentals(&mut self, now: Duration, out: &mut EffectSink) {
         let all = std::mem::take(&mut self.duties.refused_rentals);
         for refused in all {
             let key = DutyKey::new(&refused.rental.name);
             if refused.due > now {
                 self.duties.refused_rentals.push(refused);
             } else if now.saturating_sub(self.began) > self.duties.settings.abandon_rental {
-                out.log(Level::Info, format!("rental {key} is given up: the cloud has no room for it"));
+                out.log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
                 self.end_duty(&key, State::Abandoned, out);
             } else {
                 self.retry_rental(now, refused.rental);
@@ -221,18 +224,22 @@
         }
     }
 
-    fn read_doubtful(&mut self, now: Duration, out: &mut Out) {
+    fn read_doubtful(&mut self, now: Duration, out: &mut EffectSink) {
         if now < self.hold_until {
             return;
         }
         for page in self.duties.log.doubtful() {
             if self.duties.reading.insert(page) {
-                self.state(LeaderCall::ReadDuties { page, sent: now }, StateOp::Get { key: page.key() }, out);
+                self.state(
+                    LeaderCall::ReadDuties { page, sent: now },
+                    KvRequest::Get { key: page.key() },
+                    out,
+                );
             }
         }
     }
 
-    fn write_duties(&mut self, now: Duration, sight: Sight, out: &mut Out) {
+    fn write_duties(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
         let urgent = !self.duties.forced.is_empty();
         // Without the lease a write would only fail, which a forced return must know.
         if !sight.firm && !urgent || now < self.hold_until {
@@ -254,18 +261,18 @@
         self.duties.write_due = now + self.duties.settings.write_pause;
         self.duties.tidy_due = now + self.duties.settings.tidy_pause;
         let (conditions, changes) = self.duty_transaction(changes);
-        self.state(LeaderCall::WriteDuties { sent: now }, StateOp::Txn { conditions, changes }, out);
+        self.state(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
     }
 
-    fn duty_transaction(&self, pages: Vec<PageChange>) -> (Vec<Condition>, Vec<Change>) {
+    fn duty_transaction(&self, pages: Vec<PageChange>) -> (Vec<Condition>, Vec<KvChange>) {
         let mut conditions = vec![self.lead()];
         let mut changes = Vec::new();
         for PageChange { page, expected, value } in pages {
             let key = page.key();
             conditions.push(Condition { key: key.clone(), stamp: expected });
             changes.push(match value {
-                Some(value) => Change::Put { key, value, hold: None },
-                None => Change::Delete { key },
+                Some(value) => KvChange::Put { key, value, hold: None },
+                None => KvChange::Delete { key },
             });
         }
         (conditions, changes)
@@ -276,16 +283,16 @@
         &mut self,
         now: Duration,
         sent: Duration,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) -> bool {
         let fresh = now.saturating_sub(sent) < FRESH_FAILURE;
         let outcome = match reply {
-            Ok(StateReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
-            Ok(StateReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
+            Ok(KvReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
-            Ok(StateReply::Conflict { .. }) => WriteOutcome::Conflict,
+            Ok(KvReply::Conflict { .. }) => WriteOutcome::Conflict,
             Err(CallError::RateLimited) => WriteOutcome::Busy,
             Err(CallError::Refused | CallError::TooLarge) => WriteOutcome::Refused,
             _ => WriteOutcome::Lost,
@@ -308,11 +315,11 @@
         now: Duration,
         page: PageId,
         sent: Duration,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
     ) {
         self.duties.reading.remove(&page);
         match reply {
-            Ok(StateReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.stamp)),
+            Ok(KvReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.stamp)),
             Err(CallError::RateLimited) => self.hold_until = now + PAUSE,
             _ => {
                 self.hold_until = now + PAUSE;
@@ -323,27 +330,27 @@
         }
     }
 
-    pub(super) fn list_duties(&mut self, out: &mut Out) {
+    pub(super) fn list_duties(&mut self, out: &mut EffectSink) {
         let after = self.page_after.clone();
         if after.is_none() {
             self.duties.log.begin_reading();
         }
-        self.state(LeaderCall::ListDuties, StateOp::List { prefix: record::PREFIX.into(), after }, out);
+        self.state(LeaderCall::ListDuties, KvRequest::List { prefix: record::PREFIX.into(), after }, out);
     }
 
     pub(super) fn loaded_duties(
         &mut self,
-        times: Times,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        times: StepTime,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) {
-        let Ok(StateReply::Page { rows, truncated, .. }) = reply else {
+        let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.load_failed(times.now);
         };
         self.page_after = rows.last().map(|row| row.key.clone());
         for row in &rows {
             for fault in self.duties.log.inherit(&row.key, &row.value, row.stamp) {
-                out.log(Level::Error, format!("left alone: {fault}"));
+                out.log(LogLevel::Error, format!("left alone: {fault}"));
             }
         }
         if truncated {
@@ -356,7 +363,7 @@
     /// Takes up what former leaders left open, before anything is placed: their machines
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
-    pub(super) fn adopt_duties(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn adopt_duties(&mut self, now: Duration, out: &mut EffectSink) {
         let adopted: Vec<(DutyKey, Action)> =
             self.duties.log.adopted().map(|duty| (duty.key.clone(), duty.action.clone())).collect();
         for (key, action) in &adopted {
@@ -370,7 +377,7 @@
             }
         }
         if !adopted.is_empty() {
-            out.log(Level::Info, format!("adopts {} duties of former leaders", adopted.len()));
+            out.log(LogLevel::Info, format!("adopts {} duties of former leaders", adopted.len()));
         }
     }
 
@@ -381,18 +388,18 @@
     }
 
     /// A duty is over.
-    fn end_duty(&mut self, key: &DutyKey, last: State, out: &mut Out) {
+    fn end_duty(&mut self, key: &DutyKey, last: State, out: &mut EffectSink) {
         let ended = match last {
             State::Abandoned => self.duties.log.abandon(key),
             _ => self.duties.log.confirm(key),
         };
         if let Err(error) = ended {
-            out.log(Level::Error, error.to_string());
+            out.log(LogLevel::Error, error.to_string());
         }
     }
 
     /// The cloud has carried a duty out, or said that it never will.
-    pub(super) fn confirm_duty(&mut self, key: &DutyKey, out: &mut Out) {
+    pub(super) fn confirm_duty(&mut self, key: &DutyKey, out: &mut EffectSink) {
         if self.duties.fenced() {
             self.end_duty(key, State::Confirmed, out);
         }
@@ -400,7 +407,7 @@
 
     /// The cloud had no machines for a rental. Where another copy of the request may be
     /// under way, it stays open.
-    pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut Out) {
+    pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut EffectSink) {
         let key = DutyKey::new(&rental.name);
         let Some(duty) = self.duties.log.duty(&key) else { return };
         if duty.holder == self.token && duty.attempts <= 1 {
@@ -419,16 +426,18 @@
     /// does, `blind`: only since this leader can't see what was cancelled.
     pub(super) fn return_machines(
         &mut self,
-        leaving: &[(HostName, Leaving)],
+        leaving: &[(MachineName, RemovalReason)],
         (forced, blind): (bool, bool),
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
-        let surplus = leaving.iter().all(|(_, why)| *why == Leaving::Surplus);
+        let surplus = leaving.iter().all(|(_, why)| *why == RemovalReason::Surplus);
         let cause = if surplus { ReturnCause::Surplus } else { ReturnCause::Reclaim };
-        let hosts: Vec<HostName> = leaving.iter().map(|(host, _)| host.clone()).collect();
+        let hosts: Vec<MachineName> = leaving.iter().map(|(host, _)| host.clone()).collect();
         let back = self.duties.returnable(&hosts, cause);
-        for (host, why) in leaving.iter().take(back.hosts.len()).filter(|(_, why)| *why != Leaving::Surplus) {
-            out.log(Level::Info, format!("gives back {host}: {why:?}"));
+        for (host, why) in
+            leaving.iter().take(back.hosts.len()).filter(|(_, why)| *why != RemovalReason::Surplus)
+        {
+            out.log(LogLevel::Info, format!("gives back {host}: {why:?}"));
         }
         let key = self.duties.log.next_key();
         let hosts = back.hosts.clone();
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -14,24 +14,25 @@
 mod workers;
 mod writing;
 
-use crate::budget::Bucket;
+use crate::budget::TokenBucket;
 use crate::easy::{self, Running, Slot};
 use crate::election;
-use crate::fleet::{Fleet, Heard, Leaving, Machine, Pool};
-use crate::job::{JobId, JobRecord, JobSpec, Phase, Resources, Urgency};
-use crate::ledger::{tasks_per_chunk, Ended, Entry, Ledger, StoredKey};
-use crate::node::{Out, Purpose, Times};
-use crate::places::Places;
-use crate::portions::Portions;
+use crate::fleet::{Fleet, HeartbeatNews, Machine, Pool, RemovalReason};
+use crate::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use crate::ledger::{tasks_per_chunk, Ended, JobEntry, JobTable, StoredKey};
+use crate::node::{CallPurpose, EffectSink, StepTime};
+use crate::places::PlacementIndex;
+use crate::portions::CpuBudget;
 use crate::protocol::{
-    Answer, CallError, Cause, Change, CloudOp, CloudReply, Condition, HostName, KeyEvent, Level, Listed,
-    ListedHost, Order, OrdersReply, Progress, Report, Rig, Row, Seen, StateOp, StateReply, Status, TaskId,
+    CallError, CloudReply, CloudRequest, CommandReply, Condition, ExitReason, Heartbeat, Instance,
+    JobProgress, KeyValue, KvChange, KvReply, KvRequest, LogLevel, MachineName, MachineType, ReportedTask,
+    Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
 };
-use crate::queue::{guaranteed, Need, TeamRoom, Work};
+use crate::queue::{guaranteed, QuotaDemand, TeamUsage, Work};
 use crate::replay::{Arrival, Replay};
 use crate::requests::RequestHandler;
 use crate::settings::{Settings, Team};
-use crate::sizing::Climb;
+use crate::sizing::FleetSizeSearch;
 use plankhead_fencing::duty::DutyKey;
 use plankhead_fencing::record::PageId;
 use plankhead_reachability::mode::Mode;
@@ -39,7 +40,7 @@
 use plankhead_sharding::registry::RecordWrite;
 pub use renting::PendingRental;
 use serde::{Deserialize, Serialize};
-pub use shards::{LeaderRoute, ToldHolder};
+pub use shards::{LeaderRoute, SentShardCommands};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,18 +102,18 @@
     WatchJobs {
         sent: Duration,
     },
-    Commit(Batch),
+    Commit(WriteBatch),
     ReadChunk(JobId, u32),
     ReadJob(JobId),
     DeleteGarbage(Vec<StoredKey>),
     /// The revision of a key that is to go.
     ReadGarbageRevision(String),
-    ArchiveJobs(Vec<Final>),
+    ArchiveJobs(Vec<FinishedJob>),
     WriteTarget,
     ListInstances,
     Rent(PendingRental),
     Release {
-        hosts: Vec<HostName>,
+        hosts: Vec<MachineName>,
         duty: DutyKey,
     },
     /// Duties of former leaders.
@@ -125,7 +126,7 @@
         sent: Duration,
     },
     SendCommands {
-        host: HostName,
+        host: MachineName,
         shift: u64,
         runs: Vec<(TaskId, u64)>,
     },
@@ -136,7 +137,7 @@
     /// Commands for machines of shards that another node holds.
     SendShardCommands {
         to: String,
-        told: ToldHolder,
+        told: SentShardCommands,
     },
 }
 
@@ -145,11 +146,11 @@
 type ChunkRow = (JobId, (bool, u32), String, u64);
 
 /// A job that is over: its record's stamp, and what stays of it.
-pub type Final = (JobId, u64, JobRecord);
+pub type FinishedJob = (JobId, u64, JobRecord);
 
 /// What one transaction makes durable.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Batch {
+pub struct WriteBatch {
     chunks: Vec<(JobId, u32, u64)>,
     finals: Vec<JobId>,
 }
@@ -199,7 +200,7 @@
     pub token: u64,
     began: Duration,
     stage: Stage,
-    pub ledger: Ledger,
+    pub ledger: JobTable,
     pub fleet: Fleet,
     rows: Vec<ChunkRow>,
     /// Every node has this version: what older ones can't read may be stored.
@@ -217,14 +218,14 @@
     follow_due: Duration,
     txns: usize,
     hold_until: Duration,
-    writes: Bucket,
-    cloud: Bucket,
+    writes: TokenBucket,
+    cloud: TokenBucket,
     reading: HashSet<String>,
     garbage: Vec<StoredKey>,
     /// How many of these, at the front, should go soon.
     pressing: usize,
     /// Records of jobs that are over, to be moved out of the next leader's way.
-    archive: VecDeque<Final>,
+    archive: VecDeque<FinishedJob>,
     sweeping: bool,
     /// It has sent its first starts.
     started: bool,
@@ -242,22 +243,22 @@
     round: Option<rounds::Round>,
     /// When the round may go on.
     portion_due: Duration,
-    portions: Portions,
+    portions: CpuBudget,
     target_dirty: bool,
     target_writing: bool,
     rentals_begun: u64,
     /// Rentals without an answer.
     rentals: Vec<PendingRental>,
     rental_retries: Vec<renting::RentalRetry>,
-    releasing: BTreeSet<HostName>,
-    duties: duties::Duties,
+    releasing: BTreeSet<MachineName>,
+    duties: duties::Intents,
     release_due: Duration,
     hosts_due: Duration,
     listing: bool,
-    list: Vec<ListedHost>,
+    list: Vec<Instance>,
     /// The whole machine list was read once: what is held is known.
     surveyed: bool,
-    places: Places,
+    places: PlacementIndex,
     /// Where a gang that waits for machines will have most of its room.
     wanted_zone: Option<String>,
     /// Each team's place among the teams.
@@ -293,7 +294,7 @@
             token,
             began: now,
             stage: Stage::Loading,
-            ledger: Ledger::default(),
+            ledger: JobTable::default(),
             fleet: Fleet::default(),
             rows: Vec::new(),
             all_new: false,
@@ -308,7 +309,7 @@
             txns: 0,
             hold_until: Duration::ZERO,
             writes: write_budget(settings.write_rps),
-            cloud: Bucket::new(settings.cloud_rps * 0.8, settings.cloud_rps),
+            cloud: TokenBucket::new(settings.cloud_rps * 0.8, settings.cloud_rps),
             reading: HashSet::new(),
             garbage: Vec::new(),
             pressing: 0,
@@ -325,20 +326,20 @@
             round_due: now,
             round: None,
             portion_due: now,
-            portions: Portions::new(settings.cpu),
+            portions: CpuBudget::new(settings.cpu),
             target_dirty: false,
             target_writing: false,
             rentals_begun: 0,
             rentals: Vec::new(),
             rental_retries: Vec::new(),
             releasing: BTreeSet::new(),
-            duties: duties::Duties::new(&settings, token, now),
+            duties: duties::Intents::new(&settings, token, now),
             release_due: now,
             hosts_due: now,
             listing: false,
             list: Vec::new(),
             surveyed: false,
-            places: Places::default(),
+            places: PlacementIndex::default(),
             wanted_zone: None,
             team_places: settings.teams.keys().cloned().zip(0..).collect(),
             ratios: HashMap::new(),
@@ -359,7 +360,7 @@
     }
 
     /// Takes in the machine types that the cloud has.
-    pub fn catalog(&mut self, rigs: BTreeMap<String, Rig>) {
+    pub fn catalog(&mut self, rigs: BTreeMap<String, MachineType>) {
         self.fleet.rigs = rigs;
         for rig in self.fleet.rigs.keys() {
             for pool in self.fleet.pools(rig) {
@@ -385,8 +386,8 @@
         }
     }
 
-    fn state(&self, leader_call: LeaderCall, op: StateOp, out: &mut Out) {
-        out.state(Purpose::Leader(self.token, leader_call), op);
+    fn state(&self, leader_call: LeaderCall, op: KvRequest, out: &mut EffectSink) {
+        out.state(CallPurpose::Leader(self.token, leader_call), op);
     }
 
     /// The condition under which alone the leader writes.
@@ -396,16 +397,16 @@
 }
 
 /// The leader's part of the changes that the state service takes.
-fn write_budget(write_rps: f64) -> Bucket {
-    Bucket::new(write_rps * 0.8, write_rps * 0.6)
+fn write_budget(write_rps: f64) -> TokenBucket {
+    TokenBucket::new(write_rps * 0.8, write_rps * 0.6)
 }
 
 /// A transaction in the making.
 #[derive(Debug, Default)]
 struct Txn {
     conditions: Vec<Condition>,
-    changes: Vec<Change>,
-    batch: Batch,
+    changes: Vec<KvChange>,
+    batch: WriteBatch,
     bytes: usize,
 }
 
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether a report shows the answer to the one before; `None` if there was none.
-    pub fn answer_shown(&self, report: &Report) -> Option<bool> {
+    pub fn answer_shown(&self, report: &Heartbeat) -> Option<bool> {
         let machine = self.fleet.machines.get(&report.host)?;
         machine.answered?;
         let later = machine.newest.is_some_and(|newest| (report.shift, report.tick) > newest);
@@ -63,7 +63,7 @@
     }
 
     /// The names of all machines, to be numbered.
-    pub fn machine_names(&self) -> BTreeSet<HostName> {
+    pub fn machine_names(&self) -> BTreeSet<MachineName> {
         self.fleet.machines.keys().cloned().collect()
     }
 
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placing.rs
@@ -33,13 +33,13 @@
         [deadline, expected.finished].into_iter().flatten().min()
     }
 
-    pub(super) fn teams(&self) -> Vec<TeamRoom> {
-        let room = |team: &Team| TeamRoom {
+    pub(super) fn teams(&self) -> Vec<TeamUsage> {
+        let room = |team: &Team| TeamUsage {
             guarantee: Resources { cpus: team.cpus, gpus: team.gpus, ram: 0.0 },
             cap: Resources { cpus: team.cpus_max, gpus: team.gpus_max, ram: 0.0 },
             used: Resources::default(),
         };
-        let mut rooms: Vec<TeamRoom> = self.settings.teams.values().map(room).collect();
+        let mut rooms: Vec<TeamUsage> = self.settings.teams.values().map(room).collect();
         for entry in self.ledger.jobs.values().filter(|e| e.placed > 0) {
             if let Some(team) = self.team_of(&entry.spec) {
                 let each = &entry.spec.each;
@@ -121,8 +121,8 @@
     }
 
     /// The pending work, with the ids of its jobs.
-    pub(super) fn work(&mut self, now: Duration, teams: &[TeamRoom]) -> (Vec<JobId>, Vec<Work>) {
-        let live = |e: &Entry| e.phase == Phase::Active && e.done < e.spec.tasks;
+    pub(super) fn work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
+        let live = |e: &JobEntry| e.phase == Phase::Active && e.done < e.spec.tasks;
         let mut needs = Vec::new();
         let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
         for (id, entry) in self.ledger.jobs.iter().filter(|(_, e)| live(e)) {
@@ -132,7 +132,7 @@
             if !entry.stale && entry.not_before <= now && entry.placeable() {
                 waiting.push((id.clone(), entry.spec.clone(), team, needs.len()));
             }
-            needs.push(Need { team, accepted: entry.accepted, amount: need });
+            needs.push(QuotaDemand { team, accepted: entry.accepted, amount: need });
         }
         if waiting.is_empty() {
             return Default::default();
@@ -160,7 +160,7 @@
     }
 
     /// A machine as the passes see it, whatever the time.
-    fn sketch(&mut self, host: &HostName) -> Option<Slot> {
+    fn sketch(&mut self, host: &MachineName) -> Option<Slot> {
         let machine = self.fleet.machines.get(host)?;
         let total = self.fleet.resources(&machine.pool.rig)?;
         let rig = self.fleet.rigs.get(&machine.pool.rig)?;
@@ -204,13 +204,13 @@
 
     /// The machines that take tasks, as passes see them. What has not changed
     /// since the last time is taken from there.
-    pub(super) fn slots(&mut self, now: Duration) -> Vec<(HostName, Slot)> {
+    pub(super) fn slots(&mut self, now: Duration) -> Vec<(MachineName, Slot)> {
         for host in std::mem::take(&mut self.ledger.touched) {
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
                 machine.slot = None;
             }
         }
-        let new: Vec<HostName> =
+        let new: Vec<MachineName> =
             self.fleet.machines.values().filter(|m| m.slot.is_none()).map(|m| m.name.clone()).collect();
         for host in new {
             let slot = self.sketch(&host);
@@ -239,7 +239,7 @@
     }
 
     /// Starts what may start now. Several changes share a pass.
-    pub(super) fn schedule(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn schedule(&mut self, now: Duration, out: &mut EffectSink) {
         let mut teams = self.teams();
         let (ids, mut work) = self.work(now, &teams);
         if work.is_empty() {
@@ -248,7 +248,7 @@
         if self.surveyed {
             self.raise(&work);
         }
-        let (hosts, mut slots): (Vec<HostName>, Vec<Slot>) = self.slots(now).into_iter().unzip();
+        let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.slots(now).into_iter().unzip();
         let most = self.portions.starts();
         let starts = easy::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
         // The rest has its turn after what else there is to do.
@@ -278,16 +278,16 @@
         &mut self,
         now: Duration,
         slots: &[Slot],
-        hosts: &[HostName],
+        hosts: &[MachineName],
         work: &mut [Work],
-        teams: &mut [TeamRoom],
-        out: &mut Out,
+        teams: &mut [TeamUsage],
+        out: &mut EffectSink,
     ) {
         // As many tasks of a job as find no room in time; those of a gang that must be
         // in one zone, in the zone that lacks least.
         let late = |w: &Work| {
             let lacking = |zone: Option<usize>| {
-                let mut left = if w.urgency >= Urgency::Urgent { w.pending } else { 0 };
+                let mut left = if w.urgency >= Priority::Urgent { w.pending } else { 0 };
                 let here = |s: &&Slot| w.allows(s.pool) && zone.is_none_or(|z| z == s.zone);
                 for slot in slots.iter().filter(here) {
                     if left == 0 {
@@ -314,15 +314,15 @@
             }
         }
         order.sort_by_key(|i| (std::cmp::Reverse(work[*i].urgency), !work[*i].guaranteed, work[*i].due));
-        let mut lesser: Vec<Lesser> = hosts
+        let mut lesser: Vec<PreemptionCandidates> = hosts
             .iter()
             .zip(slots)
             .map(|(host, slot)| match slot.ready <= now {
                 true => self.lesser(now, host, slot.free),
-                false => Lesser::default(),
+                false => PreemptionCandidates::default(),
             })
             .collect();
-        let mut told: BTreeSet<HostName> = BTreeSet::new();
+        let mut told: BTreeSet<MachineName> = BTreeSet::new();
         let mut stops = 0;
         for i in order {
             let (each, urgency) = (work[i].each, work[i].urgency);
@@ -370,8 +370,8 @@
 
     /// What may be stopped on a machine: young tasks below the highest urgency,
     /// the least progressed first.
-    fn lesser(&self, now: Duration, host: &HostName, free: Resources) -> Lesser {
-        let mut found = Lesser { room: free, tasks: Vec::new() };
+    fn lesser(&self, now: Duration, host: &MachineName, free: Resources) -> PreemptionCandidates {
+        let mut found = PreemptionCandidates { room: free, tasks: Vec::new() };
         for task in self.ledger.on_host(host) {
             let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(task))
             else {
@@ -389,7 +389,7 @@
             // need to save: they come last.
             let gang = entry.gang.is_some();
             let ran = if gang { ran * entry.spec.tasks } else { ran };
-            if attempt.seen.is_some() && young && !often && urgency < Urgency::Critical {
+            if attempt.seen.is_some() && young && !often && urgency < Priority::Critical {
                 found.tasks.push(Victim { ran, task: task.clone(), each, urgency, gang });
             }
         }
@@ -404,19 +404,19 @@
     ran: Duration,
     task: TaskId,
     each: Resources,
-    urgency: Urgency,
+    urgency: Priority,
     gang: bool,
 }
 
 /// The tasks of a machine that may be stopped, the least urgent first, and the
 /// room beside them.
 #[derive(Debug, Clone, Default)]
-struct Lesser {
+struct PreemptionCandidates {
     room: Resources,
     tasks: Vec<Victim>,
 }
 
-impl Lesser {
+impl PreemptionCandidates {
     /// The job's tasks are being stopped.
     fn without(&mut self, job: &JobId) {
         let room = &mut self.room;
@@ -431,7 +431,7 @@
 
     /// How many of the tasks would have to stop for one more, the progress lost, and
     /// first of all whether a gang would have to.
-    fn victims(&self, each: &Resources, urgency: Urgency) -> Option<(bool, Duration, usize)> {
+    fn victims(&self, each: &Resources, urgency: Priority) -> Option<(bool, Duration, usize)> {
         let mut room = self.room;
         let (mut gang, mut loss) = (false, Duration::ZERO);
         let mut count = 0;
--- a/crates/plankhead-core/src/leader/renting.rs
+++ b/crates/plankhead-core/src/leader/renting.rs
@@ -34,7 +34,7 @@
 }
 
 impl Leader {
-    pub(super) fn rent_machines(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn rent_machines(&mut self, now: Duration, out: &mut EffectSink) {
         self.retry_rentals(now, out);
         for (rig, size) in self.target.rigs.clone() {
             let coming = |spot: Option<bool>| -> u32 {
@@ -77,7 +77,7 @@
     }
 
     /// Asks again for rentals whose answers were lost, under their names.
-    fn retry_rentals(&mut self, now: Duration, out: &mut Out) {
+    fn retry_rentals(&mut self, now: Duration, out: &mut EffectSink) {
         let all = std::mem::take(&mut self.rental_retries);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|retry| retry.due <= now);
         self.rental_retries = later;
@@ -90,7 +90,7 @@
         }
     }
 
-    fn rent(&mut self, rental: PendingRental, out: &mut Out) {
+    fn rent(&mut self, rental: PendingRental, out: &mut EffectSink) {
         let key = DutyKey::new(&rental.name);
         let name = rental.name.clone();
         if !self.request(key, Action::Rent(rental.into()), out) {
@@ -103,7 +103,7 @@
     pub(super) fn give_back(&mut self, now: Duration) {
         for (rig, size) in self.target.rigs.clone() {
             let mut surplus = self.fleet.count(&rig).saturating_sub(size.machines);
-            let mut idle: Vec<(bool, Duration, HostName)> = self
+            let mut idle: Vec<(bool, Duration, MachineName)> = self
                 .fleet
                 .machines
                 .values()
@@ -127,7 +127,7 @@
                     continue;
                 }
                 if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                    machine.leaving = Some(Leaving::Surplus);
+                    machine.leaving = Some(RemovalReason::Surplus);
                     surplus -= 1;
                     ordinary -= u32::from(!spot);
                 }
@@ -136,7 +136,7 @@
         for machine in self.fleet.machines.values_mut() {
             let empty = self.ledger.on_host(&machine.name).next().is_none();
             if machine.notice && machine.leaving.is_none() && empty {
-                machine.leaving = Some(Leaving::Surplus);
+                machine.leaving = Some(RemovalReason::Surplus);
             }
         }
     }
@@ -144,25 +144,25 @@
     /// Returns machines that are to go. A leader without its grant, who may be cut off
     /// or not lead any more, returns only what a cancellation or its blindness forces
     /// it to, and only while the cloud hears it.
-    pub(super) fn release(&mut self, now: Duration, sight: Sight, out: &mut Out) {
+    pub(super) fn release(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
         let free = sight.firm && self.stage == Stage::Ready;
         if now < self.release_due || !(free || self.cloud_near(now)) {
             return;
         }
-        let may = |why: Leaving| match why {
-            Leaving::CancellationDue => true,
-            Leaving::HeartbeatTimeout => free || sight.among_all,
+        let may = |why: RemovalReason| match why {
+            RemovalReason::CancellationDue => true,
+            RemovalReason::HeartbeatTimeout => free || sight.among_all,
             _ => free,
         };
         let machines = self.fleet.machines.values();
         let leaving = machines.filter_map(|m| m.leaving.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
-        let mut leaving: Vec<(HostName, Leaving)> =
+        let mut leaving: Vec<(MachineName, RemovalReason)> =
             leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_HOSTS).collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
-        let due = leaving.iter().any(|(_, why)| *why == Leaving::CancellationDue);
+        let due = leaving.iter().any(|(_, why)| *why == RemovalReason::CancellationDue);
         if due && self.duties.fenced() {
-            leaving.retain(|(_, why)| *why == Leaving::CancellationDue);
+            leaving.retain(|(_, why)| *why == RemovalReason::CancellationDue);
         }
         if !leaving.is_empty() && self.cloud.take(now, 1) {
             self.return_machines(&leaving, (due || !free, !due), out);
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -6,11 +6,11 @@
     /// Handles a reply of the state service; false: somebody else leads.
     pub fn state_reply(
         &mut self,
-        times: Times,
+        times: StepTime,
         leader_call: LeaderCall,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) -> bool {
         let now = times.now;
         match leader_call {
@@ -26,9 +26,9 @@
             LeaderCall::WatchJobs { sent } => {
                 self.following = false;
                 match reply {
-                    Ok(StateReply::Events { epoch, events }) => {
+                    Ok(KvReply::Events { epoch, events }) => {
                         for event in events {
-                            if let KeyEvent::Put(row) = event {
+                            if let WatchEvent::Put(row) = event {
                                 self.job_row(times, &row, requests);
                             }
                         }
@@ -36,14 +36,14 @@
                         self.fresh = self.fresh.max(sent);
                         self.tell_kills(now, out);
                     }
-                    Ok(StateReply::Compacted) => return false,
+                    Ok(KvReply::Compacted) => return false,
                     _ => self.follow_due = now + PAUSE,
                 }
             }
             LeaderCall::Commit(batch) => return self.written(times, batch, reply, requests, out),
             LeaderCall::ReadChunk(id, number) => {
                 self.reading.remove(&self.chunk_key(&id, number));
-                if let Ok(StateReply::Value(row)) = reply {
+                if let Ok(KvReply::Value(row)) = reply {
                     self.ledger.restamp(&id, number, row.map_or(0, |r| r.stamp));
                 } else {
                     self.hold_until = now + PAUSE;
@@ -52,9 +52,9 @@
             LeaderCall::ReadJob(id) => {
                 self.reading.remove(&id.key());
                 match reply {
-                    Ok(StateReply::Value(Some(row))) => self.job_row(times, &row, requests),
-                    Ok(StateReply::Value(None)) => {
-                        out.log(Level::Error, format!("the record of {id} is missing"));
+                    Ok(KvReply::Value(Some(row))) => self.job_row(times, &row, requests),
+                    Ok(KvReply::Value(None)) => {
+                        out.log(LogLevel::Error, format!("the record of {id} is missing"));
                         self.hold_until = now + PAUSE;
                     }
                     _ => self.hold_until = now + PAUSE,
@@ -63,11 +63,11 @@
             LeaderCall::DeleteGarbage(keys) => {
                 self.sweeping = false;
                 match reply {
-                    Ok(StateReply::Committed { .. }) => {}
-                    Ok(StateReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
+                    Ok(KvReply::Committed { .. }) => {}
+                    Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
                         return false;
                     }
-                    Ok(StateReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
+                    Ok(KvReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
                     _ => self.garbage.extend(keys),
                 }
             }
@@ -75,12 +75,12 @@
             LeaderCall::ArchiveJobs(finals) => {
                 self.sweeping = false;
                 match reply {
-                    Ok(StateReply::Committed { .. }) => {}
-                    Ok(StateReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
+                    Ok(KvReply::Committed { .. }) => {}
+                    Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
                         return false;
                     }
                     // Moved already, by a transaction whose reply was lost.
-                    Ok(StateReply::Conflict { failed }) => {
+                    Ok(KvReply::Conflict { failed }) => {
                         self.archive
                             .extend(finals.into_iter().filter(|(id, ..)| !failed.contains(&id.key())));
                     }
@@ -90,8 +90,8 @@
             LeaderCall::WriteTarget => {
                 self.target_writing = false;
                 match reply {
-                    Ok(StateReply::Committed { .. }) => {}
-                    Ok(StateReply::Conflict { .. }) => return false,
+                    Ok(KvReply::Committed { .. }) => {}
+                    Ok(KvReply::Conflict { .. }) => return false,
                     _ => self.target_dirty = true,
                 }
             }
@@ -102,17 +102,17 @@
 
     pub(super) fn written(
         &mut self,
-        times: Times,
-        batch: Batch,
-        reply: Result<StateReply, CallError>,
+        times: StepTime,
+        batch: WriteBatch,
+        reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) -> bool {
         let now = times.now;
         self.txns -= 1;
         let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
-            Ok(StateReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { epoch }) => {
                 let mut hosts = BTreeSet::new();
                 for (id, number, version) in &batch.chunks {
                     hosts.extend(self.ledger.committed(id, *number, *version, epoch));
@@ -134,7 +134,7 @@
                 }
                 return true;
             }
-            Ok(StateReply::Conflict { failed: keys }) => failed = keys,
+            Ok(KvReply::Conflict { failed: keys }) => failed = keys,
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 self.hold_until = now + PAUSE;
             }
@@ -165,10 +165,10 @@
 
     pub fn cloud_reply(
         &mut self,
-        times: Times,
+        times: StepTime,
         leader_call: LeaderCall,
         reply: Result<CloudReply, CallError>,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         let now = times.now;
         if reply.is_ok() {
@@ -199,7 +199,7 @@
                 self.rentals.retain(|other| other.name != rental.name);
                 let pool = &rental.pool;
                 self.fleet.refused(pool, now);
-                out.log(Level::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
+                out.log(LogLevel::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
                 self.rental_refused(now, rental, out);
             }
             // In doubt, the same name is used again: it rents once at most.
@@ -214,7 +214,7 @@
                     self.machine_gone(&host);
                     let freed = self.ledger.host_gone(&host, now);
                     if freed > 0 {
-                        out.log(Level::Debug, format!("{host} is gone with {freed} tasks"));
+                        out.log(LogLevel::Debug, format!("{host} is gone with {freed} tasks"));
                     }
                 }
                 self.tell_urgent(now, out);
@@ -233,11 +233,17 @@
         }
     }
 
-    pub fn orders_reply(&mut self, times: Times, leader_call: LeaderCall, reply: OrdersReply, out: &mut Out) {
+    pub fn orders_reply(
+        &mut self,
+        times: StepTime,
+        leader_call: LeaderCall,
+        reply: CommandReply,
+        out: &mut EffectSink,
+    ) {
         let LeaderCall::SendCommands { host, shift, runs } = leader_call else { return };
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
-        if let OrdersReply::Answered(report) = reply {
+        if let CommandReply::Answered(report) = reply {
             if report.host == host {
                 self.hear(times, &report, true, out);
             }
--- a/crates/plankhead-core/src/leader/rounds.rs
+++ b/crates/plankhead-core/src/leader/rounds.rs
@@ -11,18 +11,18 @@
 const LEAST_ROUND: Duration = Duration::from_secs(20);
 /// What a climb replays.
 #[derive(Debug)]
-struct Backlog {
+struct ReplayInput {
     now: Duration,
     held: Vec<Slot>,
     /// A machine of the type in each zone, as if it were up.
     fresh: Vec<Slot>,
     work: Vec<Work>,
     expected: Vec<Arrival>,
-    teams: Vec<TeamRoom>,
+    teams: Vec<TeamUsage>,
     running: usize,
 }
 
-impl Backlog {
+impl ReplayInput {
     fn replay(&self, machines: u32) -> Replay {
         let machines = machines as usize;
         let mut slots: Vec<Slot> = self.held.iter().take(machines).cloned().collect();
@@ -34,11 +34,11 @@
 }
 
 #[derive(Debug)]
-struct Trial {
+struct SizeTrial {
     rig: String,
     strict: bool,
-    climb: Climb,
-    backlog: Backlog,
+    climb: FleetSizeSearch,
+    backlog: ReplayInput,
 }
 
 /// A round under way: the climbs one after the other, in portions, since the
@@ -47,7 +47,7 @@
 pub(super) struct Round {
     began: Duration,
     cold: bool,
-    trials: Vec<Trial>,
+    trials: Vec<SizeTrial>,
     replay: Option<Replay>,
     /// Trials and their slowdowns, for the log.
     trace: Vec<String>,
@@ -55,7 +55,7 @@
 
 impl Round {
     /// Goes on by a portion; true once all climbs are over.
-    fn advance(&mut self, portions: Portions) -> bool {
+    fn advance(&mut self, portions: CpuBudget) -> bool {
         let Some(trial) = self.trials.iter_mut().find(|t| t.climb.size().is_none()) else { return true };
         let replay = self.replay.get_or_insert_with(|| trial.backlog.replay(trial.climb.trial()));
         if let Some(slowdown) = replay.advance(portions.replayed_passes(replay.machines())) {
@@ -124,7 +124,7 @@
     }
 
     /// Begins rounds, carries the one under way on by a portion, and ends it.
-    pub(super) fn size(&mut self, times: Times, out: &mut Out) {
+    pub(super) fn size(&mut self, times: StepTime, out: &mut EffectSink) {
         let now = times.now;
         if self.fleet.rigs.is_empty() {
             return;
@@ -147,7 +147,7 @@
                 size.ordinary = size.ordinary.max(before.ordinary);
             }
         }
-        let level = if target.rigs == self.target.rigs { Level::Debug } else { Level::Info };
+        let level = if target.rigs == self.target.rigs { LogLevel::Debug } else { LogLevel::Info };
         let took = now.saturating_sub(round.began).as_millis();
         let trials = round.trace.join(" ");
         out.log(level, format!("round {}: {:?} in {took} ms, {trials}", target.round, target.rigs));
@@ -155,7 +155,7 @@
         self.target_dirty = true;
     }
 
-    fn begin_round(&mut self, times: Times) {
+    fn begin_round(&mut self, times: StepTime) {
         let now = times.now;
         // Before any machine is up, whichever job came first would size the fleet
         // for a whole interval: rounds follow quickly and only raise.
@@ -177,7 +177,7 @@
         // Nor does the rush of the first seconds tell what comes later.
         let expected = if cold { Vec::new() } else { self.expected(now) };
         let slots: Vec<Slot> = self.slots(now).into_iter().map(|(_, slot)| slot).collect();
-        let running = |e: &&Entry| e.phase == Phase::Active && e.placed > 0 && e.pending() == 0;
+        let running = |e: &&JobEntry| e.phase == Phase::Active && e.placed > 0 && e.pending() == 0;
         let running = self.ledger.jobs.values().filter(running).count();
         let mut trials = Vec::new();
         for rig in self.fleet.rigs.keys().cloned().collect::<Vec<_>>() {
@@ -197,9 +197,9 @@
         rig: &str,
         strict: bool,
         (work, expected, slots): (&[Work], &[Arrival], &[Slot]),
-        teams: &[TeamRoom],
+        teams: &[TeamUsage],
         running: usize,
-    ) -> Option<Trial> {
+    ) -> Option<SizeTrial> {
         let kind = self.fleet.rigs.get(rig)?.clone();
         let pool = |zone: &String, spot| Pool { rig: rig.into(), zone: zone.clone(), spot };
         let ordinary: Vec<(usize, usize)> =
@@ -223,7 +223,7 @@
         let widest = work.iter().map(|w| width(w, &total, kind.zones.len())).max();
         let least = busy.max(widest.unwrap_or(0));
         let (most, beyond) = self.capacity(rig, now);
-        let climb = Climb::new(least, most, beyond, self.settings.sizing.threshold);
+        let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.threshold);
         let fresh = ordinary
             .into_iter()
             .map(|(pool, zone)| Slot {
@@ -240,8 +240,8 @@
             .collect();
         let running = if strict { 0 } else { running };
         let teams = teams.to_vec();
-        let backlog = Backlog { now, held, fresh, work, expected, teams, running };
-        Some(Trial { rig: rig.into(), strict, climb, backlog })
+        let backlog = ReplayInput { now, held, fresh, work, expected, teams, running };
+        Some(SizeTrial { rig: rig.into(), strict, climb, backlog })
     }
 
     /// A job wider than the fleet raises it at once. An array's width is one
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -7,7 +7,8 @@
 
 use super::*;
 use crate::shard_messages::{
-    Delivery, HolderReport, LeaderOrders, MachineNews, MachineOrders, ShardMessage, MAX_MACHINES, MAX_TASKS,
+    Delivery, HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardMessage, MAX_MACHINES,
+    MAX_TASKS,
 };
 use plankhead_sharding::alive::Names;
 use plankhead_sharding::balance::Candidate;
@@ -48,15 +49,15 @@
     stream: u64,
     names: Names,
     /// Machines whose commands may have changed.
-    due: BTreeSet<HostName>,
+    due: BTreeSet<MachineName>,
     /// What it has been told last of each machine: in which session, and which commands.
-    sent: HashMap<HostName, (u64, Vec<Order>)>,
+    sent: HashMap<MachineName, (u64, Vec<WorkerCommand>)>,
     /// Shards that it holds only now: it is told what is known of their machines.
     fresh: BTreeSet<ShardId>,
     /// A shard was taken from it, and it may not have read so.
     replaced: bool,
     /// Machines that were given back since.
-    gone: BTreeSet<HostName>,
+    gone: BTreeSet<MachineName>,
     /// The number of its latest message.
     latest: u64,
     sending: bool,
@@ -65,10 +66,10 @@
 
 /// What a message told a holder, to be told again if it did not arrive.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct ToldHolder {
-    machines: Vec<HostName>,
+pub struct SentShardCommands {
+    machines: Vec<MachineName>,
     fresh: BTreeSet<ShardId>,
-    gone: Vec<HostName>,
+    gone: Vec<MachineName>,
     replaced: bool,
 }
 
@@ -128,7 +129,7 @@
     }
 
     /// The fencing token of what this leader tells a machine itself.
-    pub(in crate::leader) fn token_for(&self, host: &HostName) -> u64 {
+    pub(in crate::leader) fn token_for(&self, host: &MachineName) -> u64 {
         let machine = self.fleet.machines.get(host);
         let shard = machine.and_then(|machine| self.shard_of(machine));
         let held = shard.and_then(|shard| self.shards.as_ref()?.registry.holder(&shard));
@@ -136,7 +137,7 @@
     }
 
     /// Who answers a report.
-    pub fn route(&self, report: &Report) -> LeaderRoute {
+    pub fn route(&self, report: &Heartbeat) -> LeaderRoute {
         let Some(shards) = &self.shards else {
             return if report.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
         };
@@ -159,7 +160,7 @@
     }
 
     /// What this node knew of a machine as its shard's holder, before it led.
-    pub fn inherit(&mut self, times: Times, machine: &Machine, out: &mut Out) {
+    pub fn inherit(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
         let Some(report) = &machine.report else { return };
         self.hear(times, report, false, out);
         self.vouch(&report.host, machine.proven, machine.heard);
@@ -169,7 +170,7 @@
     }
 
     /// A holder of the machine's shard has seen whether it is there, and when it heard it.
-    fn vouch(&mut self, host: &HostName, proven: bool, at: Duration) {
+    fn vouch(&mut self, host: &MachineName, proven: bool, at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
         self.dirty |= !std::mem::replace(&mut machine.proven, true);
         machine.heard = machine.heard.max(at);
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     /// The commands for a machine may have changed: its holder is told.
-    pub(in crate::leader) fn order_due(&mut self, host: &HostName) {
+    pub(in crate::leader) fn order_due(&mut self, host: &MachineName) {
         let machine = self.fleet.machines.get(host);
         let holder = machine.and_then(|machine| self.holder_of(machine));
         let Some((holder, _)) = holder else { return };
@@ -20,16 +20,17 @@
         shards.refresh_due = now + REFRESH;
         let waits = |machine: &&Machine| {
             let report = machine.report.as_ref();
-            let ended = report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.seen, Seen::Exited(_))));
+            let ended =
+                report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.seen, TaskStatus::Exited(_))));
             ended || self.ledger.on_host(&machine.name).next().is_some()
         };
-        let hosts: Vec<HostName> =
+        let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(waits).map(|machine| machine.name.clone()).collect();
         hosts.iter().for_each(|host| self.order_due(host));
     }
 
     /// Sends each holder what has changed for its machines.
-    pub(super) fn flush_orders(&mut self, now: Duration, requests: &RequestHandler, out: &mut Out) {
+    pub(super) fn flush_orders(&mut self, now: Duration, requests: &RequestHandler, out: &mut EffectSink) {
         let Some(shards) = &self.shards else { return };
         let ready = |(_, peer): &(&String, &Peer)| {
             let due =
@@ -42,7 +43,13 @@
         }
     }
 
-    pub(super) fn send_orders(&mut self, now: Duration, to: &str, requests: &RequestHandler, out: &mut Out) {
+    pub(super) fn send_orders(
+        &mut self,
+        now: Duration,
+        to: &str,
+        requests: &RequestHandler,
+        out: &mut EffectSink,
+    ) {
         let Some(shards) = &self.shards else { return };
         let held: Vec<(ShardId, u64)> = shards
             .registry
@@ -51,12 +58,12 @@
             .map(|(shard, state)| (shard.clone(), state.epoch()))
             .collect();
         let Some(peer) = shards.peers.get(to) else { return };
-        let due: Vec<HostName> = peer.due.iter().take(MAX_MACHINES).cloned().collect();
-        let place = |host: &HostName| {
+        let due: Vec<MachineName> = peer.due.iter().take(MAX_MACHINES).cloned().collect();
+        let place = |host: &MachineName| {
             let shard = self.fleet.machines.get(host).and_then(|machine| self.shard_of(machine))?;
             held.iter().position(|(of, _)| *of == shard)
         };
-        let mut machines: Vec<MachineOrders> = Vec::new();
+        let mut machines: Vec<MachineCommands> = Vec::new();
         let (mut commands, mut taken) = (0, 0);
         for host in &due {
             if commands > MAX_TASKS {
@@ -71,7 +78,7 @@
             let same = last.map_or(orders.is_empty(), |(of, sent)| *of == shift && *sent == orders);
             commands += orders.len();
             if !same {
-                machines.push(MachineOrders { host: host.clone(), shard, shift, orders });
+                machines.push(MachineCommands { host: host.clone(), shard, shift, orders });
             }
         }
         let due = &due[..taken];
@@ -79,7 +86,7 @@
             peer.fresh.iter().filter(|shard| held.iter().any(|(of, _)| of == *shard)).cloned().collect();
         let snapshot = self.snapshot(&fresh);
         let latest_epoch = shards.registry.highest_epoch();
-        for MachineOrders { orders, shard, .. } in &machines {
+        for MachineCommands { orders, shard, .. } in &machines {
             self.note_offers(orders, held[*shard].1);
         }
         self.note_first_starts(now, &machines, out);
@@ -89,17 +96,17 @@
         let Some(peer) = shards.peers.get_mut(to) else { return };
         peer.due.retain(|host| !due.contains(host));
         peer.fresh.retain(|shard| !fresh.contains(shard));
-        let gone: Vec<HostName> = std::mem::take(&mut peer.gone).into_iter().collect();
+        let gone: Vec<MachineName> = std::mem::take(&mut peer.gone).into_iter().collect();
         let replaced = std::mem::take(&mut peer.replaced);
         if machines.is_empty() && snapshot.is_empty() && gone.is_empty() && !replaced {
             return;
         }
         peer.sending = true;
-        for MachineOrders { host, shift, orders, .. } in &machines {
+        for MachineCommands { host, shift, orders, .. } in &machines {
             peer.sent.insert(host.clone(), (*shift, orders.clone()));
         }
         let told = machines.iter().map(|machine| machine.host.clone()).collect();
-        let message = LeaderOrders {
+        let message = LeaderCommands {
             host: self.settings.host.clone(),
             stamp: Stamp { boot: self.settings.boot, sequence },
             answers: peer.latest,
@@ -110,29 +117,35 @@
             gone: gone.clone(),
             snapshot,
         };
-        let told = ToldHolder { machines: told, fresh, gone, replaced };
+        let told = SentShardCommands { machines: told, fresh, gone, replaced };
         let call = LeaderCall::SendShardCommands { to: to.to_owned(), told };
         let message = ShardMessage::LeaderCommands(Box::new(message));
-        out.shard_message(Purpose::Leader(self.token, call), to.to_owned(), message);
+        out.shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
     }
 
-    pub(super) fn note_first_starts(&mut self, now: Duration, machines: &[MachineOrders], out: &mut Out) {
-        let run = |machine: &MachineOrders| machine.orders.iter().any(|o| matches!(o, Order::Run { .. }));
+    pub(super) fn note_first_starts(
+        &mut self,
+        now: Duration,
+        machines: &[MachineCommands],
+        out: &mut EffectSink,
+    ) {
+        let run =
+            |machine: &MachineCommands| machine.orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
         if machines.iter().any(run) && !std::mem::replace(&mut self.started, true) {
             let after = now.saturating_sub(self.began).as_millis();
-            out.log(Level::Info, format!("first starts {after} ms after it leads"));
+            out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
     }
 
     /// The newest reports of the machines of these shards.
-    pub(super) fn snapshot(&self, shards: &BTreeSet<ShardId>) -> Vec<Report> {
+    pub(super) fn snapshot(&self, shards: &BTreeSet<ShardId>) -> Vec<Heartbeat> {
         if shards.is_empty() {
             return Vec::new();
         }
         let here = |machine: &&Machine| self.shard_of(machine).is_some_and(|shard| shards.contains(&shard));
         let machines = self.fleet.machines.values().filter(here);
         let mut tasks = 0;
-        let few = |report: &Report| {
+        let few = |report: &Heartbeat| {
             tasks += report.tasks.len();
             tasks <= MAX_TASKS
         };
@@ -141,7 +154,7 @@
     }
 
     /// What became of a message to a holder.
-    pub fn orders_told(&mut self, now: Duration, to: &str, told: ToldHolder, delivery: Delivery) {
+    pub fn orders_told(&mut self, now: Duration, to: &str, told: SentShardCommands, delivery: Delivery) {
         let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(to)) else { return };
         peer.sending = false;
         peer.retry = now + self.settings.message_pause();
@@ -158,7 +171,7 @@
     }
 
     /// The cloud has taken a machine back: whoever held it forgets it.
-    pub(in crate::leader) fn machine_gone(&mut self, host: &HostName) {
+    pub(in crate::leader) fn machine_gone(&mut self, host: &MachineName) {
         for peer in self.shards.iter_mut().flat_map(|shards| shards.peers.values_mut()) {
             peer.due.remove(host);
             if peer.sent.remove(host).is_some() {
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -35,7 +35,7 @@
         now: Duration,
         firm: bool,
         requests: &RequestHandler,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
         if firm && now >= shards.write_due {
@@ -45,7 +45,7 @@
         self.flush_orders(now, requests, out);
     }
 
-    pub(super) fn write_records(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn write_records(&mut self, now: Duration, out: &mut EffectSink) {
         let most = self.settings.txn_ops.min(self.writes.available(now));
         let around = self.surroundings(now);
         let Some(shards) = &mut self.shards else { return };
@@ -64,13 +64,13 @@
             let key = write.shard.key();
             let value = write.record.as_ref().and_then(|record| serde_json::to_string(record).ok());
             match value {
-                Some(value) => Change::Put { key, value, hold: None },
-                None => Change::Delete { key },
+                Some(value) => KvChange::Put { key, value, hold: None },
+                None => KvChange::Delete { key },
             }
         };
         let changes = writes.iter().map(change).collect();
         let call = LeaderCall::WriteShards { writes, sent: now };
-        self.state(call, StateOp::Txn { conditions, changes }, out);
+        self.state(call, KvRequest::Txn { conditions, changes }, out);
     }
 
     /// What became of a write of records; false: somebody else leads.
@@ -78,12 +78,12 @@
         &mut self,
         now: Duration,
         (writes, sent): (Vec<RecordWrite>, Duration),
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) -> bool {
         let outcome = match reply {
-            Ok(StateReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
-            Ok(StateReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
+            Ok(KvReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
             Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
@@ -103,16 +103,16 @@
     }
 
     /// A shard has a holder from now on.
-    pub(super) fn named(&mut self, now: Duration, named: Named, out: &mut Out) {
+    pub(super) fn named(&mut self, now: Duration, named: Named, out: &mut EffectSink) {
         let Named { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
         if moved {
             let before = from.as_deref().unwrap_or("nobody");
             let text = format!("shard {shard} goes from {before} to {to} under {epoch} ({reason:?})");
-            out.log(Level::Info, text);
+            out.log(LogLevel::Info, text);
         }
         let here = |machine: &&Machine| self.shard_of(machine).is_some_and(|of| of == shard);
-        let hosts: Vec<HostName> =
+        let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(here).map(|machine| machine.name.clone()).collect();
         let own = to == self.settings.host;
         let Some(shards) = &mut self.shards else { return };
--- a/crates/plankhead-core/src/leader/shards/reports.rs
+++ b/crates/plankhead-core/src/leader/shards/reports.rs
@@ -4,7 +4,12 @@
 
 impl Leader {
     /// Takes in a holder's message, or refuses it.
-    pub fn holder_report(&mut self, times: Times, message: HolderReport, out: &mut Out) -> Delivery {
+    pub fn holder_report(
+        &mut self,
+        times: StepTime,
+        message: HolderStatus,
+        out: &mut EffectSink,
+    ) -> Delivery {
         let now = times.now;
         let sibling = self.settings.siblings.contains(&message.host);
         let Some(shards) = self.shards.as_mut() else { return Delivery::Unsupported };
@@ -33,7 +38,7 @@
         for news in &message.news {
             peer.names.learn(news.number, news.report.host.clone());
         }
-        let alive: Vec<HostName> = peer.names.of(&message.alive).cloned().collect();
+        let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
@@ -55,7 +60,7 @@
         }
     }
 
-    pub(super) fn is_held_by(&self, host: &HostName, holder: &str) -> bool {
+    pub(super) fn is_held_by(&self, host: &MachineName, holder: &str) -> bool {
         let machine = self.fleet.machines.get(host);
         machine.and_then(|machine| self.holder_of(machine)).is_some_and(|(of, _)| of == holder)
     }
@@ -65,10 +70,10 @@
     /// wants to be told again.
     pub(super) fn machine_news(
         &mut self,
-        times: Times,
+        times: StepTime,
         holder: &str,
-        news: MachineNews,
-        out: &mut Out,
+        news: MachineUpdate,
+        out: &mut EffectSink,
     ) -> bool {
         let report = &news.report;
         let shards = self.shards.as_mut();
@@ -86,7 +91,7 @@
         if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
             machine.unanswered = news.unanswered;
             if news.deaf {
-                machine.leaving.get_or_insert(Leaving::IgnoresCommands);
+                machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
         self.order_due(&report.host);
--- a/crates/plankhead-core/src/leader/takeover.rs
+++ b/crates/plankhead-core/src/leader/takeover.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl Leader {
-    pub fn load(&mut self, now: Duration, out: &mut Out) {
+    pub fn load(&mut self, now: Duration, out: &mut EffectSink) {
         if self.epoch.is_none() {
             self.fresh = now;
         }
         let after = self.page_after.clone();
-        self.state(LeaderCall::ListJobs, StateOp::List { prefix: "job/".into(), after }, out);
+        self.state(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, out);
     }
 
     /// Whether it still reads what is known, and nothing says that it can't.
@@ -21,19 +21,19 @@
         self.load_failed = true;
     }
 
-    pub(super) fn list_chunks(&mut self, out: &mut Out) {
+    pub(super) fn list_chunks(&mut self, out: &mut EffectSink) {
         let after = self.page_after.clone();
-        self.state(LeaderCall::ListChunks, StateOp::List { prefix: "run/".into(), after }, out);
+        self.state(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, out);
     }
 
     pub(super) fn loaded_jobs(
         &mut self,
-        times: Times,
-        reply: Result<StateReply, CallError>,
+        times: StepTime,
+        reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
-        let Ok(StateReply::Page { rows, truncated, epoch }) = reply else {
+        let Ok(KvReply::Page { rows, truncated, epoch }) = reply else {
             return self.load_failed(times.now);
         };
         self.epoch.get_or_insert(epoch);
@@ -50,11 +50,11 @@
 
     pub(super) fn loaded_chunks(
         &mut self,
-        times: Times,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        times: StepTime,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) {
-        let Ok(StateReply::Page { rows, truncated, .. }) = reply else {
+        let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.load_failed(times.now);
         };
         self.page_after = rows.last().map(|r| r.key.clone());
@@ -70,7 +70,7 @@
                     self.garbage.push(StoredKey { key: row.key, revision: Some(row.stamp) });
                 }
                 (Some(id), Some(number)) => self.rows.push((id, number, row.value, row.stamp)),
-                _ => out.log(Level::Error, format!("strange key {}", row.key)),
+                _ => out.log(LogLevel::Error, format!("strange key {}", row.key)),
             }
         }
         if truncated {
@@ -83,17 +83,17 @@
         self.read_target(out);
     }
 
-    pub(super) fn read_target(&self, out: &mut Out) {
-        self.state(LeaderCall::ReadTarget, StateOp::Get { key: TARGET.into() }, out);
+    pub(super) fn read_target(&self, out: &mut EffectSink) {
+        self.state(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, out);
     }
 
     pub(super) fn loaded_target(
         &mut self,
-        times: Times,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        times: StepTime,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) {
-        let Ok(StateReply::Value(row)) = reply else {
+        let Ok(KvReply::Value(row)) = reply else {
             return self.load_failed(times.now);
         };
         let now = times.now;
@@ -132,12 +132,12 @@
         }
         self.adopt_duties(now, out);
         self.stage = Stage::Ready;
-        let reports: Vec<Report> = self.fleet.machines.values().filter_map(|m| m.report.clone()).collect();
+        let reports: Vec<Heartbeat> = self.fleet.machines.values().filter_map(|m| m.report.clone()).collect();
         for report in reports {
-            self.observe(times, &report, Heard::Changed, out);
+            self.observe(times, &report, HeartbeatNews::Changed, out);
         }
         out.log(
-            Level::Info,
+            LogLevel::Info,
             format!(
                 "took over {} jobs and {} machines in {} ms",
                 self.ledger.jobs.len(),
@@ -148,22 +148,22 @@
         self.dirty = true;
     }
 
-    fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, out: &mut Out) {
+    fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, out: &mut EffectSink) {
         for (id, (_, number), value, stamp) in rows {
             if let Err(error) = self.ledger.load_chunk(&id, number, &value, stamp, now) {
                 // Nothing may be started for a job whose attempts are unknown.
-                out.log(Level::Error, format!("placements of {id} can't be read: {error}"));
+                out.log(LogLevel::Error, format!("placements of {id} can't be read: {error}"));
                 self.ledger.remove(&id);
             }
         }
     }
 
-    pub(super) fn ledger_hosts(&self) -> Vec<HostName> {
+    pub(super) fn ledger_hosts(&self) -> Vec<MachineName> {
         self.ledger.hosts().cloned().collect()
     }
 
     /// Takes in a job's row from the state service.
-    pub fn job_row(&mut self, times: Times, row: &Row, requests: &mut RequestHandler) {
+    pub fn job_row(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
@@ -206,7 +206,7 @@
         self.dirty = true;
     }
 
-    pub(super) fn discard(&mut self, id: &JobId, entry: &Entry) {
+    pub(super) fn discard(&mut self, id: &JobId, entry: &JobEntry) {
         self.garbage.extend(entry.stored(id));
     }
 }
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -7,28 +7,28 @@
         self.ledger.jobs.get(id).map(|e| (e.done, e.running))
     }
 
-    pub fn all_progress(&self, most: usize) -> Vec<Progress> {
+    pub fn all_progress(&self, most: usize) -> Vec<JobProgress> {
         let moving =
             self.ledger.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == Phase::Active);
         moving
             .take(most)
-            .map(|(id, e)| Progress { id: id.to_string(), done: e.done, running: e.running })
+            .map(|(id, e)| JobProgress { id: id.to_string(), done: e.done, running: e.running })
             .collect()
     }
 
     /// Past its deadline, or past what its class expects.
-    pub(super) fn late(&self, entry: &Entry, now: Duration) -> bool {
+    pub(super) fn late(&self, entry: &JobEntry, now: Duration) -> bool {
         self.done_within(&entry.spec).is_some_and(|within| now > entry.accepted + within)
     }
 
-    pub(super) fn stuck(&self, entry: &Entry, now: Duration) -> bool {
+    pub(super) fn stuck(&self, entry: &JobEntry, now: Duration) -> bool {
         let idle = entry.running == 0 && entry.placed == 0 && entry.unfinished() > 0;
         idle && now.saturating_sub(entry.accepted) > STUCK || entry.error_hosts.len() > 1
     }
 
     /// What a gang that does not run waits for.
-    pub(super) fn waits_for(&self, entry: &Entry) -> Option<&'static str> {
-        let all = |seen: fn(Option<Seen>) -> bool| self.ledger.placements(entry).all(|a| seen(a.seen));
+    pub(super) fn waits_for(&self, entry: &JobEntry) -> Option<&'static str> {
+        let all = |seen: fn(Option<TaskStatus>) -> bool| self.ledger.placements(entry).all(|a| seen(a.seen));
         if entry.gang.is_none() || entry.phase != Phase::Active || entry.done > 0 {
             return None;
         }
@@ -44,16 +44,16 @@
         if !entry.complete() {
             return Some("its placements to be written");
         }
-        let there = all(|seen| matches!(seen, Some(Seen::WaitingForGang)));
+        let there = all(|seen| matches!(seen, Some(TaskStatus::WaitingForGang)));
         Some(if there { "its other tasks" } else { "images" })
     }
 
-    pub(super) fn tell_late(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn tell_late(&mut self, now: Duration, out: &mut EffectSink) {
         if now < self.late_due {
             return;
         }
         self.late_due = now + LATE_SCAN;
-        let live = |e: &Entry| e.phase == Phase::Active && !e.told_late;
+        let live = |e: &JobEntry| e.phase == Phase::Active && !e.told_late;
         let news: Vec<(JobId, bool, bool, Option<&str>)> = self
             .ledger
             .jobs
@@ -70,12 +70,12 @@
                 let (done, tasks) = (entry.done, entry.spec.tasks);
                 let gang = waits.map(|w| format!(", waits for {w}")).unwrap_or_default();
                 let text = format!("{id} {what} after {age} s: {done} of {tasks} done (late: {late}){gang}");
-                out.log(Level::Info, text);
+                out.log(LogLevel::Info, text);
             }
         }
     }
 
-    pub fn view(&self, times: Times) -> serde_json::Value {
+    pub fn view(&self, times: StepTime) -> serde_json::Value {
         let now = times.now;
         let jobs: Vec<_> = self
             .ledger
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -24,46 +24,47 @@
     /// heard, so that somebody else may lead by now.
     pub fn beat(
         &mut self,
-        times: Times,
-        report: Report,
+        times: StepTime,
+        report: Heartbeat,
         (relayed, adrift): (bool, bool),
         requests: &RequestHandler,
-        out: &mut Out,
-    ) -> Answer {
+        out: &mut EffectSink,
+    ) -> Response {
         let now = times.now;
         self.reached |= !relayed;
         if !self.permits(Action::AnswerReports, now) {
-            return Answer::Unavailable { retry: Duration::from_secs(1) };
+            return Response::Unavailable { retry: Duration::from_secs(1) };
         }
         if !self.may_answer(now) || self.fleet.is_gone(&report.host) {
             // What it tells counts all the same, and that it is there.
             self.hear(times, &report, false, out);
-            return Answer::Unavailable { retry: Duration::from_secs(1) };
+            return Response::Unavailable { retry: Duration::from_secs(1) };
         }
         let host = report.host.clone();
         let heard = self.hear(times, &report, false, out);
         let token = self.token_for(&host);
         let orders = self.orders(now, &host, requests);
-        let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != Heard::Stale) else {
+        let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != HeartbeatNews::Stale)
+        else {
             // A copy gets no orders, nor counts as heard.
-            return Answer::Commands { token, orders: Vec::new() };
+            return Response::Commands { token, orders: Vec::new() };
         };
         machine.relayed = relayed;
         if !relayed {
             machine.direct = now;
         }
         if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Answer::Redirect { foreman: None };
+            return Response::Redirect { foreman: None };
         }
         machine.note_answer(&orders, now);
         self.note_offers(&orders, token);
-        Answer::Commands { token, orders }
+        Response::Commands { token, orders }
     }
 
     /// Notes which attempts a worker may be told to run from now on, and under which token.
-    pub(super) fn note_offers(&mut self, orders: &[Order], token: u64) {
+    pub(super) fn note_offers(&mut self, orders: &[WorkerCommand], token: u64) {
         for order in orders {
-            if let Order::Run { task, .. } = order {
+            if let WorkerCommand::Run { task, .. } = order {
                 if let Some(attempt) = self.ledger.attempt_mut(task) {
                     attempt.offered = attempt.offered.max(Some(token));
                 }
@@ -72,7 +73,13 @@
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
-    pub(super) fn hear(&mut self, times: Times, report: &Report, ours: bool, out: &mut Out) -> Heard {
+    pub(super) fn hear(
+        &mut self,
+        times: StepTime,
+        report: &Heartbeat,
+        ours: bool,
+        out: &mut EffectSink,
+    ) -> HeartbeatNews {
         let up = |fleet: &Fleet| fleet.machines.get(&report.host).is_some_and(Machine::up);
         let before = up(&self.fleet);
         let heard = match ours {
@@ -80,28 +87,34 @@
             false => self.fleet.observe(report, self.token, times.now),
         };
         self.dirty |= up(&self.fleet) != before;
-        if heard != Heard::Stale && self.stage == Stage::Ready {
+        if heard != HeartbeatNews::Stale && self.stage == Stage::Ready {
             self.observe(times, report, heard, out);
         }
         heard
     }
 
     /// Draws the conclusions from a new report.
-    pub(super) fn observe(&mut self, times: Times, report: &Report, heard: Heard, out: &mut Out) {
+    pub(super) fn observe(
+        &mut self,
+        times: StepTime,
+        report: &Heartbeat,
+        heard: HeartbeatNews,
+        out: &mut EffectSink,
+    ) {
         let now = times.now;
         let (ended, lost) = match heard {
-            Heard::Changed => self.ledger.observe(report, report.token >= self.token, now),
+            HeartbeatNews::Changed => self.ledger.observe(report, report.token >= self.token, now),
             _ => Default::default(),
         };
         if lost > 0 {
             // Such an attempt is neither there nor proven gone.
             if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
-                machine.leaving.get_or_insert(Leaving::LostAttempts);
+                machine.leaving.get_or_insert(RemovalReason::LostAttempts);
             }
         }
-        for listed in report.tasks.iter().filter(|_| heard == Heard::Changed) {
+        for listed in report.tasks.iter().filter(|_| heard == HeartbeatNews::Changed) {
             // Who waits for other tasks of a gang has the image.
-            if !matches!(listed.seen, Seen::Running | Seen::WaitingForGang) {
+            if !matches!(listed.seen, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
             }
             if let Some(spec) = self.ledger.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
@@ -118,7 +131,7 @@
         }
         self.tell_urgent(now, out);
         if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
-            let idle = report.tasks.iter().all(|t| matches!(t.seen, Seen::Exited(_)));
+            let idle = report.tasks.iter().all(|t| matches!(t.seen, TaskStatus::Exited(_)));
             match (idle && self.ledger.on_host(&report.host).next().is_none(), machine.idle_since) {
                 (true, None) => {
                     machine.idle_since = Some(now);
@@ -132,7 +145,13 @@
 
     /// A machine is about to be taken: what can't end before goes elsewhere at
     /// once instead of being lost.
-    pub(super) fn leave_in_time(&mut self, now: Duration, host: &HostName, left: Duration, out: &mut Out) {
+    pub(super) fn leave_in_time(
+        &mut self,
+        now: Duration,
+        host: &MachineName,
+        left: Duration,
+        out: &mut EffectSink,
+    ) {
         let here: Vec<TaskId> = self.ledger.on_host(host).cloned().collect();
         for task in here {
             let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(&task))
@@ -149,11 +168,11 @@
         self.tell(now, host, out);
     }
 
-    pub(super) fn ended(&mut self, now: Duration, host: &HostName, end: &Ended, out: &mut Out) {
+    pub(super) fn ended(&mut self, now: Duration, host: &MachineName, end: &Ended, out: &mut EffectSink) {
         let Some(entry) = self.ledger.jobs.get_mut(&end.task.job) else { return };
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         match end.cause {
-            Some(Cause::Completed) => {
+            Some(ExitReason::Completed) => {
                 machine.errors = 0;
                 entry.errors = 0;
                 entry.error_hosts.clear();
@@ -163,7 +182,7 @@
                     *mean += 0.1 * (ratio - *mean);
                 }
             }
-            Some(Cause::Failed) => {
+            Some(ExitReason::Failed) => {
                 entry.errors += 1;
                 entry.error_hosts.insert(host.clone());
                 // A job that fails on every machine is the job's fault.
@@ -174,39 +193,49 @@
                 if entry.error_hosts.len() > 1 {
                     entry.not_before = now + wait;
                 }
-                out.log(Level::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
+                out.log(LogLevel::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
             }
-            Some(Cause::InsufficientResources | Cause::AttemptConflict) => {
+            Some(ExitReason::InsufficientResources | ExitReason::AttemptConflict) => {
                 machine.full_until = now + FULL_PAUSE
             }
-            Some(Cause::UnknownJob) => entry.not_before = now + Duration::from_secs(1),
+            Some(ExitReason::UnknownJob) => entry.not_before = now + Duration::from_secs(1),
             // Another task's fault, or nobody's.
-            Some(Cause::Stopped | Cause::GangMemberLost | Cause::GangIncomplete | Cause::Unrecognized)
+            Some(
+                ExitReason::Stopped
+                | ExitReason::GangMemberLost
+                | ExitReason::GangIncomplete
+                | ExitReason::Unrecognized,
+            )
             | None => {}
         }
     }
 
     /// Orders for a machine, by its newest report.
-    pub(super) fn orders(&self, now: Duration, host: &HostName, requests: &RequestHandler) -> Vec<Order> {
+    pub(super) fn orders(
+        &self,
+        now: Duration,
+        host: &MachineName,
+        requests: &RequestHandler,
+    ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
         let Some(report) = &machine.report else { return Vec::new() };
         let mut orders = Vec::new();
         let (reaps, kills) = (self.permits(Action::AcknowledgeEnds, now), self.permits(Action::Kill, now));
-        for Listed { task, attempt, seen } in report.tasks.iter() {
+        for ReportedTask { task, attempt, seen } in report.tasks.iter() {
             let attempt = *attempt;
-            if matches!(seen, Seen::Exited(_)) {
+            if matches!(seen, TaskStatus::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
                 let unconfirmed = machine.has_unconfirmed_run(task, attempt);
                 let over = !self.ledger.jobs.contains_key(&task.job) && requests.is_over(&task.job);
                 if reaps && !unconfirmed && (over || self.ledger.may_reap(task, attempt)) {
-                    orders.push(Order::Acknowledge { task: task.clone(), attempt });
+                    orders.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
             } else if let Some(leeway) = self.unwanted(host, task, attempt, requests).filter(|_| kills) {
-                orders.push(Order::Kill { task: task.clone(), attempt, leeway });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, leeway });
             }
         }
         orders.extend(self.unheard(now, machine, report));
-        orders.extend(self.runs(now, machine).map(|(task, attempt)| Order::Run { task, attempt }));
+        orders.extend(self.runs(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }));
         orders.truncate(MOST_ORDERS);
         orders
     }
@@ -214,7 +243,7 @@
     /// Whether a listed attempt must go, and how much time it has to save.
     pub(super) fn unwanted(
         &self,
-        host: &HostName,
+        host: &MachineName,
         task: &TaskId,
         attempt: u64,
         requests: &RequestHandler,
@@ -246,20 +275,20 @@
     /// Tasks of a gang that is to end which the worker was told of and has not
     /// listed: the command may be lost, or come yet. Told to run and to stop at
     /// once, the worker lists them as ended, and a late command has no effect.
-    fn unheard(&self, now: Duration, machine: &Machine, report: &Report) -> Vec<Order> {
+    fn unheard(&self, now: Duration, machine: &Machine, report: &Heartbeat) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         let sighted = self.sighted(now);
         for task in self.ledger.on_host(&machine.name).filter(|_| sighted) {
-            let ending = |e: &&Entry| e.phase == Phase::Active && e.ending();
+            let ending = |e: &&JobEntry| e.phase == Phase::Active && e.ending();
             let found = self.ledger.jobs.get(&task.job).filter(ending).and(self.ledger.attempt(task));
             let Some(attempt) = found else { continue };
             let told = attempt.offered.is_some() && attempt.seen.is_none() && attempt.shift == report.shift;
             let listed = report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt.number);
             if told && !listed {
                 let number = attempt.number;
-                orders.push(Order::Run { task: task.clone(), attempt: number });
+                orders.push(WorkerCommand::Run { task: task.clone(), attempt: number });
                 let leeway = Duration::ZERO;
-                orders.push(Order::Kill { task: task.clone(), attempt: number, leeway });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt: number, leeway });
             }
         }
         orders
@@ -288,7 +317,7 @@
 
     /// Sends a machine what it should hear at once: starts, each once, and
     /// kills, each once. The answers to reports repeat what got lost.
-    pub(super) fn tell(&mut self, now: Duration, host: &HostName, out: &mut Out) {
+    pub(super) fn tell(&mut self, now: Duration, host: &MachineName, out: &mut EffectSink) {
         let Some(machine) = self.fleet.machines.get(host) else { return };
         if !self.commands(machine) {
             return self.order_due(host);
@@ -319,41 +348,41 @@
         if runs.is_empty() && kills.is_empty() {
             return;
         }
-        let mut orders: Vec<Order> = Vec::new();
+        let mut orders: Vec<WorkerCommand> = Vec::new();
         for (task, attempt) in &kills {
             let leeway = self.leeway(task);
             if let Some(a) = self.ledger.attempt_mut(task) {
                 a.kill_told = true;
             }
-            orders.push(Order::Kill { task: task.clone(), attempt: *attempt, leeway });
+            orders.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, leeway });
         }
         let token = self.token_for(host);
         for (task, attempt) in &runs {
             if let Some(a) = self.ledger.attempt_mut(task) {
                 (a.told, a.offered) = (true, a.offered.max(Some(token)));
             }
-            orders.push(Order::Run { task: task.clone(), attempt: *attempt });
+            orders.push(WorkerCommand::Run { task: task.clone(), attempt: *attempt });
         }
         if !runs.is_empty() && !std::mem::replace(&mut self.started, true) {
             let after = now.saturating_sub(self.began).as_millis();
-            out.log(Level::Info, format!("first starts {after} ms after it leads"));
+            out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
         let leader_call = LeaderCall::SendCommands { host: host.clone(), shift, runs };
-        out.orders(Purpose::Leader(self.token, leader_call), address, token, shift, orders);
+        out.orders(CallPurpose::Leader(self.token, leader_call), address, token, shift, orders);
     }
 
     /// Tells the machines of gangs that are to end, all at once.
-    pub(super) fn tell_urgent(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn tell_urgent(&mut self, now: Duration, out: &mut EffectSink) {
         for host in std::mem::take(&mut self.ledger.urgent) {
             self.tell(now, &host, out);
         }
     }
 
     /// Kills what was cancelled, without waiting for the workers' reports.
-    pub(super) fn tell_kills(&mut self, now: Duration, out: &mut Out) {
-        let hosts: BTreeSet<HostName> = self
+    pub(super) fn tell_kills(&mut self, now: Duration, out: &mut EffectSink) {
+        let hosts: BTreeSet<MachineName> = self
             .ledger
             .jobs
             .iter()
--- a/crates/plankhead-core/src/leader/writing.rs
+++ b/crates/plankhead-core/src/leader/writing.rs
@@ -5,7 +5,7 @@
 impl Leader {
     /// Sends transactions: finished jobs first, then placements, the more urgent
     /// ones before others, then ends.
-    pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, out: &mut Out) {
+    pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, out: &mut EffectSink) {
         if now < self.hold_until {
             return;
         }
@@ -40,7 +40,7 @@
                 return;
             }
             self.txns += 1;
-            let op = StateOp::Txn { conditions: txn.conditions, changes: txn.changes };
+            let op = KvRequest::Txn { conditions: txn.conditions, changes: txn.changes };
             self.state(LeaderCall::Commit(txn.batch), op, out);
         }
     }
@@ -89,7 +89,7 @@
             txn.condition(Condition { key: id.key(), stamp: entry.stamp });
             txn.condition(Condition { key: key.clone(), stamp: chunk.stamp });
             txn.bytes += value.len() + 400;
-            txn.changes.push(Change::Put { key, value, hold: None });
+            txn.changes.push(KvChange::Put { key, value, hold: None });
             txn.batch.chunks.push((id.clone(), number, version));
             if let Some(chunk) = self.ledger.jobs.get_mut(&id).and_then(|e| e.chunks.get_mut(&number)) {
                 chunk.writing = true;
@@ -114,7 +114,7 @@
             let stamp = entry.stamp;
             txn.condition(Condition { key: id.key(), stamp });
             txn.bytes += value.len() + 200;
-            txn.changes.push(Change::Put { key: id.key(), value, hold: None });
+            txn.changes.push(KvChange::Put { key: id.key(), value, hold: None });
             txn.batch.finals.push(id.clone());
         }
     }
@@ -151,7 +151,7 @@
     }
 
     /// Reads again what is in doubt.
-    fn refresh(&mut self, out: &mut Out) {
+    fn refresh(&mut self, out: &mut EffectSink) {
         let mut calls = Vec::new();
         self.doubts = false;
         for (id, number) in &self.ledger.dirty {
@@ -169,27 +169,27 @@
             }
         }
         for (leader_call, key) in calls {
-            self.state(leader_call, StateOp::Get { key }, out);
+            self.state(leader_call, KvRequest::Get { key }, out);
         }
     }
 
-    fn write_target(&mut self, now: Duration, out: &mut Out) {
+    fn write_target(&mut self, now: Duration, out: &mut EffectSink) {
         let Ok(value) = serde_json::to_string(&self.target) else { return };
         if value.len() > self.settings.value_bytes {
             self.target_dirty = false;
-            return out.log(Level::Error, "the target is too large to be stored".into());
+            return out.log(LogLevel::Error, "the target is too large to be stored".into());
         }
         if !self.writes.take(now, 1) {
             return;
         }
         self.target_dirty = false;
         self.target_writing = true;
-        let changes = vec![Change::Put { key: TARGET.into(), value, hold: None }];
-        self.state(LeaderCall::WriteTarget, StateOp::Txn { conditions: vec![self.lead()], changes }, out);
+        let changes = vec![KvChange::Put { key: TARGET.into(), value, hold: None }];
+        self.state(LeaderCall::WriteTarget, KvRequest::Txn { conditions: vec![self.lead()], changes }, out);
     }
 
     /// Drops chunks that nobody needs, when there is room to write.
-    pub(super) fn sweep(&mut self, now: Duration, out: &mut Out) {
+    pub(super) fn sweep(&mut self, now: Duration, out: &mut EffectSink) {
         let spare = self.writes.available(now) as f64 >= self.settings.write_rps * 0.4;
         let due = spare || self.pressing > 0;
         if self.sweeping || !due || now < self.hold_until {
@@ -216,16 +216,16 @@
             let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), stamp: k.revision? });
             conditions.extend(keys.iter().filter_map(revision));
         }
-        let changes = keys.iter().map(|k| Change::Delete { key: k.key.clone() }).collect();
-        self.state(LeaderCall::DeleteGarbage(keys), StateOp::Txn { conditions, changes }, out);
+        let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
+        self.state(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, out);
     }
 
     /// Where duties are fenced, a key goes only at the revision that is known to be over:
     /// where that is in doubt it is read first.
-    fn of_known_revision(&self, keys: Vec<StoredKey>, out: &mut Out) -> Vec<StoredKey> {
+    fn of_known_revision(&self, keys: Vec<StoredKey>, out: &mut EffectSink) -> Vec<StoredKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
         for StoredKey { key, .. } in unknown {
-            self.state(LeaderCall::ReadGarbageRevision(key.clone()), StateOp::Get { key }, out);
+            self.state(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, out);
         }
         known
     }
@@ -243,14 +243,14 @@
 
     /// The reply to a question after a key that is to go. A job of that name may be there
     /// again: then its records are its own.
-    pub(super) fn garbage_read(&mut self, key: String, reply: Result<StateReply, CallError>) {
+    pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
         let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
         let needed =
             job.is_some_and(|id| self.ledger.jobs.get(&id).is_some_and(|e| e.phase == Phase::Active));
         match reply {
             _ if needed => {}
-            Ok(StateReply::Value(None)) => {}
-            Ok(StateReply::Value(Some(row))) => {
+            Ok(KvReply::Value(None)) => {}
+            Ok(KvReply::Value(Some(row))) => {
                 self.garbage.push(StoredKey { key, revision: Some(row.stamp) });
             }
             _ => self.garbage.push(StoredKey { key, revision: None }),
@@ -258,21 +258,21 @@
     }
 
     /// Moves records of jobs that are over to where no new leader reads them.
-    fn put_away(&mut self, now: Duration, out: &mut Out) {
+    fn put_away(&mut self, now: Duration, out: &mut EffectSink) {
         let most = (self.settings.txn_ops / 2).min(self.archive.len());
         if most == 0 || !self.writes.take(now, most * 2) {
             return;
         }
         self.sweeping = true;
-        let finals: Vec<Final> = self.archive.drain(..most).collect();
+        let finals: Vec<FinishedJob> = self.archive.drain(..most).collect();
         let mut conditions = vec![self.lead()];
         let mut changes = Vec::new();
         for (id, stamp, record) in &finals {
             let Ok(value) = serde_json::to_string(record) else { continue };
             conditions.push(Condition { key: id.key(), stamp: *stamp });
-            changes.push(Change::Put { key: id.over_key(), value, hold: None });
-            changes.push(Change::Delete { key: id.key() });
+            changes.push(KvChange::Put { key: id.over_key(), value, hold: None });
+            changes.push(KvChange::Delete { key: id.key() });
         }
-        self.state(LeaderCall::ArchiveJobs(finals), StateOp::Txn { conditions, changes }, out);
+        self.state(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, out);
     }
 }
--- a/crates/plankhead-core/src/ledger.rs
+++ b/crates/plankhead-core/src/ledger.rs
@@ -17,7 +17,7 @@
 //! ranges, the old one does. Nothing is ever moved in steps that need each other.
 
 use crate::job::{JobId, JobRecord, JobSpec, Phase};
-use crate::protocol::{Cause, HostName, Report, Seen, TaskId};
+use crate::protocol::{ExitReason, Heartbeat, MachineName, TaskId, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
     pub number: u64,
-    pub host: HostName,
+    pub host: MachineName,
     /// The worker's session in which alone the attempt can run.
     pub shift: u64,
     pub zone: Arc<str>,
     /// The chunk version that must be durable before `run` may be sent.
     pub version: u64,
-    pub seen: Option<Seen>,
+    pub seen: Option<TaskStatus>,
     pub placed: Duration,
     pub running: Option<Duration>,
     /// An earlier leader placed it.
@@ -103,7 +103,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct JobEntry {
     pub spec: Arc<JobSpec>,
     pub gang: Option<Gang>,
     pub phase: Phase,
@@ -128,7 +128,7 @@
     pub zones: BTreeMap<Arc<str>, u32>,
     /// Errors in a row, and the machines they came from.
     pub errors: u32,
-    pub error_hosts: BTreeSet<HostName>,
+    pub error_hosts: BTreeSet<MachineName>,
     pub not_before: Duration,
     /// The final record is being written.
     pub finishing: bool,
@@ -137,7 +137,7 @@
     pub told_late: bool,
 }
 
-impl Entry {
+impl JobEntry {
     /// Tasks that could be placed now.
     pub fn pending(&self) -> u32 {
         self.spec.tasks - self.fresh + self.again.len() as u32
@@ -200,14 +200,14 @@
     pub task: TaskId,
     pub attempt: u64,
     /// None: the attempt is gone without the worker having said how.
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
     /// How long it ran, where both ends were seen.
     pub ran: Option<Duration>,
     pub stopped: bool,
 }
 
 #[derive(Debug, Error)]
-pub enum BadChunk {
+pub enum ChunkError {
     #[error("not a chunk: {0}")]
     Json(#[from] serde_json::Error),
     #[error("a task or host out of range")]
@@ -216,7 +216,7 @@
 
 /// The value of a `run/<id>/<n>` key.
 #[derive(Debug, Serialize, Deserialize)]
-struct ChunkText {
+struct StoredChunk {
     /// Machines as (name, shift, zone).
     h: Vec<(String, u64, String)>,
     /// Tasks as (index, tried, place in `h` or -1).
@@ -233,8 +233,8 @@
 
 /// Takes a loaded task out of its job's counts.
 fn forget(
-    entry: &mut Entry,
-    on_host: &mut HashMap<HostName, BTreeSet<TaskId>>,
+    entry: &mut JobEntry,
+    on_host: &mut HashMap<MachineName, BTreeSet<TaskId>>,
     id: &JobId,
     index: u32,
     task: &Task,
@@ -258,22 +258,22 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Ledger {
-    pub jobs: BTreeMap<JobId, Entry>,
-    on_host: HashMap<HostName, BTreeSet<TaskId>>,
+pub struct JobTable {
+    pub jobs: BTreeMap<JobId, JobEntry>,
+    on_host: HashMap<MachineName, BTreeSet<TaskId>>,
     /// Chunks with changes that are not durable.
     pub dirty: BTreeSet<(JobId, u32)>,
     /// Those of them with placements that wait to be written.
     pub placing: BTreeSet<(JobId, u32)>,
     /// Machines whose attempts have changed since the last look.
-    pub touched: BTreeSet<HostName>,
+    pub touched: BTreeSet<MachineName>,
     /// Jobs all of whose tasks have ended, one way or the other.
     pub closing: BTreeSet<JobId>,
     /// Machines with tasks of gangs that were just told to end.
-    pub urgent: BTreeSet<HostName>,
+    pub urgent: BTreeSet<MachineName>,
 }
 
-impl Ledger {
+impl JobTable {
     /// Takes in a job's record. `accepted` and `cancelled` are on our clock.
     pub fn upsert(
         &mut self,
@@ -301,7 +301,7 @@
         let gang = spec.gang.then(Gang::default);
         self.jobs.insert(
             id.clone(),
-            Entry {
+            JobEntry {
                 spec: Arc::new(spec),
                 gang,
                 phase: record.phase,
@@ -363,8 +363,8 @@
         value: &str,
         stamp: u64,
         now: Duration,
-    ) -> Result<(), BadChunk> {
-        let text: ChunkText = serde_json::from_str(value)?;
+    ) -> Result<(), ChunkError> {
+        let text: StoredChunk = serde_json::from_str(value)?;
         let Some(entry) = self.jobs.get_mut(id) else { return Ok(()) };
         let tasks = entry.spec.tasks;
         let mut chunk = Chunk { stamp, ..Chunk::default() };
@@ -377,7 +377,7 @@
         }
         for (first, last) in text.d {
             if first > last || last >= tasks {
-                return Err(BadChunk::Range);
+                return Err(ChunkError::Range);
             }
             for index in first..=last {
                 chunk.tasks.insert(index, Task { tried: 0, end_version: 0, state: TaskState::Done });
@@ -387,7 +387,7 @@
             let state = match usize::try_from(place) {
                 Err(_) => TaskState::Idle,
                 Ok(place) => {
-                    let (host, shift, zone) = text.h.get(place).ok_or(BadChunk::Range)?;
+                    let (host, shift, zone) = text.h.get(place).ok_or(ChunkError::Range)?;
                     TaskState::Placed(Attempt {
                         number: tried,
                         host: host.as_str().into(),
@@ -406,7 +406,7 @@
                 }
             };
             if index >= tasks || chunk.tasks.contains_key(&index) {
-                return Err(BadChunk::Range);
+                return Err(ChunkError::Range);
             }
             chunk.tasks.insert(index, Task { tried, end_version: 0, state });
         }
@@ -502,7 +502,7 @@
     /// A gang of which not every task found its machine after all does not wait for
     /// the rest: none of it has been told to run.
     pub fn whole_or_none(&mut self, id: &JobId) {
-        let torn = |e: &Entry| e.gang.is_some() && e.placed > 0 && e.placed < e.spec.tasks;
+        let torn = |e: &JobEntry| e.gang.is_some() && e.placed > 0 && e.placed < e.spec.tasks;
         if self.jobs.get(id).is_some_and(|e| torn(e) && !e.ending()) {
             self.break_gang(id);
         }
@@ -546,7 +546,7 @@
     pub fn place(
         &mut self,
         id: &JobId,
-        host: &HostName,
+        host: &MachineName,
         shift: u64,
         zone: &Arc<str>,
         now: Duration,
@@ -685,7 +685,7 @@
             }
         }
         entry.placed -= 1;
-        if attempt.seen == Some(Seen::Running) {
+        if attempt.seen == Some(TaskStatus::Running) {
             entry.running -= 1;
         }
         if let Some(count) = entry.zones.get_mut(&attempt.zone) {
@@ -718,9 +718,9 @@
     /// leaders are refused from now on, so that an attempt of theirs that is not
     /// listed is not there and can't come. That is enough to forget attempts of
     /// cancelled jobs, of which no new ones will be made.
-    pub fn observe(&mut self, report: &Report, own: bool, now: Duration) -> (Vec<Ended>, u32) {
+    pub fn observe(&mut self, report: &Heartbeat, own: bool, now: Duration) -> (Vec<Ended>, u32) {
         let here: Vec<TaskId> = self.on_host(&report.host).cloned().collect();
-        let listed: HashMap<(&TaskId, u64), Seen> =
+        let listed: HashMap<(&TaskId, u64), TaskStatus> =
             report.tasks.iter().map(|l| ((&l.task, l.attempt), l.seen)).collect();
         let mut ended = Vec::new();
         let mut lost = 0;
@@ -745,10 +745,10 @@
                     self.note_end(&id, now);
                 }
                 None => lost += u32::from(attempt.seen.is_some()),
-                Some(Seen::Exited(cause)) => {
+                Some(TaskStatus::Exited(cause)) => {
                     let ran = running.map(|at| now.saturating_sub(at));
                     ended.push(finish(Some(*cause), ran));
-                    self.end(&id, *cause == Cause::Completed);
+                    self.end(&id, *cause == ExitReason::Completed);
                     self.note_end(&id, now);
                 }
                 Some(seen) => self.saw(&id, *seen, now),
@@ -767,7 +767,7 @@
     fn ended_together(&mut self, end: &Ended) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
-        let orderly = gang.stopping && end.cause == Some(Cause::Stopped);
+        let orderly = gang.stopping && end.cause == Some(ExitReason::Stopped);
         if entry.placed > 0 && entry.phase == Phase::Active && !gang.done && !orderly {
             self.break_gang(&end.task.job);
         }
@@ -778,23 +778,23 @@
         self.jobs.get(id).is_some_and(|e| e.phase == Phase::Cancelled || e.ending())
     }
 
-    fn saw(&mut self, id: &TaskId, seen: Seen, now: Duration) {
+    fn saw(&mut self, id: &TaskId, seen: TaskStatus, now: Duration) {
         let Some(attempt) = self.attempt_mut(id) else { return };
         let before = attempt.seen.replace(seen);
-        if seen == Seen::Running && attempt.running.is_none() {
+        if seen == TaskStatus::Running && attempt.running.is_none() {
             attempt.running = Some(now);
             let host = attempt.host.clone();
             self.touched.insert(host);
         }
         let Some(entry) = self.jobs.get_mut(&id.job) else { return };
-        match (before == Some(Seen::Running), seen == Seen::Running) {
+        match (before == Some(TaskStatus::Running), seen == TaskStatus::Running) {
             (false, true) => entry.running += 1,
             (true, false) => entry.running -= 1,
             _ => {}
         }
         // An earlier leader began to stop the gang: whoever is not told in time
         // spoils what the others save.
-        if seen == Seen::Checkpointing && entry.gang.is_some() {
+        if seen == TaskStatus::Checkpointing && entry.gang.is_some() {
             self.stop(id);
         }
     }
@@ -824,7 +824,7 @@
     /// A chunk's value, and the version that it holds.
     pub fn encode(&self, id: &JobId, number: u32) -> Option<(String, u64)> {
         let chunk = self.jobs.get(id)?.chunks.get(&number)?;
-        let mut text = ChunkText { h: Vec::new(), t: Vec::new(), d: Vec::new() };
+        let mut text = StoredChunk { h: Vec::new(), t: Vec::new(), d: Vec::new() };
         let mut places: HashMap<(&str, u64), i32> = HashMap::new();
         for (index, task) in &chunk.tasks {
             match &task.state {
@@ -846,7 +846,7 @@
     }
 
     /// A chunk's write is durable. Returns the machines that have news.
-    pub fn committed(&mut self, id: &JobId, number: u32, version: u64, stamp: u64) -> BTreeSet<HostName> {
+    pub fn committed(&mut self, id: &JobId, number: u32, version: u64, stamp: u64) -> BTreeSet<MachineName> {
         let mut hosts = BTreeSet::new();
         let Some(entry) = self.jobs.get_mut(id) else { return hosts };
         let Some(chunk) = entry.chunks.get_mut(&number) else { return hosts };
@@ -883,12 +883,12 @@
     }
 
     /// Every machine with attempts not proven gone.
-    pub fn hosts(&self) -> impl Iterator<Item = &HostName> {
+    pub fn hosts(&self) -> impl Iterator<Item = &MachineName> {
         self.on_host.keys()
     }
 
     /// A job's attempts not proven gone.
-    pub fn placements<'a>(&self, entry: &'a Entry) -> impl Iterator<Item = &'a Attempt> + 'a {
+    pub fn placements<'a>(&self, entry: &'a JobEntry) -> impl Iterator<Item = &'a Attempt> + 'a {
         entry.attempts().map(|(_, attempt)| attempt)
     }
 
@@ -914,7 +914,7 @@
     }
 
     /// Forgets a job that is over in the state service, too.
-    pub fn remove(&mut self, id: &JobId) -> Option<Entry> {
+    pub fn remove(&mut self, id: &JobId) -> Option<JobEntry> {
         self.closing.remove(id);
         let entry = self.jobs.remove(id)?;
         for number in entry.chunks.keys() {
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -5,19 +5,19 @@
 mod shards;
 mod workers;
 
-use crate::election::{Election, Verdict};
+use crate::election::{Election, LeadershipChange};
 use crate::job::JobId;
 use crate::leader::{Leader, LeaderCall, Sight};
-use crate::portions::Portions;
+use crate::portions::CpuBudget;
 use crate::protocol::{
-    Answer, Ask, Call, CallError, CloudOp, CloudReply, Effect, Event, HostName, Level, Progress, Pulse,
-    Report, Rig, StateReply,
+    CallError, CallId, CloudReply, CloudRequest, Effect, Event, Heartbeat, JobProgress, KvReply, LogLevel,
+    MachineName, MachineType, PeerHeartbeat, RequestId, Response,
 };
-use crate::reach::{LeaderFacts, Reach};
+use crate::reach::{LeaderFacts, Reachability};
 use crate::requests::{PendingRequest, RequestHandler};
 use crate::settings::Settings;
 use crate::version_barrier::VersionBarrier;
-pub use out::{Out, Purpose, Times};
+pub use out::{CallPurpose, EffectSink, StepTime};
 use plankhead_fencing::token::TokenGuard;
 use plankhead_reachability::coverage::{Coverage, CoverageFault, KnownHolder};
 use plankhead_reachability::mode::Mode;
@@ -59,20 +59,20 @@
 #[derive(Debug)]
 pub struct Node {
     settings: Arc<Settings>,
-    out: Out,
+    out: EffectSink,
     requests: RequestHandler,
     election: Election,
     version_barrier: VersionBarrier,
     leader: Option<Leader>,
-    rigs: BTreeMap<String, Rig>,
+    rigs: BTreeMap<String, MachineType>,
     catalog_due: Duration,
     catalog_asked: bool,
     pulse_due: Duration,
-    siblings: HashMap<String, (Duration, Pulse)>,
+    siblings: HashMap<String, (Duration, PeerHeartbeat)>,
     /// Since when the state service has failed every call.
     state_bad: Option<Duration>,
     /// Workers sent to a leader: under which token, and when.
-    sent: HashMap<HostName, (u64, Duration)>,
+    sent: HashMap<MachineName, (u64, Duration)>,
     held: Vec<Held>,
     /// The highest fencing token that anything showed.
     tokens: TokenGuard,
@@ -83,7 +83,7 @@
     /// Its part in divided machines, where they are.
     sharding: Option<Box<shards::Sharding>>,
     /// What this node reaches; made at the first step, which has the time.
-    reach: Option<Reach>,
+    reach: Option<Reachability>,
 }
 
 impl Node {
@@ -96,11 +96,11 @@
             election: Election::new(
                 settings.host.clone(),
                 settings.boot,
-                Portions::new(settings.cpu).leader_lease(),
+                CpuBudget::new(settings.cpu).leader_lease(),
             ),
             version_barrier: VersionBarrier::new(&settings),
             settings,
-            out: Out::default(),
+            out: EffectSink::default(),
             leader: None,
             rigs: BTreeMap::new(),
             catalog_due: Duration::ZERO,
@@ -131,7 +131,7 @@
 
     /// Which sides this node sees, where that is judged.
     pub fn mode(&self) -> Option<Mode> {
-        self.reach.as_ref().map(Reach::mode)
+        self.reach.as_ref().map(Reachability::mode)
     }
 
     /// Tells how far the process is behind for want of processor time, so that what can
@@ -140,9 +140,9 @@
         self.lag = lag;
     }
 
-    pub fn step(&mut self, times: Times, batch: Vec<Event>) -> Vec<Effect> {
+    pub fn step(&mut self, times: StepTime, batch: Vec<Event>) -> Vec<Effect> {
         if self.reach.is_none() && self.settings.reachability.enabled {
-            self.reach = Some(Reach::new(self.settings.clone(), times.now));
+            self.reach = Some(Reachability::new(self.settings.clone(), times.now));
         }
         for event in batch {
             self.handle(times, event);
@@ -173,7 +173,7 @@
 
     /// Tells the others of this node's reach, numbers machines, and hands the lease over
     /// to a node that sees more.
-    fn tick_reach(&mut self, times: Times) {
+    fn tick_reach(&mut self, times: StepTime) {
         let now = times.now;
         let news = self.reach.as_ref().is_some_and(|reach| reach.tells_at() <= now);
         if !news && now < self.reach_due {
@@ -189,7 +189,7 @@
         }
         leader.note_heard_elsewhere(now, |host| reach.heard_by_a_peer(host, now));
         if let Some(successor) = reach.successor(&facts, now, &mut self.out) {
-            self.out.log(Level::Info, format!("hands the lease over to {successor}, which sees more"));
+            self.out.log(LogLevel::Info, format!("hands the lease over to {successor}, which sees more"));
             let verdict = self.election.abdicate(now, &mut self.out);
             self.verdict(times, verdict);
         }
@@ -226,7 +226,7 @@
         next.max(now + LEAST_WAKE)
     }
 
-    fn handle(&mut self, times: Times, event: Event) {
+    fn handle(&mut self, times: StepTime, event: Event) {
         let now = times.now;
         match event {
             Event::Submit { ask, id, job } => {
@@ -249,12 +249,12 @@
                         let out = self.state_bad.take().map(|since| now.saturating_sub(since));
                         if let Some(long) = out.filter(|long| *long > TELL_OUTAGE) {
                             let text = format!("the state service failed for {} s", long.as_secs());
-                            self.out.log(Level::Info, text);
+                            self.out.log(LogLevel::Info, text);
                         }
                     }
                     Err(CallError::RateLimited) => {}
                     Err(CallError::TooLarge) => {
-                        self.out.log(Level::Error, "a change was larger than is allowed by now".into());
+                        self.out.log(LogLevel::Error, "a change was larger than is allowed by now".into());
                         let news = self.version_barrier.pass(&mut self.out);
                         self.opened(news);
                     }
@@ -263,23 +263,23 @@
                     }
                 }
                 match self.out.calls.remove(&call) {
-                    Some(Purpose::Election(step)) => {
+                    Some(CallPurpose::Election(step)) => {
                         let verdict = self.election.reply(now, step, reply, &mut self.out);
                         self.verdict(times, verdict);
                     }
-                    Some(Purpose::VersionBarrier(step)) => {
+                    Some(CallPurpose::VersionBarrier(step)) => {
                         let news = self.version_barrier.reply(step, reply, &mut self.out);
                         self.opened(news);
                     }
-                    Some(Purpose::Reachability(reach_call)) => {
+                    Some(CallPurpose::Reachability(reach_call)) => {
                         if let Some(reach) = &mut self.reach {
                             reach.reply(reach_call, reply, now, &mut self.out);
                         }
                     }
-                    Some(Purpose::UserRequest(request)) => self.request(times, request, reply),
-                    Some(Purpose::ShardRecords(step)) => self.records_reply(now, step, reply),
-                    Some(Purpose::Holder(call)) => self.holder_state_reply(now, call, reply),
-                    Some(Purpose::Leader(token, leader_call)) => {
+                    Some(CallPurpose::UserRequest(request)) => self.request(times, request, reply),
+                    Some(CallPurpose::ShardRecords(step)) => self.records_reply(now, step, reply),
+                    Some(CallPurpose::Holder(call)) => self.holder_state_reply(now, call, reply),
+                    Some(CallPurpose::Leader(token, leader_call)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
                             if !leader.state_reply(
                                 times,
@@ -301,8 +301,8 @@
                     reach.cloud_reply(call, &reply, now);
                 }
                 match self.out.calls.remove(&call) {
-                    Some(Purpose::MachineTypes) => self.catalog(now, reply),
-                    Some(Purpose::Leader(token, leader_call)) => {
+                    Some(CallPurpose::MachineTypes) => self.catalog(now, reply),
+                    Some(CallPurpose::Leader(token, leader_call)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
                             leader.cloud_reply(times, leader_call, reply, &mut self.out);
                         }
@@ -315,18 +315,18 @@
                     reach.orders_reply(call, &reply, now);
                 }
                 match self.out.calls.remove(&call) {
-                    Some(Purpose::Leader(token, leader_call)) => {
+                    Some(CallPurpose::Leader(token, leader_call)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
                             leader.orders_reply(times, leader_call, reply, &mut self.out);
                         }
                     }
-                    Some(Purpose::Holder(call)) => self.holder_orders_reply(now, call, reply),
+                    Some(CallPurpose::Holder(call)) => self.holder_orders_reply(now, call, reply),
                     _ => {}
                 }
             }
             Event::ShardMessage { ask, message } => {
                 let delivery = self.shard_message(times, message);
-                self.out.answer(ask, Answer::ShardMessageDelivery(delivery));
+                self.out.answer(ask, Response::ShardMessageDelivery(delivery));
             }
             Event::ShardMessageDelivery { call, delivery } => self.shard_told(now, call, delivery),
             Event::PeerHeartbeat(pulse) => self.pulse(times, pulse),
@@ -338,12 +338,12 @@
             }
             Event::View { ask } => {
                 let view = self.view(times);
-                self.out.answer(ask, Answer::View(view));
+                self.out.answer(ask, Response::View(view));
             }
         }
     }
 
-    fn request(&mut self, times: Times, request: PendingRequest, reply: Result<StateReply, CallError>) {
+    fn request(&mut self, times: StepTime, request: PendingRequest, reply: Result<KvReply, CallError>) {
         let leader = self.leader.as_ref();
         let progress = |id: &JobId| leader.and_then(|l| l.progress(id));
         let news = self.requests.reply(times, request, reply, &progress, &mut self.out);
@@ -363,12 +363,12 @@
         }
     }
 
-    fn verdict(&mut self, times: Times, verdict: Verdict) {
+    fn verdict(&mut self, times: StepTime, verdict: LeadershipChange) {
         match verdict {
-            Verdict::Unchanged => {}
-            Verdict::Won { token } => {
+            LeadershipChange::Unchanged => {}
+            LeadershipChange::Won { token } => {
                 self.tokens.learn(token);
-                self.out.log(Level::Info, format!("leads under token {token}"));
+                self.out.log(LogLevel::Info, format!("leads under token {token}"));
                 let mut leader = Leader::new(self.settings.clone(), token, times.now);
                 leader.catalog(self.rigs.clone());
                 if self.version_barrier.open() {
@@ -378,8 +378,8 @@
                 self.leader = Some(leader);
                 self.holder_leads(times);
             }
-            Verdict::Lost => {
-                self.out.log(Level::Info, "leads no more".into());
+            LeadershipChange::Lost => {
+                self.out.log(LogLevel::Info, "leads no more".into());
                 self.leader = None;
                 self.holder_resumes();
                 if let Some(reach) = &mut self.reach {
@@ -430,13 +430,13 @@
     /// Where fencing is on, what a node that claims to lead under a token that is over tells
     /// of jobs is passed over. It still counts as one that leads where this matters for
     /// workers: it may renew leases of those that know no later token.
-    fn admit_claim(&mut self, pulse: &mut Pulse) {
+    fn admit_claim(&mut self, pulse: &mut PeerHeartbeat) {
         if !self.settings.fencing.enabled || pulse.token == 0 {
             return;
         }
         if let Err(stale) = self.tokens.admit(pulse.token) {
             let known = self.siblings.get(&pulse.host).is_some_and(|(_, before)| before.token == pulse.token);
-            let level = if known { Level::Debug } else { Level::Info };
+            let level = if known { LogLevel::Debug } else { LogLevel::Info };
             self.out.log(level, format!("{} claims to lead: {stale}", pulse.host));
             pulse.progress.clear();
         }
@@ -452,7 +452,7 @@
         }
     }
 
-    fn pulse(&mut self, times: Times, mut pulse: Pulse) {
+    fn pulse(&mut self, times: StepTime, mut pulse: PeerHeartbeat) {
         if !self.settings.siblings.contains(&pulse.host) {
             return;
         }
@@ -473,13 +473,13 @@
         self.siblings.insert(pulse.host.clone(), (now, pulse));
     }
 
-    fn tick(&mut self, times: Times) {
+    fn tick(&mut self, times: StepTime) {
         let now = times.now;
         self.election.tick(now, &mut self.out);
         self.version_barrier.tick(now, &mut self.out);
         if now >= self.catalog_due && !self.catalog_asked {
             self.catalog_asked = true;
-            self.out.cloud(Purpose::MachineTypes, CloudOp::ListMachineTypes);
+            self.out.cloud(CallPurpose::MachineTypes, CloudRequest::ListMachineTypes);
         }
         self.requests.tick(times, &mut self.out);
         self.tick_sharding(times);
@@ -488,7 +488,7 @@
             steady: self.election.steady(now),
             among_all: self.among_all(now),
             behind: self.lag > BEHIND,
-            mode: self.reach.as_ref().map_or(Mode::Whole, Reach::mode),
+            mode: self.reach.as_ref().map_or(Mode::Whole, Reachability::mode),
             peers_agree: self.reach.as_ref().is_some_and(|reach| reach.peers_agree(now)),
         };
         if let Some(leader) = &mut self.leader {
@@ -503,17 +503,17 @@
         let coverage = self.reach.as_ref().is_some_and(|reach| reach.is_complete(now));
         let other = sight.firm && self.company(now) && !coverage;
         if other && self.leader.as_ref().is_some_and(|l| l.isolated(now)) {
-            self.out.log(Level::Info, "hears no worker and steps down".into());
+            self.out.log(LogLevel::Info, "hears no worker and steps down".into());
             let verdict = self.election.abdicate(now, &mut self.out);
             self.verdict(times, verdict);
         }
         if now >= self.pulse_due {
             self.pulse_due = now + PULSE;
-            let progress: Vec<Progress> = match &self.leader {
+            let progress: Vec<JobProgress> = match &self.leader {
                 Some(leader) => leader.all_progress(MOST_PROGRESS),
                 None => Vec::new(),
             };
-            self.out.effects.push(Effect::SendPeerHeartbeat(Pulse {
+            self.out.effects.push(Effect::SendPeerHeartbeat(PeerHeartbeat {
                 host: self.settings.host.clone(),
                 state_ok: self.state_bad.is_none(),
                 token: self.leader.as_ref().map_or(0, |l| l.token),
@@ -522,7 +522,7 @@
         }
     }
 
-    fn view(&self, times: Times) -> serde_json::Value {
+    fn view(&self, times: StepTime) -> serde_json::Value {
         let siblings: Vec<_> = self
             .siblings
             .values()
--- a/crates/plankhead-core/src/node/out.rs
+++ b/crates/plankhead-core/src/node/out.rs
@@ -2,8 +2,10 @@
 
 use crate::holder::HolderCall;
 use crate::leader::LeaderCall;
-use crate::protocol::{Answer, Ask, Call, CloudOp, Effect, Level, Order, StateOp};
-use crate::reach::ReachCall;
+use crate::protocol::{
+    CallId, CloudRequest, Effect, KvRequest, LogLevel, RequestId, Response, WorkerCommand,
+};
+use crate::reach::ReachabilityCall;
 use crate::requests::PendingRequest;
 use crate::shard_messages::ShardMessage;
 use crate::{election, key_watch, version_barrier};
@@ -13,13 +15,13 @@
 
 /// What a call was for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Purpose {
+pub enum CallPurpose {
     Election(election::Step),
     VersionBarrier(version_barrier::Step),
     UserRequest(PendingRequest),
     /// Under a token, so that replies to an earlier term are ignored.
     Leader(u64, LeaderCall),
-    Reachability(ReachCall),
+    Reachability(ReachabilityCall),
     /// The records of shards.
     ShardRecords(key_watch::Step),
     Holder(HolderCall),
@@ -28,64 +30,64 @@
 
 /// Collects effects and remembers what replies are for.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct EffectSink {
     pub effects: Vec<Effect>,
-    pub(super) calls: HashMap<Call, Purpose>,
-    last: Call,
+    pub(super) calls: HashMap<CallId, CallPurpose>,
+    last: CallId,
 }
 
-impl Out {
-    fn call(&mut self, purpose: Purpose) -> Call {
+impl EffectSink {
+    fn call(&mut self, purpose: CallPurpose) -> CallId {
         self.last += 1;
         self.calls.insert(self.last, purpose);
         self.last
     }
 
-    pub fn state(&mut self, purpose: Purpose, op: StateOp) {
+    pub fn state(&mut self, purpose: CallPurpose, op: KvRequest) {
         let call = self.call(purpose);
         self.effects.push(Effect::CallKv { call, op });
     }
 
-    pub fn cloud(&mut self, purpose: Purpose, op: CloudOp) {
+    pub fn cloud(&mut self, purpose: CallPurpose, op: CloudRequest) {
         let call = self.call(purpose);
         self.effects.push(Effect::CallCloud { call, op });
     }
 
     pub fn orders(
         &mut self,
-        purpose: Purpose,
+        purpose: CallPurpose,
         address: Arc<str>,
         token: u64,
         shift: u64,
-        orders: Vec<Order>,
+        orders: Vec<WorkerCommand>,
     ) {
         let call = self.call(purpose);
         self.effects.push(Effect::SendCommands { call, address, token, shift, orders });
     }
 
-    pub fn shard_message(&mut self, purpose: Purpose, to: String, message: ShardMessage) {
+    pub fn shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
         let call = self.call(purpose);
         self.effects.push(Effect::SendShardMessage { call, to, message });
     }
 
-    pub fn answer(&mut self, ask: Ask, answer: Answer) {
+    pub fn answer(&mut self, ask: RequestId, answer: Response) {
         self.effects.push(Effect::Respond { ask, answer });
     }
 
-    pub fn log(&mut self, level: Level, text: String) {
+    pub fn log(&mut self, level: LogLevel, text: String) {
         self.effects.push(Effect::Log(level, text));
     }
 }
 
 /// The times at which a batch is handled: the steady clock and the time of day.
 #[derive(Debug, Clone, Copy)]
-pub struct Times {
+pub struct StepTime {
     /// On a clock that starts well above zero.
     pub now: Duration,
     pub wall: SystemTime,
 }
 
-impl Times {
+impl StepTime {
     pub fn wall_ms(&self) -> u64 {
         let since = self.wall.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         since.as_millis() as u64
