--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -5,8 +5,8 @@
 use crate::holder::{Holder, HolderCall, Standing};
 use crate::key_watch;
 use crate::leader::LeaderRoute;
-use crate::protocol::OrdersReply;
-use crate::shard_messages::{Delivery, ShardFault, ShardMessage};
+use crate::protocol::CommandReply;
+use crate::shard_messages::{Delivery, ShardMessage, ShardMessageError};
 use crate::shard_records::RecordWatch;
 use plankhead_sharding::shard::ShardId;
 
@@ -54,7 +54,7 @@
     }
 
     /// Where the table sends a report of this machine.
-    pub(super) fn holder_route(&self, report: &Report, now: Duration) -> HolderRoute {
+    pub(super) fn holder_route(&self, report: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
             let shard = table.shard_of(&report.zone, &report.host)?;
@@ -79,21 +79,21 @@
     /// Answers a report as the holder of its shard.
     pub(super) fn beat_as_holder(
         &mut self,
-        times: Times,
-        report: &Report,
+        times: StepTime,
+        report: &Heartbeat,
         of: (ShardId, u64),
         relayed: bool,
-    ) -> Answer {
+    ) -> Response {
         let now = times.now;
         let standing = self.standing(now);
         let blind = standing.records.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
         let adrift = (blind || standing.failing) && !self.company(now);
-        let Some(sharding) = &mut self.sharding else { return Answer::Redirect { foreman: None } };
+        let Some(sharding) = &mut self.sharding else { return Response::Redirect { foreman: None } };
         sharding.holder.beat(times, report, of, (relayed, adrift), standing)
     }
 
     /// Whether a report should wait: whoever is to answer it here still reads.
-    pub(super) fn must_wait(&self, report: &Report, now: Duration) -> bool {
+    pub(super) fn must_wait(&self, report: &Heartbeat, now: Duration) -> bool {
         if let Some(leader) = &self.leader {
             return leader.reads() && matches!(leader.route(report), LeaderRoute::Own);
         }
@@ -101,7 +101,7 @@
         reads && matches!(self.holder_route(report, now), HolderRoute::Own { .. })
     }
 
-    pub(super) fn tick_sharding(&mut self, times: Times) {
+    pub(super) fn tick_sharding(&mut self, times: StepTime) {
         let now = times.now;
         let standing = self.standing(now);
         let leader = match &self.leader {
@@ -129,7 +129,7 @@
         &mut self,
         now: Duration,
         step: key_watch::Step,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
     ) {
         let Some(sharding) = &mut self.sharding else { return };
         let changed = sharding.records.reply(now, step, reply, &mut self.out);
@@ -146,14 +146,14 @@
         &mut self,
         now: Duration,
         call: HolderCall,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
     ) {
         let standing = self.standing(now);
         let (Some(sharding), HolderCall::WatchJobs(step)) = (&mut self.sharding, call) else { return };
         sharding.holder.state_reply(now, step, reply, &mut self.requests, standing, &mut self.out);
     }
 
-    pub(super) fn holder_orders_reply(&mut self, now: Duration, call: HolderCall, reply: OrdersReply) {
+    pub(super) fn holder_orders_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
         let standing = self.standing(now);
         let (Some(sharding), HolderCall::SendCommands { host, shift, runs }) = (&mut self.sharding, call)
         else {
@@ -167,15 +167,15 @@
     /// A peer's message about shards.
     pub(super) fn shard_message(
         &mut self,
-        times: Times,
-        message: Result<ShardMessage, ShardFault>,
+        times: StepTime,
+        message: Result<ShardMessage, ShardMessageError>,
     ) -> Delivery {
         let standing = self.standing(times.now);
         let Some(sharding) = &mut self.sharding else { return Delivery::Unsupported };
         match (message, &mut self.leader) {
             (Err(fault), _) => {
                 sharding.malformed += 1;
-                self.out.log(Level::Info, format!("a message about shards was refused: {fault}"));
+                self.out.log(LogLevel::Info, format!("a message about shards was refused: {fault}"));
                 Delivery::Rejected
             }
             (Ok(ShardMessage::HolderStatus(report)), Some(leader)) => {
@@ -195,14 +195,14 @@
         }
     }
 
-    pub(super) fn shard_told(&mut self, now: Duration, call: Call, delivery: Delivery) {
+    pub(super) fn shard_told(&mut self, now: Duration, call: CallId, delivery: Delivery) {
         match self.out.calls.remove(&call) {
-            Some(Purpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
+            Some(CallPurpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
                 if let Some(sharding) = &mut self.sharding {
                     sharding.holder.reported(now, leader, machines, delivery);
                 }
             }
-            Some(Purpose::Leader(token, LeaderCall::SendShardCommands { to, told })) => {
+            Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, told })) => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
                     leader.orders_told(now, &to, told, delivery);
                 }
@@ -212,7 +212,7 @@
     }
 
     /// This node leads from now on: what it knew as a holder is the leader's.
-    pub(super) fn holder_leads(&mut self, times: Times) {
+    pub(super) fn holder_leads(&mut self, times: StepTime) {
         let (Some(sharding), Some(leader)) = (&mut self.sharding, &mut self.leader) else { return };
         let records = &sharding.records;
         leader.learn_records(&records.table, records.seen(), times.now);
--- a/crates/plankhead-core/src/node/workers.rs
+++ b/crates/plankhead-core/src/node/workers.rs
@@ -19,8 +19,8 @@
 /// A report that waits until a new leader has read what is known.
 #[derive(Debug)]
 pub(super) struct Held {
-    ask: Ask,
-    report: Report,
+    ask: RequestId,
+    report: Heartbeat,
     relayed: bool,
     pub until: Duration,
 }
@@ -28,7 +28,13 @@
 impl Node {
     /// Has a report wait for whoever is to answer it here to read; gives it back where that
     /// is not needed.
-    pub(super) fn hold(&mut self, now: Duration, ask: Ask, report: Report, relayed: bool) -> Option<Report> {
+    pub(super) fn hold(
+        &mut self,
+        now: Duration,
+        ask: RequestId,
+        report: Heartbeat,
+        relayed: bool,
+    ) -> Option<Heartbeat> {
         if self.held.len() >= MOST_HELD || !self.must_wait(&report, now) {
             return Some(report);
         }
@@ -39,7 +45,7 @@
 }
 
 impl Node {
-    pub(super) fn beat(&mut self, times: Times, report: Report, relayed: bool) -> Answer {
+    pub(super) fn beat(&mut self, times: StepTime, report: Heartbeat, relayed: bool) -> Response {
         let now = times.now;
         // A shard's epoch is above its leader's token and says nothing of other shards.
         if self.sharding.is_none() {
@@ -55,7 +61,7 @@
                 LeaderRoute::Holder { host, epoch } => {
                     return self.redirect(now, report, (epoch, host), relayed)
                 }
-                LeaderRoute::HolderUnknown => return Answer::Unavailable { retry: Duration::from_secs(1) },
+                LeaderRoute::HolderUnknown => return Response::Unavailable { retry: Duration::from_secs(1) },
                 LeaderRoute::Superseded => {}
             }
             // A worker has seen a later token than ours.
@@ -72,7 +78,7 @@
         let least = report.token.max(self.highest_token());
         match self.foreman(now, least) {
             Some(leader) => self.redirect(now, report, leader, relayed),
-            None => Answer::Redirect { foreman: None },
+            None => Response::Redirect { foreman: None },
         }
     }
 
@@ -80,10 +86,10 @@
     fn redirect(
         &mut self,
         now: Duration,
-        report: Report,
+        report: Heartbeat,
         (token, foreman): (u64, String),
         relayed: bool,
-    ) -> Answer {
+    ) -> Response {
         // Who knows that node's token, or was sent there and is back, can't reach it.
         let back = |(to, at): &(u64, Duration)| {
             let since = now.saturating_sub(*at);
@@ -91,7 +97,7 @@
         };
         let known = token == report.token || self.sent.get(&report.host).is_some_and(back);
         if known && !relayed {
-            return Answer::Relay { foreman };
+            return Response::Relay { foreman };
         }
         if self.sent.len() >= MOST_SENT {
             self.sent.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
@@ -99,11 +105,11 @@
         if self.sent.len() < MOST_SENT {
             self.sent.insert(report.host, (token, now));
         }
-        Answer::Redirect { foreman: Some(foreman) }
+        Response::Redirect { foreman: Some(foreman) }
     }
 
     /// What a report tells of the links to workers.
-    fn note_report(&mut self, report: &Report, relayed: bool, now: Duration) {
+    fn note_report(&mut self, report: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reach) = &mut self.reach else { return };
         reach.report(&report.host, relayed, now);
         if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(report)) {
@@ -113,7 +119,7 @@
 
     /// Answers the reports that waited for the leader to read, once it has or has
     /// failed to.
-    pub(super) fn release_held(&mut self, times: Times) {
+    pub(super) fn release_held(&mut self, times: StepTime) {
         let (held, due): (Vec<Held>, Vec<Held>) = std::mem::take(&mut self.held)
             .into_iter()
             .partition(|held| times.now < held.until && self.must_wait(&held.report, times.now));
--- a/crates/plankhead-core/src/places.rs
+++ b/crates/plankhead-core/src/places.rs
@@ -10,7 +10,7 @@
 
 /// Pools, zones and images by number.
 #[derive(Debug, Default)]
-pub struct Places {
+pub struct PlacementIndex {
     pools: Vec<Pool>,
     zones: Vec<Arc<str>>,
     images: HashMap<Arc<str>, u32>,
@@ -18,7 +18,7 @@
     sizes: Vec<f64>,
 }
 
-impl Places {
+impl PlacementIndex {
     pub fn pool(&mut self, pool: &Pool) -> usize {
         self.pools.iter().position(|p| p == pool).unwrap_or_else(|| {
             self.pools.push(pool.clone());
--- a/crates/plankhead-core/src/portions.rs
+++ b/crates/plankhead-core/src/portions.rs
@@ -32,12 +32,12 @@
 const SMALL_SHARE: f64 = 0.05;
 /// The limits that follow from a processor share.
 #[derive(Debug, Clone, Copy)]
-pub struct Portions {
+pub struct CpuBudget {
     /// The share of a core, at most a whole one: decisions are made by one thread.
     share: f64,
 }
 
-impl Portions {
+impl CpuBudget {
     pub fn new(cpu: f64) -> Self {
         Self { share: cpu.clamp(1e-4, 1.0) }
     }
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -1,7 +1,7 @@
 //! Events that the core takes and effects that it asks for.
 
 use crate::job::{JobId, JobSpec, Phase};
-use crate::shard_messages::{Delivery, ShardFault, ShardMessage};
+use crate::shard_messages::{Delivery, ShardMessage, ShardMessageError};
 use plankhead_fencing::gate::Permitted;
 use plankhead_reachability::coverage::{Coverage, CoverageFault};
 use serde::{Deserialize, Serialize};
@@ -9,55 +9,55 @@
 use std::time::Duration;
 
 /// A request that waits for an answer.
-pub type Ask = u64;
+pub type RequestId = u64;
 /// A call made to the outside whose reply is awaited.
-pub type Call = u64;
-pub type HostName = Arc<str>;
+pub type CallId = u64;
+pub type MachineName = Arc<str>;
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     Submit {
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
         job: Result<JobSpec, String>,
     },
     Poll {
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
     },
     Cancel {
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
     },
     /// `relayed`: through a sibling, since the worker can't reach this node.
     Heartbeat {
-        ask: Ask,
-        report: Report,
+        ask: RequestId,
+        report: Heartbeat,
         relayed: bool,
     },
     KvReply {
-        call: Call,
-        reply: Result<StateReply, CallError>,
+        call: CallId,
+        reply: Result<KvReply, CallError>,
     },
     CloudReply {
-        call: Call,
+        call: CallId,
         reply: Result<CloudReply, CallError>,
     },
     CommandReply {
-        call: Call,
-        reply: OrdersReply,
+        call: CallId,
+        reply: CommandReply,
     },
-    PeerHeartbeat(Pulse),
+    PeerHeartbeat(PeerHeartbeat),
     /// What a peer tells of its reach, or why its message was refused.
     Coverage(Result<Box<Coverage>, CoverageFault>),
     /// A message of a peer about shards, or why it was refused.
     ShardMessage {
-        ask: Ask,
-        message: Result<ShardMessage, ShardFault>,
+        ask: RequestId,
+        message: Result<ShardMessage, ShardMessageError>,
     },
     /// What became of a message about shards.
     ShardMessageDelivery {
-        call: Call,
+        call: CallId,
         delivery: Delivery,
     },
     /// What came of telling a peer something.
@@ -67,46 +67,46 @@
     },
     /// Asks for the operators' view.
     View {
-        ask: Ask,
+        ask: RequestId,
     },
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     Respond {
-        ask: Ask,
-        answer: Answer,
+        ask: RequestId,
+        answer: Response,
     },
     CallKv {
-        call: Call,
-        op: StateOp,
+        call: CallId,
+        op: KvRequest,
     },
     CallCloud {
-        call: Call,
-        op: CloudOp,
+        call: CallId,
+        op: CloudRequest,
     },
     SendCommands {
-        call: Call,
+        call: CallId,
         address: Arc<str>,
         token: u64,
         shift: u64,
-        orders: Vec<Order>,
+        orders: Vec<WorkerCommand>,
     },
     /// Tells every sibling.
-    SendPeerHeartbeat(Pulse),
+    SendPeerHeartbeat(PeerHeartbeat),
     /// Tells every sibling of this node's reach.
     SendCoverage(Box<Coverage>),
     /// Tells one sibling something about shards; what becomes of it comes back.
     SendShardMessage {
-        call: Call,
+        call: CallId,
         to: String,
         message: ShardMessage,
     },
-    Log(Level, String),
+    Log(LogLevel, String),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Level {
+pub enum LogLevel {
     Error,
     Info,
     Debug,
@@ -114,23 +114,23 @@
 
 /// What a node tells its siblings about every second.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Pulse {
+pub struct PeerHeartbeat {
     pub host: String,
     pub state_ok: bool,
     /// The token under which the sender leads, or 0.
     pub token: u64,
-    pub progress: Vec<Progress>,
+    pub progress: Vec<JobProgress>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Progress {
+pub struct JobProgress {
     pub id: String,
     pub done: u32,
     pub running: u32,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum Response {
     /// 201 or 200 with the job's state.
     Job {
         fresh: bool,
@@ -148,7 +148,7 @@
     },
     Commands {
         token: u64,
-        orders: Vec<Order>,
+        orders: Vec<WorkerCommand>,
     },
     /// 421, with the node to report to where it is known.
     Redirect {
@@ -193,8 +193,8 @@
 /// What a worker says of itself. Cheap to clone: most reports say nothing new, and are
 /// kept whole.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Report {
-    pub host: HostName,
+pub struct Heartbeat {
+    pub host: MachineName,
     pub address: Arc<str>,
     pub rig: Arc<str>,
     pub zone: Arc<str>,
@@ -203,20 +203,20 @@
     pub tick: u64,
     pub token: u64,
     pub warning: Option<Duration>,
-    pub tasks: Arc<[Listed]>,
+    pub tasks: Arc<[ReportedTask]>,
 }
 
 /// `Eq`, so that comparing a list with itself takes no look at the tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ReportedTask {
     pub task: TaskId,
     pub attempt: u64,
-    pub seen: Seen,
+    pub seen: TaskStatus,
 }
 
 /// What a worker says of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum TaskStatus {
     FetchingImage,
     /// A task of a gang that waits for the others.
     WaitingForGang,
@@ -224,11 +224,11 @@
     Checkpointing,
     /// A word that is not known here: the attempt is there, and no more is said.
     Unrecognized,
-    Exited(Cause),
+    Exited(ExitReason),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cause {
+pub enum ExitReason {
     Completed,
     Stopped,
     Failed,
@@ -244,28 +244,28 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum WorkerCommand {
     Run { task: TaskId, attempt: u64 },
     Kill { task: TaskId, attempt: u64, leeway: Duration },
     Acknowledge { task: TaskId, attempt: u64 },
 }
 
-impl Order {
+impl WorkerCommand {
     /// What a worker's next report must show: a run, or the end of an attempt.
     pub fn asked(&self) -> Option<(TaskId, u64, bool)> {
         match self {
-            Order::Run { task, attempt } => Some((task.clone(), *attempt, true)),
-            Order::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
-            Order::Acknowledge { .. } => None,
+            WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt, true)),
+            WorkerCommand::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
+            WorkerCommand::Acknowledge { .. } => None,
         }
     }
 }
 
 /// What came of commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OrdersReply {
+pub enum CommandReply {
     /// Carried out, or refused as a whole (409): the worker's report.
-    Answered(Report),
+    Answered(Heartbeat),
     /// Never left this node.
     NotSent,
     /// May be carried out at any later time.
@@ -285,10 +285,10 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateOp {
+pub enum KvRequest {
     Get { key: String },
     List { prefix: String, after: Option<String> },
-    Txn { conditions: Vec<Condition>, changes: Vec<Change> },
+    Txn { conditions: Vec<Condition>, changes: Vec<KvChange> },
     GrantLease { life: Duration },
     RenewLease { hold: u64 },
     RevokeLease { hold: u64 },
@@ -302,7 +302,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum KvChange {
     /// The value is JSON text.
     Put {
         key: String,
@@ -315,17 +315,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Row {
+pub struct KeyValue {
     pub key: String,
     pub value: String,
     pub stamp: u64,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
-    Value(Option<Row>),
+pub enum KvReply {
+    Value(Option<KeyValue>),
     Page {
-        rows: Vec<Row>,
+        rows: Vec<KeyValue>,
         truncated: bool,
         epoch: u64,
     },
@@ -343,23 +343,23 @@
     LeaseRenewed,
     Events {
         epoch: u64,
-        events: Vec<KeyEvent>,
+        events: Vec<WatchEvent>,
     },
     /// The history asked for is gone; read the keys again.
     Compacted,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KeyEvent {
-    Put(Row),
+pub enum WatchEvent {
+    Put(KeyValue),
     Delete { key: String, stamp: u64 },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudOp {
+pub enum CloudRequest {
     ListMachineTypes,
     ListInstances {
-        after: Option<HostName>,
+        after: Option<MachineName>,
     },
     /// What can't be taken back, once it has passed the gate.
     Execute(Permitted),
@@ -367,16 +367,16 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    MachineTypes(Vec<Rig>),
-    Instances { hosts: Vec<ListedHost>, truncated: bool },
-    Rented(Vec<HostName>),
+    MachineTypes(Vec<MachineType>),
+    Instances { hosts: Vec<Instance>, truncated: bool },
+    Rented(Vec<MachineName>),
     NoCapacity,
     Released,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rig {
+pub struct MachineType {
     pub label: String,
     pub cpus: f64,
     pub gpus: f64,
@@ -390,18 +390,18 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct ListedHost {
-    pub host: HostName,
+pub struct Instance {
+    pub host: MachineName,
     pub address: Arc<str>,
     pub rig: String,
     pub zone: String,
     pub spot: bool,
-    pub status: HostStatus,
+    pub status: InstanceStatus,
     pub held: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HostStatus {
+pub enum InstanceStatus {
     Booting,
     Running,
     Failed,
--- a/crates/plankhead-core/src/queue.rs
+++ b/crates/plankhead-core/src/queue.rs
@@ -1,19 +1,19 @@
 //! Whose turn it is: urgent work before standard, guarantees before borrowing,
 //! then a queue per team, served in turn by shares.
 
-use crate::job::{Resources, Urgency};
+use crate::job::{Priority, Resources};
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// A team as the queue sees it during one pass.
 #[derive(Debug, Clone, Default)]
-pub struct TeamRoom {
+pub struct TeamUsage {
     pub guarantee: Resources,
     pub cap: Resources,
     pub used: Resources,
 }
 
-impl TeamRoom {
+impl TeamUsage {
     /// How much of its share a team holds; the least comes next.
     fn ratio(&self) -> f64 {
         let of = |used: f64, share: f64| if used <= 0.0 { 0.0 } else { used / share.max(1e-3) };
@@ -33,11 +33,11 @@
 }
 
 /// One job's pending tasks, as a pass sees them. Names are numbers here, by
-/// [`crate::places::Places`].
+/// [`crate::places::PlacementIndex`].
 #[derive(Debug, Clone)]
 pub struct Work {
     pub team: usize,
-    pub urgency: Urgency,
+    pub urgency: Priority,
     pub guaranteed: bool,
     pub accepted: Duration,
     /// When it should start or be done at the latest.
@@ -102,14 +102,14 @@
         }
     }
 
-    fn tier(&self) -> (std::cmp::Reverse<Urgency>, bool) {
+    fn tier(&self) -> (std::cmp::Reverse<Priority>, bool) {
         (std::cmp::Reverse(self.urgency), !self.guaranteed)
     }
 }
 
 /// What an unfinished job still takes of its team's guarantee.
 #[derive(Debug, Clone, Copy)]
-pub struct Need {
+pub struct QuotaDemand {
     pub team: usize,
     pub accepted: Duration,
     pub amount: Resources,
@@ -117,7 +117,7 @@
 
 /// Which jobs fit into their team's guarantee together with the team's earlier
 /// unfinished ones.
-pub fn guaranteed(needs: &[Need], teams: &[TeamRoom]) -> Vec<bool> {
+pub fn guaranteed(needs: &[QuotaDemand], teams: &[TeamUsage]) -> Vec<bool> {
     let mut order: Vec<usize> = (0..needs.len()).collect();
     order.sort_by_key(|i| needs[*i].accepted);
     let mut sums = vec![Resources::default(); teams.len()];
@@ -133,11 +133,11 @@
 
 /// A queue per team, in the order in which its jobs come.
 #[derive(Debug)]
-pub struct Turns {
+pub struct FairShareQueue {
     queues: Vec<VecDeque<usize>>,
 }
 
-impl Turns {
+impl FairShareQueue {
     pub fn new(work: &[Work], teams: usize) -> Self {
         let mut queues = vec![VecDeque::new(); teams];
         let mut order: Vec<usize> = (0..work.len()).filter(|i| work[*i].pending > 0).collect();
@@ -151,7 +151,7 @@
     /// The work to serve next: the first of a queue, and of these the most
     /// urgent, then the guaranteed, then that of the team that holds the least
     /// of its share.
-    pub fn next(&mut self, work: &[Work], teams: &[TeamRoom]) -> Option<usize> {
+    pub fn next(&mut self, work: &[Work], teams: &[TeamUsage]) -> Option<usize> {
         let mut best: Option<(usize, f64)> = None;
         for (team, queue) in self.queues.iter_mut().enumerate() {
             while queue.front().is_some_and(|i| work[*i].pending == 0) {
--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reach.rs
@@ -3,9 +3,10 @@
 //! coverage with the other nodes.
 
 use crate::election;
-use crate::node::{Out, Purpose};
+use crate::node::{CallPurpose, EffectSink};
 use crate::protocol::{
-    Call, CallError, Change, Condition, Effect, HostName, Level, OrdersReply, Row, StateOp, StateReply,
+    CallError, CallId, CommandReply, Condition, Effect, KeyValue, KvChange, KvReply, KvRequest, LogLevel,
+    MachineName,
 };
 use crate::settings::Settings;
 use plankhead_reachability::coverage::{Coverage, CoverageFault, CoverageTable, KnownHolder};
@@ -38,7 +39,7 @@
 
 /// What a call of the reachability's own was for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReachCall {
+pub enum ReachabilityCall {
     ListPages,
     WritePage { key: String, value: String },
     Probe,
@@ -54,9 +55,9 @@
     /// Machines that should report to it.
     pub up: usize,
     /// Machines whose reports came lately without a detour.
-    pub direct: Vec<HostName>,
+    pub direct: Vec<MachineName>,
     /// Machines that confirmed an answer or a command lately.
-    pub reached: Vec<HostName>,
+    pub reached: Vec<MachineName>,
 }
 
 /// What users' requests may lead to.
@@ -72,16 +73,16 @@
 }
 
 #[derive(Debug)]
-pub struct Reach {
+pub struct Reachability {
     settings: Arc<Settings>,
     monitor: Monitor,
     table: CoverageTable,
     numbering: Numbering,
     handover: Handover,
     /// Which link a call under way tells of.
-    calls: HashMap<Call, LinkId>,
+    calls: HashMap<CallId, LinkId>,
     /// Machines whose reports reached this node itself, and when.
-    heard: HashMap<HostName, Duration>,
+    heard: HashMap<MachineName, Duration>,
     sequence: u64,
     coverage_due: Duration,
     listing: bool,
@@ -95,16 +96,18 @@
     fault_due: Duration,
 }
 
-fn state_link(op: &StateOp) -> LinkId {
+fn state_link(op: &KvRequest) -> LinkId {
     match op {
-        StateOp::Get { .. } | StateOp::List { .. } => LinkId::StateReads,
-        StateOp::Txn { .. } | StateOp::GrantLease { .. } | StateOp::RevokeLease { .. } => LinkId::StateWrites,
-        StateOp::RenewLease { .. } => LinkId::StateRenewal,
-        StateOp::Watch { .. } => LinkId::StateWatch,
+        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::StateReads,
+        KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => {
+            LinkId::StateWrites
+        }
+        KvRequest::RenewLease { .. } => LinkId::StateRenewal,
+        KvRequest::Watch { .. } => LinkId::StateWatch,
     }
 }
 
-impl Reach {
+impl Reachability {
     pub fn new(settings: Arc<Settings>, now: Duration) -> Self {
         let reachability = &settings.reachability;
         let silence = settings.gap() + Duration::from_secs(1);
@@ -183,7 +186,7 @@
         }
     }
 
-    pub fn state_reply(&mut self, call: Call, reply: &Result<StateReply, CallError>, now: Duration) {
+    pub fn state_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
         let Some(link) = self.calls.remove(&call) else { return };
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
@@ -193,7 +196,7 @@
         }
     }
 
-    pub fn cloud_reply<T>(&mut self, call: Call, reply: &Result<T, CallError>, now: Duration) {
+    pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
         let Some(link) = self.calls.remove(&call) else { return };
         match reply {
             Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
@@ -201,16 +204,16 @@
         }
     }
 
-    pub fn orders_reply(&mut self, call: Call, reply: &OrdersReply, now: Duration) {
+    pub fn orders_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
         let Some(link) = self.calls.remove(&call) else { return };
         match reply {
-            OrdersReply::Answered(_) => self.monitor.confirmed(link, now),
-            OrdersReply::NotSent | OrdersReply::Unanswered => self.monitor.failed(link, now),
+            CommandReply::Answered(_) => self.monitor.confirmed(link, now),
+            CommandReply::NotSent | CommandReply::Unanswered => self.monitor.failed(link, now),
         }
     }
 
     /// A worker's report came; `relayed`: through a peer.
-    pub fn report(&mut self, host: &HostName, relayed: bool, now: Duration) {
+    pub fn report(&mut self, host: &MachineName, relayed: bool, now: Duration) {
         self.monitor.report_arrived(now);
         if relayed {
             return;
@@ -268,7 +271,7 @@
         coverage: Result<Coverage, CoverageFault>,
         holder: Option<KnownHolder<'_>>,
         now: Duration,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) -> bool {
         let received = match coverage {
             Ok(coverage) => self.table.receive(coverage, now, &self.numbering, holder).map(|_| ()),
@@ -282,7 +285,7 @@
             self.list_due = self.list_due.min(now);
         } else if now >= self.fault_due {
             self.fault_due = now + FAULT_PAUSE;
-            out.log(Level::Info, format!("a peer's coverage was refused: {fault}"));
+            out.log(LogLevel::Info, format!("a peer's coverage was refused: {fault}"));
         }
         false
     }
@@ -302,11 +305,17 @@
         self.enabled() && !self.settings.siblings.is_empty() && self.table.complete(now)
     }
 
-    fn numbers<'a>(&self, hosts: impl Iterator<Item = &'a HostName>) -> RoaringBitmap {
+    fn numbers<'a>(&self, hosts: impl Iterator<Item = &'a MachineName>) -> RoaringBitmap {
         hosts.filter_map(|host| self.numbering.number(host)).collect()
     }
 
-    fn tell(&mut self, facts: Option<&LeaderFacts>, successor: Option<String>, now: Duration, out: &mut Out) {
+    fn tell(
+        &mut self,
+        facts: Option<&LeaderFacts>,
+        successor: Option<String>,
+        now: Duration,
+        out: &mut EffectSink,
+    ) {
         let lately = self.settings.gap() + Duration::from_secs(1);
         self.heard.retain(|_, at| now.saturating_sub(*at) < lately);
         self.sequence += 1;
@@ -330,7 +339,7 @@
     }
 
     /// The node that this leader should hand over to now; the others are told.
-    pub fn successor(&mut self, facts: &LeaderFacts, now: Duration, out: &mut Out) -> Option<String> {
+    pub fn successor(&mut self, facts: &LeaderFacts, now: Duration, out: &mut EffectSink) -> Option<String> {
         if !facts.steady {
             // What can't be given up runs out by itself.
             return None;
@@ -365,18 +374,18 @@
     }
 
     /// Judges the links; a change of mode is logged, in one line.
-    pub fn judge(&mut self, machines: usize, now: Duration, out: &mut Out) -> Option<ModeChange> {
+    pub fn judge(&mut self, machines: usize, now: Duration, out: &mut EffectSink) -> Option<ModeChange> {
         let change = self.monitor.judge(now, machines)?;
         let causes =
             if change.causes.is_empty() { "all links hold".into() } else { change.causes.join(", ") };
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
-        out.log(Level::Info, format!("sees {to} after {lasted:.1} s of {from} ({causes})"));
+        out.log(LogLevel::Info, format!("sees {to} after {lasted:.1} s of {from} ({causes})"));
         // The others should know at once.
         self.coverage_due = now;
         Some(change)
     }
 
-    pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, out: &mut Out) {
+    pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, out: &mut EffectSink) {
         if now >= self.coverage_due {
             self.coverage_due = now + self.settings.reachability.coverage_interval;
             self.tell(facts, None, now, out);
@@ -401,49 +410,55 @@
     }
 
     /// Writes one page of the numbering, as the leader.
-    pub fn write_numbers(&mut self, machines: &BTreeSet<HostName>, token: u64, out: &mut Out) {
+    pub fn write_numbers(&mut self, machines: &BTreeSet<MachineName>, token: u64, out: &mut EffectSink) {
         let Some(write) = self.numbering.next_write(machines, self.settings.value_bytes) else { return };
         self.writing = true;
         let lead = Condition { key: election::KEY.into(), stamp: token };
         let page = Condition { key: write.key.clone(), stamp: write.revision };
         let (key, value) = (write.key, write.value);
-        let changes = vec![Change::Put { key: key.clone(), value: value.clone(), hold: None }];
-        let call = ReachCall::WritePage { key, value };
-        out.state(Purpose::Reachability(call), StateOp::Txn { conditions: vec![lead, page], changes });
+        let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), hold: None }];
+        let call = ReachabilityCall::WritePage { key, value };
+        out.state(CallPurpose::Reachability(call), KvRequest::Txn { conditions: vec![lead, page], changes });
     }
 
-    fn list(&self, out: &mut Out) {
-        let op = StateOp::List { prefix: numbering::PREFIX.into(), after: self.list_after.clone() };
-        out.state(Purpose::Reachability(ReachCall::ListPages), op);
+    fn list(&self, out: &mut EffectSink) {
+        let op = KvRequest::List { prefix: numbering::PREFIX.into(), after: self.list_after.clone() };
+        out.state(CallPurpose::Reachability(ReachabilityCall::ListPages), op);
     }
 
     /// Tries links that fail and that nothing else uses.
-    fn probe(&mut self, now: Duration, out: &mut Out) {
+    fn probe(&mut self, now: Duration, out: &mut EffectSink) {
         if self.monitor.wants_probe(LinkId::StateReads, now) {
-            out.state(Purpose::Reachability(ReachCall::Probe), StateOp::Get { key: election::KEY.into() });
+            out.state(
+                CallPurpose::Reachability(ReachabilityCall::Probe),
+                KvRequest::Get { key: election::KEY.into() },
+            );
         }
         if self.monitor.wants_probe(LinkId::StateWrites, now) {
             let conditions = vec![Condition { key: election::KEY.into(), stamp: NO_REVISION }];
-            let changes = vec![Change::Delete { key: election::KEY.into() }];
-            out.state(Purpose::Reachability(ReachCall::Probe), StateOp::Txn { conditions, changes });
+            let changes = vec![KvChange::Delete { key: election::KEY.into() }];
+            out.state(
+                CallPurpose::Reachability(ReachabilityCall::Probe),
+                KvRequest::Txn { conditions, changes },
+            );
         }
     }
 
     pub fn reply(
         &mut self,
-        call: ReachCall,
-        reply: Result<StateReply, CallError>,
+        call: ReachabilityCall,
+        reply: Result<KvReply, CallError>,
         now: Duration,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         match call {
-            ReachCall::Probe => {}
-            ReachCall::ListPages => self.listed(reply, now, out),
-            ReachCall::WritePage { key, value } => {
+            ReachabilityCall::Probe => {}
+            ReachabilityCall::ListPages => self.listed(reply, now, out),
+            ReachabilityCall::WritePage { key, value } => {
                 self.writing = false;
                 match reply {
-                    Ok(StateReply::Committed { epoch }) => {
-                        self.take_in(&Row { key, value, stamp: epoch }, out);
+                    Ok(KvReply::Committed { epoch }) => {
+                        self.take_in(&KeyValue { key, value, stamp: epoch }, out);
                         // More may be left to write.
                         self.write_due = now;
                     }
@@ -454,8 +469,8 @@
         }
     }
 
-    fn listed(&mut self, reply: Result<StateReply, CallError>, now: Duration, out: &mut Out) {
-        let Ok(StateReply::Page { rows, truncated, .. }) = reply else {
+    fn listed(&mut self, reply: Result<KvReply, CallError>, now: Duration, out: &mut EffectSink) {
+        let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             self.listing = false;
             self.list_after = None;
             self.list_due = now + NUMBERING_RETRY;
@@ -473,9 +488,9 @@
         self.list_due = now + NUMBERING_AGE;
     }
 
-    fn take_in(&mut self, row: &Row, out: &mut Out) {
+    fn take_in(&mut self, row: &KeyValue, out: &mut EffectSink) {
         if let Err(fault) = self.numbering.read(&row.key, &row.value, row.stamp) {
-            out.log(Level::Debug, format!("left alone: {fault}"));
+            out.log(LogLevel::Debug, format!("left alone: {fault}"));
         }
     }
 
--- a/crates/plankhead-core/src/replay.rs
+++ b/crates/plankhead-core/src/replay.rs
@@ -2,7 +2,7 @@
 //! portions: the node has other things to do meanwhile.
 
 use crate::easy::{pass, Slot};
-use crate::queue::{TeamRoom, Work};
+use crate::queue::{TeamUsage, Work};
 use std::time::Duration;
 
 /// Run times below this count as this in a slowdown.
@@ -27,7 +27,7 @@
     work: Vec<Work>,
     /// The next one last.
     arrivals: Vec<Arrival>,
-    teams: Vec<TeamRoom>,
+    teams: Vec<TeamUsage>,
     from: Vec<Duration>,
     total: Vec<u32>,
     delay: Vec<f64>,
@@ -42,7 +42,7 @@
         slots: Vec<Slot>,
         work: Vec<Work>,
         mut arrivals: Vec<Arrival>,
-        teams: Vec<TeamRoom>,
+        teams: Vec<TeamUsage>,
         running: usize,
     ) -> Self {
         arrivals.sort_by_key(|a| std::cmp::Reverse(a.at));
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -1,12 +1,13 @@
 //! Requests of users: takes jobs in, tells their state and cancels them,
 //! straight in the state service and on any node.
 
-use crate::budget::Bucket;
+use crate::budget::TokenBucket;
 use crate::job::{JobId, JobRecord, JobSpec, Phase};
 use crate::ledger::tasks_per_chunk;
-use crate::node::{Out, Purpose, Times};
+use crate::node::{CallPurpose, EffectSink, StepTime};
 use crate::protocol::{
-    Answer, Ask, CallError, Change, Condition, Progress, Rig, Row, StateOp, StateReply, Status,
+    CallError, Condition, JobProgress, KeyValue, KvChange, KvReply, KvRequest, MachineType, RequestId,
+    Response, Status,
 };
 use crate::reach::UserPermissions;
 use crate::settings::Settings;
@@ -38,13 +39,13 @@
     Create(Vec<Create>),
     /// `over`: in the place of jobs that are over, since the first one is empty.
     Lookup {
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
         why: LookupReason,
         over: bool,
     },
     Cancel {
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
         record: Box<JobRecord>,
         attempts: u32,
@@ -57,7 +58,7 @@
     /// A repeated submission, or one whose commit is in doubt.
     RepeatedSubmission,
     /// If the job is not known, this is the answer.
-    RejectUnlessKnown(Answer),
+    RejectUnlessKnown(Response),
     Cancel {
         attempts: u32,
     },
@@ -65,7 +66,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Create {
-    asks: Vec<Ask>,
+    asks: Vec<RequestId>,
     id: JobId,
     value: String,
     since: Duration,
@@ -77,8 +78,8 @@
     waiting: VecDeque<Create>,
     batches: usize,
     pending: usize,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
     finals: HashMap<JobId, (Status, u32)>,
     finals_order: VecDeque<JobId>,
     seen: HashMap<JobId, (u32, u32)>,
@@ -89,9 +90,9 @@
 }
 
 /// A node's part of the changes that the state service takes, for its users.
-fn write_budget(write_rps: f64, nodes: usize) -> Bucket {
+fn write_budget(write_rps: f64, nodes: usize) -> TokenBucket {
     let nodes = nodes.max(1) as f64;
-    Bucket::new(write_rps * 0.4 / nodes, write_rps / nodes)
+    TokenBucket::new(write_rps * 0.4 / nodes, write_rps / nodes)
 }
 
 impl RequestHandler {
@@ -102,7 +103,7 @@
             batches: 0,
             pending: 0,
             // The leader's own calls need the rest.
-            reads: Bucket::new(settings.state_rps * 0.7 / nodes, settings.state_rps * 0.5 / nodes),
+            reads: TokenBucket::new(settings.state_rps * 0.7 / nodes, settings.state_rps * 0.5 / nodes),
             writes: write_budget(settings.write_rps, settings.nodes),
             settings,
             finals: HashMap::new(),
@@ -145,7 +146,7 @@
         self.finals.contains_key(id)
     }
 
-    pub fn progress(&mut self, progress: &[Progress]) {
+    pub fn progress(&mut self, progress: &[JobProgress]) {
         self.seen.clear();
         for p in progress {
             if let Ok(id) = JobId::parse(&p.id) {
@@ -154,13 +155,13 @@
         }
     }
 
-    fn unavailable(ask: Ask, out: &mut Out) {
-        out.answer(ask, Answer::Unavailable { retry: RETRY });
+    fn unavailable(ask: RequestId, out: &mut EffectSink) {
+        out.answer(ask, Response::Unavailable { retry: RETRY });
     }
 
     /// Whether one more request may go to the state service; if not, it has
     /// been refused at once.
-    fn admit(&mut self, now: Duration, ask: Ask, out: &mut Out) -> bool {
+    fn admit(&mut self, now: Duration, ask: RequestId, out: &mut EffectSink) -> bool {
         let probe = !self.failing || now.saturating_sub(self.probed) >= PROBE;
         if !probe || self.pending >= MOST_PENDING {
             Self::unavailable(ask, out);
@@ -170,43 +171,46 @@
         true
     }
 
-    fn look(&mut self, now: Duration, ask: Ask, id: JobId, why: LookupReason, out: &mut Out) {
+    fn look(&mut self, now: Duration, ask: RequestId, id: JobId, why: LookupReason, out: &mut EffectSink) {
         self.look_at(now, (ask, id, why), false, out);
     }
 
     fn look_at(
         &mut self,
         now: Duration,
-        (ask, id, why): (Ask, JobId, LookupReason),
+        (ask, id, why): (RequestId, JobId, LookupReason),
         over: bool,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         if !self.reads.take(now, 1) {
             return Self::unavailable(ask, out);
         }
         self.pending += 1;
         let key = if over { id.over_key() } else { id.key() };
-        out.state(Purpose::UserRequest(PendingRequest::Lookup { ask, id, why, over }), StateOp::Get { key });
+        out.state(
+            CallPurpose::UserRequest(PendingRequest::Lookup { ask, id, why, over }),
+            KvRequest::Get { key },
+        );
     }
 
-    fn known(&self, ask: Ask, id: &JobId, out: &mut Out) -> bool {
+    fn known(&self, ask: RequestId, id: &JobId, out: &mut EffectSink) -> bool {
         if !self.permissions.answer_from_memory {
             return false;
         }
         let Some((status, done)) = self.finals.get(id) else { return false };
-        let answer = Answer::Job { fresh: false, id: id.clone(), status: *status, done: *done, running: 0 };
+        let answer = Response::Job { fresh: false, id: id.clone(), status: *status, done: *done, running: 0 };
         out.answer(ask, answer);
         true
     }
 
     pub fn submit(
         &mut self,
-        times: Times,
-        ask: Ask,
+        times: StepTime,
+        ask: RequestId,
         id: JobId,
         job: Result<JobSpec, String>,
-        (rigs, takes_gangs): (&BTreeMap<String, Rig>, bool),
-        out: &mut Out,
+        (rigs, takes_gangs): (&BTreeMap<String, MachineType>, bool),
+        out: &mut EffectSink,
     ) {
         if self.known(ask, &id, out) {
             return;
@@ -225,13 +229,13 @@
                     times.now,
                     ask,
                     id,
-                    LookupReason::RejectUnlessKnown(Answer::BadRequest(reason)),
+                    LookupReason::RejectUnlessKnown(Response::BadRequest(reason)),
                     out,
                 );
             }
         };
         if rigs.is_empty() {
-            let later = Answer::Unavailable { retry: RETRY };
+            let later = Response::Unavailable { retry: RETRY };
             return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(reason) = self.impossible(&spec, rigs) {
@@ -239,13 +243,13 @@
                 times.now,
                 ask,
                 id,
-                LookupReason::RejectUnlessKnown(Answer::Unprocessable(reason)),
+                LookupReason::RejectUnlessKnown(Response::Unprocessable(reason)),
                 out,
             );
         }
         // An older node would take it for an array.
         if spec.gang && !takes_gangs {
-            let later = Answer::Unavailable { retry: RETRY };
+            let later = Response::Unavailable { retry: RETRY };
             return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(same) = self.waiting.iter_mut().find(|c| c.id == id) {
@@ -266,13 +270,13 @@
                 self.waiting.push_back(Create { asks: vec![ask], id, value, since: times.now });
             }
             _ => {
-                let answer = Answer::BadRequest("the job's description is too long".into());
+                let answer = Response::BadRequest("the job's description is too long".into());
                 self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(answer), out);
             }
         }
     }
 
-    fn impossible(&self, spec: &JobSpec, rigs: &BTreeMap<String, Rig>) -> Option<String> {
+    fn impossible(&self, spec: &JobSpec, rigs: &BTreeMap<String, MachineType>) -> Option<String> {
         let Some(team) = self.settings.teams.get(&spec.team) else {
             return Some("no such team".into());
         };
@@ -285,8 +289,8 @@
                 return Some("all tasks together need more than the team's limit".into());
             }
         }
-        let allowed = |r: &&Rig| spec.rigs.as_ref().is_none_or(|list| list.contains(&r.label));
-        let holds = |r: &Rig| {
+        let allowed = |r: &&MachineType| spec.rigs.as_ref().is_none_or(|list| list.contains(&r.label));
+        let holds = |r: &MachineType| {
             let room = crate::job::Resources { cpus: r.cpus, gpus: r.gpus, ram: r.ram };
             spec.each.fits(&room) && spec.zone.as_ref().is_none_or(|z| r.zones.contains(z))
         };
@@ -304,13 +308,13 @@
         None
     }
 
-    pub fn poll(&mut self, now: Duration, ask: Ask, id: JobId, out: &mut Out) {
+    pub fn poll(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
         if !self.known(ask, &id, out) && self.admit(now, ask, out) {
             self.look(now, ask, id, LookupReason::Status, out);
         }
     }
 
-    pub fn abort(&mut self, now: Duration, ask: Ask, id: JobId, out: &mut Out) {
+    pub fn abort(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
         if self.known(ask, &id, out) {
             return;
         }
@@ -329,7 +333,7 @@
 
     /// Sends what waits, as far as the write budget goes, and refuses what has
     /// waited too long.
-    pub fn tick(&mut self, times: Times, out: &mut Out) {
+    pub fn tick(&mut self, times: StepTime, out: &mut EffectSink) {
         let now = times.now;
         while self.waiting.front().is_some_and(|c| now.saturating_sub(c.since) > PATIENCE) {
             if let Some(create) = self.waiting.pop_front() {
@@ -359,11 +363,11 @@
             let conditions = keys.map(|key| Condition { key, stamp: 0 }).collect();
             let changes = batch
                 .iter()
-                .map(|c| Change::Put { key: c.id.key(), value: c.value.clone(), hold: None })
+                .map(|c| KvChange::Put { key: c.id.key(), value: c.value.clone(), hold: None })
                 .collect();
             out.state(
-                Purpose::UserRequest(PendingRequest::Create(batch)),
-                StateOp::Txn { conditions, changes },
+                CallPurpose::UserRequest(PendingRequest::Create(batch)),
+                KvRequest::Txn { conditions, changes },
             );
         }
     }
@@ -371,12 +375,12 @@
     /// Handles a reply; returns job rows that are news to a leader here.
     pub fn reply(
         &mut self,
-        times: Times,
+        times: StepTime,
         request: PendingRequest,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
-        out: &mut Out,
-    ) -> Vec<Row> {
+        out: &mut EffectSink,
+    ) -> Vec<KeyValue> {
         self.failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         let now = times.now;
         match request {
@@ -401,12 +405,12 @@
         &mut self,
         now: Duration,
         batch: Vec<Create>,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
-    ) -> Vec<Row> {
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
+    ) -> Vec<KeyValue> {
         let mut news = Vec::new();
         match reply {
-            Ok(StateReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { epoch }) => {
                 for create in batch {
                     for ask in create.asks {
                         // It may have been cancelled while the answer was under way.
@@ -415,7 +419,7 @@
                         }
                         out.answer(
                             ask,
-                            Answer::Job {
+                            Response::Job {
                                 fresh: true,
                                 id: create.id.clone(),
                                 status: Status::Queued,
@@ -424,10 +428,10 @@
                             },
                         );
                     }
-                    news.push(Row { key: create.id.key(), value: create.value, stamp: epoch });
+                    news.push(KeyValue { key: create.id.key(), value: create.value, stamp: epoch });
                 }
             }
-            Ok(StateReply::Conflict { failed }) => {
+            Ok(KvReply::Conflict { failed }) => {
                 for create in batch {
                     if failed.contains(&create.id.key()) || failed.contains(&create.id.over_key()) {
                         for ask in create.asks {
@@ -466,15 +470,15 @@
 
     fn looked(
         &mut self,
-        times: Times,
-        (ask, id, why): (Ask, JobId, LookupReason),
+        times: StepTime,
+        (ask, id, why): (RequestId, JobId, LookupReason),
         over: bool,
-        reply: Result<StateReply, CallError>,
+        reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         let row = match reply {
-            Ok(StateReply::Value(row)) => row,
+            Ok(KvReply::Value(row)) => row,
             _ => return Self::unavailable(ask, out),
         };
         // The read may be older than what was told meanwhile.
@@ -487,7 +491,7 @@
                 return self.look_at(times.now, (ask, id, why), true, out);
             }
             return match why {
-                LookupReason::Status | LookupReason::Cancel { .. } => out.answer(ask, Answer::NotFound),
+                LookupReason::Status | LookupReason::Cancel { .. } => out.answer(ask, Response::NotFound),
                 LookupReason::RepeatedSubmission => Self::unavailable(ask, out),
                 LookupReason::RejectUnlessKnown(answer) => out.answer(ask, answer),
             };
@@ -505,7 +509,7 @@
                 let known = progress(&id).or_else(|| self.seen.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
                 let status = Status::of(Phase::Active, running);
-                return out.answer(ask, Answer::Job { fresh: false, id, status, done, running });
+                return out.answer(ask, Response::Job { fresh: false, id, status, done, running });
             }
         }
         self.known(ask, &id, out);
@@ -514,13 +518,13 @@
     #[allow(clippy::too_many_arguments)]
     fn cancel(
         &mut self,
-        times: Times,
-        ask: Ask,
+        times: StepTime,
+        ask: RequestId,
         id: JobId,
         mut record: JobRecord,
         stamp: u64,
         attempts: u32,
-        out: &mut Out,
+        out: &mut EffectSink,
     ) {
         if attempts >= MOST_ATTEMPTS || !self.writes.take(times.now, 1) {
             return Self::unavailable(ask, out);
@@ -533,10 +537,10 @@
         self.pending += 1;
         let key = id.key();
         out.state(
-            Purpose::UserRequest(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
-            StateOp::Txn {
+            CallPurpose::UserRequest(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
+            KvRequest::Txn {
                 conditions: vec![Condition { key: key.clone(), stamp }],
-                changes: vec![Change::Put { key, value, hold: None }],
+                changes: vec![KvChange::Put { key, value, hold: None }],
             },
         );
     }
@@ -545,19 +549,19 @@
     fn cancelled(
         &mut self,
         now: Duration,
-        ask: Ask,
+        ask: RequestId,
         id: JobId,
         record: JobRecord,
         attempts: u32,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
-    ) -> Vec<Row> {
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
+    ) -> Vec<KeyValue> {
         match reply {
-            Ok(StateReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { epoch }) => {
                 self.over(&id, Status::Cancelled, 0);
                 self.known(ask, &id, out);
                 let Some(value) = record.text(self.settings.value_bytes) else { return Vec::new() };
-                return vec![Row { key: id.key(), value, stamp: epoch }];
+                return vec![KeyValue { key: id.key(), value, stamp: epoch }];
             }
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 Self::unavailable(ask, out)
--- a/crates/plankhead-core/src/settings.rs
+++ b/crates/plankhead-core/src/settings.rs
@@ -16,7 +16,7 @@
 
 /// What the users expect of a class of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Expectation {
+pub struct ServiceLevelObjective {
     /// A task should start within this time.
     pub wait: Option<Duration>,
     /// A job should be done within this time.
@@ -76,7 +76,7 @@
     pub nodes: usize,
     pub siblings: Vec<String>,
     pub teams: BTreeMap<String, Team>,
-    pub expectations: BTreeMap<String, Expectation>,
+    pub expectations: BTreeMap<String, ServiceLevelObjective>,
     pub report: Duration,
     pub lease: Duration,
     pub cancel: Duration,
--- a/crates/plankhead-core/src/shard_messages.rs
+++ b/crates/plankhead-core/src/shard_messages.rs
@@ -1,6 +1,6 @@
 //! What the leader and the holders of shards tell each other.
 
-use crate::protocol::{HostName, Order, Report};
+use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
 use plankhead_sharding::sequence::Stamp;
 use plankhead_sharding::shard::ShardId;
 use roaring::RoaringBitmap;
@@ -17,14 +17,14 @@
 /// A message on the path for shards.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShardMessage {
-    HolderStatus(Box<HolderReport>),
-    LeaderCommands(Box<LeaderOrders>),
+    HolderStatus(Box<HolderStatus>),
+    LeaderCommands(Box<LeaderCommands>),
 }
 
 /// What a controller tells the leader of the shards that it holds; without shards, that it
 /// is there to hold some.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HolderReport {
+pub struct HolderStatus {
     pub host: String,
     pub stamp: Stamp,
     /// Where the controller is.
@@ -33,13 +33,13 @@
     pub term: u64,
     /// Whether it sees the records, so that it notices when a shard is taken from it.
     pub sees_records: bool,
-    pub shards: Vec<HeldShard>,
+    pub shards: Vec<ShardHolding>,
     /// Tells one numbering of machines from another.
     pub stream: u64,
     /// The first message of its stream.
     pub first: bool,
     /// Machines of which something is new.
-    pub news: Vec<MachineNews>,
+    pub news: Vec<MachineUpdate>,
     /// Numbers of machines that reported with nothing new.
     pub alive: RoaringBitmap,
     /// How long ago the first of these was heard.
@@ -48,7 +48,7 @@
 
 /// A shard as its holder sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldShard {
+pub struct ShardHolding {
     pub shard: ShardId,
     pub epoch: u64,
     /// Nothing of it is started any more, and all news of it is told.
@@ -57,10 +57,10 @@
 
 /// A machine's newest report, and what its holder knows beside that.
 #[derive(Debug, Clone, PartialEq)]
-pub struct MachineNews {
+pub struct MachineUpdate {
     /// The machine's number in the stream.
     pub number: u32,
-    pub report: Report,
+    pub report: Heartbeat,
     /// The machine is there for certain: it has shown a token of this holder.
     pub proven: bool,
     /// It does not hear what it is told.
@@ -73,7 +73,7 @@
 
 /// What the leader has a holder tell its machines.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LeaderOrders {
+pub struct LeaderCommands {
     pub host: String,
     pub stamp: Stamp,
     /// The number of the receiver's message that the leader took in last.
@@ -85,21 +85,21 @@
     /// The highest epoch that the leader has given so far.
     pub latest_epoch: u64,
     /// All that each of these machines is to be told; replaces what was said before.
-    pub machines: Vec<MachineOrders>,
+    pub machines: Vec<MachineCommands>,
     /// Machines that the cloud has taken back.
-    pub gone: Vec<HostName>,
+    pub gone: Vec<MachineName>,
     /// What is known of machines of shards that the receiver holds only now.
-    pub snapshot: Vec<Report>,
+    pub snapshot: Vec<Heartbeat>,
 }
 
 /// All commands for a machine in one session of its worker.
 #[derive(Debug, Clone, PartialEq)]
-pub struct MachineOrders {
-    pub host: HostName,
+pub struct MachineCommands {
+    pub host: MachineName,
     /// The place of the machine's shard among those that the message names.
     pub shard: usize,
     pub shift: u64,
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 /// What became of a message.
@@ -119,7 +119,7 @@
 
 /// Why a message was refused before it reached the core.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
-pub enum ShardFault {
+pub enum ShardMessageError {
     #[error("it is too large")]
     TooLarge,
     #[error("it can't be read: {0}")]
--- a/crates/plankhead-core/src/shard_records.rs
+++ b/crates/plankhead-core/src/shard_records.rs
@@ -1,8 +1,8 @@
 //! The records of shards as this node has read them.
 
 use crate::key_watch::{KeyWatch, Read, Step};
-use crate::node::{Out, Purpose};
-use crate::protocol::{CallError, KeyEvent, Level, Row, StateReply};
+use crate::node::{CallPurpose, EffectSink};
+use crate::protocol::{CallError, KeyValue, KvReply, LogLevel, WatchEvent};
 use plankhead_sharding::shard::PREFIX;
 use plankhead_sharding::table::ShardTable;
 use std::time::Duration;
@@ -35,9 +35,9 @@
         self.watch.next_due()
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut Out) {
+    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(Purpose::ShardRecords(step), op);
+            out.state(CallPurpose::ShardRecords(step), op);
         }
     }
 
@@ -46,8 +46,8 @@
         &mut self,
         now: Duration,
         step: Step,
-        reply: Result<StateReply, CallError>,
-        out: &mut Out,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
     ) -> bool {
         match self.watch.reply(now, step, reply) {
             Read::Page { rows, complete } => {
@@ -70,16 +70,16 @@
         }
     }
 
-    fn event(&mut self, event: KeyEvent, out: &mut Out) {
+    fn event(&mut self, event: WatchEvent, out: &mut EffectSink) {
         match event {
-            KeyEvent::Put(row) => self.write(&row, out),
-            KeyEvent::Delete { key, stamp } => self.table.remove(&key, stamp),
+            WatchEvent::Put(row) => self.write(&row, out),
+            WatchEvent::Delete { key, stamp } => self.table.remove(&key, stamp),
         }
     }
 
-    fn write(&mut self, row: &Row, out: &mut Out) {
+    fn write(&mut self, row: &KeyValue, out: &mut EffectSink) {
         if let Err(fault) = self.table.write(&row.key, &row.value, row.stamp) {
-            out.log(Level::Error, format!("the record {} is left alone: {fault}", row.key));
+            out.log(LogLevel::Error, format!("the record {} is left alone: {fault}", row.key));
         }
     }
 }
--- a/crates/plankhead-core/src/sizing.rs
+++ b/crates/plankhead-core/src/sizing.rs
@@ -12,7 +12,7 @@
 /// A climb from the least size towards the limit: the first trial whose
 /// slowdown is at most `threshold` decides.
 #[derive(Debug, Clone, Copy)]
-pub struct Climb {
+pub struct FleetSizeSearch {
     trial: u32,
     most: u32,
     /// How far the limit moves if it leaves an overload.
@@ -23,7 +23,7 @@
     before: Option<(u32, f64)>,
 }
 
-impl Climb {
+impl FleetSizeSearch {
     pub fn new(least: u32, most: u32, beyond: u32, threshold: f64) -> Self {
         let beyond = beyond.max(most);
         Self { trial: least, most, beyond, threshold, decided: least >= beyond, before: None }
--- a/crates/plankhead-core/src/version_barrier.rs
+++ b/crates/plankhead-core/src/version_barrier.rs
@@ -4,8 +4,8 @@
 //! back with it, so that the barrier, once open, stays open, whoever is cut off or
 //! starts again.
 
-use crate::node::{Out, Purpose};
-use crate::protocol::{CallError, Change, Condition, Level, Row, StateOp, StateReply};
+use crate::node::{CallPurpose, EffectSink};
+use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel};
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -55,7 +55,7 @@
         (!self.open && !self.pending).then_some(self.due)
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut Out) {
+    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if self.open || self.pending || now < self.due {
             return;
         }
@@ -65,25 +65,25 @@
         let (step, op) = match (self.marked, serde_json::to_string(&Shown { format: FORMAT })) {
             (false, Ok(value)) => {
                 let conditions = vec![Condition { key: key.clone(), stamp: 0 }];
-                let changes = vec![Change::Put { key, value, hold: None }];
-                (Step::Mark, StateOp::Txn { conditions, changes })
+                let changes = vec![KvChange::Put { key, value, hold: None }];
+                (Step::Mark, KvRequest::Txn { conditions, changes })
             }
-            _ => (Step::Look, StateOp::List { prefix: PREFIX.into(), after: None }),
+            _ => (Step::Look, KvRequest::List { prefix: PREFIX.into(), after: None }),
         };
-        out.state(Purpose::VersionBarrier(step), op);
+        out.state(CallPurpose::VersionBarrier(step), op);
     }
 
     /// Handles a reply; true if the barrier has opened by it.
-    pub fn reply(&mut self, step: Step, reply: Result<StateReply, CallError>, out: &mut Out) -> bool {
+    pub fn reply(&mut self, step: Step, reply: Result<KvReply, CallError>, out: &mut EffectSink) -> bool {
         self.pending = false;
         match (step, reply) {
             // A conflict: an earlier life of this node has written it.
-            (Step::Mark, Ok(StateReply::Committed { .. } | StateReply::Conflict { .. })) => {
+            (Step::Mark, Ok(KvReply::Committed { .. } | KvReply::Conflict { .. })) => {
                 self.marked = true;
                 self.due = Duration::ZERO;
                 false
             }
-            (Step::Look, Ok(StateReply::Page { rows, .. })) => {
+            (Step::Look, Ok(KvReply::Page { rows, .. })) => {
                 let shown: BTreeSet<String> = rows.iter().filter_map(shown).collect();
                 self.all.is_subset(&shown) && self.pass(out)
             }
@@ -92,10 +92,10 @@
     }
 
     /// The state service has lowered its limits, which it does after the upgrade only.
-    pub fn pass(&mut self, out: &mut Out) -> bool {
+    pub fn pass(&mut self, out: &mut EffectSink) -> bool {
         if !std::mem::replace(&mut self.open, true) {
             out.log(
-                Level::Info,
+                LogLevel::Info,
                 "every node has this version: takes gangs, keeps to the later limits".into(),
             );
             return true;
@@ -105,7 +105,7 @@
 }
 
 /// The node that the row stands for, if it reads all that this one writes.
-fn shown(row: &Row) -> Option<String> {
+fn shown(row: &KeyValue) -> Option<String> {
     let shown: Shown = serde_json::from_str(&row.value).ok()?;
     let host = row.key.strip_prefix(PREFIX)?;
     (shown.format >= FORMAT).then(|| host.to_string())
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -2,9 +2,9 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_core::fleet::{Fleet, Heard, Leaving, Pool};
-use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Resources, Urgency};
-use plankhead_core::ledger::Ledger;
+use plankhead_core::fleet::{Fleet, HeartbeatNews, Pool, RemovalReason};
+use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::ledger::JobTable;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     JobSpec {
         class: "c".into(),
         team: "t".into(),
-        urgency: Urgency::Standard,
+        urgency: Priority::Standard,
         tasks,
         each: Resources { cpus: 1.0, gpus: 0.0, ram: 1.0 },
         image: "img".into(),
@@ -43,8 +43,8 @@
 }
 
 /// A ledger with `placed` of ten tasks on one machine, all durable.
-fn ledger(placed: usize) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger(placed: usize) -> JobTable {
+    let mut ledger = JobTable::default();
     ledger.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
     for _ in 0..placed {
         ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
@@ -53,15 +53,15 @@
     ledger
 }
 
-fn commit(ledger: &mut Ledger) {
+fn commit(ledger: &mut JobTable) {
     for (id, chunk) in ledger.dirty.clone() {
         let (_, version) = ledger.encode(&id, chunk).unwrap();
         ledger.committed(&id, chunk, version, 7);
     }
 }
 
-fn report(shift: u64, tick: u64, tasks: &[(u32, u64, Seen)]) -> Report {
-    Report {
+fn report(shift: u64, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+    Heartbeat {
         host: "i-1".into(),
         address: "10.0.0.9:1".into(),
         rig: "r".into(),
@@ -73,7 +73,7 @@
         warning: None,
         tasks: tasks
             .iter()
-            .map(|(index, attempt, seen)| Listed {
+            .map(|(index, attempt, seen)| ReportedTask {
                 task: TaskId { job: id(), index: *index },
                 attempt: *attempt,
                 seen: *seen,
@@ -111,14 +111,14 @@
     }
 }
 
-fn placed(ledger: &Ledger) -> u32 {
+fn placed(ledger: &JobTable) -> u32 {
     ledger.jobs[&id()].placed
 }
 
 #[test]
 fn absence_from_a_report_is_no_evidence() {
     let mut ledger = ledger(2);
-    assert_eq!(ledger.observe(&report(3, 1, &[(0, 1, Seen::Running)]), false, NOW), (vec![], 0));
+    assert_eq!(ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW), (vec![], 0));
     // What was there and is missing is neither running nor proven gone.
     assert_eq!(ledger.observe(&report(3, 2, &[]), false, NOW), (vec![], 1));
     assert_eq!(placed(&ledger), 2);
@@ -127,10 +127,10 @@
 #[test]
 fn a_later_shift_an_end_and_a_release_are_evidence() {
     let mut ledger = ledger(3);
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Completed))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
     assert_eq!((placed(&ledger), ledger.jobs[&id()].done), (2, 1));
     // The end of another attempt of the same task says nothing of this one.
-    ledger.observe(&report(3, 2, &[(1, 9, Seen::Exited(Cause::Completed))]), false, NOW);
+    ledger.observe(&report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
     assert_eq!(placed(&ledger), 2);
     ledger.observe(&report(4, 3, &[]), false, NOW);
     assert_eq!((placed(&ledger), ledger.jobs[&id()].again.len()), (0, 2));
@@ -145,7 +145,7 @@
 fn reap_waits_for_the_write() {
     let mut ledger = ledger(1);
     let task = TaskId { job: id(), index: 0 };
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Completed))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
     assert!(!ledger.may_reap(&task, 1));
     commit(&mut ledger);
     assert!(ledger.may_reap(&task, 1));
@@ -160,7 +160,7 @@
     ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     assert_eq!(placed(&ledger), 1);
     assert!(ledger.closing.is_empty());
-    ledger.observe(&report(3, 1, &[(0, 1, Seen::Exited(Cause::Stopped))]), false, NOW);
+    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
     assert!(ledger.closing.contains(&id()));
 }
 
@@ -170,7 +170,7 @@
 /// unless this leader itself has sent them.
 #[test]
 fn the_own_token_fences_cancelled_attempts_of_earlier_leaders() {
-    let cancel = |ledger: &mut Ledger| {
+    let cancel = |ledger: &mut JobTable| {
         ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     };
     let mut live = ledger(2);
@@ -179,7 +179,7 @@
     cancel(&mut old);
     assert!(old.observe(&report(3, 1, &[]), false, NOW).0.is_empty(), "no token, no proof");
     assert!(old.observe(&report(2, 2, &[]), true, NOW).0.is_empty(), "of an earlier shift");
-    assert_eq!(old.observe(&report(3, 3, &[(0, 1, Seen::Running)]), true, NOW).0.len(), 1);
+    assert_eq!(old.observe(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).0.len(), 1);
     assert_eq!(placed(&old), 1);
     let mut sent = ledger(2);
     sent.attempt_mut(&TaskId { job: id(), index: 1 }).unwrap().offered = Some(0);
@@ -191,7 +191,7 @@
 /// token: a report with that one that does not list a cancelled attempt shows it gone.
 #[test]
 fn a_later_epoch_fences_what_a_former_holder_was_ordered() {
-    let under = |token, tick| Report { token, ..report(3, tick, &[]) };
+    let under = |token, tick| Heartbeat { token, ..report(3, tick, &[]) };
     let mut offered = ledger(2);
     for index in 0..2 {
         offered.attempt_mut(&TaskId { job: id(), index }).unwrap().offered = Some(40 + u64::from(index));
@@ -210,11 +210,18 @@
 fn chunks_survive_a_takeover() {
     let mut old = ledger(6);
     old.observe(
-        &report(3, 1, &[(1, 1, Seen::Exited(Cause::Completed)), (2, 1, Seen::Exited(Cause::Failed))]),
+        &report(
+            3,
+            1,
+            &[
+                (1, 1, TaskStatus::Exited(ExitReason::Completed)),
+                (2, 1, TaskStatus::Exited(ExitReason::Failed)),
+            ],
+        ),
         false,
         NOW,
     );
-    let mut new = Ledger::default();
+    let mut new = JobTable::default();
     new.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
     for chunk in 0..2 {
         let (text, _) = old.encode(&id(), chunk).unwrap();
@@ -236,10 +243,10 @@
 fn a_full_chunk_fits() {
     use plankhead_core::ledger::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
-    let mut ledger = Ledger::default();
+    let mut ledger = JobTable::default();
     ledger.upsert(&id(), record(Phase::Active, 100_000), 5, NOW, None, per_chunk);
     for n in 0..per_chunk {
-        let host: HostName = format!("i-{n:012}").into();
+        let host: MachineName = format!("i-{n:012}").into();
         ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
     }
     let (text, _) = ledger.encode(&id(), 0).unwrap();
@@ -251,13 +258,13 @@
 fn late_reports_are_ignored() {
     let mut fleet = Fleet::default();
     let mut heard = |shift, tick| fleet.observe(&report(shift, tick, &[]), 0, NOW);
-    assert_eq!(heard(3, 5), Heard::Changed);
-    assert_eq!(heard(3, 6), Heard::Unchanged);
-    assert_eq!(heard(3, 4), Heard::Stale);
-    assert_eq!(heard(2, 9), Heard::Stale);
-    assert_eq!(heard(4, 1), Heard::Changed);
+    assert_eq!(heard(3, 5), HeartbeatNews::Changed);
+    assert_eq!(heard(3, 6), HeartbeatNews::Unchanged);
+    assert_eq!(heard(3, 4), HeartbeatNews::Stale);
+    assert_eq!(heard(2, 9), HeartbeatNews::Stale);
+    assert_eq!(heard(4, 1), HeartbeatNews::Changed);
     fleet.released(&"i-1".into());
-    assert_eq!(fleet.observe(&report(5, 1, &[]), 0, NOW), Heard::Stale);
+    assert_eq!(fleet.observe(&report(5, 1, &[]), 0, NOW), HeartbeatNews::Stale);
     assert!(fleet.machines.is_empty());
 }
 
@@ -270,7 +277,7 @@
     fleet.expect(&"i-1".into(), NOW);
     assert_eq!(fleet.judge(NOW + settings.silence(), &settings), 0);
     assert_eq!(fleet.judge(NOW + settings.silence() + Duration::from_millis(1), &settings), 1);
-    assert_eq!(fleet.machines["i-1"].leaving, Some(Leaving::HeartbeatTimeout));
+    assert_eq!(fleet.machines["i-1"].leaving, Some(RemovalReason::HeartbeatTimeout));
 }
 
 /// With a report every 5 s, a worker that got no answer to one is back after 11.8 s
@@ -323,7 +330,7 @@
     let well = fleet.machines.get_mut("i-4").unwrap();
     (well.heard, well.direct) = (later, later);
     assert_eq!(fleet.judge(later, &settings), 1);
-    assert_eq!(fleet.machines["i-5"].leaving, Some(Leaving::HeartbeatTimeout));
+    assert_eq!(fleet.machines["i-5"].leaving, Some(RemovalReason::HeartbeatTimeout));
     fleet.machines.get_mut("i-4").unwrap().heard = NOW + second * 60;
     assert_eq!(fleet.judge(NOW + second * 60, &settings), 4);
 }
@@ -340,11 +347,11 @@
         fleet.observe(&report(shift, 2, &[]), 0, NOW + second * 11);
         fleet.machines["i-1"].leaving
     };
-    assert_eq!(heard(4, 9), Some(Leaving::IgnoresCommands));
+    assert_eq!(heard(4, 9), Some(RemovalReason::IgnoresCommands));
     assert_eq!(heard(4, 0), None, "it was silent, or hung");
     assert_eq!(heard(3, 9), None);
     // Three answers in a row asked for a task that the reports do not show.
-    let asked = |shown: &[(u32, u64, Seen)]| {
+    let asked = |shown: &[(u32, u64, TaskStatus)]| {
         let mut fleet = Fleet::default();
         for tick in 1..=5 {
             fleet.observe(&report(3, tick, shown), 0, NOW);
@@ -354,8 +361,8 @@
         let machine = &fleet.machines["i-1"];
         (machine.leaving, machine.doubtful(NOW, second))
     };
-    assert_eq!(asked(&[]), (Some(Leaving::IgnoresCommands), true));
-    assert_eq!(asked(&[(0, 1, Seen::FetchingImage)]), (None, false));
+    assert_eq!(asked(&[]), (Some(RemovalReason::IgnoresCommands), true));
+    assert_eq!(asked(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
 }
 
 /// Only when every pool has refused is the type's size known.
@@ -364,7 +371,7 @@
     let mut fleet = Fleet::default();
     fleet.rigs.insert(
         "r".into(),
-        Rig {
+        MachineType {
             label: "r".into(),
             cpus: 16.0,
             gpus: 0.0,
@@ -386,8 +393,8 @@
 }
 
 /// A gang of three on machines i-1, i-2 and i-3, durable and offered.
-fn gang() -> Ledger {
-    let mut ledger = Ledger::default();
+fn gang() -> JobTable {
+    let mut ledger = JobTable::default();
     let mut record = record(Phase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
@@ -397,7 +404,7 @@
     ledger
 }
 
-fn place_gang(ledger: &mut Ledger) {
+fn place_gang(ledger: &mut JobTable) {
     for host in ["i-1", "i-2", "i-3"] {
         let task = ledger.place(&id(), &host.into(), 3, &"z".into(), NOW).unwrap();
         assert!(!ledger.written(&task), "not all are placed and durable");
@@ -410,8 +417,8 @@
     }
 }
 
-fn from(host: &str, tick: u64, tasks: &[(u32, u64, Seen)]) -> Report {
-    Report { host: host.into(), ..report(3, tick, tasks) }
+fn from(host: &str, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+    Heartbeat { host: host.into(), ..report(3, tick, tasks) }
 }
 
 /// Once a task is gone the others are told to end at once, and none is placed again
@@ -420,22 +427,22 @@
 fn a_gang_that_lost_a_task_ends_as_a_whole() {
     let mut ledger = gang();
     for (index, host) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
-        ledger.observe(&from(host, 1, &[(index as u32, 1, Seen::WaitingForGang)]), true, NOW);
+        ledger.observe(&from(host, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]), true, NOW);
     }
     assert!(ledger.urgent.is_empty());
     ledger.host_gone("i-2", NOW);
     let told: Vec<&str> = ledger.urgent.iter().map(|h| h.as_ref()).collect();
     assert_eq!(told, ["i-1", "i-3"]);
-    let stopped = |l: &Ledger, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop);
+    let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop);
     assert_eq!(
         (stopped(&ledger, 0), stopped(&ledger, 1), stopped(&ledger, 2)),
         (Some(true), None, Some(true))
     );
-    ledger.observe(&from("i-1", 2, &[(0, 1, Seen::Exited(Cause::Stopped))]), true, NOW);
+    ledger.observe(&from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
     assert!(!ledger.jobs[&id()].placeable());
     assert_eq!(ledger.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
     // What the task says by itself is no worse than what it was told.
-    ledger.observe(&from("i-3", 2, &[(2, 1, Seen::Exited(Cause::GangMemberLost))]), true, NOW);
+    ledger.observe(&from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]), true, NOW);
     assert!(ledger.jobs[&id()].placeable());
     place_gang(&mut ledger);
     let number = |index| ledger.attempt(&TaskId { job: id(), index }).unwrap().number;
@@ -446,13 +453,13 @@
 #[test]
 fn one_done_task_of_a_gang_is_all() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Exited(Cause::Completed))]), true, NOW);
+    ledger.observe(&from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]), true, NOW);
     assert!(ledger.closing.contains(&id()));
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 2));
     assert!(ledger.finished(&id()) && !ledger.finished(&id()));
     assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (Phase::Done, 2));
     ledger.host_gone("i-1", NOW);
-    ledger.observe(&from("i-3", 1, &[(2, 1, Seen::Exited(Cause::Completed))]), true, NOW);
+    ledger.observe(&from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]), true, NOW);
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 0));
 }
 
@@ -461,7 +468,7 @@
 #[test]
 fn a_new_leader_ends_a_torn_gang() {
     let mut ledger = gang();
-    ledger.observe(&from("i-1", 1, &[(0, 1, Seen::Exited(Cause::Failed))]), true, NOW);
+    ledger.observe(&from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]), true, NOW);
     let (text, _) = ledger.encode(&id(), 0).unwrap();
     let mut next = gang();
     next.remove(&id());
@@ -476,7 +483,7 @@
     next.observe(&from("i-2", 2, &[]), false, NOW);
     assert_eq!(placed(&next), 2, "without the own token it may come yet");
     next.observe(&from("i-2", 3, &[]), true, NOW);
-    next.observe(&from("i-3", 2, &[(2, 1, Seen::Exited(Cause::GangMemberLost))]), true, NOW);
+    next.observe(&from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]), true, NOW);
     assert!(next.jobs[&id()].placeable());
 }
 
@@ -484,9 +491,9 @@
 #[test]
 fn a_new_leader_finishes_an_orderly_stop() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, Seen::Checkpointing)]), true, NOW);
+    ledger.observe(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
     assert!(ledger.jobs[&id()].ending() && !ledger.jobs[&id()].broken());
     assert_eq!(ledger.urgent.len(), 3);
-    ledger.observe(&from("i-2", 2, &[(1, 1, Seen::Exited(Cause::Stopped))]), true, NOW);
+    ledger.observe(&from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
     assert!(!ledger.jobs[&id()].broken(), "the others keep their time to save");
 }
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::Urgency;
+use plankhead_core::job::Priority;
 use std::time::Duration;
 use world::{secs, Happening, Kind, Troubles, World, FLEET, SMALL};
 
@@ -302,7 +302,7 @@
         world.capacity = 3;
         world.plan(2, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.urgency = if n == 0 { Urgency::Standard } else { Urgency::Urgent };
+            job.spec.urgency = if n == 0 { Priority::Standard } else { Priority::Urgent };
             job.spec.tasks = if n == 0 { 12 } else { 2 };
             job.spec.each.cpus = 2.0;
             job.spec.estimate = if n == 0 { 200.0 } else { 5.0 };
@@ -339,7 +339,7 @@
             job.spec.gang = wide;
             job.spec.one_zone = wide;
             job.spec.team = if wide { "b".into() } else { "a".into() };
-            job.spec.urgency = Urgency::Standard;
+            job.spec.urgency = Priority::Standard;
             job.spec.tasks = if wide { 3 } else { 1 };
             job.spec.each.cpus = if wide { 8.0 } else { 2.0 };
             (job.spec.spot, job.spec.zone, job.spec.scatter) = (true, None, false);
@@ -367,7 +367,7 @@
         world.plan(260, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
             let wide = n == 0;
-            job.spec.urgency = if wide { Urgency::Standard } else { Urgency::Urgent };
+            job.spec.urgency = if wide { Priority::Standard } else { Priority::Urgent };
             job.spec.team = if wide { "b".into() } else { "a".into() };
             job.spec.tasks = if wide { 2 } else { 1 };
             job.spec.each.cpus = if wide { 8.0 } else { 4.0 };
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::Urgency;
+use plankhead_core::job::Priority;
 use std::time::Duration;
 use world::Blow::*;
 use world::{ms, secs, Happening, Kind, Moment, Troubles, World, SMALL};
@@ -414,7 +414,7 @@
     let troubles = Troubles { slow: true, held: 0.1, lost: 0.03, late: 0.5, ..Troubles::default() };
     play_jobs("overload", Kind { cap: 16.0, pool: 1, capacity: 4, ..SMALL }, troubles, 60, 4, |world, _| {
         for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.urgency = if n % 2 == 0 { Urgency::Urgent } else { Urgency::Standard };
+            job.spec.urgency = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
             (job.runs, job.spec.estimate) = (4.0, 4.0);
             if job.spec.gang {
                 job.spec.tasks = job.spec.tasks.min(4);
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -2,8 +2,8 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Resources, Urgency};
-use plankhead_core::node::{Node, Times};
+use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::node::{Node, StepTime};
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
 use plankhead_fencing::action::{Action, Return, ReturnCause};
@@ -25,7 +25,7 @@
     JobSpec {
         class: "c".into(),
         team: "a".into(),
-        urgency: Urgency::Standard,
+        urgency: Priority::Standard,
         tasks: 1,
         each: Resources { cpus: 1.0, gpus: 0.0, ram: 1.0 },
         image: "img".into(),
@@ -80,14 +80,14 @@
     serde_json::to_string(&record).unwrap()
 }
 
-fn row(key: &str, value: &str, stamp: u64) -> Row {
-    Row { key: key.into(), value: value.into(), stamp }
+fn row(key: &str, value: &str, stamp: u64) -> KeyValue {
+    KeyValue { key: key.into(), value: value.into(), stamp }
 }
 
 /// A machine's report under the token that it knows, with the job's task running.
-fn report(tick: u64, token: u64) -> Report {
+fn report(tick: u64, token: u64) -> Heartbeat {
     let task = TaskId { job: id(), index: 0 };
-    Report {
+    Heartbeat {
         host: "i-1".into(),
         address: "10.0.0.9:1".into(),
         rig: "r".into(),
@@ -97,14 +97,14 @@
         tick,
         token,
         warning: None,
-        tasks: [Listed { task, attempt: 1, seen: Seen::Running }].into(),
+        tasks: [ReportedTask { task, attempt: 1, seen: TaskStatus::Running }].into(),
     }
 }
 
 /// The machines that a call to the cloud gives back.
-fn released(effect: &Effect) -> Option<&[HostName]> {
+fn released(effect: &Effect) -> Option<&[MachineName]> {
     match effect {
-        Effect::CallCloud { op: CloudOp::Execute(permitted), .. } => match permitted.action() {
+        Effect::CallCloud { op: CloudRequest::Execute(permitted), .. } => match permitted.action() {
             Action::Return(back) => Some(&back.hosts),
             Action::Rent(_) => None,
         },
@@ -115,12 +115,12 @@
 struct Bench {
     node: Node,
     now: Duration,
-    asks: Ask,
+    asks: RequestId,
     /// State calls that wait for their reply.
-    calls: Vec<(Call, StateOp)>,
+    calls: Vec<(CallId, KvRequest)>,
     effects: Vec<Effect>,
     /// Transactions that the state service took.
-    written: Vec<StateOp>,
+    written: Vec<KvRequest>,
 }
 
 impl Bench {
@@ -138,7 +138,7 @@
 
     fn step(&mut self, batch: Vec<Event>) {
         let wall = SystemTime::UNIX_EPOCH + self.now;
-        for effect in self.node.step(Times { now: self.now, wall }, batch) {
+        for effect in self.node.step(StepTime { now: self.now, wall }, batch) {
             match effect {
                 Effect::CallKv { call, op } => self.calls.push((call, op)),
                 effect => self.effects.push(effect),
@@ -152,7 +152,7 @@
     }
 
     /// Takes out the first state call of this kind.
-    fn taken(&mut self, which: impl Fn(&StateOp) -> bool) -> Option<(Call, StateOp)> {
+    fn taken(&mut self, which: impl Fn(&KvRequest) -> bool) -> Option<(CallId, KvRequest)> {
         let at = self.calls.iter().position(|(_, op)| which(op))?;
         Some(self.calls.remove(at))
     }
@@ -161,13 +161,13 @@
     fn lives(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
             self.pass(ms(50));
-            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::RenewLease { .. })) {
-                self.reply_to(call, Ok(StateReply::LeaseRenewed));
+            if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::RenewLease { .. })) {
+                self.reply_to(call, Ok(KvReply::LeaseRenewed));
             }
-            if let Some((call, _)) = self.taken(|op| matches!(op, StateOp::Watch { .. })) {
+            if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::Watch { .. })) {
                 let cancelled = record(Phase::Cancelled, START);
-                let events = vec![KeyEvent::Put(row("job/job-000001", &cancelled, 10))];
-                self.reply_to(call, Ok(StateReply::Events { epoch: 10, events }));
+                let events = vec![WatchEvent::Put(row("job/job-000001", &cancelled, 10))];
+                self.reply_to(call, Ok(KvReply::Events { epoch: 10, events }));
             }
         }
     }
@@ -178,14 +178,14 @@
             self.pass(ms(50));
             for (call, op) in std::mem::take(&mut self.calls) {
                 match op {
-                    StateOp::RenewLease { .. } => self.reply_to(call, Ok(StateReply::LeaseRenewed)),
-                    StateOp::Watch { after, .. } => {
-                        self.reply_to(call, Ok(StateReply::Events { epoch: after, events: Vec::new() }));
+                    KvRequest::RenewLease { .. } => self.reply_to(call, Ok(KvReply::LeaseRenewed)),
+                    KvRequest::Watch { after, .. } => {
+                        self.reply_to(call, Ok(KvReply::Events { epoch: after, events: Vec::new() }));
                     }
-                    StateOp::Txn { .. } => {
+                    KvRequest::Txn { .. } => {
                         self.written.push(op);
                         let epoch = 100 + self.written.len() as u64;
-                        self.reply_to(call, Ok(StateReply::Committed { epoch }));
+                        self.reply_to(call, Ok(KvReply::Committed { epoch }));
                     }
                     _ => self.calls.push((call, op)),
                 }
@@ -194,21 +194,21 @@
     }
 
     /// An idle machine reports: what is it told?
-    fn idle(&mut self, host: &str, tick: u64) -> Vec<Order> {
+    fn idle(&mut self, host: &str, tick: u64) -> Vec<WorkerCommand> {
         let mut idle = report(tick, 41);
         idle.host = host.into();
         idle.tasks = [].into();
         self.lives_quietly(ms(300));
         let ask = self.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
         match self.answer(ask) {
-            Some(Answer::Commands { orders, .. }) => orders.clone(),
+            Some(Response::Commands { orders, .. }) => orders.clone(),
             other => panic!("{other:?}"),
         }
     }
 
     /// The cloud tells of a machine type that fits, and of no machines.
     fn sees_the_cloud(&mut self) {
-        let rig = Rig {
+        let rig = MachineType {
             label: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -220,7 +220,7 @@
             boot: Duration::from_secs(5),
             zones: vec!["z".into()],
         };
-        let calls: Vec<(Call, CloudOp)> = self
+        let calls: Vec<(CallId, CloudRequest)> = self
             .effects
             .iter()
             .filter_map(|e| match e {
@@ -230,37 +230,37 @@
             .collect();
         for (call, op) in calls {
             let reply = match op {
-                CloudOp::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
-                CloudOp::ListInstances { .. } => {
+                CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
+                CloudRequest::ListInstances { .. } => {
                     CloudReply::Instances { hosts: Vec::new(), truncated: false }
                 }
-                CloudOp::Execute(_) => continue,
+                CloudRequest::Execute(_) => continue,
             };
             self.step(vec![Event::CloudReply { call, reply: Ok(reply) }]);
         }
     }
 
-    fn reply_to(&mut self, call: Call, reply: Result<StateReply, CallError>) {
+    fn reply_to(&mut self, call: CallId, reply: Result<KvReply, CallError>) {
         self.step(vec![Event::KvReply { call, reply }]);
     }
 
-    fn reply(&mut self, which: impl Fn(&StateOp) -> bool, reply: Result<StateReply, CallError>) {
+    fn reply(&mut self, which: impl Fn(&KvRequest) -> bool, reply: Result<KvReply, CallError>) {
         let (call, _) = self.taken(which).unwrap();
         self.reply_to(call, reply);
     }
 
-    fn ask(&mut self, event: impl FnOnce(Ask) -> Event) -> Ask {
+    fn ask(&mut self, event: impl FnOnce(RequestId) -> Event) -> RequestId {
         self.asks += 1;
         let ask = self.asks;
         self.step(vec![event(ask)]);
         ask
     }
 
-    fn beat(&mut self, tick: u64, token: u64) -> Ask {
+    fn beat(&mut self, tick: u64, token: u64) -> RequestId {
         self.ask(|ask| Event::Heartbeat { ask, report: report(tick, token), relayed: false })
     }
 
-    fn answer(&self, ask: Ask) -> Option<&Answer> {
+    fn answer(&self, ask: RequestId) -> Option<&Response> {
         self.effects.iter().find_map(|e| match e {
             Effect::Respond { ask: a, answer } if *a == ask => Some(answer),
             _ => None,
@@ -269,18 +269,18 @@
 
     /// Has the node win the key under this token.
     fn wins(&mut self, token: u64) {
-        self.reply(gets("lead"), Ok(StateReply::Value(None)));
+        self.reply(gets("lead"), Ok(KvReply::Value(None)));
         self.reply(
-            |op| matches!(op, StateOp::GrantLease { .. }),
-            Ok(StateReply::LeaseGranted { hold: token }),
+            |op| matches!(op, KvRequest::GrantLease { .. }),
+            Ok(KvReply::LeaseGranted { hold: token }),
         );
-        self.reply(writes("lead"), Ok(StateReply::Committed { epoch: token }));
+        self.reply(writes("lead"), Ok(KvReply::Committed { epoch: token }));
     }
 
     /// Has the leader read one job, live by what was read, and its placement on i-1.
     fn loads(&mut self) {
         let rows = vec![row("job/job-000001", &record(Phase::Active, self.now), 5)];
-        let page = |rows| Ok(StateReply::Page { rows, truncated: false, epoch: 9 });
+        let page = |rows| Ok(KvReply::Page { rows, truncated: false, epoch: 9 });
         self.reply(lists("job/"), page(rows));
         self.loads_placements();
     }
@@ -288,23 +288,23 @@
     fn loads_placements(&mut self) {
         let text = r#"{"h":[["i-1",3,"z"]],"t":[[0,1,0]],"d":[]}"#;
         let rows = vec![row("run/job-000001/0", text, 6)];
-        self.reply(lists("run/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
-        self.reply(gets("target"), Ok(StateReply::Value(None)));
+        self.reply(lists("run/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+        self.reply(gets("target"), Ok(KvReply::Value(None)));
     }
 }
 
-fn gets(key: &'static str) -> impl Fn(&StateOp) -> bool {
-    move |op| matches!(op, StateOp::Get { key: k } if k == key)
+fn gets(key: &'static str) -> impl Fn(&KvRequest) -> bool {
+    move |op| matches!(op, KvRequest::Get { key: k } if k == key)
 }
 
-fn lists(prefix: &'static str) -> impl Fn(&StateOp) -> bool {
-    move |op| matches!(op, StateOp::List { prefix: p, .. } if p == prefix)
+fn lists(prefix: &'static str) -> impl Fn(&KvRequest) -> bool {
+    move |op| matches!(op, KvRequest::List { prefix: p, .. } if p == prefix)
 }
 
-fn writes(key: &'static str) -> impl Fn(&StateOp) -> bool {
+fn writes(key: &'static str) -> impl Fn(&KvRequest) -> bool {
     move |op| {
-        let here = |c: &Change| matches!(c, Change::Put { key: k, .. } if k == key);
-        matches!(op, StateOp::Txn { changes, .. } if changes.iter().any(here))
+        let here = |c: &KvChange| matches!(c, KvChange::Put { key: k, .. } if k == key);
+        matches!(op, KvRequest::Txn { changes, .. } if changes.iter().any(here))
     }
 }
 
@@ -320,7 +320,7 @@
     bench.pass(ms(300));
     bench.loads();
     assert!(
-        matches!(bench.answer(early), Some(Answer::Commands { token: 41, .. })),
+        matches!(bench.answer(early), Some(Response::Commands { token: 41, .. })),
         "{:?}",
         bench.answer(early)
     );
@@ -329,16 +329,16 @@
     bench.wins(41);
     let early = bench.beat(1, 7);
     bench.reply(lists("job/"), Err(CallError::Refused));
-    assert!(matches!(bench.answer(early), Some(Answer::Unavailable { .. })), "{:?}", bench.answer(early));
+    assert!(matches!(bench.answer(early), Some(Response::Unavailable { .. })), "{:?}", bench.answer(early));
     let later = bench.beat(2, 7);
-    assert!(matches!(bench.answer(later), Some(Answer::Unavailable { .. })), "{:?}", bench.answer(later));
+    assert!(matches!(bench.answer(later), Some(Response::Unavailable { .. })), "{:?}", bench.answer(later));
 
     // Nor does it wait for longer than its worker.
     let mut bench = Bench::new();
     bench.wins(41);
     let early = bench.beat(1, 7);
     bench.pass(ms(2600));
-    assert!(matches!(bench.answer(early), Some(Answer::Unavailable { .. })), "{:?}", bench.answer(early));
+    assert!(matches!(bench.answer(early), Some(Response::Unavailable { .. })), "{:?}", bench.answer(early));
 }
 
 /// While it reads as a new leader, this node tells a user of a cancellation that another
@@ -352,11 +352,11 @@
     let live = record(Phase::Active, bench.now);
     let poll = bench.ask(|ask| Event::Poll { ask, id: id() });
     let cancelled = row("job/job-000001", &record(Phase::Cancelled, bench.now), 10);
-    bench.reply(gets("job/job-000001"), Ok(StateReply::Value(Some(cancelled))));
-    assert!(matches!(bench.answer(poll), Some(Answer::Job { status: Status::Cancelled, .. })));
+    bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
+    assert!(matches!(bench.answer(poll), Some(Response::Job { status: Status::Cancelled, .. })));
     // The list was read before that, and its reply comes after.
     let rows = vec![row("job/job-000001", &live, 5)];
-    bench.reply_to(page.0, Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply_to(page.0, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
     bench.loads_placements();
     // Nothing is heard of the machine: it goes back in time.
     bench.lives(Duration::from_secs(36));
@@ -393,19 +393,22 @@
     for tick in 0..30 {
         // Two others go on reporting, a sibling is there and does not lead.
         for host in ["i-2", "i-3"] {
-            let up = Report { host: host.into(), tasks: [].into(), ..report(tick, 7) };
+            let up = Heartbeat { host: host.into(), tasks: [].into(), ..report(tick, 7) };
             bench.ask(|ask| Event::Heartbeat { ask, report: up, relayed: false });
         }
-        bench.step(vec![Event::PeerHeartbeat(Pulse { host: "plank-1".into(), ..Pulse::default() })]);
+        bench.step(vec![Event::PeerHeartbeat(PeerHeartbeat {
+            host: "plank-1".into(),
+            ..PeerHeartbeat::default()
+        })]);
         bench.lives(ms(500));
         for (call, _) in std::mem::take(&mut bench.calls) {
             bench.reply_to(call, Err(CallError::Refused));
         }
         let asked = |e: &Effect| match e {
-            Effect::CallCloud { call, op: CloudOp::ListInstances { .. } } => Some(*call),
+            Effect::CallCloud { call, op: CloudRequest::ListInstances { .. } } => Some(*call),
             _ => None,
         };
-        let lists: Vec<Call> = bench.effects.iter().filter_map(asked).collect();
+        let lists: Vec<CallId> = bench.effects.iter().filter_map(asked).collect();
         for call in lists {
             let reply = Ok(CloudReply::Instances { hosts: Vec::new(), truncated: false });
             bench.step(vec![Event::CloudReply { call, reply }]);
@@ -428,13 +431,13 @@
         }
     }
     let rows = vec![row("job/job-000001", &record(Phase::Active, START), 5)];
-    bench.reply_to(reads.unwrap().0, Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply_to(reads.unwrap().0, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
     bench.loads_placements();
     bench.lives(Duration::from_secs(6));
     // Its user has called it off meanwhile, so that nothing of it is kept.
-    let drops = |op: &StateOp| {
-        let gone = |c: &Change| matches!(c, Change::Delete { key } if key == "run/job-000001/0");
-        matches!(op, StateOp::Txn { changes, .. } if changes.iter().any(gone))
+    let drops = |op: &KvRequest| {
+        let gone = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "run/job-000001/0");
+        matches!(op, KvRequest::Txn { changes, .. } if changes.iter().any(gone))
     };
     assert!(bench.taken(drops).is_some(), "the placement stays for ever");
 }
@@ -449,11 +452,11 @@
     let holder = r#"{"host":"plank-0","boot":1,"hold":41}"#;
     // The history of changes is gone, so that it has to read anew.
     bench.reply(
-        |op| matches!(op, StateOp::Watch { prefix, .. } if prefix == "job/"),
-        Ok(StateReply::Compacted),
+        |op| matches!(op, KvRequest::Watch { prefix, .. } if prefix == "job/"),
+        Ok(KvReply::Compacted),
     );
     bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(StateReply::Value(Some(row("lead", holder, 41)))));
+    bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
     let led = |b: &Bench| {
         b.effects
             .iter()
@@ -463,11 +466,11 @@
     assert_eq!(led(&bench), 1);
     // Its own claim whose answer was lost is another matter.
     let mut bench = Bench::new();
-    bench.reply(gets("lead"), Ok(StateReply::Value(None)));
-    bench.reply(|op| matches!(op, StateOp::GrantLease { .. }), Ok(StateReply::LeaseGranted { hold: 41 }));
+    bench.reply(gets("lead"), Ok(KvReply::Value(None)));
+    bench.reply(|op| matches!(op, KvRequest::GrantLease { .. }), Ok(KvReply::LeaseGranted { hold: 41 }));
     bench.reply(writes("lead"), Err(CallError::OutcomeUnknown));
     bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(StateReply::Value(Some(row("lead", holder, 41)))));
+    bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
     assert_eq!(led(&bench), 1);
 }
 
@@ -479,16 +482,16 @@
         let mut bench = Bench::new();
         bench.wins(41);
         bench.loads();
-        let touch = if failed { Err(CallError::Refused) } else { Ok(StateReply::LeaseRenewed) };
+        let touch = if failed { Err(CallError::Refused) } else { Ok(KvReply::LeaseRenewed) };
         bench.pass(ms(450));
-        bench.reply(|op| matches!(op, StateOp::RenewLease { .. }), touch);
+        bench.reply(|op| matches!(op, KvRequest::RenewLease { .. }), touch);
         bench.pass(ms(50));
         // The machine has not begun the task that was placed there.
         let mut idle = report(1, 7);
         idle.tasks = [].into();
         let beat = bench.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
-        let Some(Answer::Commands { orders, .. }) = bench.answer(beat) else { panic!() };
-        let runs = orders.iter().any(|o| matches!(o, Order::Run { .. }));
+        let Some(Response::Commands { orders, .. }) = bench.answer(beat) else { panic!() };
+        let runs = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
         assert_eq!(runs, !failed, "{orders:?}");
     }
 }
@@ -500,7 +503,7 @@
     let mut bench = Bench::new();
     bench.step(vec![Event::CloudReply {
         call: catalog(&bench),
-        reply: Ok(CloudReply::MachineTypes(vec![Rig {
+        reply: Ok(CloudReply::MachineTypes(vec![MachineType {
             label: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -517,19 +520,19 @@
     let create = bench.taken(writes("job/job-000001")).unwrap();
     bench.ask(|ask| Event::Cancel { ask, id: id() });
     let live = record(Phase::Active, bench.now);
-    bench.reply(gets("job/job-000001"), Ok(StateReply::Value(Some(row("job/job-000001", &live, 5)))));
-    bench.reply(writes("job/job-000001"), Ok(StateReply::Committed { epoch: 6 }));
-    bench.reply_to(create.0, Ok(StateReply::Committed { epoch: 5 }));
+    bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &live, 5)))));
+    bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { epoch: 6 }));
+    bench.reply_to(create.0, Ok(KvReply::Committed { epoch: 5 }));
     assert!(
-        matches!(bench.answer(submit), Some(Answer::Job { status: Status::Cancelled, .. })),
+        matches!(bench.answer(submit), Some(Response::Job { status: Status::Cancelled, .. })),
         "{:?}",
         bench.answer(submit)
     );
 }
 
-fn catalog(bench: &Bench) -> Call {
+fn catalog(bench: &Bench) -> CallId {
     let asked = |e: &Effect| match e {
-        Effect::CallCloud { call, op: CloudOp::ListMachineTypes } => Some(*call),
+        Effect::CallCloud { call, op: CloudRequest::ListMachineTypes } => Some(*call),
         _ => None,
     };
     bench.effects.iter().find_map(asked).unwrap()
@@ -539,14 +542,15 @@
 /// jobs is passed over and counted, and nobody is sent to it.
 #[test]
 fn a_claim_under_a_token_that_is_over_is_refused() {
-    let progress = vec![Progress { id: id().to_string(), done: 0, running: 1 }];
-    let claim = |token| Pulse { host: "plank-1".into(), state_ok: true, token, progress: progress.clone() };
+    let progress = vec![JobProgress { id: id().to_string(), done: 0, running: 1 }];
+    let claim =
+        |token| PeerHeartbeat { host: "plank-1".into(), state_ok: true, token, progress: progress.clone() };
     for (fenced, sent) in [(false, Some("plank-1")), (true, None)] {
         let mut bench =
             Bench::of(Settings { fencing: Fencing { enabled: fenced, ..Fencing::default() }, ..settings() });
         bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let early = bench.beat(1, 7);
-        assert!(matches!(bench.answer(early), Some(Answer::Redirect { foreman: Some(_) })));
+        assert!(matches!(bench.answer(early), Some(Response::Redirect { foreman: Some(_) })));
         // Another leads meanwhile, as a worker shows; then the first is heard again.
         let mut later = report(2, 60);
         later.host = "i-2".into();
@@ -555,10 +559,10 @@
         let mut third = report(3, 7);
         third.host = "i-3".into();
         let asked = bench.ask(|ask| Event::Heartbeat { ask, report: third, relayed: false });
-        let Some(Answer::Redirect { foreman }) = bench.answer(asked) else { panic!("no answer") };
+        let Some(Response::Redirect { foreman }) = bench.answer(asked) else { panic!("no answer") };
         assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
         let view = bench.ask(|ask| Event::View { ask });
-        let Some(Answer::View(view)) = bench.answer(view) else { panic!("no view") };
+        let Some(Response::View(view)) = bench.answer(view) else { panic!("no view") };
         assert_eq!(view["tokens"]["refused"], u64::from(fenced));
     }
 }
@@ -571,14 +575,14 @@
     let mut bench = Bench::of(Settings { fencing, ..settings() });
     bench.wins(41);
     let rows = vec![row("job/job-000001", &record(Phase::Active, bench.now), 5)];
-    bench.reply(lists("job/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
-    bench.reply(lists("run/"), Ok(StateReply::Page { rows: Vec::new(), truncated: false, epoch: 9 }));
+    bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, epoch: 9 }));
     let back = Return { hosts: vec!["i-1".into()], cause: ReturnCause::Surplus };
     let duty = Duty::intended(DutyKey::new("30.1"), 30, Action::Return(back), 0);
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
-    bench.reply(lists("duty/"), Ok(StateReply::Page { rows, truncated: false, epoch: 9 }));
-    bench.reply(gets("target"), Ok(StateReply::Value(None)));
+    bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply(gets("target"), Ok(KvReply::Value(None)));
     bench.sees_the_cloud();
     // The machine is there, idle, with room for the waiting job.
     for tick in 1..12 {
@@ -593,19 +597,22 @@
     assert_eq!(bench.effects.iter().filter(|e| released(e)).count(), 1, "the return was not asked for once");
     bench.step(vec![Event::CloudReply { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
     bench.lives_quietly(Duration::from_secs(6));
-    let drops = |op: &StateOp| {
-        let of = |c: &Change| matches!(c, Change::Delete { key } if key == "duty/30/0");
-        matches!(op, StateOp::Txn { conditions, changes } if changes.iter().any(of)
+    let drops = |op: &KvRequest| {
+        let of = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "duty/30/0");
+        matches!(op, KvRequest::Txn { conditions, changes } if changes.iter().any(of)
             && conditions.contains(&Condition { key: "lead".into(), stamp: 41 })
             && conditions.contains(&Condition { key: "duty/30/0".into(), stamp: 8 }))
     };
     assert!(bench.written.iter().any(drops), "its record is kept: {:?}", bench.written);
     let answered = bench.beat(20, 41);
     assert!(
-        !matches!(bench.answer(answered), Some(Answer::Commands { .. })),
+        !matches!(bench.answer(answered), Some(Response::Commands { .. })),
         "a machine that is gone is heard"
     );
     // Another machine like it takes the job.
-    let orders: Vec<Order> = (1..8).flat_map(|tick| bench.idle("i-2", tick)).collect();
-    assert!(orders.iter().any(|order| matches!(order, Order::Run { .. })), "nothing was placed at all");
+    let orders: Vec<WorkerCommand> = (1..8).flat_map(|tick| bench.idle("i-2", tick)).collect();
+    assert!(
+        orders.iter().any(|order| matches!(order, WorkerCommand::Run { .. })),
+        "nothing was placed at all"
+    );
 }
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -2,8 +2,8 @@
 //! and what the real one must give.
 
 use plankhead_core::easy::{Running, Slot, Start};
-use plankhead_core::job::{Resources, Urgency};
-use plankhead_core::queue::{TeamRoom, Work};
+use plankhead_core::job::{Priority, Resources};
+use plankhead_core::queue::{TeamUsage, Work};
 use std::cmp::Reverse;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 struct Held {
     holds: Vec<(usize, Resources)>,
     at: Duration,
-    breakable: Option<Urgency>,
+    breakable: Option<Priority>,
     owner: Option<usize>,
 }
 
@@ -139,11 +139,11 @@
     held.is_some_and(|h| h.holds.iter().any(|(s, _)| *s == slot))
 }
 
-fn ratio(team: &TeamRoom) -> f64 {
+fn ratio(team: &TeamUsage) -> f64 {
     team.used.cpus / team.guarantee.cpus
 }
 
-fn next(work: &[Work], teams: &[TeamRoom], open: &[bool]) -> Option<usize> {
+fn next(work: &[Work], teams: &[TeamUsage], open: &[bool]) -> Option<usize> {
     let order = |a: &usize, b: &usize| {
         let (x, y) = (&work[*a], &work[*b]);
         let tier = |w: &Work| (Reverse(w.urgency), !w.guaranteed);
@@ -159,7 +159,7 @@
     slot.running.sort_by_key(|t| t.end);
 }
 
-pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamRoom]) -> Vec<Start> {
+pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     let mut starts = Vec::new();
     let mut open = vec![true; work.len()];
     let old = |(_, w): &(usize, &Work)| w.pending > 0 && now > w.accepted + Duration::from_secs(60);
--- a/crates/plankhead-core/tests/portions.rs
+++ b/crates/plankhead-core/tests/portions.rs
@@ -2,9 +2,9 @@
 //! nothing of what a replay finds.
 
 use plankhead_core::easy::Slot;
-use plankhead_core::job::{Resources, Urgency};
-use plankhead_core::portions::Portions;
-use plankhead_core::queue::{TeamRoom, Work};
+use plankhead_core::job::{Priority, Resources};
+use plankhead_core::portions::CpuBudget;
+use plankhead_core::queue::{TeamUsage, Work};
 use plankhead_core::replay::Replay;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 fn smaller_shares_do_less_in_one_go() {
     let shares = [0.001, 0.01, 0.019, 0.029, 0.1, 0.33, 1.0, 8.0];
     for pair in shares.windows(2) {
-        let (less, more) = (Portions::new(pair[0]), Portions::new(pair[1]));
+        let (less, more) = (CpuBudget::new(pair[0]), CpuBudget::new(pair[1]));
         assert!(less.starts() >= 1 && less.starts() <= more.starts());
         for machines in [1, 20, 185, 355, 2_000] {
             let (few, many) = (less.replayed_passes(machines), more.replayed_passes(machines));
@@ -24,15 +24,15 @@
             assert!(many * machines <= 14_000 || many == 1);
         }
     }
-    assert!(Portions::new(8.0).starts() <= 1_000);
-    assert!(Portions::new(0.019).starts() <= 100, "starts hold up the answers to reports");
+    assert!(CpuBudget::new(8.0).starts() <= 1_000);
+    assert!(CpuBudget::new(0.019).starts() <= 100, "starts hold up the answers to reports");
 }
 
 /// A process that is behind replays less of the time, but goes on.
 #[test]
 fn replays_give_way_when_the_process_is_behind() {
     for share in [0.019, 0.33] {
-        let portions = Portions::new(share);
+        let portions = CpuBudget::new(share);
         let (usual, behind) = (portions.replay_pause(355, false), portions.replay_pause(355, true));
         assert!(usual < behind && behind <= usual * 4, "{usual:?} {behind:?}");
     }
@@ -42,15 +42,15 @@
 /// one, and no longer than needed elsewhere.
 #[test]
 fn the_leaders_lease_follows_the_share() {
-    assert!(Portions::new(0.019).leader_lease() > Duration::from_millis(1500));
-    assert_eq!(Portions::new(0.33).leader_lease(), Duration::from_millis(1500));
+    assert!(CpuBudget::new(0.019).leader_lease() > Duration::from_millis(1500));
+    assert_eq!(CpuBudget::new(0.33).leader_lease(), Duration::from_millis(1500));
 }
 
 fn work(number: u64) -> Work {
     let cpus = (number % 4 + 1) as f64;
     Work {
         team: 0,
-        urgency: [Urgency::Urgent, Urgency::Standard, Urgency::Standard][(number % 3) as usize],
+        urgency: [Priority::Urgent, Priority::Standard, Priority::Standard][(number % 3) as usize],
         guaranteed: number & 1 == 0,
         accepted: NOW - Duration::from_secs(number),
         due: NOW + Duration::from_secs(number * 7 % 50),
@@ -87,7 +87,7 @@
 #[test]
 fn portions_change_nothing_of_a_replay() {
     let most = Resources { cpus: 60.0, gpus: 0.0, ram: 1e9 };
-    let team = TeamRoom { guarantee: most, cap: most, used: Resources::default() };
+    let team = TeamUsage { guarantee: most, cap: most, used: Resources::default() };
     let slowdown = |passes: usize| {
         let slots = (0..12).map(slot).collect();
         let mut replay =
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -6,10 +6,10 @@
 mod plain;
 
 use plankhead_core::easy::{pass, pass_up_to, Running, Slot, Start};
-use plankhead_core::job::{Resources, Urgency};
-use plankhead_core::queue::{guaranteed, Need, TeamRoom, Turns, Work};
+use plankhead_core::job::{Priority, Resources};
+use plankhead_core::queue::{guaranteed, FairShareQueue, QuotaDemand, TeamUsage, Work};
 use plankhead_core::replay::{Arrival, Replay};
-use plankhead_core::sizing::Climb;
+use plankhead_core::sizing::FleetSizeSearch;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -49,7 +49,7 @@
 fn work(each: f64, pending: u32, estimate: u64) -> Work {
     Work {
         team: 0,
-        urgency: Urgency::Standard,
+        urgency: Priority::Standard,
         guaranteed: true,
         accepted: NOW,
         due: NOW,
@@ -68,8 +68,8 @@
     }
 }
 
-fn team(guarantee: f64, cap: f64) -> TeamRoom {
-    TeamRoom { guarantee: cpus(guarantee), cap: cpus(cap), used: Resources::default() }
+fn team(guarantee: f64, cap: f64) -> TeamUsage {
+    TeamUsage { guarantee: cpus(guarantee), cap: cpus(cap), used: Resources::default() }
 }
 
 /// The head needs 8 CPUs, free in 100 s on the first machine. A short task may
@@ -78,7 +78,7 @@
 fn backfill_does_not_delay_the_head() {
     let slots = || vec![slot(4.0, &[(100, 4.0)])];
     let mut head = work(8.0, 1, 50);
-    head.urgency = Urgency::Urgent;
+    head.urgency = Priority::Urgent;
     let mut both = [head.clone(), work(4.0, 1, 90)];
     let starts = pass(NOW, &mut slots(), &mut both, &mut [team(100.0, 100.0)]);
     assert_eq!(starts, vec![Start { work: 1, slot: 0, at: NOW }]);
@@ -129,7 +129,7 @@
         slots
     };
     let mut gang = work(8.0, 2, 30);
-    (gang.gang, gang.one_zone, gang.urgency) = (true, true, Urgency::Urgent);
+    (gang.gang, gang.one_zone, gang.urgency) = (true, true, Priority::Urgent);
     let pass = |gang: &Work, small: u64| {
         let mut all = [gang.clone(), work(4.0, 1, small)];
         all[1].pools = vec![true; 6];
@@ -169,7 +169,7 @@
         w.team = i % 2;
         w.image = rng.random_range(0..4);
         w.guaranteed = rng.random_range(0..2) == 0;
-        w.urgency = if rng.random_range(0..3) == 0 { Urgency::Urgent } else { Urgency::Standard };
+        w.urgency = if rng.random_range(0..3) == 0 { Priority::Urgent } else { Priority::Standard };
         w.due = NOW + secs(rng.random_range(0..3) * [9, 1, 1][i % 3]);
         w.accepted = NOW - secs(rng.random_range(0..200));
         w.again_by = if rng.random_range(0..3) == 0 { NOW - secs(1) } else { NOW };
@@ -269,7 +269,7 @@
 #[test]
 fn order_of_turns() {
     let mut urgent = work(1.0, 1, 1);
-    urgent.urgency = Urgency::Urgent;
+    urgent.urgency = Priority::Urgent;
     urgent.guaranteed = false;
     let mut borrows = work(1.0, 1, 1);
     borrows.guaranteed = false;
@@ -279,7 +279,7 @@
     teams[0].used = cpus(5.0);
     teams[1].used = cpus(10.0);
     let all = [borrows, work(1.0, 1, 1), other, urgent];
-    let mut turns = Turns::new(&all, 2);
+    let mut turns = FairShareQueue::new(&all, 2);
     let mut served = Vec::new();
     while let Some(i) = turns.next(&all, &teams) {
         turns.close(&all, i);
@@ -291,8 +291,8 @@
 /// Of three jobs of 4, 4 and 4 CPUs in a guarantee of 8, the last borrows.
 #[test]
 fn guarantees_go_by_arrival() {
-    let need = |i| Need { team: 0, accepted: NOW - secs(i), amount: cpus(4.0) };
-    let needs: Vec<Need> = (0..3).map(need).collect();
+    let need = |i| QuotaDemand { team: 0, accepted: NOW - secs(i), amount: cpus(4.0) };
+    let needs: Vec<QuotaDemand> = (0..3).map(need).collect();
     assert_eq!(guaranteed(&needs, &[team(8.0, 99.0)]), vec![false, true, true]);
 }
 
@@ -301,7 +301,7 @@
 #[test]
 fn climb_halves_the_way_to_the_limit() {
     let climb = |least, slowdown: &dyn Fn(u32) -> f64| {
-        let mut climb = Climb::new(least, 32, 48, 1.2);
+        let mut climb = FleetSizeSearch::new(least, 32, 48, 1.2);
         let mut trials = Vec::new();
         while climb.size().is_none() {
             trials.push(climb.trial());
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -9,10 +9,10 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::{JobId, Urgency};
-use plankhead_core::protocol::{Effect, Order, TaskId};
+use plankhead_core::job::{JobId, Priority};
+use plankhead_core::protocol::{Effect, TaskId, WorkerCommand};
 use plankhead_core::shard_messages::{
-    Delivery, HeldShard, HolderReport, LeaderOrders, MachineOrders, ShardMessage,
+    Delivery, HolderStatus, LeaderCommands, MachineCommands, ShardHolding, ShardMessage,
 };
 use plankhead_sharding::sequence::Stamp;
 use plankhead_sharding::shard::ShardId;
@@ -88,7 +88,7 @@
                 for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
                     (job.spec.scatter, job.spec.tasks) = (false, job.spec.tasks.min(6));
                     if job.id.as_str().ends_with(['0', '2', '4', '6', '8']) {
-                        job.spec.urgency = Urgency::Urgent;
+                        job.spec.urgency = Priority::Urgent;
                     }
                 }
             };
@@ -370,8 +370,9 @@
     world.idle(secs(13));
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
-    let here =
-        |host: &plankhead_core::protocol::HostName| ShardId::of(&world.workers[host].zone, host, 2) == shard;
+    let here = |host: &plankhead_core::protocol::MachineName| {
+        ShardId::of(&world.workers[host].zone, host, 2) == shard
+    };
     let machine = world.machines_held_by(node).into_iter().find(here).unwrap();
     // The first start is the cancelled job's: were it sent, the machine would be busy with it.
     let runs = |world: &mut World, cancelled: bool| {
@@ -381,10 +382,11 @@
         let mut orders = orders(token, answers, vec![(shard.clone(), epoch)]);
         orders.stamp.sequence += u64::from(!cancelled);
         orders.machines[0].host = machine.clone();
-        orders.machines[0].orders = vec![Order::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
+        orders.machines[0].orders = vec![WorkerCommand::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
         let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
         assert_eq!(delivery, Delivery::Accepted);
-        let run = |order: &Order| matches!(order, Order::Run { task, .. } if task.index == 90);
+        let run =
+            |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if task.index == 90);
         effects
             .iter()
             .any(|effect| matches!(effect, Effect::SendCommands { orders, .. } if orders.iter().any(run)))
@@ -447,15 +449,15 @@
     world
 }
 
-fn orders(token: u64, answers: u64, shards: Vec<(ShardId, u64)>) -> LeaderOrders {
+fn orders(token: u64, answers: u64, shards: Vec<(ShardId, u64)>) -> LeaderCommands {
     let task = TaskId { job: JobId::parse("job-000000").unwrap(), index: 0 };
-    let run = MachineOrders {
+    let run = MachineCommands {
         host: "i-000001".into(),
         shard: 0,
         shift: 1,
-        orders: vec![Order::Run { task, attempt: 9 }],
+        orders: vec![WorkerCommand::Run { task, attempt: 9 }],
     };
-    LeaderOrders {
+    LeaderCommands {
         host: "plank-0".into(),
         stamp: Stamp { boot: 77, sequence: 1 << 50 },
         answers,
@@ -493,7 +495,7 @@
             "{what}: {effects:?}"
         );
     }
-    let stranger = LeaderOrders { host: "plank-9".into(), ..orders(token, sent, Vec::new()) };
+    let stranger = LeaderCommands { host: "plank-9".into(), ..orders(token, sent, Vec::new()) };
     let (delivery, _) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(stranger)));
     assert_eq!(delivery, Delivery::Rejected, "somebody else's name");
     let (delivery, _) =
@@ -509,13 +511,17 @@
 fn a_leader_refuses_bad_reports() {
     let mut world = divided();
     let token = world.lease();
-    let report = |host: &str, term, sequence| HolderReport {
+    let report = |host: &str, term, sequence| HolderStatus {
         host: host.into(),
         stamp: Stamp { boot: 1, sequence },
         zone: "x".into(),
         term,
         sees_records: true,
-        shards: vec![HeldShard { shard: ShardId { zone: "x".into(), index: 0 }, epoch: 1, released: true }],
+        shards: vec![ShardHolding {
+            shard: ShardId { zone: "x".into(), index: 0 },
+            epoch: 1,
+            released: true,
+        }],
         stream: 1,
         first: true,
         news: Vec::new(),
@@ -524,10 +530,10 @@
     };
     let before = world.holders();
     let stale = world.latest_stamp(1);
-    let mut told = |report: HolderReport| world.deliver(0, ShardMessage::HolderStatus(Box::new(report))).0;
+    let mut told = |report: HolderStatus| world.deliver(0, ShardMessage::HolderStatus(Box::new(report))).0;
     assert_eq!(told(report("plank-1", token - 1, 1)), Delivery::Rejected, "a term that is over");
     assert_eq!(told(report("plank-9", token, 1)), Delivery::Rejected, "an unknown controller");
-    let copy = HolderReport { stamp: stale, ..report("plank-1", token, 0) };
+    let copy = HolderStatus { stamp: stale, ..report("plank-1", token, 0) };
     assert_eq!(told(copy), Delivery::Rejected, "a copy of what came already");
     world.idle(secs(3));
     assert_eq!(world.holders(), before, "a shard that was said to be released under another epoch");
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -7,7 +7,7 @@
 use plankhead_core::election::Holder;
 use plankhead_core::job::{JobId, JobRecord};
 use plankhead_core::leader::Target;
-use plankhead_core::ledger::{tasks_per_chunk, Ledger};
+use plankhead_core::ledger::{tasks_per_chunk, JobTable};
 use plankhead_fencing::record;
 use plankhead_reachability::numbering::{self, Numbering};
 use plankhead_sharding::record::Record;
@@ -95,7 +95,7 @@
         let (id, number) = (parts.next().unwrap(), parts.next().unwrap());
         let record = jobs[&(row.history, format!("job/{id}"))].clone();
         let id = JobId::parse(id).unwrap();
-        let mut ledger = Ledger::default();
+        let mut ledger = JobTable::default();
         let per_chunk = record.per_chunk;
         ledger.upsert(&id, record, 5, NOW, None, per_chunk);
         if number.starts_with('s') {
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -9,8 +9,8 @@
 use plankhead_core::election::Holder;
 use plankhead_core::job::{JobId, JobRecord, Phase};
 use plankhead_core::leader::{Size, Target};
-use plankhead_core::ledger::{tasks_per_chunk, Ledger, TaskState};
-use plankhead_core::node::Out;
+use plankhead_core::ledger::{tasks_per_chunk, JobTable, TaskState};
+use plankhead_core::node::EffectSink;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
 use plankhead_core::version_barrier::{Step, VersionBarrier};
@@ -54,8 +54,8 @@
     assert_eq!(serde_json::to_string(&read).unwrap(), target);
 }
 
-fn loaded(record: &str) -> Ledger {
-    let mut ledger = Ledger::default();
+fn loaded(record: &str) -> JobTable {
+    let mut ledger = JobTable::default();
     let record: JobRecord = serde_json::from_str(record).unwrap();
     let per_chunk = record.per_chunk;
     ledger.upsert(&id(), record, 5, NOW, None, per_chunk);
@@ -119,7 +119,7 @@
     ledger.write_failed(&id(), 0, false);
     assert!(!ledger.lay_anew(small));
     assert!(!ledger.written(&placed), "a placement that no value holds counts as written");
-    let all = |l: &Ledger| {
+    let all = |l: &JobTable| {
         let entry = &l.jobs[&id()];
         let tasks = entry.chunks.values().flat_map(|c| &c.tasks).map(|(i, t)| {
             let place = match &t.state {
@@ -157,8 +157,8 @@
         }
         let task = TaskId { job: id(), index: 41 + round as u32 };
         let host = ledger.attempt(&task).unwrap().host.clone();
-        let seen = Seen::Exited(Cause::Completed);
-        let report = Report {
+        let seen = TaskStatus::Exited(ExitReason::Completed);
+        let report = Heartbeat {
             host,
             address: "a".into(),
             rig: "r".into(),
@@ -168,7 +168,7 @@
             tick: 5,
             token: 1,
             warning: None,
-            tasks: [Listed { task, attempt: 2, seen }].into(),
+            tasks: [ReportedTask { task, attempt: 2, seen }].into(),
         };
         let (ended, _) = ledger.observe(&report, true, NOW);
         assert_eq!(ended.len(), 1);
@@ -232,25 +232,21 @@
 /// shown an earlier format; nothing closes it.
 #[test]
 fn gangs_wait_for_every_node() {
-    let row = |host: &str, format: u32| Row {
+    let row = |host: &str, format: u32| KeyValue {
         key: format!("node/{host}"),
         value: format!("{{\"format\":{format}}}"),
         stamp: 1,
     };
-    let look = |rows: Vec<Row>| {
-        let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), Out::default());
+    let look = |rows: Vec<KeyValue>| {
+        let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), EffectSink::default());
         version_barrier.tick(NOW, &mut out);
         version_barrier.reply(
             Step::Mark,
-            Ok(StateReply::Conflict { failed: vec!["node/plank-0".into()] }),
+            Ok(KvReply::Conflict { failed: vec!["node/plank-0".into()] }),
             &mut out,
         );
         version_barrier.tick(NOW, &mut out);
-        version_barrier.reply(
-            Step::Look,
-            Ok(StateReply::Page { rows, truncated: false, epoch: 9 }),
-            &mut out,
-        );
+        version_barrier.reply(Step::Look, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }), &mut out);
         version_barrier
     };
     assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).open());
@@ -258,7 +254,7 @@
     let mut version_barrier =
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
     assert!(version_barrier.open());
-    let mut out = Out::default();
+    let mut out = EffectSink::default();
     version_barrier.reply(Step::Look, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
     assert!(version_barrier.open() && out.effects.is_empty());
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -50,12 +50,12 @@
 const CLOUD_PATIENCE: Duration = secs(3);
 const COMMAND_PATIENCE: Duration = secs(2);
 
-fn link_of(op: &StateOp) -> Link {
+fn link_of(op: &KvRequest) -> Link {
     match op {
-        StateOp::Get { .. } | StateOp::List { .. } => Link::Reads,
-        StateOp::Txn { .. } | StateOp::GrantLease { .. } | StateOp::RevokeLease { .. } => Link::Writes,
-        StateOp::RenewLease { .. } => Link::Renewal,
-        StateOp::Watch { .. } => Link::Watch,
+        KvRequest::Get { .. } | KvRequest::List { .. } => Link::Reads,
+        KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => Link::Writes,
+        KvRequest::RenewLease { .. } => Link::Renewal,
+        KvRequest::Watch { .. } => Link::Watch,
     }
 }
 
@@ -106,7 +106,7 @@
         let carried_out = how == How::LoseAnswers;
         let (patience, reply) = match effect {
             Effect::CallKv { call, op } => {
-                let follow = matches!(op, StateOp::Watch { .. });
+                let follow = matches!(op, KvRequest::Watch { .. });
                 if carried_out && !follow {
                     self.at(ms(2), Happening::StateArrives { node, boot, call, op, answered: false });
                 }
@@ -121,16 +121,16 @@
             }
             Effect::SendCommands { call, address, token, shift, orders } => {
                 self.sent(token, &orders);
-                let host: HostName = address.as_ref().trim_start_matches("at-").into();
+                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 if carried_out {
                     let arrives = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
                     self.at(ms(2), arrives);
                 }
-                let reply = if how == How::Refuse { OrdersReply::NotSent } else { OrdersReply::Unanswered };
+                let reply = if how == How::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
                 (COMMAND_PATIENCE, Event::CommandReply { call, reply })
             }
             Effect::Respond { ask, answer } => {
-                if let Answer::Commands { token, orders } = &answer {
+                if let Response::Commands { token, orders } = &answer {
                     self.sent(*token, orders);
                 }
                 self.asks.remove(&(node, boot, ask));
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -5,7 +5,7 @@
 //! read: the text of log lines, reasons of refusals, and the operators' view.
 
 use plankhead_core::protocol::*;
-use plankhead_core::shard_messages::{HolderReport, LeaderOrders, ShardMessage};
+use plankhead_core::shard_messages::{HolderStatus, LeaderCommands, ShardMessage};
 use plankhead_fencing::gate::Basis;
 use plankhead_reachability::coverage::Coverage;
 use std::time::Duration;
@@ -126,9 +126,9 @@
         }
     }
 
-    fn answer(&mut self, answer: &Answer) {
+    fn answer(&mut self, answer: &Response) {
         match answer {
-            Answer::Job { fresh, id, status, done, running } => {
+            Response::Job { fresh, id, status, done, running } => {
                 self.tag(1);
                 self.flag(*fresh);
                 self.text(id.as_str());
@@ -141,48 +141,48 @@
                 self.number(u64::from(*done));
                 self.number(u64::from(*running));
             }
-            Answer::BadRequest(_) => self.tag(2),
-            Answer::Unprocessable(_) => self.tag(3),
-            Answer::NotFound => self.tag(4),
-            Answer::Unavailable { retry } => {
+            Response::BadRequest(_) => self.tag(2),
+            Response::Unprocessable(_) => self.tag(3),
+            Response::NotFound => self.tag(4),
+            Response::Unavailable { retry } => {
                 self.tag(5);
                 self.duration(*retry);
             }
-            Answer::Commands { token, orders } => {
+            Response::Commands { token, orders } => {
                 self.tag(6);
                 self.number(*token);
                 self.orders(orders);
             }
-            Answer::Redirect { foreman } => {
+            Response::Redirect { foreman } => {
                 self.tag(7);
                 self.optional(foreman.as_deref(), Self::text);
             }
-            Answer::Relay { foreman } => {
+            Response::Relay { foreman } => {
                 self.tag(8);
                 self.text(foreman);
             }
-            Answer::View(_) => self.tag(9),
-            Answer::ShardMessageDelivery(delivery) => {
+            Response::View(_) => self.tag(9),
+            Response::ShardMessageDelivery(delivery) => {
                 self.tag(10);
                 self.number(*delivery as u64);
             }
         }
     }
 
-    fn orders(&mut self, orders: &[Order]) {
+    fn orders(&mut self, orders: &[WorkerCommand]) {
         self.number(orders.len() as u64);
         for order in orders {
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Run { task, attempt } => {
                     self.tag(1);
                     self.attempt(task, *attempt);
                 }
-                Order::Kill { task, attempt, leeway } => {
+                WorkerCommand::Kill { task, attempt, leeway } => {
                     self.tag(2);
                     self.attempt(task, *attempt);
                     self.duration(*leeway);
                 }
-                Order::Acknowledge { task, attempt } => {
+                WorkerCommand::Acknowledge { task, attempt } => {
                     self.tag(3);
                     self.attempt(task, *attempt);
                 }
@@ -196,18 +196,18 @@
         self.number(attempt);
     }
 
-    fn state_op(&mut self, op: &StateOp) {
+    fn state_op(&mut self, op: &KvRequest) {
         match op {
-            StateOp::Get { key } => {
+            KvRequest::Get { key } => {
                 self.tag(1);
                 self.text(key);
             }
-            StateOp::List { prefix, after } => {
+            KvRequest::List { prefix, after } => {
                 self.tag(2);
                 self.text(prefix);
                 self.optional(after.as_deref(), Self::text);
             }
-            StateOp::Txn { conditions, changes } => {
+            KvRequest::Txn { conditions, changes } => {
                 self.tag(3);
                 self.number(conditions.len() as u64);
                 for condition in conditions {
@@ -217,19 +217,19 @@
                 self.number(changes.len() as u64);
                 changes.iter().for_each(|change| self.change(change));
             }
-            StateOp::GrantLease { life } => {
+            KvRequest::GrantLease { life } => {
                 self.tag(4);
                 self.duration(*life);
             }
-            StateOp::RenewLease { hold } => {
+            KvRequest::RenewLease { hold } => {
                 self.tag(5);
                 self.number(*hold);
             }
-            StateOp::RevokeLease { hold } => {
+            KvRequest::RevokeLease { hold } => {
                 self.tag(6);
                 self.number(*hold);
             }
-            StateOp::Watch { prefix, after, wait } => {
+            KvRequest::Watch { prefix, after, wait } => {
                 self.tag(7);
                 self.text(prefix);
                 self.number(*after);
@@ -238,29 +238,29 @@
         }
     }
 
-    fn change(&mut self, change: &Change) {
+    fn change(&mut self, change: &KvChange) {
         match change {
-            Change::Put { key, value, hold } => {
+            KvChange::Put { key, value, hold } => {
                 self.tag(1);
                 self.text(key);
                 self.text(value);
                 self.optional(*hold, Self::number);
             }
-            Change::Delete { key } => {
+            KvChange::Delete { key } => {
                 self.tag(2);
                 self.text(key);
             }
         }
     }
 
-    fn cloud_op(&mut self, op: &CloudOp) {
+    fn cloud_op(&mut self, op: &CloudRequest) {
         match op {
-            CloudOp::ListMachineTypes => self.tag(1),
-            CloudOp::ListInstances { after } => {
+            CloudRequest::ListMachineTypes => self.tag(1),
+            CloudRequest::ListInstances { after } => {
                 self.tag(2);
                 self.optional(after.as_deref(), Self::text);
             }
-            CloudOp::Execute(permitted) => {
+            CloudRequest::Execute(permitted) => {
                 self.tag(3);
                 self.text(&permitted.action().digest().to_string());
                 match permitted.basis() {
@@ -295,7 +295,7 @@
         }
     }
 
-    fn holder_report(&mut self, report: &HolderReport) {
+    fn holder_report(&mut self, report: &HolderStatus) {
         self.tag(1);
         self.text(&report.host);
         self.number(report.stamp.boot);
@@ -324,7 +324,7 @@
         self.duration(report.alive_age);
     }
 
-    fn leader_orders(&mut self, orders: &LeaderOrders) {
+    fn leader_orders(&mut self, orders: &LeaderCommands) {
         self.tag(2);
         self.text(&orders.host);
         self.number(orders.stamp.boot);
@@ -350,7 +350,7 @@
         orders.snapshot.iter().for_each(|report| self.report(report));
     }
 
-    fn report(&mut self, report: &Report) {
+    fn report(&mut self, report: &Heartbeat) {
         self.text(&report.host);
         self.text(&report.address);
         self.text(&report.rig);
@@ -364,12 +364,12 @@
         for listed in report.tasks.iter() {
             self.attempt(&listed.task, listed.attempt);
             match listed.seen {
-                Seen::FetchingImage => self.tag(1),
-                Seen::WaitingForGang => self.tag(2),
-                Seen::Running => self.tag(3),
-                Seen::Checkpointing => self.tag(4),
-                Seen::Unrecognized => self.tag(5),
-                Seen::Exited(cause) => {
+                TaskStatus::FetchingImage => self.tag(1),
+                TaskStatus::WaitingForGang => self.tag(2),
+                TaskStatus::Running => self.tag(3),
+                TaskStatus::Checkpointing => self.tag(4),
+                TaskStatus::Unrecognized => self.tag(5),
+                TaskStatus::Exited(cause) => {
                     self.tag(6);
                     self.tag(cause as u8);
                 }
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -66,12 +66,12 @@
     }
 
     /// The times that a node's clocks show.
-    pub(super) fn times(&mut self, node: usize) -> Times {
+    pub(super) fn times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
         let now = EPOCH + (self.now - EPOCH).mul_f64(rate);
         let jumps = jumps.as_millis() as u64;
         let jump = if jumps > 0 { self.between(0, jumps) } else { Duration::ZERO };
-        Times { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
+        StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
     }
 
     /// When a time on a node's clock is.
@@ -89,8 +89,8 @@
     }
 
     /// Counts what the cloud is about to do for an actor.
-    pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudOp) {
-        let CloudOp::Execute(permitted) = op else { return };
+    pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudRequest) {
+        let CloudRequest::Execute(permitted) = op else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             Action::Rent(rental) => {
                 let done = self.hires.contains_key(&rental.name);
@@ -145,9 +145,9 @@
 
     /// Something writes into the state service.
     pub fn put(&mut self, key: &str, value: &str) {
-        let changes = vec![Change::Put { key: key.into(), value: value.into(), hold: None }];
-        let reply = self.kv.apply(self.now, StateOp::Txn { conditions: Vec::new(), changes });
-        assert!(matches!(reply, Ok(StateReply::Committed { .. })));
+        let changes = vec![KvChange::Put { key: key.into(), value: value.into(), hold: None }];
+        let reply = self.kv.apply(self.now, KvRequest::Txn { conditions: Vec::new(), changes });
+        assert!(matches!(reply, Ok(KvReply::Committed { .. })));
     }
 
     /// Open records in the state service.
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -18,7 +18,7 @@
 
 impl World {
     /// The machines on which the tasks of the attempt are in this state and go on.
-    fn mates(&self, job: usize, attempt: u64, states: &[Seen]) -> BTreeMap<u32, HostName> {
+    fn mates(&self, job: usize, attempt: u64, states: &[TaskStatus]) -> BTreeMap<u32, MachineName> {
         let id = &self.jobs[job].id;
         let mut found = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead && self.now >= w.hung) {
@@ -32,9 +32,9 @@
     }
 
     /// The leader tells tasks to run: of a gang, no task before all are durably placed.
-    pub(super) fn gang_sent(&mut self, token: u64, orders: &[Order]) {
+    pub(super) fn gang_sent(&mut self, token: u64, orders: &[WorkerCommand]) {
         for order in orders {
-            let Order::Run { task, attempt } = order else { continue };
+            let WorkerCommand::Run { task, attempt } = order else { continue };
             let job = &mut self.jobs[self.by_id[&task.job]];
             if !job.spec.gang || *attempt <= job.told_run || token < self.led.0 {
                 continue;
@@ -46,18 +46,18 @@
     }
 
     /// A task has its image: it waits, and the gang starts once nobody is missing.
-    pub(super) fn gang_waits(&mut self, host: HostName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn gang_waits(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
         let job = self.by_id[&task.job];
         self.at(self.kind.gang_wait, Happening::Incomplete { host, task, attempt, shift });
         self.gang_starts(job, attempt);
     }
 
     fn gang_starts(&mut self, job: usize, attempt: u64) {
-        let waiting = self.mates(job, attempt, &[Seen::WaitingForGang]);
+        let waiting = self.mates(job, attempt, &[TaskStatus::WaitingForGang]);
         if (waiting.len() as u32) < self.jobs[job].spec.tasks {
             return;
         }
-        self.set_gang(job, attempt, &waiting, Seen::Running);
+        self.set_gang(job, attempt, &waiting, TaskStatus::Running);
         let j = &mut self.jobs[job];
         assert!(j.run.is_none(), "two attempts of {:?} run at once", j.id);
         j.began.get_or_insert(self.now);
@@ -65,7 +65,7 @@
         self.at(LOOK, Happening::GangLook { job, attempt });
     }
 
-    fn set_gang(&mut self, job: usize, attempt: u64, mates: &BTreeMap<u32, HostName>, seen: Seen) {
+    fn set_gang(&mut self, job: usize, attempt: u64, mates: &BTreeMap<u32, MachineName>, seen: TaskStatus) {
         let id = self.jobs[job].id.clone();
         for (index, host) in mates {
             if let Some(worker) = self.workers.get_mut(host) {
@@ -89,7 +89,7 @@
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
         let (tasks, save, runs) = (self.jobs[job].spec.tasks, self.jobs[job].spec.save, self.jobs[job].runs);
         let peer = self.kind.gang_peer;
-        let mates = self.mates(job, attempt, &[Seen::Running, Seen::Checkpointing]);
+        let mates = self.mates(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
         let whole = mates.len() as u32 == tasks;
         if let Some((first, told)) = &run.stop {
             let saved = told.len() as u32 == tasks && whole;
@@ -97,13 +97,13 @@
             if saved && due {
                 self.jobs[job].progress = self.progress(job, *first).0;
                 self.saves += 1;
-                return self.gang_over(job, attempt, Cause::Stopped);
+                return self.gang_over(job, attempt, ExitReason::Stopped);
             }
             if now >= *first + peer + Duration::from_secs_f64(save) || mates.is_empty() {
                 self.jobs[job].progress = self.progress(job, *first).1;
                 // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
                 self.spoilt += u32::from((told.len() as u32) < tasks && !self.jobs[job].aborting);
-                return self.gang_over(job, attempt, Cause::GangMemberLost);
+                return self.gang_over(job, attempt, ExitReason::GangMemberLost);
             }
         } else if whole {
             run.torn = None;
@@ -111,13 +111,13 @@
                 for index in 0..tasks {
                     self.jobs[job].done.insert(index);
                 }
-                return self.gang_over(job, attempt, Cause::Completed);
+                return self.gang_over(job, attempt, ExitReason::Completed);
             }
         } else {
             let since = *run.torn.get_or_insert(now);
             if now >= since + peer || mates.is_empty() {
                 self.jobs[job].progress = self.progress(job, since).1;
-                return self.gang_over(job, attempt, Cause::GangMemberLost);
+                return self.gang_over(job, attempt, ExitReason::GangMemberLost);
             }
         }
         self.jobs[job].run = Some(run);
@@ -125,12 +125,12 @@
     }
 
     /// Who hangs notices when it goes on, and ends then, too.
-    fn gang_over(&mut self, job: usize, attempt: u64, cause: Cause) {
+    fn gang_over(&mut self, job: usize, attempt: u64, cause: ExitReason) {
         let id = self.jobs[job].id.clone();
         for worker in self.workers.values_mut() {
             for ((task, number), seen) in &mut worker.tasks {
-                if task.job == id && *number == attempt && !matches!(seen, Seen::Exited(_)) {
-                    *seen = Seen::Exited(cause);
+                if task.job == id && *number == attempt && !matches!(seen, TaskStatus::Exited(_)) {
+                    *seen = TaskStatus::Exited(cause);
                 }
             }
         }
@@ -152,12 +152,12 @@
         enough
     }
 
-    pub(super) fn incomplete(&mut self, host: HostName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn incomplete(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
         let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
             return;
         };
-        if let Some(seen @ Seen::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
-            *seen = Seen::Exited(Cause::GangIncomplete);
+        if let Some(seen @ TaskStatus::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
+            *seen = TaskStatus::Exited(ExitReason::GangIncomplete);
         }
     }
 }
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -16,7 +16,7 @@
 pub struct Kv {
     keys: BTreeMap<String, Value>,
     epoch: u64,
-    log: Vec<(u64, KeyEvent)>,
+    log: Vec<(u64, WatchEvent)>,
     grants: HashMap<u64, (Duration, Duration)>,
     last_grant: u64,
     /// Some node has the version before: it must be able to read all that is stored.
@@ -68,43 +68,43 @@
         chunks.map(|c| c.t.iter().filter(placed).count() as u32).sum()
     }
 
-    pub fn apply(&mut self, now: Duration, op: StateOp) -> Result<StateReply, CallError> {
+    pub fn apply(&mut self, now: Duration, op: KvRequest) -> Result<KvReply, CallError> {
         Ok(match op {
-            StateOp::Get { key } => StateReply::Value(self.keys.get(&key).map(|v| Row {
+            KvRequest::Get { key } => KvReply::Value(self.keys.get(&key).map(|v| KeyValue {
                 key,
                 value: v.text.clone(),
                 stamp: v.stamp,
             })),
-            StateOp::List { prefix, after } => {
+            KvRequest::List { prefix, after } => {
                 let from = after.unwrap_or_default();
-                let mut rows: Vec<Row> = self
+                let mut rows: Vec<KeyValue> = self
                     .keys
                     .iter()
                     .filter(|(k, _)| k.starts_with(&prefix) && **k > from)
-                    .map(|(k, v)| Row { key: k.clone(), value: v.text.clone(), stamp: v.stamp })
+                    .map(|(k, v)| KeyValue { key: k.clone(), value: v.text.clone(), stamp: v.stamp })
                     .collect();
                 let truncated = rows.len() > 20;
                 rows.truncate(20);
-                StateReply::Page { rows, truncated, epoch: self.epoch }
+                KvReply::Page { rows, truncated, epoch: self.epoch }
             }
-            StateOp::Txn { conditions, changes } => return self.txn(conditions, changes),
-            StateOp::GrantLease { life } => {
+            KvRequest::Txn { conditions, changes } => return self.txn(conditions, changes),
+            KvRequest::GrantLease { life } => {
                 self.last_grant += 1;
                 self.grants.insert(self.last_grant, (life, now + life));
-                StateReply::LeaseGranted { hold: self.last_grant }
+                KvReply::LeaseGranted { hold: self.last_grant }
             }
-            StateOp::RenewLease { hold } => match self.grants.get_mut(&hold) {
+            KvRequest::RenewLease { hold } => match self.grants.get_mut(&hold) {
                 Some((life, until)) => {
                     *until = now + *life;
-                    StateReply::LeaseRenewed
+                    KvReply::LeaseRenewed
                 }
-                None => StateReply::NoSuchLease,
+                None => KvReply::NoSuchLease,
             },
-            StateOp::RevokeLease { hold } => {
+            KvRequest::RevokeLease { hold } => {
                 self.end(hold);
-                StateReply::LeaseRenewed
+                KvReply::LeaseRenewed
             }
-            StateOp::Watch { prefix, after, .. } => self.changes(&prefix, after),
+            KvRequest::Watch { prefix, after, .. } => self.changes(&prefix, after),
         })
     }
 
@@ -113,14 +113,14 @@
         self.limits = Some((1024, 4));
     }
 
-    fn txn(&mut self, conditions: Vec<Condition>, changes: Vec<Change>) -> Result<StateReply, CallError> {
+    fn txn(&mut self, conditions: Vec<Condition>, changes: Vec<KvChange>) -> Result<KvReply, CallError> {
         let unknown =
-            |c: &Change| matches!(c, Change::Put { hold: Some(h), .. } if !self.grants.contains_key(h));
+            |c: &KvChange| matches!(c, KvChange::Put { hold: Some(h), .. } if !self.grants.contains_key(h));
         if changes.iter().any(unknown) {
-            return Ok(StateReply::NoSuchLease);
+            return Ok(KvReply::NoSuchLease);
         }
         let (value_bytes, txn_ops) = self.limits.unwrap_or((8192, 8));
-        let size = |c: &Change| if let Change::Put { value, .. } = c { value.len() } else { 0 };
+        let size = |c: &KvChange| if let KvChange::Put { value, .. } = c { value.len() } else { 0 };
         if changes.len() > txn_ops || changes.iter().any(|c| size(c) > value_bytes) {
             panic!("a transaction over the limits");
         }
@@ -128,27 +128,27 @@
         let failed: Vec<String> =
             conditions.iter().filter(|c| stamp(&c.key) != c.stamp).map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return Ok(StateReply::Conflict { failed });
+            return Ok(KvReply::Conflict { failed });
         }
         assert!(conditions.len() <= 4 * txn_ops, "a transaction over the limits");
         self.epoch += 1;
         for change in changes {
             match change {
-                Change::Put { key, value, hold } => {
+                KvChange::Put { key, value, hold } => {
                     assert!(!self.mixed || before::reads(&key, &value), "older nodes misread {key}: {value}");
-                    let row = Row { key: key.clone(), value: value.clone(), stamp: self.epoch };
-                    self.log.push((self.epoch, KeyEvent::Put(row)));
+                    let row = KeyValue { key: key.clone(), value: value.clone(), stamp: self.epoch };
+                    self.log.push((self.epoch, WatchEvent::Put(row)));
                     self.keys.insert(key, Value { text: value, stamp: self.epoch, hold });
                 }
-                Change::Delete { key } => self.drop_key(key),
+                KvChange::Delete { key } => self.drop_key(key),
             }
         }
-        Ok(StateReply::Committed { epoch: self.epoch })
+        Ok(KvReply::Committed { epoch: self.epoch })
     }
 
     fn drop_key(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            self.log.push((self.epoch, KeyEvent::Delete { key, stamp: self.epoch }));
+            self.log.push((self.epoch, WatchEvent::Delete { key, stamp: self.epoch }));
         }
     }
 
@@ -185,16 +185,16 @@
         self.log.iter().rev().take_while(|(at, _)| *at > after).any(|(_, e)| matches(e, prefix))
     }
 
-    pub fn changes(&self, prefix: &str, after: u64) -> StateReply {
+    pub fn changes(&self, prefix: &str, after: u64) -> KvReply {
         let events =
             self.log.iter().filter(|(at, e)| *at > after && matches(e, prefix)).map(|(_, e)| e.clone());
-        StateReply::Events { epoch: self.epoch, events: events.collect() }
+        KvReply::Events { epoch: self.epoch, events: events.collect() }
     }
 }
 
-fn matches(event: &KeyEvent, prefix: &str) -> bool {
+fn matches(event: &WatchEvent, prefix: &str) -> bool {
     match event {
-        KeyEvent::Put(row) => row.key.starts_with(prefix),
-        KeyEvent::Delete { key, .. } => key.starts_with(prefix),
+        WatchEvent::Put(row) => row.key.starts_with(prefix),
+        WatchEvent::Delete { key, .. } => key.starts_with(prefix),
     }
 }
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -13,8 +13,8 @@
 
 pub use fencing::{Clock, Effects, TRUE_CLOCK};
 use kv::Kv;
-use plankhead_core::job::{JobId, JobSpec, Resources, Urgency};
-use plankhead_core::node::{Node, Times};
+use plankhead_core::job::{JobId, JobSpec, Priority, Resources};
+use plankhead_core::node::{Node, StepTime};
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
 use plankhead_core::shard_messages::Delivery;
@@ -186,7 +186,7 @@
     Unanswered {
         node: usize,
         boot: u64,
-        ask: Ask,
+        ask: RequestId,
         again: Box<Happening>,
     },
     Tick {
@@ -201,8 +201,8 @@
     StateArrives {
         node: usize,
         boot: u64,
-        call: Call,
-        op: StateOp,
+        call: CallId,
+        op: KvRequest,
         answered: bool,
     },
     /// A node comes back with fencing on or off.
@@ -229,41 +229,41 @@
     },
     CloudArrives {
         actor: fencing::Actor,
-        call: Call,
-        op: CloudOp,
+        call: CallId,
+        op: CloudRequest,
         answered: bool,
     },
     OrdersArrive {
         node: usize,
         boot: u64,
-        call: Call,
-        host: HostName,
+        call: CallId,
+        host: MachineName,
         token: u64,
         shift: u64,
-        orders: Vec<Order>,
+        orders: Vec<WorkerCommand>,
     },
     Beat {
-        host: HostName,
+        host: MachineName,
     },
     BeatAnswered {
-        host: HostName,
+        host: MachineName,
         sent: Duration,
         shift: u64,
         tick: u64,
-        answer: Answer,
+        answer: Response,
     },
     BeatGivenUp {
-        host: HostName,
+        host: MachineName,
         tick: u64,
     },
     Ends {
-        host: HostName,
+        host: MachineName,
         task: TaskId,
         attempt: u64,
         shift: u64,
     },
     Pulled {
-        host: HostName,
+        host: MachineName,
         task: TaskId,
         attempt: u64,
         shift: u64,
@@ -277,7 +277,7 @@
         attempt: u64,
     },
     Incomplete {
-        host: HostName,
+        host: MachineName,
         task: TaskId,
         attempt: u64,
         shift: u64,
@@ -330,11 +330,11 @@
     },
     /// A late copy of a report, to whichever node.
     Copy {
-        report: Report,
+        report: Heartbeat,
     },
     CopyTo {
         node: usize,
-        report: Report,
+        report: Heartbeat,
     },
     /// Something befalls the leader.
     Leader(Blow),
@@ -378,7 +378,7 @@
     id: u64,
     node: usize,
     boot: u64,
-    call: Call,
+    call: CallId,
     prefix: String,
     after: u64,
 }
@@ -437,15 +437,15 @@
         known: Option<usize>,
     },
     Beat {
-        host: HostName,
+        host: MachineName,
         sent: Duration,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     /// Another node's message about shards.
     Shard {
         node: usize,
         boot: u64,
-        call: Call,
+        call: CallId,
     },
 }
 
@@ -482,16 +482,16 @@
     /// Tasks that ran on machines when the cloud was told to release them.
     pub killed_by_release: usize,
     watches: Vec<Watch>,
-    pub workers: BTreeMap<HostName, Worker>,
-    hires: HashMap<String, Vec<HostName>>,
+    pub workers: BTreeMap<MachineName, Worker>,
+    hires: HashMap<String, Vec<MachineName>>,
     /// Machines rented so far.
     pub machines: u64,
     pub jobs: Vec<Job>,
     by_id: HashMap<JobId, usize>,
-    asks: HashMap<(usize, u64, Ask), (Duration, Asked)>,
+    asks: HashMap<(usize, u64, RequestId), (Duration, Asked)>,
     /// When the request was made whose answer is taken in.
     asked_at: Duration,
-    last_ask: Ask,
+    last_ask: RequestId,
     pub starts: u32,
     /// Gangs that saved when they were stopped, and that could not.
     pub saves: u32,
@@ -506,7 +506,7 @@
     /// What is to happen at which moment, after how many more of them.
     scripts: Vec<script::Script>,
     /// Copies of reports for the next leader.
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     /// Whether calls are lost, slow or held up only until the last trouble is over.
     pub clears: bool,
     /// How far behind all nodes are.
@@ -536,7 +536,7 @@
     /// When a node last gave an answer that renews a lease.
     pub last_answer: Duration,
     /// When tasks started, and where.
-    pub start_times: Vec<(Duration, HostName)>,
+    pub start_times: Vec<(Duration, MachineName)>,
     /// The longest time between two answers that renewed a lease.
     pub longest_gap: Duration,
     /// The longest time for which urgent tasks waited although a machine had room.
@@ -548,7 +548,7 @@
     /// By whom each shard was last held.
     shard_holders: BTreeMap<String, String>,
     /// Which start of which node told each machine something under each token.
-    told_by: HashMap<(HostName, u64), (usize, u64)>,
+    told_by: HashMap<(MachineName, u64), (usize, u64)>,
     /// Nodes whose `apart` concerns the other half of the machines.
     pub other_half: [bool; 3],
     pub clocks: [Clock; 3],
@@ -563,11 +563,11 @@
     ["x", "y", "x"][node]
 }
 
-fn touches(op: &StateOp, prefix: &str) -> bool {
+fn touches(op: &KvRequest, prefix: &str) -> bool {
     match op {
-        StateOp::List { prefix: p, .. } => p == prefix,
-        StateOp::Txn { changes, .. } => {
-            changes.iter().any(|c| matches!(c, Change::Put { key, .. } if key.starts_with(prefix)))
+        KvRequest::List { prefix: p, .. } => p == prefix,
+        KvRequest::Txn { changes, .. } => {
+            changes.iter().any(|c| matches!(c, KvChange::Put { key, .. } if key.starts_with(prefix)))
         }
         _ => false,
     }
@@ -729,7 +729,7 @@
             let spec = JobSpec {
                 class: format!("c{}", n % 3),
                 team: if n % 2 == 0 { "a".into() } else { "b".into() },
-                urgency: if n % 3 == 0 { Urgency::Urgent } else { Urgency::Standard },
+                urgency: if n % 3 == 0 { Priority::Urgent } else { Priority::Standard },
                 tasks,
                 each: Resources {
                     cpus: if wide { 1.0 } else { [1.0, 2.0, 4.0][n % 3] },
@@ -1143,7 +1143,7 @@
     }
 
     fn one(&mut self, change: &impl Fn(&mut Worker)) {
-        let up: Vec<HostName> =
+        let up: Vec<MachineName> =
             self.workers.values().filter(|w| w.up(self.now)).map(|w| w.name.clone()).collect();
         if up.is_empty() {
             return;
@@ -1175,7 +1175,7 @@
         self.zone_apart(node, host) && self.zone_mates(node, host)
     }
 
-    fn copy_to(&mut self, node: usize, report: Report) {
+    fn copy_to(&mut self, node: usize, report: Heartbeat) {
         if let Some((boot, _)) = &self.nodes[node] {
             let boot = *boot;
             self.last_ask += 1;
@@ -1190,7 +1190,7 @@
 
     /// Puts a user's or worker's request to a random living node; `again` is
     /// what the user does if nobody answers.
-    fn ask(&mut self, asked: Asked, event: impl FnOnce(Ask) -> Event, again: Happening) {
+    fn ask(&mut self, asked: Asked, event: impl FnOnce(RequestId) -> Event, again: Happening) {
         let node = self.rng.random_range(0..3);
         self.ask_at(node, asked, event, Some(again));
     }
@@ -1200,7 +1200,7 @@
         &mut self,
         node: usize,
         asked: Asked,
-        event: impl FnOnce(Ask) -> Event,
+        event: impl FnOnce(RequestId) -> Event,
         again: Option<Happening>,
     ) {
         let reached = self.now >= self.node_cut[node];
@@ -1255,7 +1255,7 @@
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
             Effect::CallKv { call, op } => {
-                if !matches!(op, StateOp::Watch { .. }) {
+                if !matches!(op, KvRequest::Watch { .. }) {
                     self.at(held, Happening::StateArrives { node, boot, call, op, answered: false });
                 }
                 Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
@@ -1265,10 +1265,10 @@
                 Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
             Effect::SendCommands { call, address, token, shift, orders } => {
-                let host: HostName = address.as_ref().trim_start_matches("at-").into();
+                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
                 self.at(held, late);
-                Event::CommandReply { call, reply: OrdersReply::Unanswered }
+                Event::CommandReply { call, reply: CommandReply::Unanswered }
             }
             Effect::SendShardMessage { call, to, message } => {
                 self.late_shard_message(held, &to, message);
@@ -1301,7 +1301,7 @@
         let Some(effect) = self.pass_cuts(actor, effect) else { return };
         match effect {
             Effect::Respond { ask, answer } => {
-                if let Answer::Commands { token, orders } = &answer {
+                if let Response::Commands { token, orders } = &answer {
                     if let Some((_, Asked::Beat { host, .. })) = self.asks.get(&(node, boot, ask)) {
                         let host = host.clone();
                         self.last_answer = self.now;
@@ -1318,9 +1318,9 @@
             Effect::CallKv { op, .. } if self.old[node] && touches(&op, "node/") => {}
             Effect::CallKv { call, op } => {
                 self.duty_sent(&op);
-                let listed = matches!(op, StateOp::List { .. }) && self.now < self.unreadable;
+                let listed = matches!(op, KvRequest::List { .. }) && self.now < self.unreadable;
                 let refused = self.now < self.outage || self.now < self.refused[node] || listed;
-                if refused && !matches!(op, StateOp::Watch { .. }) {
+                if refused && !matches!(op, KvRequest::Watch { .. }) {
                     return self.reply_state(node, boot, call, Err(CallError::Refused));
                 }
                 let lost = self.chance(self.troubles.lost);
@@ -1343,7 +1343,7 @@
                 self.at(delay, Happening::StateArrives { node, boot, call, op, answered: !lost });
             }
             Effect::CallCloud { call, op } => {
-                if matches!(op, CloudOp::Execute(_)) {
+                if matches!(op, CloudRequest::Execute(_)) {
                     self.moment(Moment::CloudCalled);
                 }
                 if self.holding[node] && self.now < self.frozen[node] {
@@ -1355,16 +1355,16 @@
                 self.at(delay, Happening::CloudArrives { actor, call, op, answered });
             }
             Effect::SendCommands { call, address, token, shift, orders } => {
-                let starts = orders.iter().any(|o| matches!(o, Order::Run { .. }));
+                let starts = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
                 assert!(!starts || self.lag.is_zero(), "a start of its own while behind");
                 self.sent(token, &orders);
-                let host: HostName = address.as_ref().trim_start_matches("at-").into();
+                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 self.acts(actor, host.clone(), token);
                 let held = self.troubles.held > 0.0 && self.chance(self.troubles.held);
                 let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
                 if delay > secs(2) {
                     // Given up by the sender, and carried out all the same.
-                    let event = Event::CommandReply { call, reply: OrdersReply::Unanswered };
+                    let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
                     self.at(secs(2), Happening::ToNode { node, boot, event });
                     let boot = 0;
                     let late = Happening::OrdersArrive { node, boot, call, host, token, shift, orders };
@@ -1395,20 +1395,20 @@
         }
     }
 
-    fn reply_state(&mut self, node: usize, boot: u64, call: Call, reply: Result<StateReply, CallError>) {
+    fn reply_state(&mut self, node: usize, boot: u64, call: CallId, reply: Result<KvReply, CallError>) {
         // A slow service answers late, too, what it has read long before.
         let way = if self.troubles.slow { self.between(2, 600) } else { ms(2) };
         self.at(way, Happening::ToNode { node, boot, event: Event::KvReply { call, reply } });
     }
 
-    fn state(&mut self, node: usize, boot: u64, call: Call, op: StateOp, answered: bool) {
-        if self.now < self.outage && !matches!(op, StateOp::Watch { .. }) {
+    fn state(&mut self, node: usize, boot: u64, call: CallId, op: KvRequest, answered: bool) {
+        if self.now < self.outage && !matches!(op, KvRequest::Watch { .. }) {
             if answered {
                 self.reply_state(node, boot, call, Err(CallError::Refused));
             }
             return;
         }
-        if let StateOp::Watch { prefix, after, wait } = op {
+        if let KvRequest::Watch { prefix, after, wait } = op {
             if answered && self.alive(node, boot) {
                 self.sequence += 1;
                 let id = self.sequence;
@@ -1419,11 +1419,11 @@
             return;
         }
         let changes = match &op {
-            StateOp::Txn { changes, .. } => changes.clone(),
+            KvRequest::Txn { changes, .. } => changes.clone(),
             _ => Vec::new(),
         };
         let reply = self.kv.apply(self.now, op);
-        if matches!(reply, Ok(StateReply::Committed { .. })) {
+        if matches!(reply, Ok(KvReply::Committed { .. })) {
             self.carried_out(&changes);
         }
         if answered {
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -83,9 +83,10 @@
         self.at(at, happening);
     }
 
-    pub(super) fn duty_sent(&mut self, op: &StateOp) {
-        let StateOp::Txn { changes, .. } = op else { return };
-        let duty = |change: &Change| matches!(change, Change::Put { key, .. } if key.starts_with("duty/"));
+    pub(super) fn duty_sent(&mut self, op: &KvRequest) {
+        let KvRequest::Txn { changes, .. } = op else { return };
+        let duty =
+            |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
             self.moment(Moment::DutySent);
         }
@@ -112,13 +113,13 @@
     }
 
     /// What the leader tells its workers.
-    pub(super) fn sent(&mut self, token: u64, orders: &[Order]) {
+    pub(super) fn sent(&mut self, token: u64, orders: &[WorkerCommand]) {
         self.gang_sent(token, orders);
         for order in orders {
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Run { task, attempt } => {
                     let job = &self.jobs[self.by_id[&task.job]];
-                    let killed = |o: &Order| matches!(o, Order::Kill { task: t, attempt: n, .. } if t == task && n == attempt);
+                    let killed = |o: &WorkerCommand| matches!(o, WorkerCommand::Kill { task: t, attempt: n, .. } if t == task && n == attempt);
                     let late = job.cancelled.is_some_and(|at| self.now > at + UNSEEN);
                     assert!(
                         !late || orders.iter().any(killed),
@@ -128,16 +129,16 @@
                     );
                     self.moment(Moment::RunSent);
                 }
-                Order::Kill { .. } => self.moment(Moment::KillSent),
-                Order::Acknowledge { .. } => {}
+                WorkerCommand::Kill { .. } => self.moment(Moment::KillSent),
+                WorkerCommand::Acknowledge { .. } => {}
             }
         }
     }
 
     /// What a transaction that the state service has carried out means.
-    pub(super) fn carried_out(&mut self, changes: &[Change]) {
+    pub(super) fn carried_out(&mut self, changes: &[KvChange]) {
         for change in changes {
-            let Change::Put { key, value, .. } = change else { continue };
+            let KvChange::Put { key, value, .. } = change else { continue };
             if key.starts_with("duty/") {
                 let holder = key.split('/').nth(1).and_then(|token| token.parse().ok());
                 assert_eq!(self.kv.stamp("lead"), holder, "{key} was written without its holder's lease");
@@ -268,16 +269,16 @@
         self.ask_at(node, asked, event, None);
     }
 
-    pub(super) fn odd_answered(&mut self, odd: Odd, known: Option<usize>, answer: Answer) {
+    pub(super) fn odd_answered(&mut self, odd: Odd, known: Option<usize>, answer: Response) {
         match (odd, known, answer) {
-            (_, _, Answer::Unavailable { .. }) => {}
+            (_, _, Response::Unavailable { .. }) => {}
             // A known id is answered with the job's state, whatever else was sent.
-            (Odd::Malformed | Odd::Impossible, Some(job), Answer::Job { status, .. }) => {
+            (Odd::Malformed | Odd::Impossible, Some(job), Response::Job { status, .. }) => {
                 self.tell(job, status);
             }
-            (Odd::Malformed, None, Answer::BadRequest(_)) => {}
-            (Odd::Impossible, None, Answer::Unprocessable(_)) => {}
-            (Odd::Unknown, None, Answer::NotFound) => {}
+            (Odd::Malformed, None, Response::BadRequest(_)) => {}
+            (Odd::Impossible, None, Response::Unprocessable(_)) => {}
+            (Odd::Unknown, None, Response::NotFound) => {}
             (odd, known, answer) => panic!("{odd:?} of {known:?} gets {answer:?}"),
         }
     }
@@ -309,7 +310,7 @@
         self.urgent_look = now + URGENT_LOOK;
         for (n, waiting) in self.waits() {
             let job = &mut self.jobs[n];
-            if job.spec.urgency < Urgency::Urgent || !waiting {
+            if job.spec.urgency < Priority::Urgent || !waiting {
                 job.urgent_waiting = None;
                 continue;
             }
@@ -327,7 +328,7 @@
         for worker in self.workers.values().filter(|w| w.up(now) && !w.faulty) {
             let mut free = 8.0;
             for ((task, _), seen) in &worker.tasks {
-                if !matches!(seen, Seen::Exited(_)) {
+                if !matches!(seen, TaskStatus::Exited(_)) {
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
                     free -= spec.each.cpus;
                     *used.entry(&spec.team).or_default() += spec.each.cpus;
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -22,7 +22,7 @@
     /// A node sends another one a message; what becomes of it comes back.
     pub(super) fn shard_message(
         &mut self,
-        (node, boot, call): (usize, u64, Call),
+        (node, boot, call): (usize, u64, CallId),
         to: &str,
         message: ShardMessage,
     ) {
@@ -74,8 +74,8 @@
         self.at(late, Happening::ToNode { node: other, boot, event });
     }
 
-    pub(super) fn shard_answered(&mut self, (node, boot, call): (usize, u64, Call), answer: Answer) {
-        let Answer::ShardMessageDelivery(delivery) = answer else {
+    pub(super) fn shard_answered(&mut self, (node, boot, call): (usize, u64, CallId), answer: Response) {
+        let Response::ShardMessageDelivery(delivery) = answer else {
             panic!("a message about shards gets {answer:?}")
         };
         self.at(
@@ -102,7 +102,7 @@
     }
 
     /// The machines of the shards that a node holds, by the records.
-    pub fn machines_held_by(&self, node: usize) -> BTreeSet<HostName> {
+    pub fn machines_held_by(&self, node: usize) -> BTreeSet<MachineName> {
         let holders = self.holders();
         let shards = plankhead_sharding::settings::Settings::default().shards_per_zone;
         let held = |worker: &&Worker| {
@@ -134,7 +134,7 @@
         let (_, core) = self.nodes[node].as_mut().unwrap();
         let effects = core.step(times, vec![Event::ShardMessage { ask, message: Ok(message) }]);
         let answer = effects.iter().find_map(|effect| match effect {
-            Effect::Respond { ask: of, answer: Answer::ShardMessageDelivery(delivery) } if *of == ask => {
+            Effect::Respond { ask: of, answer: Response::ShardMessageDelivery(delivery) } if *of == ask => {
                 Some(*delivery)
             }
             _ => None,
@@ -144,7 +144,7 @@
     }
 
     /// A process tells a machine something: under each token, only one ever does.
-    pub(super) fn acts(&mut self, actor: fencing::Actor, host: HostName, token: u64) {
+    pub(super) fn acts(&mut self, actor: fencing::Actor, host: MachineName, token: u64) {
         let start = (actor.node, actor.boot);
         let first = *self.told_by.entry((host.clone(), token)).or_insert(start);
         assert_eq!(first, start, "two processes tell {host} something under {token}");
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Worker {
-    pub name: HostName,
+    pub name: MachineName,
     pub zone: String,
     pub spot: bool,
     pub up_at: Duration,
@@ -29,7 +29,7 @@
     /// When the last answered report was sent; the lease ends so long after.
     pub leased: Duration,
     lease: Duration,
-    pub tasks: BTreeMap<(TaskId, u64), Seen>,
+    pub tasks: BTreeMap<(TaskId, u64), TaskStatus>,
     pub node: usize,
     /// The tick of the report that waits for its answer.
     pub waiting: Option<u64>,
@@ -44,7 +44,9 @@
     }
 
     pub fn runs(&self) -> impl Iterator<Item = &(TaskId, u64)> {
-        let on = |s: &Seen| matches!(s, Seen::WaitingForGang | Seen::Running | Seen::Checkpointing);
+        let on = |s: &TaskStatus| {
+            matches!(s, TaskStatus::WaitingForGang | TaskStatus::Running | TaskStatus::Checkpointing)
+        };
         self.tasks.iter().filter(move |(_, s)| on(s)).map(|(k, _)| k)
     }
 
@@ -58,9 +60,9 @@
         self.leased = now;
     }
 
-    fn report(&mut self, now: Duration) -> Report {
+    fn report(&mut self, now: Duration) -> Heartbeat {
         self.tick += 1;
-        Report {
+        Heartbeat {
             host: self.name.clone(),
             address: format!("at-{}", self.name).into(),
             rig: "r".into(),
@@ -73,7 +75,11 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), seen)| Listed { task: task.clone(), attempt: *attempt, seen: *seen })
+                .map(|((task, attempt), seen)| ReportedTask {
+                    task: task.clone(),
+                    attempt: *attempt,
+                    seen: *seen,
+                })
                 .collect(),
         }
     }
@@ -82,9 +88,9 @@
 impl World {
     // ----- the cloud -----
 
-    pub(super) fn cloud(&mut self, op: CloudOp) -> Result<CloudReply, CallError> {
+    pub(super) fn cloud(&mut self, op: CloudRequest) -> Result<CloudReply, CallError> {
         Ok(match op {
-            CloudOp::ListMachineTypes => CloudReply::MachineTypes(vec![Rig {
+            CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![MachineType {
                 label: "r".into(),
                 cpus: 8.0,
                 gpus: 0.0,
@@ -96,7 +102,7 @@
                 boot: secs(5),
                 zones: vec!["x".into(), "y".into()],
             }]),
-            CloudOp::ListInstances { after } => {
+            CloudRequest::ListInstances { after } => {
                 // The list is three seconds old.
                 let lag = secs(3);
                 let now = self.now;
@@ -105,17 +111,17 @@
                 let there = |w: &&Worker| w.taken.is_none() || w.ended.is_none_or(|at| now < at + lag);
                 let known = self.workers.values().filter(|w| w.hired + lag <= now).filter(there);
                 let seen = known.filter(from);
-                let mut hosts: Vec<ListedHost> = seen
-                    .map(|w| ListedHost {
+                let mut hosts: Vec<Instance> = seen
+                    .map(|w| Instance {
                         host: w.name.clone(),
                         address: format!("at-{}", w.name).into(),
                         rig: "r".into(),
                         zone: w.zone.clone(),
                         spot: w.spot,
                         status: match w.ended {
-                            Some(at) if now >= at + LISTED_RUNNING => HostStatus::Failed,
-                            _ if now >= w.up_at + lag => HostStatus::Running,
-                            _ => HostStatus::Booting,
+                            Some(at) if now >= at + LISTED_RUNNING => InstanceStatus::Failed,
+                            _ if now >= w.up_at + lag => InstanceStatus::Running,
+                            _ => InstanceStatus::Booting,
                         },
                         held: now - w.hired,
                     })
@@ -124,7 +130,7 @@
                 hosts.truncate(self.kind.page);
                 CloudReply::Instances { hosts, truncated }
             }
-            CloudOp::Execute(permitted) => return self.act(permitted.action().clone()),
+            CloudRequest::Execute(permitted) => return self.act(permitted.action().clone()),
         })
     }
 
@@ -139,10 +145,10 @@
                 if given == 0 {
                     return Ok(CloudReply::NoCapacity);
                 }
-                let mut hosts: Vec<HostName> = Vec::new();
+                let mut hosts: Vec<MachineName> = Vec::new();
                 for _ in 0..given {
                     self.machines += 1;
-                    let host: HostName = format!("i-{:06}", self.machines).into();
+                    let host: MachineName = format!("i-{:06}", self.machines).into();
                     let slowest = if self.troubles.quick { 2000 } else { 9000 };
                     let boot = if self.chance(0.05) { secs(100_000) } else { self.between(300, slowest) };
                     let up_at = self.now + boot;
@@ -188,7 +194,7 @@
 
     // ----- workers -----
 
-    pub(super) fn beat(&mut self, host: HostName) {
+    pub(super) fn beat(&mut self, host: MachineName) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&host) else { return };
         if worker.dead || worker.waiting.is_some() {
@@ -230,9 +236,9 @@
         self.at(held + ms(1), Happening::ToNode { node, boot, event });
     }
 
-    pub(super) fn answered(&mut self, asked: Asked, answer: Answer) {
+    pub(super) fn answered(&mut self, asked: Asked, answer: Response) {
         match asked {
-            Asked::Beat { sent, report, .. } if matches!(answer, Answer::Relay { .. }) => {
+            Asked::Beat { sent, report, .. } if matches!(answer, Response::Relay { .. }) => {
                 self.relay(sent, report, answer);
             }
             Asked::Beat { host, sent, report } => {
@@ -252,14 +258,14 @@
     }
 
     /// One node passes a report on to another, if it can.
-    fn relay(&mut self, sent: Duration, report: Box<Report>, answer: Answer) {
-        let Answer::Relay { foreman } = answer else { return };
+    fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
+        let Response::Relay { foreman } = answer else { return };
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
         let host = report.host.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut[node].max(self.alone[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
-            let nobody = Answer::Redirect { foreman: None };
+            let nobody = Response::Redirect { foreman: None };
             return self.answered(Asked::Beat { host, sent, report }, nobody);
         };
         let boot = *boot;
@@ -273,11 +279,11 @@
 
     pub(super) fn beat_answered(
         &mut self,
-        host: HostName,
+        host: MachineName,
         sent: Duration,
         shift: u64,
         tick: u64,
-        answer: Answer,
+        answer: Response,
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&host) else { return };
@@ -286,7 +292,7 @@
         }
         worker.waiting = None;
         let pause = match answer {
-            Answer::Commands { token, orders } => {
+            Response::Commands { token, orders } => {
                 if token < self.led.0 && token >= worker.token {
                     self.held = self.held.max(now.saturating_sub(self.led.1));
                 }
@@ -303,7 +309,7 @@
                 let report = self.kind.report.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
-            Answer::Redirect { foreman: Some(name) } => {
+            Response::Redirect { foreman: Some(name) } => {
                 worker.node = name.trim_start_matches("plank-").parse().unwrap();
                 ms(200)
             }
@@ -320,15 +326,15 @@
         &mut self,
         node: usize,
         boot: u64,
-        call: Call,
-        host: HostName,
+        call: CallId,
+        host: MachineName,
         token: u64,
         shift: u64,
-        orders: Vec<Order>,
+        orders: Vec<WorkerCommand>,
     ) {
         let now = self.now;
         let unanswered = |world: &mut Self| {
-            let event = Event::CommandReply { call, reply: OrdersReply::Unanswered };
+            let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
             world.at(secs(2), Happening::ToNode { node, boot, event });
         };
         let Some(worker) = self.workers.get_mut(&host) else { return unanswered(self) };
@@ -354,56 +360,57 @@
         let Some(worker) = self.workers.get_mut(&host) else { return };
         let report = worker.report(now);
         if boot != 0 {
-            let event = Event::CommandReply { call, reply: OrdersReply::Answered(report) };
+            let event = Event::CommandReply { call, reply: CommandReply::Answered(report) };
             self.at(ms(1), Happening::ToNode { node, boot, event });
         }
     }
 
-    fn obey(&mut self, host: &HostName, order: Order) {
+    fn obey(&mut self, host: &MachineName, order: WorkerCommand) {
         let Some(worker) = self.workers.get_mut(host) else { return };
         match order {
-            Order::Run { task, attempt } => {
+            WorkerCommand::Run { task, attempt } => {
                 let key = (task.clone(), attempt);
                 if worker.tasks.contains_key(&key) {
                     return;
                 }
-                let busy = worker.tasks.iter().any(|((t, _), s)| *t == task && !matches!(s, Seen::Exited(_)));
-                let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, Seen::Exited(_)));
+                let busy =
+                    worker.tasks.iter().any(|((t, _), s)| *t == task && !matches!(s, TaskStatus::Exited(_)));
+                let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, TaskStatus::Exited(_)));
                 let cpus: f64 = live.map(|((t, _), _)| self.jobs[self.by_id[&t.job]].spec.each.cpus).sum();
                 let need = self.jobs[self.by_id[&task.job]].spec.each.cpus;
                 let seen = match (busy, cpus + need > 8.0) {
-                    (true, _) => Seen::Exited(Cause::AttemptConflict),
-                    (_, true) => Seen::Exited(Cause::InsufficientResources),
-                    _ => Seen::FetchingImage,
+                    (true, _) => TaskStatus::Exited(ExitReason::AttemptConflict),
+                    (_, true) => TaskStatus::Exited(ExitReason::InsufficientResources),
+                    _ => TaskStatus::FetchingImage,
                 };
                 worker.tasks.insert(key, seen);
                 let shift = worker.shift;
-                if seen == Seen::FetchingImage {
+                if seen == TaskStatus::FetchingImage {
                     let pull = self.between(0, 1500);
                     self.at(pull, Happening::Pulled { host: host.clone(), task, attempt, shift });
                 }
             }
-            Order::Kill { task, attempt, leeway } => {
+            WorkerCommand::Kill { task, attempt, leeway } => {
                 let there = worker.tasks.get(&(task.clone(), attempt));
-                if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&Seen::Running) {
+                if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&TaskStatus::Running) {
                     let saves = self.gang_told(&task, attempt, leeway);
                     if let Some(worker) = self.workers.get_mut(host).filter(|_| saves) {
-                        worker.tasks.insert((task, attempt), Seen::Checkpointing);
+                        worker.tasks.insert((task, attempt), TaskStatus::Checkpointing);
                         return;
                     }
-                } else if there == Some(&Seen::Checkpointing) && leeway > Duration::ZERO {
+                } else if there == Some(&TaskStatus::Checkpointing) && leeway > Duration::ZERO {
                     return;
                 }
                 let Some(worker) = self.workers.get_mut(host) else { return };
                 if let Some(seen) = worker.tasks.get_mut(&(task, attempt)) {
-                    if !matches!(seen, Seen::Exited(_)) {
-                        *seen = Seen::Exited(Cause::Stopped);
+                    if !matches!(seen, TaskStatus::Exited(_)) {
+                        *seen = TaskStatus::Exited(ExitReason::Stopped);
                     }
                 }
             }
-            Order::Acknowledge { task, attempt } => {
+            WorkerCommand::Acknowledge { task, attempt } => {
                 let key = (task, attempt);
-                if matches!(worker.tasks.get(&key), Some(Seen::Exited(_))) {
+                if matches!(worker.tasks.get(&key), Some(TaskStatus::Exited(_))) {
                     worker.tasks.remove(&key);
                 }
             }
@@ -411,7 +418,7 @@
     }
 
     /// The image is there: the task starts, and the rules apply.
-    pub(super) fn pulled(&mut self, host: HostName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn pulled(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
             return;
@@ -422,11 +429,14 @@
         }
         worker.expire(now);
         let key = (task.clone(), attempt);
-        if worker.shift != shift || worker.tasks.get(&key) != Some(&Seen::FetchingImage) {
+        if worker.shift != shift || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
             return;
         }
         let gang = self.jobs[self.by_id[&task.job]].spec.gang;
-        worker.tasks.insert(key, if gang && !worker.faulty { Seen::WaitingForGang } else { Seen::Running });
+        worker.tasks.insert(
+            key,
+            if gang && !worker.faulty { TaskStatus::WaitingForGang } else { TaskStatus::Running },
+        );
         let (zone, spot, faulty) = (worker.zone.clone(), worker.spot, worker.faulty);
         let job = &self.jobs[self.by_id[&task.job]];
         let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
@@ -454,7 +464,7 @@
         self.at(pause, Happening::Ends { host, task, attempt, shift });
     }
 
-    pub(super) fn task_ends(&mut self, host: HostName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn task_ends(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
             return;
@@ -465,10 +475,10 @@
         }
         let faulty = worker.faulty;
         let Some(seen) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
-        if *seen != Seen::Running {
+        if *seen != TaskStatus::Running {
             return;
         }
-        *seen = Seen::Exited(if faulty { Cause::Failed } else { Cause::Completed });
+        *seen = TaskStatus::Exited(if faulty { ExitReason::Failed } else { ExitReason::Completed });
         if !faulty {
             let job = self.by_id[&task.job];
             self.jobs[job].done.insert(task.index);
@@ -483,9 +493,9 @@
 
     // ----- users -----
 
-    fn submit_answered(&mut self, job: usize, answer: Answer) {
+    fn submit_answered(&mut self, job: usize, answer: Response) {
         match answer {
-            Answer::Job { status, .. } => {
+            Response::Job { status, .. } => {
                 let first = !self.jobs[job].accepted;
                 if first {
                     self.look_closely(job, status);
@@ -503,14 +513,14 @@
                     }
                 }
             }
-            Answer::Unavailable { retry } => self.at(retry, Happening::Submit { job }),
+            Response::Unavailable { retry } => self.at(retry, Happening::Submit { job }),
             other => panic!("forgotten: a good submission gets {other:?}"),
         }
     }
 
-    fn poll_answered(&mut self, job: usize, answer: Answer) {
+    fn poll_answered(&mut self, job: usize, answer: Response) {
         match answer {
-            Answer::Job { status, .. } => {
+            Response::Job { status, .. } => {
                 self.tell(job, status);
                 if !matches!(status, Status::Done | Status::Cancelled) {
                     self.at(secs(2), Happening::Poll { job });
@@ -520,19 +530,19 @@
                     self.at(later, Happening::Poll { job });
                 }
             }
-            Answer::Unavailable { .. } => self.at(secs(2), Happening::Poll { job }),
-            Answer::NotFound => assert!(!self.jobs[job].accepted, "forgotten: {:?}", self.jobs[job].id),
+            Response::Unavailable { .. } => self.at(secs(2), Happening::Poll { job }),
+            Response::NotFound => assert!(!self.jobs[job].accepted, "forgotten: {:?}", self.jobs[job].id),
             other => panic!("a poll gets {other:?}"),
         }
     }
 
-    fn abort_answered(&mut self, job: usize, known: bool, answer: Answer) {
+    fn abort_answered(&mut self, job: usize, known: bool, answer: Response) {
         match answer {
-            Answer::Job { status, .. } => {
+            Response::Job { status, .. } => {
                 assert!(matches!(status, Status::Done | Status::Cancelled), "an abort gets {status:?}");
                 self.tell(job, status);
             }
-            Answer::NotFound => {
+            Response::NotFound => {
                 assert!(!known, "forgotten: {:?}", self.jobs[job].id);
                 // Not accepted yet: the user tries again once it is.
                 self.at(secs(2), Happening::Abort { job });
--- a/crates/plankhead/src/agent.rs
+++ b/crates/plankhead/src/agent.rs
@@ -3,7 +3,7 @@
 use crate::http::Client;
 use crate::wire;
 use hyper::Method;
-use plankhead_core::protocol::{CallError, Order, OrdersReply};
+use plankhead_core::protocol::{CallError, CommandReply, WorkerCommand};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -42,16 +42,22 @@
         Some(client)
     }
 
-    pub async fn orders(&self, address: Arc<str>, token: u64, shift: u64, orders: Vec<Order>) -> OrdersReply {
-        let Some(client) = self.client(&address) else { return OrdersReply::NotSent };
+    pub async fn orders(
+        &self,
+        address: Arc<str>,
+        token: u64,
+        shift: u64,
+        orders: Vec<WorkerCommand>,
+    ) -> CommandReply {
+        let Some(client) = self.client(&address) else { return CommandReply::NotSent };
         let body = wire::orders(token, shift, &orders);
         match client.call(Method::POST, "/orders", body, PATIENCE).await {
             Ok((status, body)) if matches!(status.as_u16(), 200 | 409) => match wire::report(&body) {
-                Ok(report) => OrdersReply::Answered(report),
-                Err(_) => OrdersReply::Unanswered,
+                Ok(report) => CommandReply::Answered(report),
+                Err(_) => CommandReply::Unanswered,
             },
-            Err(CallError::Refused) => OrdersReply::NotSent,
-            _ => OrdersReply::Unanswered,
+            Err(CallError::Refused) => CommandReply::NotSent,
+            _ => CommandReply::Unanswered,
         }
     }
 }
--- a/crates/plankhead/src/api.rs
+++ b/crates/plankhead/src/api.rs
@@ -1,15 +1,15 @@
 //! What users, workers and the load balancer ask of a node.
 
-use crate::driver::{Handle, Request as Ask};
+use crate::driver::{CoreRequest, Handle};
 use crate::http::{self, Reply, MOST_REQUEST};
-use crate::wire::{self, ReportReader};
+use crate::wire::{self, HeartbeatReader};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use plankhead_core::job::JobId;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// What is remembered of a connection: its last report.
-pub type Reader = Arc<Mutex<ReportReader>>;
+pub type Reader = Arc<Mutex<HeartbeatReader>>;
 
 pub async fn handle(handle: Handle, reader: Reader, request: Request<Incoming>) -> Reply {
     let method = request.method().clone();
@@ -26,16 +26,16 @@
                 Err(reply) => return reply,
             };
             match wire::submission(&body) {
-                Ok((id, job)) => handle.ask(Ask::Submit { id, job }).await,
+                Ok((id, job)) => handle.ask(CoreRequest::Submit { id, job }).await,
                 Err(reason) => Reply::error(400, &reason),
             }
         }
         (["work", id], Method::GET) => match JobId::parse(id) {
-            Ok(id) => handle.ask(Ask::Poll { id }).await,
+            Ok(id) => handle.ask(CoreRequest::Poll { id }).await,
             Err(_) => Reply::error(404, "no such job"),
         },
         (["work", id, "abort"], Method::POST) => match JobId::parse(id) {
-            Ok(id) => handle.ask(Ask::Abort { id }).await,
+            Ok(id) => handle.ask(CoreRequest::Cancel { id }).await,
             Err(_) => Reply::error(404, "no such job"),
         },
         (["agent", "beat"], Method::POST) => {
