--- a/crates/plankhead/src/cloud.rs
+++ b/crates/plankhead/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::http::Client;
 use crate::wire;
 use hyper::{Method, StatusCode};
-use plankhead_core::protocol::{CallError, CloudOp, CloudReply};
+use plankhead_core::protocol::{CallError, CloudReply, CloudRequest};
 use plankhead_fencing::action::Action;
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 /// Machines in one page of the list, by the protocol.
 const PAGE: usize = 500;
 
-pub async fn call(client: &Client, op: CloudOp) -> Result<CloudReply, CallError> {
+pub async fn call(client: &Client, op: CloudRequest) -> Result<CloudReply, CallError> {
     let (method, path, body) = match &op {
-        CloudOp::ListMachineTypes => (Method::GET, "/catalog".into(), Vec::new()),
-        CloudOp::ListInstances { after } => {
+        CloudRequest::ListMachineTypes => (Method::GET, "/catalog".into(), Vec::new()),
+        CloudRequest::ListInstances { after } => {
             let after = after.as_ref().map(|a| format!("after={a}&")).unwrap_or_default();
             (Method::GET, format!("/hosts?{after}most={PAGE}"), Vec::new())
         }
-        CloudOp::Execute(permitted) => match permitted.action() {
+        CloudRequest::Execute(permitted) => match permitted.action() {
             Action::Rent(rental) => {
                 let body = wire::rental(rental).to_string().into_bytes();
                 (Method::POST, "/hosts".into(), body)
@@ -32,14 +32,14 @@
     };
     let (status, body) = client.call(method, &path, body, PATIENCE).await?;
     match (&op, status) {
-        (CloudOp::ListMachineTypes, StatusCode::OK) => {
+        (CloudRequest::ListMachineTypes, StatusCode::OK) => {
             wire::catalog(&body).map(CloudReply::MachineTypes).ok_or(CallError::OutcomeUnknown)
         }
-        (CloudOp::ListInstances { .. }, StatusCode::OK) => {
+        (CloudRequest::ListInstances { .. }, StatusCode::OK) => {
             let (hosts, truncated) = wire::hosts(&body).ok_or(CallError::OutcomeUnknown)?;
             Ok(CloudReply::Instances { hosts, truncated })
         }
-        (CloudOp::Execute(permitted), status) => acted(permitted.action(), status, &body),
+        (CloudRequest::Execute(permitted), status) => acted(permitted.action(), status, &body),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
         _ => Err(CallError::OutcomeUnknown),
     }
--- a/crates/plankhead/src/config.rs
+++ b/crates/plankhead/src/config.rs
@@ -2,7 +2,7 @@
 //! ignored, and the operators', which must match its schema.
 
 use crate::{fencing, reachability, sharding};
-use plankhead_core::settings::{Expectation, Fencing, Settings, Sizing, Team};
+use plankhead_core::settings::{Fencing, ServiceLevelObjective, Settings, Sizing, Team};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -263,7 +263,7 @@
             *fault = fault.replacen("settings: ", &format!("settings: params.teams[{i}]."), 1);
         }
     }
-    let mut expectations: BTreeMap<String, Expectation> = BTreeMap::new();
+    let mut expectations: BTreeMap<String, ServiceLevelObjective> = BTreeMap::new();
     // Objectives only restate aims, so that odd ones are no fault.
     let objectives = root.pointer("/params/objectives").and_then(Value::as_array);
     for objective in objectives.into_iter().flatten() {
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -7,9 +7,9 @@
 use crate::peer::{self, Sibling};
 use crate::{api, cloud, coverage, log, shard_messages, state, wire};
 use plankhead_core::job::{JobId, JobSpec};
-use plankhead_core::node::{Node, Times};
-use plankhead_core::protocol::{Answer, Ask, Call, Effect, Event, Report};
-use plankhead_core::shard_messages::{Delivery, ShardFault, ShardMessage};
+use plankhead_core::node::{Node, StepTime};
+use plankhead_core::protocol::{CallId, Effect, Event, Heartbeat, RequestId, Response};
+use plankhead_core::shard_messages::{Delivery, ShardMessage, ShardMessageError};
 use plankhead_reachability::coverage::Coverage;
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -44,38 +44,38 @@
 
 /// A request that wants an answer.
 #[derive(Debug)]
-pub enum Request {
+pub enum CoreRequest {
     Submit { id: JobId, job: Result<JobSpec, String> },
     Poll { id: JobId },
-    Abort { id: JobId },
-    Beat { report: Report, relayed: bool },
-    Shard { message: Result<ShardMessage, ShardFault> },
+    Cancel { id: JobId },
+    Heartbeat { report: Heartbeat, relayed: bool },
+    ShardMessage { message: Result<ShardMessage, ShardMessageError> },
     View,
 }
 
-impl Request {
-    fn event(self, ask: Ask) -> Event {
+impl CoreRequest {
+    fn event(self, ask: RequestId) -> Event {
         match self {
-            Request::Submit { id, job } => Event::Submit { ask, id, job },
-            Request::Poll { id } => Event::Poll { ask, id },
-            Request::Abort { id } => Event::Cancel { ask, id },
-            Request::Beat { report, relayed } => Event::Heartbeat { ask, report, relayed },
-            Request::Shard { message } => Event::ShardMessage { ask, message },
-            Request::View => Event::View { ask },
+            CoreRequest::Submit { id, job } => Event::Submit { ask, id, job },
+            CoreRequest::Poll { id } => Event::Poll { ask, id },
+            CoreRequest::Cancel { id } => Event::Cancel { ask, id },
+            CoreRequest::Heartbeat { report, relayed } => Event::Heartbeat { ask, report, relayed },
+            CoreRequest::ShardMessage { message } => Event::ShardMessage { ask, message },
+            CoreRequest::View => Event::View { ask },
         }
     }
 }
 
 #[derive(Debug)]
-pub enum Command {
-    Ask(Request, oneshot::Sender<Answer>),
+pub enum CoreMessage {
+    Request(CoreRequest, oneshot::Sender<Response>),
     Event(Event),
 }
 
 /// The way in for the adapters.
 #[derive(Debug, Clone)]
 pub struct Handle {
-    queue: mpsc::Sender<Command>,
+    queue: mpsc::Sender<CoreMessage>,
     healthy: Arc<AtomicBool>,
     siblings: Siblings,
     /// The highest fencing token seen; 0 while fencing is off.
@@ -87,21 +87,21 @@
         self.healthy.load(Ordering::Relaxed)
     }
 
-    pub fn send(&self, command: Command) -> Result<(), RunError> {
-        self.queue.try_send(command).map_err(|_| RunError::Closed)
+    pub fn send(&self, message: CoreMessage) -> Result<(), RunError> {
+        self.queue.try_send(message).map_err(|_| RunError::Closed)
     }
 
     /// Asks the core, and refuses at once when it has too much to do.
-    async fn answer(&self, request: Request) -> Result<Answer, Reply> {
+    async fn answer(&self, request: CoreRequest) -> Result<Response, Reply> {
         let (sender, receiver) = oneshot::channel();
-        if self.send(Command::Ask(request, sender)).is_err() {
+        if self.send(CoreMessage::Request(request, sender)).is_err() {
             return Err(Reply::error(503, "too much to do"));
         }
         // The owner of the queue drops the sender when the time is over.
         receiver.await.map_err(|_| Reply::error(503, "no answer in time"))
     }
 
-    pub async fn ask(&self, request: Request) -> Reply {
+    pub async fn ask(&self, request: CoreRequest) -> Reply {
         self.answer(request).await.map_or_else(|refusal| refusal, |answer| reply(&answer))
     }
 
@@ -117,9 +117,9 @@
     }
 
     /// Asks about a report, or has a sibling that leads asked.
-    pub async fn beat(&self, report: Report, body: &[u8]) -> Reply {
-        match self.answer(Request::Beat { report, relayed: false }).await {
-            Ok(Answer::Relay { foreman }) => match self.siblings.get(&foreman) {
+    pub async fn beat(&self, report: Heartbeat, body: &[u8]) -> Reply {
+        match self.answer(CoreRequest::Heartbeat { report, relayed: false }).await {
+            Ok(Response::Relay { foreman }) => match self.siblings.get(&foreman) {
                 Some(sibling) => match sibling.relay(body).await {
                     Some(answer) if self.is_current(&answer) => answer,
                     _ => reply(&NOBODY),
@@ -133,9 +133,9 @@
 }
 
 /// For a worker that no node could help.
-const NOBODY: Answer = Answer::Redirect { foreman: None };
+const NOBODY: Response = Response::Redirect { foreman: None };
 
-fn reply(answer: &Answer) -> Reply {
+fn reply(answer: &Response) -> Reply {
     let (status, body, retry) = wire::answer(answer);
     Reply { status, body, retry }
 }
@@ -145,7 +145,7 @@
 
 /// The adapters that effects go to.
 struct Outside {
-    queue: mpsc::Sender<Command>,
+    queue: mpsc::Sender<CoreMessage>,
     state: Arc<Client>,
     cloud: Arc<Client>,
     agents: Arc<Agents>,
@@ -157,20 +157,20 @@
 /// that no timer is needed for any one of them.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    senders: HashMap<Ask, oneshot::Sender<Answer>>,
-    deadlines: VecDeque<(Instant, Ask)>,
-    last: Ask,
+    senders: HashMap<RequestId, oneshot::Sender<Response>>,
+    deadlines: VecDeque<(Instant, RequestId)>,
+    last: RequestId,
 }
 
 impl PendingRequests {
-    pub fn add(&mut self, now: Instant, sender: oneshot::Sender<Answer>) -> Ask {
+    pub fn add(&mut self, now: Instant, sender: oneshot::Sender<Response>) -> RequestId {
         self.last += 1;
         self.senders.insert(self.last, sender);
         self.deadlines.push_back((now + PATIENCE, self.last));
         self.last
     }
 
-    pub fn answer(&mut self, ask: Ask, answer: Answer) {
+    pub fn answer(&mut self, ask: RequestId, answer: Response) {
         if let Some(sender) = self.senders.remove(&ask) {
             // Whoever asked may have gone.
             let _ = sender.send(answer);
@@ -222,7 +222,7 @@
     }
 
     /// Tells a sibling something about shards; what becomes of it comes back.
-    fn send_shard_message(&self, call: Call, to: &str, message: &ShardMessage) {
+    fn send_shard_message(&self, call: CallId, to: &str, message: &ShardMessage) {
         let (sibling, bytes) = (self.siblings.get(to).cloned(), shard_messages::encode(message));
         if bytes.is_none() {
             tracing::error!("a message about shards for {to} is too large");
@@ -253,7 +253,7 @@
         let queue = self.queue.clone();
         tokio::spawn(async move {
             let event = call.await;
-            let _ = queue.send(Command::Event(event)).await;
+            let _ = queue.send(CoreMessage::Event(event)).await;
         });
     }
 }
@@ -323,8 +323,10 @@
         let now = Instant::now();
         while let Some(command) = next {
             match command {
-                Command::Event(event) => batch.push(event),
-                Command::Ask(request, sender) => batch.push(request.event(outside.asks.add(now, sender))),
+                CoreMessage::Event(event) => batch.push(event),
+                CoreMessage::Request(request, sender) => {
+                    batch.push(request.event(outside.asks.add(now, sender)))
+                }
             }
             next = if batch.len() < MOST_BATCH { commands.try_recv().ok() } else { None };
         }
@@ -332,7 +334,7 @@
             lag.measure(due, now);
             node.lags(lag.get());
         }
-        let times = Times { now: EPOCH + (now - start), wall: SystemTime::now() };
+        let times = StepTime { now: EPOCH + (now - start), wall: SystemTime::now() };
         for effect in node.step(times, batch) {
             outside.perform(effect);
         }
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -6,7 +6,7 @@
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use plankhead_core::election::{self, Holder};
-use plankhead_core::protocol::{CallError, Row, StateOp, StateReply};
+use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
 use plankhead_fencing::duty::Duty;
 use plankhead_fencing::record::{self, RecordFault};
 use std::fmt::Write;
@@ -52,9 +52,9 @@
     let mut listing = Listing::default();
     let mut after = None;
     for _ in 0..MAX_PAGES {
-        let op = StateOp::List { prefix: record::PREFIX.into(), after };
+        let op = KvRequest::List { prefix: record::PREFIX.into(), after };
         let reply = state::call(client, op).await.map_err(ListError::State)?;
-        let StateReply::Page { rows, truncated, .. } = reply else { return Err(ListError::Reply) };
+        let KvReply::Page { rows, truncated, .. } = reply else { return Err(ListError::Reply) };
         for row in &rows {
             let (duties, faults) = record::decode(&row.key, &row.value);
             listing.duties.extend(duties);
@@ -65,15 +65,15 @@
             break;
         }
     }
-    let op = StateOp::Get { key: election::KEY.into() };
+    let op = KvRequest::Get { key: election::KEY.into() };
     match state::call(client, op).await.map_err(ListError::State)? {
-        StateReply::Value(row) => listing.leader = row.as_ref().and_then(leadership),
+        KvReply::Value(row) => listing.leader = row.as_ref().and_then(leadership),
         _ => return Err(ListError::Reply),
     }
     Ok(listing)
 }
 
-fn leadership(row: &Row) -> Option<Leadership> {
+fn leadership(row: &KeyValue) -> Option<Leadership> {
     let holder: Holder = serde_json::from_str(&row.value).ok()?;
     Some(Leadership { host: holder.host, token: row.stamp })
 }
--- a/crates/plankhead/src/log.rs
+++ b/crates/plankhead/src/log.rs
@@ -1,6 +1,6 @@
 //! Logs on standard error, at the level that `LOG_LEVEL` sets.
 
-use plankhead_core::protocol::Level;
+use plankhead_core::protocol::LogLevel;
 use tracing::level_filters::LevelFilter;
 
 pub fn start() {
@@ -17,10 +17,10 @@
         .init();
 }
 
-pub fn emit(level: Level, text: &str) {
+pub fn emit(level: LogLevel, text: &str) {
     match level {
-        Level::Error => tracing::error!("{text}"),
-        Level::Info => tracing::info!("{text}"),
-        Level::Debug => tracing::debug!("{text}"),
+        LogLevel::Error => tracing::error!("{text}"),
+        LogLevel::Info => tracing::info!("{text}"),
+        LogLevel::Debug => tracing::debug!("{text}"),
     }
 }
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -1,13 +1,13 @@
 //! What passes between controllers, and the operators' view: both on the
 //! controller port. Messages are rkyv, checked before use.
 
-use crate::driver::{Command, Handle, Request as Ask};
+use crate::driver::{CoreMessage, CoreRequest, Handle};
 use crate::http::{self, Client, Reply};
 use crate::{coverage, shard_messages, wire};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use plankhead_core::node::MOST_PROGRESS_READ;
-use plankhead_core::protocol::{Event, Progress, Pulse};
+use plankhead_core::protocol::{Event, JobProgress, PeerHeartbeat};
 use plankhead_core::shard_messages::Delivery;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     progress: Vec<(String, u32, u32)>,
 }
 
-pub fn encode(pulse: &Pulse) -> Option<Vec<u8>> {
+pub fn encode(pulse: &PeerHeartbeat) -> Option<Vec<u8>> {
     let message = PulseMessage {
         host: pulse.host.clone(),
         state_ok: pulse.state_ok,
@@ -43,17 +43,17 @@
     rkyv::to_bytes::<rkyv::rancor::Error>(&message).ok().map(|bytes| bytes.to_vec())
 }
 
-pub fn decode(bytes: &[u8]) -> Option<Pulse> {
+pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
     let message = rkyv::from_bytes::<PulseMessage, rkyv::rancor::Error>(&aligned(bytes)).ok()?;
     if message.progress.len() > MOST_PROGRESS_READ || message.host.len() > 200 {
         return None;
     }
     let progress = message.progress.into_iter();
-    Some(Pulse {
+    Some(PeerHeartbeat {
         host: message.host,
         state_ok: message.state_ok,
         token: message.baton,
-        progress: progress.map(|(id, done, running)| Progress { id, done, running }).collect(),
+        progress: progress.map(|(id, done, running)| JobProgress { id, done, running }).collect(),
     })
 }
 
@@ -180,7 +180,7 @@
                 tracing::debug!("a malformed pulse was dropped");
                 return Reply::error(400, "not a pulse");
             };
-            match handle.send(Command::Event(Event::PeerHeartbeat(pulse))) {
+            match handle.send(CoreMessage::Event(Event::PeerHeartbeat(pulse))) {
                 Ok(()) => Reply { status: 200, body: Vec::new(), retry: None },
                 Err(_) => Reply::error(503, "too much to do"),
             }
@@ -191,7 +191,7 @@
                 Err(reply) => return reply,
             };
             let fault = told.as_ref().err().map(ToString::to_string);
-            if handle.send(Command::Event(Event::Coverage(told))).is_err() {
+            if handle.send(CoreMessage::Event(Event::Coverage(told))).is_err() {
                 return Reply::error(503, "too much to do");
             }
             match fault {
@@ -205,7 +205,7 @@
                 Err(reply) => return reply,
             };
             let fault = message.as_ref().err().map(ToString::to_string);
-            let answer = handle.ask(Ask::Shard { message }).await;
+            let answer = handle.ask(CoreRequest::ShardMessage { message }).await;
             fault.map_or(answer, |fault| Reply::error(400, &fault))
         }
         (Method::POST, "/relay") => {
@@ -217,13 +217,13 @@
             let Some(report) = message.and_then(|m| wire::report(&m.report).ok()) else {
                 return Reply::error(400, "not a report");
             };
-            let answer = handle.ask(Ask::Beat { report, relayed: true }).await;
+            let answer = handle.ask(CoreRequest::Heartbeat { report, relayed: true }).await;
             match relay_reply(&answer) {
                 Some(body) => Reply { status: 200, body, retry: None },
                 None => Reply::error(503, "no answer"),
             }
         }
-        (Method::GET, "/view") => handle.ask(Ask::View).await,
+        (Method::GET, "/view") => handle.ask(CoreRequest::View).await,
         (_, "/pulse" | coverage::PATH | shard_messages::PATH | "/relay" | "/view") => {
             Reply::error(405, "wrong method")
         }
@@ -248,8 +248,8 @@
 
     #[test]
     fn messages_are_those_of_the_version_before() {
-        let progress = |id: &str, done, running| Progress { id: id.into(), done, running };
-        let pulse = Pulse {
+        let progress = |id: &str, done, running| JobProgress { id: id.into(), done, running };
+        let pulse = PeerHeartbeat {
             host: "plank-1".into(),
             state_ok: true,
             token: 41,
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -3,10 +3,10 @@
 
 use crate::peer::aligned;
 use plankhead_core::job::JobId;
-use plankhead_core::protocol::{Cause, Listed, Order, Report, Seen, TaskId};
+use plankhead_core::protocol::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus, WorkerCommand};
 use plankhead_core::shard_messages::{
-    HeldShard, HolderReport, LeaderOrders, MachineNews, MachineOrders, ShardFault, ShardMessage,
-    MAX_MACHINES, MAX_SHARDS,
+    HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
+    ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
 use plankhead_sharding::alive;
 use plankhead_sharding::sequence::Stamp;
@@ -30,7 +30,7 @@
 
 #[derive(Archive, Serialize, Deserialize)]
 enum Message {
-    Report(ReportMessage),
+    Heartbeat(HolderStatusMessage),
     Orders(OrdersMessage),
 }
 
@@ -43,7 +43,7 @@
 }
 
 #[derive(Archive, Serialize, Deserialize)]
-struct ReportMessage {
+struct HolderStatusMessage {
     host: String,
     boot: u64,
     sequence: u64,
@@ -61,7 +61,7 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct NewsMessage {
     number: u32,
-    report: WorkerReport,
+    report: HeartbeatMessage,
     proven: bool,
     deaf: bool,
     unanswered: u32,
@@ -69,7 +69,7 @@
 }
 
 #[derive(Archive, Serialize, Deserialize)]
-struct WorkerReport {
+struct HeartbeatMessage {
     host: String,
     address: String,
     machine_type: String,
@@ -101,7 +101,7 @@
     latest_epoch: u64,
     machines: Vec<MachineMessage>,
     gone: Vec<String>,
-    snapshot: Vec<WorkerReport>,
+    snapshot: Vec<HeartbeatMessage>,
 }
 
 #[derive(Archive, Serialize, Deserialize)]
@@ -126,21 +126,21 @@
 const REAP: u8 = 2;
 
 /// What a worker says of an attempt, by its code.
-const SEEN: [Seen; 14] = [
-    Seen::FetchingImage,
-    Seen::WaitingForGang,
-    Seen::Running,
-    Seen::Checkpointing,
-    Seen::Unrecognized,
-    Seen::Exited(Cause::Completed),
-    Seen::Exited(Cause::Stopped),
-    Seen::Exited(Cause::Failed),
-    Seen::Exited(Cause::InsufficientResources),
-    Seen::Exited(Cause::AttemptConflict),
-    Seen::Exited(Cause::UnknownJob),
-    Seen::Exited(Cause::GangMemberLost),
-    Seen::Exited(Cause::GangIncomplete),
-    Seen::Exited(Cause::Unrecognized),
+const SEEN: [TaskStatus; 14] = [
+    TaskStatus::FetchingImage,
+    TaskStatus::WaitingForGang,
+    TaskStatus::Running,
+    TaskStatus::Checkpointing,
+    TaskStatus::Unrecognized,
+    TaskStatus::Exited(ExitReason::Completed),
+    TaskStatus::Exited(ExitReason::Stopped),
+    TaskStatus::Exited(ExitReason::Failed),
+    TaskStatus::Exited(ExitReason::InsufficientResources),
+    TaskStatus::Exited(ExitReason::AttemptConflict),
+    TaskStatus::Exited(ExitReason::UnknownJob),
+    TaskStatus::Exited(ExitReason::GangMemberLost),
+    TaskStatus::Exited(ExitReason::GangIncomplete),
+    TaskStatus::Exited(ExitReason::Unrecognized),
 ];
 
 fn millis(time: Duration) -> u64 {
@@ -152,7 +152,7 @@
 /// The bytes of a message; `None` where it would be larger than a receiver takes.
 pub fn encode(message: &ShardMessage) -> Option<Vec<u8>> {
     let message = match message {
-        ShardMessage::HolderStatus(report) => Message::Report(report_message(report)),
+        ShardMessage::HolderStatus(report) => Message::Heartbeat(report_message(report)),
         ShardMessage::LeaderCommands(orders) => Message::Orders(orders_message(orders)),
     };
     let plain = rkyv::to_bytes::<Error>(&message).ok()?;
@@ -171,8 +171,8 @@
     ShardName { zone: shard.zone.clone(), index: shard.index, epoch, released }
 }
 
-fn report_message(report: &HolderReport) -> ReportMessage {
-    let news = |news: &MachineNews| NewsMessage {
+fn report_message(report: &HolderStatus) -> HolderStatusMessage {
+    let news = |news: &MachineUpdate| NewsMessage {
         number: news.number,
         report: worker_report(&news.report),
         proven: news.proven,
@@ -180,8 +180,8 @@
         unanswered: news.unanswered,
         age_ms: millis(news.age),
     };
-    let shard = |held: &HeldShard| shard_name(&held.shard, held.epoch, held.released);
-    ReportMessage {
+    let shard = |held: &ShardHolding| shard_name(&held.shard, held.epoch, held.released);
+    HolderStatusMessage {
         host: report.host.clone(),
         boot: report.stamp.boot,
         sequence: report.stamp.sequence,
@@ -197,15 +197,15 @@
     }
 }
 
-fn worker_report(report: &Report) -> WorkerReport {
-    let code = |seen: Seen| SEEN.iter().position(|known| *known == seen).unwrap_or_default() as u8;
-    let task = |listed: &Listed| ListedTask {
+fn worker_report(report: &Heartbeat) -> HeartbeatMessage {
+    let code = |seen: TaskStatus| SEEN.iter().position(|known| *known == seen).unwrap_or_default() as u8;
+    let task = |listed: &ReportedTask| ListedTask {
         job: listed.task.job.to_string(),
         index: listed.task.index,
         attempt: listed.attempt,
         seen: code(listed.seen),
     };
-    WorkerReport {
+    HeartbeatMessage {
         host: report.host.to_string(),
         address: report.address.to_string(),
         machine_type: report.rig.to_string(),
@@ -219,8 +219,8 @@
     }
 }
 
-fn orders_message(orders: &LeaderOrders) -> OrdersMessage {
-    let machine = |machine: &MachineOrders| MachineMessage {
+fn orders_message(orders: &LeaderCommands) -> OrdersMessage {
+    let machine = |machine: &MachineCommands| MachineMessage {
         host: machine.host.to_string(),
         shard: machine.shard as u32,
         session: machine.shift,
@@ -240,11 +240,11 @@
     }
 }
 
-fn order_message(order: &Order) -> OrderMessage {
+fn order_message(order: &WorkerCommand) -> OrderMessage {
     let (kind, task, attempt, leeway) = match order {
-        Order::Run { task, attempt } => (RUN, task, attempt, Duration::ZERO),
-        Order::Kill { task, attempt, leeway } => (KILL, task, attempt, *leeway),
-        Order::Acknowledge { task, attempt } => (REAP, task, attempt, Duration::ZERO),
+        WorkerCommand::Run { task, attempt } => (RUN, task, attempt, Duration::ZERO),
+        WorkerCommand::Kill { task, attempt, leeway } => (KILL, task, attempt, *leeway),
+        WorkerCommand::Acknowledge { task, attempt } => (REAP, task, attempt, Duration::ZERO),
     };
     OrderMessage {
         kind,
@@ -258,62 +258,65 @@
 // ----- reading -----
 
 /// Reads a message, or says what is wrong with it.
-pub fn decode(bytes: &[u8]) -> Result<ShardMessage, ShardFault> {
+pub fn decode(bytes: &[u8]) -> Result<ShardMessage, ShardMessageError> {
     if bytes.len() > MAX_WIRE {
-        return Err(ShardFault::TooLarge);
+        return Err(ShardMessageError::TooLarge);
     }
-    let malformed = |what: &str| ShardFault::Malformed(what.into());
+    let malformed = |what: &str| ShardMessageError::Malformed(what.into());
     let (kind, rest) = bytes.split_first().ok_or_else(|| malformed("it is empty"))?;
     let message = match *kind {
         PLAIN => rkyv::from_bytes::<Message, Error>(&aligned(rest)),
         LZ4 => rkyv::from_bytes::<Message, Error>(&aligned(&decompress(rest)?)),
         _ => return Err(malformed("it has an unknown form")),
     };
-    match message.map_err(|error| ShardFault::Malformed(error.to_string()))? {
-        Message::Report(report) => Ok(ShardMessage::HolderStatus(Box::new(holder_report(report)?))),
+    match message.map_err(|error| ShardMessageError::Malformed(error.to_string()))? {
+        Message::Heartbeat(report) => Ok(ShardMessage::HolderStatus(Box::new(holder_report(report)?))),
         Message::Orders(orders) => Ok(ShardMessage::LeaderCommands(Box::new(leader_orders(orders)?))),
     }
 }
 
-fn decompress(bytes: &[u8]) -> Result<Vec<u8>, ShardFault> {
+fn decompress(bytes: &[u8]) -> Result<Vec<u8>, ShardMessageError> {
     let size = bytes.first_chunk::<4>().map(|size| u32::from_le_bytes(*size) as usize);
-    let size = size.ok_or_else(|| ShardFault::Malformed("it is cut off".into()))?;
+    let size = size.ok_or_else(|| ShardMessageError::Malformed("it is cut off".into()))?;
     if size > MAX_PLAIN {
-        return Err(ShardFault::TooLarge);
+        return Err(ShardMessageError::TooLarge);
     }
-    lz4_flex::decompress_size_prepended(bytes).map_err(|error| ShardFault::Malformed(error.to_string()))
+    lz4_flex::decompress_size_prepended(bytes)
+        .map_err(|error| ShardMessageError::Malformed(error.to_string()))
 }
 
-fn name(text: String, what: &'static str) -> Result<String, ShardFault> {
+fn name(text: String, what: &'static str) -> Result<String, ShardMessageError> {
     if text.is_empty() || text.len() > MAX_NAME {
-        return Err(ShardFault::Range(what));
+        return Err(ShardMessageError::Range(what));
     }
     Ok(text)
 }
 
-fn at_most(count: usize, most: usize, what: &'static str) -> Result<(), ShardFault> {
+fn at_most(count: usize, most: usize, what: &'static str) -> Result<(), ShardMessageError> {
     if count > most {
-        return Err(ShardFault::Range(what));
+        return Err(ShardMessageError::Range(what));
     }
     Ok(())
 }
 
-fn shard_id(shard: &ShardName) -> Result<ShardId, ShardFault> {
+fn shard_id(shard: &ShardName) -> Result<ShardId, ShardMessageError> {
     let id = ShardId { zone: shard.zone.clone(), index: shard.index };
-    ShardId::from_key(&id.key()).map_err(|_| ShardFault::Range("shard"))
+    ShardId::from_key(&id.key()).map_err(|_| ShardMessageError::Range("shard"))
 }
 
-fn holder_report(message: ReportMessage) -> Result<HolderReport, ShardFault> {
+fn holder_report(message: HolderStatusMessage) -> Result<HolderStatus, ShardMessageError> {
     at_most(message.news.len(), MAX_MACHINES, "news")?;
     at_most(message.shards.len(), MAX_SHARDS, "shards")?;
-    let shards: Result<Vec<HeldShard>, ShardFault> = message
+    let shards: Result<Vec<ShardHolding>, ShardMessageError> = message
         .shards
         .iter()
-        .map(|held| Ok(HeldShard { shard: shard_id(held)?, epoch: held.epoch, released: held.released }))
+        .map(|held| Ok(ShardHolding { shard: shard_id(held)?, epoch: held.epoch, released: held.released }))
         .collect();
-    let news: Result<Vec<MachineNews>, ShardFault> = message.news.into_iter().map(machine_news).collect();
-    let alive = alive::decode(&message.alive).map_err(|fault| ShardFault::Malformed(fault.to_string()))?;
-    Ok(HolderReport {
+    let news: Result<Vec<MachineUpdate>, ShardMessageError> =
+        message.news.into_iter().map(machine_news).collect();
+    let alive =
+        alive::decode(&message.alive).map_err(|fault| ShardMessageError::Malformed(fault.to_string()))?;
+    Ok(HolderStatus {
         host: name(message.host, "host")?,
         stamp: Stamp { boot: message.boot, sequence: message.sequence },
         zone: message.zone,
@@ -328,8 +331,8 @@
     })
 }
 
-fn machine_news(news: NewsMessage) -> Result<MachineNews, ShardFault> {
-    Ok(MachineNews {
+fn machine_news(news: NewsMessage) -> Result<MachineUpdate, ShardMessageError> {
+    Ok(MachineUpdate {
         number: news.number,
         report: report(news.report)?,
         proven: news.proven,
@@ -339,18 +342,18 @@
     })
 }
 
-fn task(job: &str, index: u32) -> Result<TaskId, ShardFault> {
-    let job = JobId::parse(job).map_err(|_| ShardFault::Range("job"))?;
+fn task(job: &str, index: u32) -> Result<TaskId, ShardMessageError> {
+    let job = JobId::parse(job).map_err(|_| ShardMessageError::Range("job"))?;
     Ok(TaskId { job, index })
 }
 
-fn report(message: WorkerReport) -> Result<Report, ShardFault> {
+fn report(message: HeartbeatMessage) -> Result<Heartbeat, ShardMessageError> {
     let listed = |listed: &ListedTask| {
-        let seen = SEEN.get(usize::from(listed.seen)).ok_or(ShardFault::Range("seen"))?;
-        Ok(Listed { task: task(&listed.job, listed.index)?, attempt: listed.attempt, seen: *seen })
+        let seen = SEEN.get(usize::from(listed.seen)).ok_or(ShardMessageError::Range("seen"))?;
+        Ok(ReportedTask { task: task(&listed.job, listed.index)?, attempt: listed.attempt, seen: *seen })
     };
-    let tasks: Result<Vec<Listed>, ShardFault> = message.tasks.iter().map(listed).collect();
-    Ok(Report {
+    let tasks: Result<Vec<ReportedTask>, ShardMessageError> = message.tasks.iter().map(listed).collect();
+    Ok(Heartbeat {
         host: name(message.host, "machine")?.as_str().into(),
         address: message.address.as_str().into(),
         rig: message.machine_type.as_str().into(),
@@ -364,26 +367,28 @@
     })
 }
 
-fn leader_orders(message: OrdersMessage) -> Result<LeaderOrders, ShardFault> {
+fn leader_orders(message: OrdersMessage) -> Result<LeaderCommands, ShardMessageError> {
     at_most(message.machines.len(), MAX_MACHINES, "machines")?;
     at_most(message.snapshot.len(), MAX_MACHINES, "snapshot")?;
     at_most(message.shards.len(), MAX_SHARDS, "shards")?;
-    let shards: Result<Vec<(ShardId, u64)>, ShardFault> =
+    let shards: Result<Vec<(ShardId, u64)>, ShardMessageError> =
         message.shards.iter().map(|shard| Ok((shard_id(shard)?, shard.epoch))).collect();
     let shards = shards?;
     let machine = |machine: MachineMessage| {
         let shard = machine.shard as usize;
         if shard >= shards.len() {
-            return Err(ShardFault::Range("shard of a machine"));
+            return Err(ShardMessageError::Range("shard of a machine"));
         }
-        let orders: Result<Vec<Order>, ShardFault> = machine.orders.iter().map(order).collect();
+        let orders: Result<Vec<WorkerCommand>, ShardMessageError> =
+            machine.orders.iter().map(order).collect();
         let host = name(machine.host, "machine")?.as_str().into();
-        Ok(MachineOrders { host, shard, shift: machine.session, orders: orders? })
+        Ok(MachineCommands { host, shard, shift: machine.session, orders: orders? })
     };
-    let machines: Result<Vec<MachineOrders>, ShardFault> =
+    let machines: Result<Vec<MachineCommands>, ShardMessageError> =
         message.machines.into_iter().map(machine).collect();
-    let snapshot: Result<Vec<Report>, ShardFault> = message.snapshot.into_iter().map(report).collect();
-    Ok(LeaderOrders {
+    let snapshot: Result<Vec<Heartbeat>, ShardMessageError> =
+        message.snapshot.into_iter().map(report).collect();
+    Ok(LeaderCommands {
         host: name(message.host, "host")?,
         stamp: Stamp { boot: message.boot, sequence: message.sequence },
         answers: message.answers,
@@ -396,12 +401,12 @@
     })
 }
 
-fn order(message: &OrderMessage) -> Result<Order, ShardFault> {
+fn order(message: &OrderMessage) -> Result<WorkerCommand, ShardMessageError> {
     let (task, attempt) = (task(&message.job, message.index)?, message.attempt);
     match message.kind {
-        RUN => Ok(Order::Run { task, attempt }),
-        KILL => Ok(Order::Kill { task, attempt, leeway: Duration::from_millis(message.leeway_ms) }),
-        REAP => Ok(Order::Acknowledge { task, attempt }),
-        _ => Err(ShardFault::Range("command")),
+        RUN => Ok(WorkerCommand::Run { task, attempt }),
+        KILL => Ok(WorkerCommand::Kill { task, attempt, leeway: Duration::from_millis(message.leeway_ms) }),
+        REAP => Ok(WorkerCommand::Acknowledge { task, attempt }),
+        _ => Err(ShardMessageError::Range("command")),
     }
 }
--- a/crates/plankhead/src/shard_table.rs
+++ b/crates/plankhead/src/shard_table.rs
@@ -5,7 +5,7 @@
 use crate::http::Client;
 use crate::state;
 use crate::views::ask_views;
-use plankhead_core::protocol::{StateOp, StateReply};
+use plankhead_core::protocol::{KvReply, KvRequest};
 use plankhead_sharding::shard::{ShardId, PREFIX};
 use plankhead_sharding::table::ShardTable;
 use serde_json::Value;
@@ -18,7 +18,7 @@
     #[error("the records of shards can't be read: {0:?}")]
     State(plankhead_core::protocol::CallError),
     #[error("the state service answered something else than a list")]
-    Answer,
+    Response,
 }
 
 /// What one controller says of a shard that it holds.
@@ -47,9 +47,9 @@
     let client = Client::new(config.state);
     let mut after = None;
     loop {
-        let op = StateOp::List { prefix: PREFIX.into(), after: after.clone() };
+        let op = KvRequest::List { prefix: PREFIX.into(), after: after.clone() };
         let reply = state::call(&client, op).await.map_err(TableError::State)?;
-        let StateReply::Page { rows, truncated, .. } = reply else { return Err(TableError::Answer) };
+        let KvReply::Page { rows, truncated, .. } = reply else { return Err(TableError::Response) };
         for row in &rows {
             if let Err(fault) = shards.table.write(&row.key, &row.value, row.stamp) {
                 shards.faults.push(format!("{}: {fault}", row.key));
--- a/crates/plankhead/src/state.rs
+++ b/crates/plankhead/src/state.rs
@@ -5,7 +5,7 @@
 use crate::wire;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use plankhead_core::protocol::{CallError, Change, Row, StateOp, StateReply};
+use plankhead_core::protocol::{CallError, KeyValue, KvChange, KvReply, KvRequest};
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
@@ -17,24 +17,26 @@
     serde_json::from_slice(body).map_err(|_| CallError::OutcomeUnknown)
 }
 
-pub async fn call(client: &Client, op: StateOp) -> Result<StateReply, CallError> {
+pub async fn call(client: &Client, op: KvRequest) -> Result<KvReply, CallError> {
     let (method, path, body, within) = match &op {
-        StateOp::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new(), PATIENCE),
-        StateOp::List { prefix, after } => {
+        KvRequest::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new(), PATIENCE),
+        KvRequest::List { prefix, after } => {
             let after = after.as_ref().map(|a| format!("&after={a}")).unwrap_or_default();
             (Method::GET, format!("/kv?prefix={prefix}{after}&most=1000"), Vec::new(), PATIENCE * 2)
         }
-        StateOp::Txn { conditions, changes } => {
+        KvRequest::Txn { conditions, changes } => {
             let body = wire::txn(conditions, changes).ok_or(CallError::Refused)?;
             (Method::POST, "/txn".into(), body, PATIENCE)
         }
-        StateOp::GrantLease { life } => {
+        KvRequest::GrantLease { life } => {
             let body = format!("{{\"lifeMs\":{}}}", life.as_millis()).into_bytes();
             (Method::POST, "/grants".into(), body, PATIENCE)
         }
-        StateOp::RenewLease { hold } => (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE),
-        StateOp::RevokeLease { hold } => (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE),
-        StateOp::Watch { prefix, after, wait } => {
+        KvRequest::RenewLease { hold } => {
+            (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE)
+        }
+        KvRequest::RevokeLease { hold } => (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE),
+        KvRequest::Watch { prefix, after, wait } => {
             let path = format!("/follow?prefix={prefix}&after={after}&waitMs={}", wait.as_millis());
             (Method::GET, path, Vec::new(), *wait + WATCH_EXTRA)
         }
@@ -48,46 +50,48 @@
     understand(&op, status.as_u16(), &body)
 }
 
-fn understand(op: &StateOp, status: u16, body: &Bytes) -> Result<StateReply, CallError> {
+fn understand(op: &KvRequest, status: u16, body: &Bytes) -> Result<KvReply, CallError> {
     // What is well-formed and still refused so is larger than is allowed by now.
-    let no_lease = |changes: &[Change], body: &Bytes| {
+    let no_lease = |changes: &[KvChange], body: &Bytes| {
         let value: serde_json::Value = parse(body)?;
         let known = value.get("error").and_then(|e| e.as_str()) == Some("no such lease");
-        let held = changes.iter().any(|c| matches!(c, Change::Put { hold: Some(_), .. }));
+        let held = changes.iter().any(|c| matches!(c, KvChange::Put { hold: Some(_), .. }));
         match (known, held) {
-            (true, _) => Ok(StateReply::NoSuchLease),
+            (true, _) => Ok(KvReply::NoSuchLease),
             (false, true) => Err(CallError::OutcomeUnknown),
             (false, false) => Err(CallError::TooLarge),
         }
     };
     match (op, status) {
-        (StateOp::Get { .. }, 200) => Ok(StateReply::Value(Some(Row::from(parse::<wire::StateRow>(body)?)))),
-        (StateOp::Get { .. }, 404) => parse::<wire::Epoch>(body).map(|_| StateReply::Value(None)),
-        (StateOp::List { .. }, 200) => {
+        (KvRequest::Get { .. }, 200) => {
+            Ok(KvReply::Value(Some(KeyValue::from(parse::<wire::StateRow>(body)?))))
+        }
+        (KvRequest::Get { .. }, 404) => parse::<wire::Epoch>(body).map(|_| KvReply::Value(None)),
+        (KvRequest::List { .. }, 200) => {
             let page: wire::Page = parse(body)?;
-            let rows = page.rows.into_iter().map(Row::from).collect();
-            Ok(StateReply::Page { rows, truncated: page.truncated, epoch: page.epoch })
+            let rows = page.rows.into_iter().map(KeyValue::from).collect();
+            Ok(KvReply::Page { rows, truncated: page.truncated, epoch: page.epoch })
         }
-        (StateOp::Txn { .. }, 200) => {
-            parse::<wire::Epoch>(body).map(|e| StateReply::Committed { epoch: e.epoch })
+        (KvRequest::Txn { .. }, 200) => {
+            parse::<wire::Epoch>(body).map(|e| KvReply::Committed { epoch: e.epoch })
         }
-        (StateOp::Txn { .. }, 409) => {
-            parse::<wire::Failed>(body).map(|f| StateReply::Conflict { failed: f.failed })
+        (KvRequest::Txn { .. }, 409) => {
+            parse::<wire::Failed>(body).map(|f| KvReply::Conflict { failed: f.failed })
         }
-        (StateOp::Txn { changes, .. }, 400) => no_lease(changes, body),
-        (StateOp::GrantLease { .. }, 200) => {
-            parse::<wire::Hold>(body).map(|h| StateReply::LeaseGranted { hold: h.hold })
+        (KvRequest::Txn { changes, .. }, 400) => no_lease(changes, body),
+        (KvRequest::GrantLease { .. }, 200) => {
+            parse::<wire::Hold>(body).map(|h| KvReply::LeaseGranted { hold: h.hold })
         }
-        (StateOp::RenewLease { .. }, 200) => Ok(StateReply::LeaseRenewed),
-        (StateOp::RenewLease { .. }, 404) => Ok(StateReply::NoSuchLease),
-        (StateOp::RevokeLease { .. }, 200 | 204 | 404) => Ok(StateReply::LeaseRenewed),
-        (StateOp::Watch { .. }, 200) => {
+        (KvRequest::RenewLease { .. }, 200) => Ok(KvReply::LeaseRenewed),
+        (KvRequest::RenewLease { .. }, 404) => Ok(KvReply::NoSuchLease),
+        (KvRequest::RevokeLease { .. }, 200 | 204 | 404) => Ok(KvReply::LeaseRenewed),
+        (KvRequest::Watch { .. }, 200) => {
             let events: wire::Events = parse(body)?;
             let epoch = events.epoch;
             let events = events.events().ok_or(CallError::OutcomeUnknown)?;
-            Ok(StateReply::Events { epoch, events })
+            Ok(KvReply::Events { epoch, events })
         }
-        (StateOp::Watch { .. }, 410) => Ok(StateReply::Compacted),
+        (KvRequest::Watch { .. }, 410) => Ok(KvReply::Compacted),
         _ => Err(CallError::OutcomeUnknown),
     }
 }
--- a/crates/plankhead/src/tests/driver.rs
+++ b/crates/plankhead/src/tests/driver.rs
@@ -1,7 +1,7 @@
 //! What the owner of the queue keeps for the requests under way.
 
 use crate::driver::{Lag, PendingRequests, PATIENCE};
-use plankhead_core::protocol::Answer;
+use plankhead_core::protocol::Response;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
@@ -17,8 +17,8 @@
     let (sender, mut second) = oneshot::channel();
     pending.add(later, sender);
     assert_eq!(pending.expire(start), Some(start + PATIENCE));
-    pending.answer(answered, Answer::NotFound);
-    assert_eq!(first.try_recv(), Ok(Answer::NotFound));
+    pending.answer(answered, Response::NotFound);
+    assert_eq!(first.try_recv(), Ok(Response::NotFound));
     assert_eq!(pending.expire(start + PATIENCE), Some(later + PATIENCE));
     assert_eq!(second.try_recv(), Err(oneshot::error::TryRecvError::Empty));
     assert_eq!(pending.expire(later + PATIENCE), None);
--- a/crates/plankhead/src/tests/messages.rs
+++ b/crates/plankhead/src/tests/messages.rs
@@ -1,13 +1,13 @@
 use crate::peer::{decode, encode};
-use crate::wire::{self, ReportReader};
+use crate::wire::{self, HeartbeatReader};
 use bytes::Bytes;
-use plankhead_core::protocol::{Cause, Change, Progress, Pulse, Seen};
+use plankhead_core::protocol::{ExitReason, JobProgress, KvChange, PeerHeartbeat, TaskStatus};
 use serde_json::{json, Value};
 
 #[test]
 fn pulses_are_checked() {
-    let progress = vec![Progress { id: "job-1".into(), done: 3, running: 4 }];
-    let pulse = Pulse { host: "plank-1".into(), state_ok: true, token: 7, progress };
+    let progress = vec![JobProgress { id: "job-1".into(), done: 3, running: 4 }];
+    let pulse = PeerHeartbeat { host: "plank-1".into(), state_ok: true, token: 7, progress };
     let bytes = encode(&pulse).unwrap();
     assert_eq!(decode(&bytes), Some(pulse));
     assert_eq!(decode(&bytes[..bytes.len() - 3]), None);
@@ -22,7 +22,10 @@
                    {"piece": "job-2/0", "try": 1, "status": "ended", "cause": "done"}]});
     let parse = |v: &Value| wire::report(v.to_string().as_bytes());
     let report = parse(&good).unwrap();
-    assert_eq!((report.tasks[0].task.index, report.tasks[1].seen), (3, Seen::Exited(Cause::Completed)));
+    assert_eq!(
+        (report.tasks[0].task.index, report.tasks[1].seen),
+        (3, TaskStatus::Exited(ExitReason::Completed))
+    );
     for (pointer, bad) in [
         ("/pieces/0/piece", json!("job-1")),
         ("/pieces/0/piece", json!("job-1/-1")),
@@ -48,11 +51,11 @@
             "shift": 1, "tick": 88, "baton": 41, "warningS": null, "pieces": [piece]});
         wire::report(report.to_string().as_bytes()).unwrap().tasks[0].seen
     };
-    assert_eq!(piece("waiting", Value::Null), Seen::WaitingForGang);
-    assert_eq!(piece("asleep", Value::Null), Seen::Unrecognized);
-    assert_eq!(piece("ended", json!("mates_gone")), Seen::Exited(Cause::GangMemberLost));
-    assert_eq!(piece("ended", json!("incomplete")), Seen::Exited(Cause::GangIncomplete));
-    assert_eq!(piece("ended", json!("bored")), Seen::Exited(Cause::Unrecognized));
+    assert_eq!(piece("waiting", Value::Null), TaskStatus::WaitingForGang);
+    assert_eq!(piece("asleep", Value::Null), TaskStatus::Unrecognized);
+    assert_eq!(piece("ended", json!("mates_gone")), TaskStatus::Exited(ExitReason::GangMemberLost));
+    assert_eq!(piece("ended", json!("incomplete")), TaskStatus::Exited(ExitReason::GangIncomplete));
+    assert_eq!(piece("ended", json!("bored")), TaskStatus::Exited(ExitReason::Unrecognized));
 }
 
 #[test]
@@ -65,8 +68,8 @@
 #[test]
 fn transactions_are_written_as_published() {
     let changes = [
-        Change::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), hold: Some(7) },
-        Change::Delete { key: "c/d".into() },
+        KvChange::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), hold: Some(7) },
+        KvChange::Delete { key: "c/d".into() },
     ];
     let body: Value = serde_json::from_slice(&wire::txn(&[], &changes).unwrap()).unwrap();
     let expected =
@@ -103,7 +106,7 @@
     }
     let mut accepted = 0;
     for other in others {
-        let mut reader = ReportReader::default();
+        let mut reader = HeartbeatReader::default();
         assert!(reader.read(&Bytes::from(first.clone())).is_ok());
         let (again, plain) = (reader.read(&Bytes::from(other.clone())), wire::report(&other));
         accepted += usize::from(plain.is_ok());
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -5,9 +5,10 @@
 use crate::sharding::{self, ShardingFile};
 use crate::tests::compare_with_fixture;
 use plankhead_core::job::JobId;
-use plankhead_core::protocol::{Cause, Listed, Order, Report, Seen, TaskId};
+use plankhead_core::protocol::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus, WorkerCommand};
 use plankhead_core::shard_messages::{
-    HeldShard, HolderReport, LeaderOrders, MachineNews, MachineOrders, ShardFault, ShardMessage,
+    HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
+    ShardMessageError,
 };
 use plankhead_sharding::sequence::Stamp;
 use plankhead_sharding::shard::ShardId;
@@ -46,15 +47,15 @@
     TaskId { job: JobId::parse("job-000412").unwrap(), index }
 }
 
-fn report(machine: u32, tasks: u32) -> Report {
+fn report(machine: u32, tasks: u32) -> Heartbeat {
     let seen = [
-        Seen::Running,
-        Seen::Exited(Cause::Completed),
-        Seen::FetchingImage,
-        Seen::Exited(Cause::Unrecognized),
+        TaskStatus::Running,
+        TaskStatus::Exited(ExitReason::Completed),
+        TaskStatus::FetchingImage,
+        TaskStatus::Exited(ExitReason::Unrecognized),
     ];
-    let listed = |n: u32| Listed { task: task(n), attempt: u64::from(n), seen: seen[n as usize % 4] };
-    Report {
+    let listed = |n: u32| ReportedTask { task: task(n), attempt: u64::from(n), seen: seen[n as usize % 4] };
+    Heartbeat {
         host: format!("i-{machine:06}").as_str().into(),
         address: "10.1.0.232:9000".into(),
         rig: "g8".into(),
@@ -69,7 +70,7 @@
 }
 
 fn holder_report(machines: u32) -> ShardMessage {
-    let news = |n: u32| MachineNews {
+    let news = |n: u32| MachineUpdate {
         number: n,
         report: report(n, 16),
         proven: n & 1 == 0,
@@ -77,13 +78,17 @@
         unanswered: n,
         age: Duration::from_millis(70),
     };
-    ShardMessage::HolderStatus(Box::new(HolderReport {
+    ShardMessage::HolderStatus(Box::new(HolderStatus {
         host: "plank-1".into(),
         stamp: Stamp { boot: 5, sequence: 9 },
         zone: "a".into(),
         term: 40,
         sees_records: true,
-        shards: vec![HeldShard { shard: ShardId { zone: "a".into(), index: 1 }, epoch: 44, released: true }],
+        shards: vec![ShardHolding {
+            shard: ShardId { zone: "a".into(), index: 1 },
+            epoch: 44,
+            released: true,
+        }],
         stream: 2,
         first: true,
         news: (0..machines).map(news).collect(),
@@ -92,18 +97,20 @@
     }))
 }
 
-fn leader_orders() -> LeaderOrders {
-    let (run, reap) =
-        (Order::Run { task: task(4), attempt: 2 }, Order::Acknowledge { task: task(0), attempt: 1 });
-    let kill = Order::Kill { task: task(1), attempt: 1, leeway: Duration::from_secs(10) };
-    LeaderOrders {
+fn leader_orders() -> LeaderCommands {
+    let (run, reap) = (
+        WorkerCommand::Run { task: task(4), attempt: 2 },
+        WorkerCommand::Acknowledge { task: task(0), attempt: 1 },
+    );
+    let kill = WorkerCommand::Kill { task: task(1), attempt: 1, leeway: Duration::from_secs(10) };
+    LeaderCommands {
         host: "plank-0".into(),
         stamp: Stamp { boot: 6, sequence: 10 },
         answers: 9,
         token: 40,
         shards: vec![(ShardId { zone: "a".into(), index: 1 }, 44)],
         latest_epoch: 45,
-        machines: vec![MachineOrders {
+        machines: vec![MachineCommands {
             host: "i-000231".into(),
             shard: 0,
             shift: 3,
@@ -141,12 +148,12 @@
 #[test]
 fn bad_messages_are_refused_with_their_reason() {
     let good = encode(&holder_report(200)).unwrap();
-    let malformed = |bytes: &[u8]| matches!(decode(bytes), Err(ShardFault::Malformed(_)));
+    let malformed = |bytes: &[u8]| matches!(decode(bytes), Err(ShardMessageError::Malformed(_)));
     assert!(malformed(&[]) && malformed(&[7]) && malformed(&[0]) && malformed(&[1, 2]));
     assert!(malformed(&good[..good.len() / 2]), "cut off");
-    assert_eq!(decode(&vec![0; MAX_WIRE + 1]), Err(ShardFault::TooLarge));
+    assert_eq!(decode(&vec![0; MAX_WIRE + 1]), Err(ShardMessageError::TooLarge));
     let bomb = [&[1u8][..], &u32::MAX.to_le_bytes(), &[0; 64]].concat();
-    assert_eq!(decode(&bomb), Err(ShardFault::TooLarge), "what it would become is looked at first");
+    assert_eq!(decode(&bomb), Err(ShardMessageError::TooLarge), "what it would become is looked at first");
     // Every single byte that is wrong: refused or read as something, and never a panic.
     let small = encode(&ShardMessage::LeaderCommands(Box::new(leader_orders()))).unwrap();
     for at in 0..small.len() {
@@ -154,11 +161,11 @@
         bytes[at] ^= 0x55;
         let _ = decode(&bytes);
     }
-    let range = |change: &dyn Fn(&mut LeaderOrders)| {
+    let range = |change: &dyn Fn(&mut LeaderCommands)| {
         let mut orders = leader_orders();
         change(&mut orders);
         let bytes = encode(&ShardMessage::LeaderCommands(Box::new(orders))).unwrap();
-        assert!(matches!(decode(&bytes), Err(ShardFault::Range(_))), "{:?}", decode(&bytes));
+        assert!(matches!(decode(&bytes), Err(ShardMessageError::Range(_))), "{:?}", decode(&bytes));
     };
     range(&|orders| orders.machines[0].shard = 1);
     range(&|orders| orders.machines[0].host = "".into());
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -1,10 +1,10 @@
 //! The published messages, field by field. Their names stop here.
 
 use bytes::Bytes;
-use plankhead_core::job::{JobId, JobSpec, Resources, Urgency};
+use plankhead_core::job::{JobId, JobSpec, Priority, Resources};
 use plankhead_core::protocol::{
-    Answer, Cause, Change, Condition, HostStatus, KeyEvent, Listed, ListedHost, Order, Report, Rig, Row,
-    Seen, Status, TaskId,
+    Condition, ExitReason, Heartbeat, Instance, InstanceStatus, KeyValue, KvChange, MachineType,
+    ReportedTask, Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
 };
 use plankhead_core::shard_messages::Delivery;
 use plankhead_fencing::action::Rental;
@@ -80,10 +80,10 @@
         class: work.lane,
         team: work.crew,
         urgency: match work.urgency {
-            UrgencyName::Critical => Urgency::Critical,
-            UrgencyName::Urgent => Urgency::Urgent,
-            UrgencyName::Standard => Urgency::Standard,
-            UrgencyName::Idle => Urgency::Idle,
+            UrgencyName::Critical => Priority::Critical,
+            UrgencyName::Urgent => Priority::Urgent,
+            UrgencyName::Standard => Priority::Standard,
+            UrgencyName::Idle => Priority::Idle,
         },
         tasks: work.pieces,
         each: Resources { cpus: work.cpus, gpus: work.gpus, ram: work.ram_gb },
@@ -114,7 +114,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct JobAnswer<'a> {
+struct JobResponse<'a> {
     #[serde(rename = "nameId")]
     name_id: &'a str,
     status: &'static str,
@@ -123,18 +123,18 @@
 }
 
 #[derive(Debug, Serialize)]
-struct ErrorAnswer<'a> {
+struct ErrorResponse<'a> {
     error: &'a str,
 }
 
 #[derive(Debug, Serialize)]
-struct ReportAnswer<'a> {
+struct CommandsResponse<'a> {
     baton: u64,
     orders: Vec<OrderMessage<'a>>,
 }
 
 #[derive(Debug, Serialize)]
-struct ElsewhereAnswer<'a> {
+struct RedirectResponse<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     foreman: Option<&'a str>,
 }
@@ -145,31 +145,35 @@
 }
 
 /// An answer's status, body and time to come back.
-pub fn answer(answer: &Answer) -> (u16, Vec<u8>, Option<Duration>) {
-    let error = |error: &str| text(&ErrorAnswer { error });
+pub fn answer(answer: &Response) -> (u16, Vec<u8>, Option<Duration>) {
+    let error = |error: &str| text(&ErrorResponse { error });
     match answer {
-        Answer::Job { fresh, id, status: s, done, running } => {
+        Response::Job { fresh, id, status: s, done, running } => {
             let code = if *fresh { 201 } else { 200 };
             let (done, running) = (*done, *running);
-            (code, text(&JobAnswer { name_id: id.as_str(), status: status(*s), done, running }), None)
+            (code, text(&JobResponse { name_id: id.as_str(), status: status(*s), done, running }), None)
         }
-        Answer::BadRequest(reason) => (400, error(reason), None),
-        Answer::Unprocessable(reason) => (422, error(reason), None),
-        Answer::NotFound => (404, error("no such job"), None),
-        Answer::Unavailable { retry } => (503, error("try again later"), Some(*retry)),
-        Answer::Commands { token, orders } => {
+        Response::BadRequest(reason) => (400, error(reason), None),
+        Response::Unprocessable(reason) => (422, error(reason), None),
+        Response::NotFound => (404, error("no such job"), None),
+        Response::Unavailable { retry } => (503, error("try again later"), Some(*retry)),
+        Response::Commands { token, orders } => {
             let orders = orders.iter().map(OrderMessage::from).collect();
-            (200, text(&ReportAnswer { baton: *token, orders }), None)
+            (200, text(&CommandsResponse { baton: *token, orders }), None)
         }
-        Answer::Redirect { foreman } => (421, text(&ElsewhereAnswer { foreman: foreman.as_deref() }), None),
-        Answer::Relay { .. } => (421, text(&ElsewhereAnswer { foreman: None }), None),
-        Answer::View(view) => (200, text(view), None),
-        Answer::ShardMessageDelivery(Delivery::Accepted) => (200, Vec::new(), None),
-        Answer::ShardMessageDelivery(Delivery::FullSyncNeeded) => {
+        Response::Redirect { foreman } => {
+            (421, text(&RedirectResponse { foreman: foreman.as_deref() }), None)
+        }
+        Response::Relay { .. } => (421, text(&RedirectResponse { foreman: None }), None),
+        Response::View(view) => (200, text(view), None),
+        Response::ShardMessageDelivery(Delivery::Accepted) => (200, Vec::new(), None),
+        Response::ShardMessageDelivery(Delivery::FullSyncNeeded) => {
             (410, error("the stream is not known"), None)
         }
-        Answer::ShardMessageDelivery(Delivery::Unsupported) => (404, error("machines are not divided"), None),
-        Answer::ShardMessageDelivery(Delivery::Rejected | Delivery::NoResponse) => {
+        Response::ShardMessageDelivery(Delivery::Unsupported) => {
+            (404, error("machines are not divided"), None)
+        }
+        Response::ShardMessageDelivery(Delivery::Rejected | Delivery::NoResponse) => {
             (409, error("not taken"), None)
         }
     }
@@ -245,7 +249,7 @@
 }
 
 /// A worker's report.
-pub fn report(body: &[u8]) -> Result<Report, String> {
+pub fn report(body: &[u8]) -> Result<Heartbeat, String> {
     parse_report(body).map(|(report, _)| report)
 }
 
@@ -256,33 +260,33 @@
 /// differs from the one before in nothing but the number of its tick, which is the usual
 /// case, is not parsed again.
 #[derive(Debug, Default)]
-pub struct ReportReader {
-    last: Option<LastReport>,
+pub struct HeartbeatReader {
+    last: Option<LastHeartbeat>,
 }
 
 #[derive(Debug)]
-struct LastReport {
+struct LastHeartbeat {
     body: Bytes,
     tick: Span,
-    report: Report,
+    report: Heartbeat,
 }
 
-impl ReportReader {
+impl HeartbeatReader {
     /// As [`report`] reads it.
-    pub fn read(&mut self, body: &Bytes) -> Result<Report, String> {
+    pub fn read(&mut self, body: &Bytes) -> Result<Heartbeat, String> {
         if let Some(report) = self.last.as_mut().and_then(|last| last.again(body)) {
             return Ok(report);
         }
         let (report, tick) = parse_report(body)?;
-        self.last = Some(LastReport { body: body.clone(), tick, report: report.clone() });
+        self.last = Some(LastHeartbeat { body: body.clone(), tick, report: report.clone() });
         Ok(report)
     }
 }
 
-impl LastReport {
+impl LastHeartbeat {
     /// The report, if the text is the same but for the tick. One number in the place of
     /// another makes no other change to what a JSON text says.
-    fn again(&self, body: &Bytes) -> Option<Report> {
+    fn again(&self, body: &Bytes) -> Option<Heartbeat> {
         let Span { start, end } = self.tick;
         if body.len() != self.body.len()
             || body[..start] != self.body[..start]
@@ -291,11 +295,11 @@
             return None;
         }
         let tick = serde_json::from_slice(&body[start..end]).ok()?;
-        Some(Report { tick, ..self.report.clone() })
+        Some(Heartbeat { tick, ..self.report.clone() })
     }
 }
 
-fn parse_report(body: &[u8]) -> Result<(Report, Span), String> {
+fn parse_report(body: &[u8]) -> Result<(Heartbeat, Span), String> {
     let beat: Beat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let tick = beat.tick.get();
     let start = (tick.as_ptr() as usize).saturating_sub(body.as_ptr() as usize);
@@ -311,27 +315,27 @@
     let mut tasks = Vec::with_capacity(beat.pieces.len());
     for piece in &beat.pieces {
         let seen = match (&piece.status, piece.cause) {
-            (PieceStatus::Pulling, _) => Seen::FetchingImage,
-            (PieceStatus::Running, _) => Seen::Running,
-            (PieceStatus::Saving, _) => Seen::Checkpointing,
-            (PieceStatus::Waiting, _) => Seen::WaitingForGang,
-            (PieceStatus::Other, _) => Seen::Unrecognized,
-            (PieceStatus::Ended, Some(cause)) => Seen::Exited(match cause {
-                CauseName::Done => Cause::Completed,
-                CauseName::Stopped => Cause::Stopped,
-                CauseName::Error => Cause::Failed,
-                CauseName::Full => Cause::InsufficientResources,
-                CauseName::Busy => Cause::AttemptConflict,
-                CauseName::Unknown => Cause::UnknownJob,
-                CauseName::MatesGone => Cause::GangMemberLost,
-                CauseName::Incomplete => Cause::GangIncomplete,
-                CauseName::Other => Cause::Unrecognized,
+            (PieceStatus::Pulling, _) => TaskStatus::FetchingImage,
+            (PieceStatus::Running, _) => TaskStatus::Running,
+            (PieceStatus::Saving, _) => TaskStatus::Checkpointing,
+            (PieceStatus::Waiting, _) => TaskStatus::WaitingForGang,
+            (PieceStatus::Other, _) => TaskStatus::Unrecognized,
+            (PieceStatus::Ended, Some(cause)) => TaskStatus::Exited(match cause {
+                CauseName::Done => ExitReason::Completed,
+                CauseName::Stopped => ExitReason::Stopped,
+                CauseName::Error => ExitReason::Failed,
+                CauseName::Full => ExitReason::InsufficientResources,
+                CauseName::Busy => ExitReason::AttemptConflict,
+                CauseName::Unknown => ExitReason::UnknownJob,
+                CauseName::MatesGone => ExitReason::GangMemberLost,
+                CauseName::Incomplete => ExitReason::GangIncomplete,
+                CauseName::Other => ExitReason::Unrecognized,
             }),
             (PieceStatus::Ended, None) => return Err("an ended task without a cause".into()),
         };
-        tasks.push(Listed { task: task(&piece.piece)?, attempt: piece.attempt, seen });
+        tasks.push(ReportedTask { task: task(&piece.piece)?, attempt: piece.attempt, seen });
     }
-    let report = Report {
+    let report = Heartbeat {
         host: beat.host.into(),
         address: beat.address.into(),
         rig: beat.rig.into(),
@@ -366,12 +370,14 @@
     leeway_s: Option<f64>,
 }
 
-impl<'a> From<&'a Order> for OrderMessage<'a> {
-    fn from(order: &'a Order) -> Self {
+impl<'a> From<&'a WorkerCommand> for OrderMessage<'a> {
+    fn from(order: &'a WorkerCommand) -> Self {
         let (verb, task, attempt, leeway) = match order {
-            Order::Run { task, attempt } => ("run", task, attempt, None),
-            Order::Kill { task, attempt, leeway } => ("kill", task, attempt, Some(leeway.as_secs_f64())),
-            Order::Acknowledge { task, attempt } => ("reap", task, attempt, None),
+            WorkerCommand::Run { task, attempt } => ("run", task, attempt, None),
+            WorkerCommand::Kill { task, attempt, leeway } => {
+                ("kill", task, attempt, Some(leeway.as_secs_f64()))
+            }
+            WorkerCommand::Acknowledge { task, attempt } => ("reap", task, attempt, None),
         };
         Self { verb, piece: PieceName(task), attempt: *attempt, leeway_s: leeway }
     }
@@ -384,7 +390,7 @@
     orders: Vec<OrderMessage<'a>>,
 }
 
-pub fn orders(token: u64, shift: u64, orders: &[Order]) -> Vec<u8> {
+pub fn orders(token: u64, shift: u64, orders: &[WorkerCommand]) -> Vec<u8> {
     let orders = orders.iter().map(OrderMessage::from).collect();
     text(&OrdersMessage { baton: token, shift, orders })
 }
@@ -411,7 +417,7 @@
     yards: Vec<String>,
 }
 
-pub fn catalog(body: &[u8]) -> Option<Vec<Rig>> {
+pub fn catalog(body: &[u8]) -> Option<Vec<MachineType>> {
     let catalog: Catalog = serde_json::from_slice(body).ok()?;
     let mut rigs = Vec::new();
     for rig in catalog.rigs {
@@ -420,7 +426,7 @@
         if !amounts.iter().all(|x| (0.0..=1e9).contains(x)) || rig.yards.is_empty() {
             return None;
         }
-        rigs.push(Rig {
+        rigs.push(MachineType {
             label: rig.label,
             cpus: rig.cpus,
             gpus: rig.gpus,
@@ -462,20 +468,20 @@
     Failed,
 }
 
-pub fn hosts(body: &[u8]) -> Option<(Vec<ListedHost>, bool)> {
+pub fn hosts(body: &[u8]) -> Option<(Vec<Instance>, bool)> {
     let page: Hosts = serde_json::from_slice(body).ok()?;
     let mut hosts = Vec::with_capacity(page.hosts.len());
     for row in page.hosts {
-        hosts.push(ListedHost {
+        hosts.push(Instance {
             host: row.name_id.into(),
             address: row.address.into(),
             rig: row.rig,
             zone: row.yard,
             spot: row.loaners,
             status: match row.status {
-                HostStatusName::Booting => HostStatus::Booting,
-                HostStatusName::Running => HostStatus::Running,
-                HostStatusName::Failed => HostStatus::Failed,
+                HostStatusName::Booting => InstanceStatus::Booting,
+                HostStatusName::Running => InstanceStatus::Running,
+                HostStatusName::Failed => InstanceStatus::Failed,
             },
             held: seconds(row.held_s)?,
         });
@@ -514,9 +520,9 @@
     stamp: u64,
 }
 
-impl From<StateRow> for Row {
+impl From<StateRow> for KeyValue {
     fn from(row: StateRow) -> Self {
-        Row { key: row.k, value: row.value.get().into(), stamp: row.stamp }
+        KeyValue { key: row.k, value: row.value.get().into(), stamp: row.stamp }
     }
 }
 
@@ -557,19 +563,19 @@
 }
 
 impl Events {
-    pub fn events(self) -> Option<Vec<KeyEvent>> {
+    pub fn events(self) -> Option<Vec<WatchEvent>> {
         let event = |e: RawEvent| match (e.write, e.drop, e.value) {
             (Some(key), None, Some(value)) => {
-                Some(KeyEvent::Put(Row { key, value: value.get().into(), stamp: e.stamp }))
+                Some(WatchEvent::Put(KeyValue { key, value: value.get().into(), stamp: e.stamp }))
             }
-            (None, Some(key), _) => Some(KeyEvent::Delete { key, stamp: e.stamp }),
+            (None, Some(key), _) => Some(WatchEvent::Delete { key, stamp: e.stamp }),
             _ => None,
         };
         self.events.into_iter().map(event).collect()
     }
 }
 
-pub fn txn(conditions: &[Condition], changes: &[Change]) -> Option<Vec<u8>> {
+pub fn txn(conditions: &[Condition], changes: &[KvChange]) -> Option<Vec<u8>> {
     #[derive(Serialize)]
     struct Put<'a> {
         write: &'a str,
@@ -580,11 +586,11 @@
     let mut apply: Vec<Box<RawValue>> = Vec::with_capacity(changes.len());
     for change in changes {
         let text = match change {
-            Change::Put { key, value, hold } => {
+            KvChange::Put { key, value, hold } => {
                 let value: &RawValue = serde_json::from_str(value).ok()?;
                 serde_json::to_string(&Put { write: key, value, hold: *hold })
             }
-            Change::Delete { key } => serde_json::to_string(&BTreeMap::from([("drop", key)])),
+            KvChange::Delete { key } => serde_json::to_string(&BTreeMap::from([("drop", key)])),
         };
         apply.push(RawValue::from_string(text.ok()?).ok()?);
     }
