--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -9,7 +9,7 @@
         &mut self,
         now: Duration,
         message: LeaderCommands,
-        standing: Standing,
+        standing: HolderEvidence,
         out: &mut EffectSink,
     ) -> bool {
         let known = self.leader.as_ref().map_or(0, |leader| leader.token);
@@ -93,7 +93,7 @@
         &mut self,
         now: Duration,
         host: &MachineName,
-        standing: Standing,
+        standing: HolderEvidence,
         out: &mut EffectSink,
     ) {
         let sight = self.sight(standing);
@@ -186,7 +186,7 @@
         now: Duration,
         (host, shift, runs): (MachineName, u64, Vec<(TaskId, u64)>),
         reply: CommandReply,
-        standing: Standing,
+        standing: HolderEvidence,
         out: &mut EffectSink,
     ) {
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
@@ -205,7 +205,7 @@
     }
 
     /// Ends tasks of cancelled jobs, without waiting for the workers' reports.
-    pub(super) fn tell_kills(&mut self, now: Duration, standing: Standing, out: &mut EffectSink) {
+    pub(super) fn tell_kills(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
         let holds = |machine: &&Machine| {
             let tasks = machine.report.as_ref().map(|report| &report.tasks);
             tasks.is_some_and(|tasks| tasks.iter().any(|listed| self.jobs.is_cancelled(&listed.task.job)))
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -20,7 +20,7 @@
 use crate::settings::Settings;
 use jobs::JobWatch;
 use plankhead_sharding::alive::Numbers;
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::sight::Sight;
 use plankhead_sharding::table::ShardTable;
@@ -129,7 +129,7 @@
 
 /// What a holder's decisions of one step stand on.
 #[derive(Debug, Clone, Copy)]
-pub struct Standing {
+pub struct HolderEvidence {
     /// When the records of shards were last seen.
     pub records: Option<Duration>,
     /// The state service has failed this node for some time.
@@ -261,7 +261,7 @@
         self.jobs.reads()
     }
 
-    fn sight(&self, standing: Standing) -> Sight {
+    fn sight(&self, standing: HolderEvidence) -> Sight {
         Sight { jobs: self.jobs.seen(), records: standing.records }
     }
 
@@ -273,7 +273,7 @@
         report: &Heartbeat,
         (shard, epoch): (ShardId, u64),
         (relayed, adrift): (bool, bool),
-        standing: Standing,
+        standing: HolderEvidence,
     ) -> Response {
         let now = times.now;
         let sight = self.sight(standing);
@@ -327,7 +327,7 @@
         heard
     }
 
-    pub fn tick(&mut self, times: StepTime, standing: Standing, out: &mut EffectSink) {
+    pub fn tick(&mut self, times: StepTime, standing: HolderEvidence, out: &mut EffectSink) {
         let now = times.now;
         self.behind = standing.behind;
         self.jobs.tick(now, out);
@@ -356,7 +356,7 @@
         step: key_watch::Step,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        standing: Standing,
+        standing: HolderEvidence,
         out: &mut EffectSink,
     ) {
         let news = self.jobs.reply(now, step, reply, requests);
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -16,7 +16,7 @@
 
 impl Holder {
     /// Sends the next message, if one is due and none is under way.
-    pub(super) fn report(&mut self, now: Duration, standing: Standing, out: &mut EffectSink) {
+    pub(super) fn report(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
         if self.reporting || now < self.report_due {
             return;
         }
@@ -37,7 +37,7 @@
         self.report_sent = now;
         let report = HolderStatus {
             host: self.settings.host.clone(),
-            stamp: Stamp { boot: self.settings.boot, sequence: self.sequence },
+            stamp: MessageStamp { boot: self.settings.boot, sequence: self.sequence },
             zone: self.settings.zone.clone(),
             term: token,
             sees_records: !standing.failing
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -4,10 +4,10 @@
 
 use super::*;
 use crate::settings::Fencing;
-use plankhead_fencing::action::{Action, Return, ReturnCause, MAX_RETURN_HOSTS};
-use plankhead_fencing::duty::{Duty, DutyKey, State};
-use plankhead_fencing::gate::{Gate, Permitted, Proof};
-use plankhead_fencing::log::{DutyLog, Limits, PageChange, WriteOutcome};
+use plankhead_fencing::action::{Action, Return, ReturnReason, MAX_RETURN_HOSTS};
+use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::gate::{FencingGate, IssueProof, PermittedAction};
+use plankhead_fencing::log::{IntentLog, IntentPageWrite, Limits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
 
 /// A failure to record a duty compels only while it is so fresh: a process that was
@@ -29,16 +29,16 @@
 #[derive(Debug)]
 pub(super) struct Intents {
     settings: Fencing,
-    gate: Gate,
-    log: DutyLog,
+    gate: FencingGate,
+    log: IntentLog,
     /// Durable duties to be sent at once.
-    ready: VecDeque<DutyKey>,
+    ready: VecDeque<IdempotencyKey>,
     /// Returns to be sent, or sent again, at these times.
-    returns_due: Vec<(Duration, DutyKey)>,
+    returns_due: Vec<(Duration, IdempotencyKey)>,
     refused_rentals: Vec<RefusedRental>,
     /// Returns that a cancellation or this leader's blindness forces, with whether only
     /// blindness does.
-    forced: BTreeMap<DutyKey, bool>,
+    forced: BTreeMap<IdempotencyKey, bool>,
     reading: BTreeSet<PageId>,
     write_due: Duration,
     tidy_due: Duration,
@@ -56,8 +56,8 @@
         };
         Self {
             settings: fencing,
-            gate: if fencing.enabled { Gate::fenced(token) } else { Gate::open(token) },
-            log: DutyLog::new(token, limits),
+            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::open(token) },
+            log: IntentLog::new(token, limits),
             ready: VecDeque::new(),
             returns_due: Vec::new(),
             refused_rentals: Vec::new(),
@@ -79,7 +79,7 @@
     }
 
     /// How many machines one return names.
-    pub(super) fn returnable(&self, hosts: &[MachineName], cause: ReturnCause) -> Return {
+    pub(super) fn returnable(&self, hosts: &[MachineName], cause: ReturnReason) -> Return {
         if self.fenced() {
             return self.log.returnable(hosts, cause);
         }
@@ -90,7 +90,7 @@
     pub(super) fn view(&self) -> serde_json::Value {
         let counts = self.gate.counts();
         let summary = self.log.summary();
-        let shown = |duty: &Duty| {
+        let shown = |duty: &Intent| {
             serde_json::json!({"key": duty.key.to_string(), "kind": duty.action.kind(),
                 "subject": duty.action.subject(), "holder": duty.holder, "state": duty.state().name(),
                 "attempts": duty.attempts, "ageS": self.wall_ms.saturating_sub(duty.intended_ms) as f64 / 1e3})
@@ -111,15 +111,15 @@
 impl Leader {
     /// The one way to the cloud for whatever can't be taken back there. A repeat under the
     /// same key with the same action is sent again.
-    pub(super) fn request(&mut self, key: DutyKey, action: Action, out: &mut EffectSink) -> bool {
+    pub(super) fn request(&mut self, key: IdempotencyKey, action: Action, out: &mut EffectSink) -> bool {
         if !self.duties.fenced() {
             self.pass_gate(&key, action, None, out);
             return true;
         }
-        use plankhead_fencing::log::Intent;
+        use plankhead_fencing::log::IntentAdmission;
         match self.duties.log.intend(key.clone(), action, self.duties.wall_ms) {
-            Ok(Intent::New) => true,
-            Ok(Intent::Repeat) => {
+            Ok(IntentAdmission::New) => true,
+            Ok(IntentAdmission::Repeat) => {
                 self.duties.ready.push_back(key);
                 true
             }
@@ -130,14 +130,20 @@
         }
     }
 
-    fn pass_gate(&mut self, key: &DutyKey, action: Action, proof: Option<Proof>, out: &mut EffectSink) {
+    fn pass_gate(
+        &mut self,
+        key: &IdempotencyKey,
+        action: Action,
+        proof: Option<IssueProof>,
+        out: &mut EffectSink,
+    ) {
         match self.duties.gate.pass(action, proof) {
             Ok(permitted) => self.send_action(key, permitted, out),
             Err(refusal) => out.log(LogLevel::Error, format!("the gate refused {key}: {refusal}")),
         }
     }
 
-    fn send_action(&self, key: &DutyKey, permitted: Permitted, out: &mut EffectSink) {
+    fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, out: &mut EffectSink) {
         let leader_call = match permitted.action() {
             Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
             Action::Return(back) => LeaderCall::Release { hosts: back.hosts.clone(), duty: key.clone() },
@@ -173,9 +179,10 @@
     /// A rule can't wait for a state service that fails: a cancelled task must be gone in
     /// time. What was tried to be recorded in this very step, and failed, goes without.
     fn compel(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
-        let forced: Vec<(DutyKey, bool)> = self.duties.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
+        let forced: Vec<(IdempotencyKey, bool)> =
+            self.duties.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
-            let state = self.duties.log.duty(&key).map(Duty::state);
+            let state = self.duties.log.duty(&key).map(Intent::state);
             if state != Some(State::Intended) {
                 self.duties.forced.remove(&key);
                 continue;
@@ -197,7 +204,7 @@
         if !sight.firm && !self.cloud_near(now) {
             return;
         }
-        let due: Vec<(Duration, DutyKey)> = std::mem::take(&mut self.duties.returns_due);
+        let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.duties.returns_due);
         for (at, key) in due {
             if at <= now && self.cloud.take(now, 1) {
                 self.duties.ready.push_back(key);
@@ -212,7 +219,7 @@
     fn retry_refused_rentals(&mut self, now: Duration, out: &mut EffectSink) {
         let all = std::mem::take(&mut self.duties.refused_rentals);
         for refused in all {
-            let key = DutyKey::new(&refused.rental.name);
+            let key = IdempotencyKey::new(&refused.rental.name);
             if refused.due > now {
                 self.duties.refused_rentals.push(refused);
             } else if now.saturating_sub(self.began) > self.duties.settings.abandon_rental {
@@ -264,10 +271,10 @@
         self.state(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
     }
 
-    fn duty_transaction(&self, pages: Vec<PageChange>) -> (Vec<Condition>, Vec<KvChange>) {
+    fn duty_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
         let mut conditions = vec![self.lead()];
         let mut changes = Vec::new();
-        for PageChange { page, expected, value } in pages {
+        for IntentPageWrite { page, expected, value } in pages {
             let key = page.key();
             conditions.push(Condition { key: key.clone(), stamp: expected });
             changes.push(match value {
@@ -364,7 +371,7 @@
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
     pub(super) fn adopt_duties(&mut self, now: Duration, out: &mut EffectSink) {
-        let adopted: Vec<(DutyKey, Action)> =
+        let adopted: Vec<(IdempotencyKey, Action)> =
             self.duties.log.adopted().map(|duty| (duty.key.clone(), duty.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
@@ -388,7 +395,7 @@
     }
 
     /// A duty is over.
-    fn end_duty(&mut self, key: &DutyKey, last: State, out: &mut EffectSink) {
+    fn end_duty(&mut self, key: &IdempotencyKey, last: State, out: &mut EffectSink) {
         let ended = match last {
             State::Abandoned => self.duties.log.abandon(key),
             _ => self.duties.log.confirm(key),
@@ -399,7 +406,7 @@
     }
 
     /// The cloud has carried a duty out, or said that it never will.
-    pub(super) fn confirm_duty(&mut self, key: &DutyKey, out: &mut EffectSink) {
+    pub(super) fn confirm_duty(&mut self, key: &IdempotencyKey, out: &mut EffectSink) {
         if self.duties.fenced() {
             self.end_duty(key, State::Confirmed, out);
         }
@@ -408,7 +415,7 @@
     /// The cloud had no machines for a rental. Where another copy of the request may be
     /// under way, it stays open.
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut EffectSink) {
-        let key = DutyKey::new(&rental.name);
+        let key = IdempotencyKey::new(&rental.name);
         let Some(duty) = self.duties.log.duty(&key) else { return };
         if duty.holder == self.token && duty.attempts <= 1 {
             return self.confirm_duty(&key, out);
@@ -418,7 +425,7 @@
     }
 
     /// A return got no answer: it is asked for again, under the same key.
-    pub(super) fn return_failed(&mut self, now: Duration, key: DutyKey) {
+    pub(super) fn return_failed(&mut self, now: Duration, key: IdempotencyKey) {
         self.duties.returns_due.push((now + RETURN_RETRY, key));
     }
 
@@ -431,7 +438,7 @@
         out: &mut EffectSink,
     ) {
         let surplus = leaving.iter().all(|(_, why)| *why == RemovalReason::Surplus);
-        let cause = if surplus { ReturnCause::Surplus } else { ReturnCause::Reclaim };
+        let cause = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
         let hosts: Vec<MachineName> = leaving.iter().map(|(host, _)| host.clone()).collect();
         let back = self.duties.returnable(&hosts, cause);
         for (host, why) in
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -33,10 +33,10 @@
 use crate::requests::RequestHandler;
 use crate::settings::{Settings, Team};
 use crate::sizing::FleetSizeSearch;
-use plankhead_fencing::duty::DutyKey;
+use plankhead_fencing::duty::IdempotencyKey;
 use plankhead_fencing::record::PageId;
 use plankhead_reachability::mode::Mode;
-use plankhead_reachability::permission::{Action, Bound, Permission};
+use plankhead_reachability::permission::{Action, Permission, Precondition};
 use plankhead_sharding::registry::RecordWrite;
 pub use renting::PendingRental;
 use serde::{Deserialize, Serialize};
@@ -114,7 +114,7 @@
     Rent(PendingRental),
     Release {
         hosts: Vec<MachineName>,
-        duty: DutyKey,
+        duty: IdempotencyKey,
     },
     /// Duties of former leaders.
     ListDuties,
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -14,16 +14,16 @@
         }
     }
 
-    fn is_within(&self, bound: Bound, now: Duration) -> bool {
+    fn is_within(&self, bound: Precondition, now: Duration) -> bool {
         let blind = now.saturating_sub(self.fresh);
         match bound {
-            Bound::JobsSynced => blind < STALE,
+            Precondition::JobsSynced => blind < STALE,
             // Leases must run out before a cancellation that was not seen is due.
-            Bound::CancellationUnseen => {
+            Precondition::CancellationUnseen => {
                 let settings = &self.settings;
                 blind < settings.cancel.saturating_sub(settings.lease + BLIND_MARGIN)
             }
-            Bound::PeersAgree => self.peers_agree,
+            Precondition::PeersAgree => self.peers_agree,
         }
     }
 
--- a/crates/plankhead-core/src/leader/renting.rs
+++ b/crates/plankhead-core/src/leader/renting.rs
@@ -91,7 +91,7 @@
     }
 
     fn rent(&mut self, rental: PendingRental, out: &mut EffectSink) {
-        let key = DutyKey::new(&rental.name);
+        let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
         if !self.request(key, Action::Rent(rental.into()), out) {
             self.rentals.retain(|other| other.name != name);
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -193,7 +193,7 @@
             (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Rented(hosts))) => {
                 self.rentals.retain(|rental| rental.name != name);
                 self.fleet.hired(&hosts, &pool, count, now);
-                self.confirm_duty(&DutyKey::new(&name), out);
+                self.confirm_duty(&IdempotencyKey::new(&name), out);
             }
             (LeaderCall::Rent(rental), Ok(CloudReply::NoCapacity)) => {
                 self.rentals.retain(|other| other.name != rental.name);
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -12,8 +12,8 @@
 };
 use plankhead_sharding::alive::Names;
 use plankhead_sharding::balance::Candidate;
-use plankhead_sharding::registry::{Named, Reason, RecordWrite, Registry, Surroundings, WriteOutcome};
-use plankhead_sharding::sequence::{Admission, SequenceGuard, Stamp};
+use plankhead_sharding::registry::{Named, Reason, RecordWrite, RegistryInput, ShardRegistry, WriteOutcome};
+use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard};
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::table::ShardTable;
 
@@ -76,7 +76,7 @@
 /// What a leader that divides machines has beside the rest.
 #[derive(Debug)]
 pub struct LeaderShards {
-    registry: Registry,
+    registry: ShardRegistry,
     peers: BTreeMap<String, Peer>,
     guard: SequenceGuard,
     sequence: u64,
@@ -88,7 +88,7 @@
 impl LeaderShards {
     pub(super) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
         Self {
-            registry: Registry::new(token, &settings.host, settings.sharding.clone()),
+            registry: ShardRegistry::new(token, &settings.host, settings.sharding.clone()),
             peers: BTreeMap::new(),
             guard: SequenceGuard::default(),
             // Above what this process has sent in a former term.
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -108,7 +108,7 @@
         let told = machines.iter().map(|machine| machine.host.clone()).collect();
         let message = LeaderCommands {
             host: self.settings.host.clone(),
-            stamp: Stamp { boot: self.settings.boot, sequence },
+            stamp: MessageStamp { boot: self.settings.boot, sequence },
             answers: peer.latest,
             latest_epoch,
             token: self.token,
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -4,9 +4,9 @@
 
 impl Leader {
     /// What the registry decides by.
-    pub(super) fn surroundings(&self, now: Duration) -> Surroundings {
+    pub(super) fn surroundings(&self, now: Duration) -> RegistryInput {
         let settings = &self.settings.sharding;
-        let mut around = Surroundings::default();
+        let mut around = RegistryInput::default();
         let Some(shards) = &self.shards else { return around };
         let there =
             |peer: &&Peer| peer.sees_records && now.saturating_sub(peer.heard) < settings.holder_timeout;
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -19,7 +19,7 @@
 use crate::version_barrier::VersionBarrier;
 pub use out::{CallPurpose, EffectSink, StepTime};
 use plankhead_fencing::token::TokenGuard;
-use plankhead_reachability::coverage::{Coverage, CoverageFault, KnownHolder};
+use plankhead_reachability::coverage::{Coverage, CoverageError, KnownLeader};
 use plankhead_reachability::mode::Mode;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -196,10 +196,10 @@
     }
 
     /// A peer's coverage came, or was refused on the way.
-    fn coverage(&mut self, now: Duration, coverage: Result<Box<Coverage>, CoverageFault>) {
+    fn coverage(&mut self, now: Duration, coverage: Result<Box<Coverage>, CoverageError>) {
         let holder = match (&self.leader, &self.election.foreman) {
-            (Some(leader), _) => Some(KnownHolder { host: &self.settings.host, token: leader.token }),
-            (None, Some((host, token))) => Some(KnownHolder { host, token: *token }),
+            (Some(leader), _) => Some(KnownLeader { host: &self.settings.host, token: leader.token }),
+            (None, Some((host, token))) => Some(KnownLeader { host, token: *token }),
             (None, None) => None,
         };
         if let Some(reach) = &mut self.reach {
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -2,7 +2,7 @@
 //! does not lead, and the messages between leader and holders.
 
 use super::*;
-use crate::holder::{Holder, HolderCall, Standing};
+use crate::holder::{Holder, HolderCall, HolderEvidence};
 use crate::key_watch;
 use crate::leader::LeaderRoute;
 use crate::protocol::CommandReply;
@@ -47,10 +47,10 @@
 }
 
 impl Node {
-    fn standing(&self, now: Duration) -> Standing {
+    fn standing(&self, now: Duration) -> HolderEvidence {
         let records = self.sharding.as_ref().and_then(|sharding| sharding.records.seen());
         let failing = self.state_bad.is_some_and(|since| now.saturating_sub(since) > FAILING);
-        Standing { records, failing, behind: self.lag > BEHIND }
+        HolderEvidence { records, failing, behind: self.lag > BEHIND }
     }
 
     /// Where the table sends a report of this machine.
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -2,8 +2,8 @@
 
 use crate::job::{JobId, JobSpec, Phase};
 use crate::shard_messages::{Delivery, ShardMessage, ShardMessageError};
-use plankhead_fencing::gate::Permitted;
-use plankhead_reachability::coverage::{Coverage, CoverageFault};
+use plankhead_fencing::gate::PermittedAction;
+use plankhead_reachability::coverage::{Coverage, CoverageError};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
     },
     PeerHeartbeat(PeerHeartbeat),
     /// What a peer tells of its reach, or why its message was refused.
-    Coverage(Result<Box<Coverage>, CoverageFault>),
+    Coverage(Result<Box<Coverage>, CoverageError>),
     /// A message of a peer about shards, or why it was refused.
     ShardMessage {
         ask: RequestId,
@@ -362,7 +362,7 @@
         after: Option<MachineName>,
     },
     /// What can't be taken back, once it has passed the gate.
-    Execute(Permitted),
+    Execute(PermittedAction),
 }
 
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reach.rs
@@ -9,12 +9,12 @@
     MachineName,
 };
 use crate::settings::Settings;
-use plankhead_reachability::coverage::{Coverage, CoverageFault, CoverageTable, KnownHolder};
-use plankhead_reachability::handover::{Candidate, Handover, OwnView};
+use plankhead_reachability::coverage::{Coverage, CoverageError, CoverageTable, KnownLeader};
+use plankhead_reachability::handover::{Candidate, Handover, LeaderView};
 use plankhead_reachability::link::LinkId;
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::monitor::{ModeChange, Monitor};
-use plankhead_reachability::numbering::{self, Numbering};
+use plankhead_reachability::numbering::{self, MachineNumbering};
 use plankhead_reachability::permission::{Action, Permission};
 use roaring::RoaringBitmap;
 use std::collections::{BTreeSet, HashMap};
@@ -77,7 +77,7 @@
     settings: Arc<Settings>,
     monitor: Monitor,
     table: CoverageTable,
-    numbering: Numbering,
+    numbering: MachineNumbering,
     handover: Handover,
     /// Which link a call under way tells of.
     calls: HashMap<CallId, LinkId>,
@@ -114,7 +114,7 @@
         Self {
             monitor: Monitor::new(reachability, settings.siblings.len(), silence, now),
             table: CoverageTable::new(&settings.host, &settings.siblings),
-            numbering: Numbering::default(),
+            numbering: MachineNumbering::default(),
             handover: Handover::new(reachability),
             settings,
             calls: HashMap::new(),
@@ -268,8 +268,8 @@
     /// Takes in what a peer tells, or says why not.
     pub fn coverage(
         &mut self,
-        coverage: Result<Coverage, CoverageFault>,
-        holder: Option<KnownHolder<'_>>,
+        coverage: Result<Coverage, CoverageError>,
+        holder: Option<KnownLeader<'_>>,
         now: Duration,
         out: &mut EffectSink,
     ) -> bool {
@@ -281,7 +281,7 @@
             }
         };
         let Err(fault) = received else { return true };
-        if fault == CoverageFault::NumberingAhead {
+        if fault == CoverageError::NumberingAhead {
             self.list_due = self.list_due.min(now);
         } else if now >= self.fault_due {
             self.fault_due = now + FAULT_PAUSE;
@@ -344,7 +344,7 @@
             // What can't be given up runs out by itself.
             return None;
         }
-        let own = OwnView {
+        let own = LeaderView {
             mode: self.mode(),
             heard: facts.direct.len() as u64,
             expected: facts.up as u64,
--- a/crates/plankhead-core/src/shard_messages.rs
+++ b/crates/plankhead-core/src/shard_messages.rs
@@ -1,7 +1,7 @@
 //! What the leader and the holders of shards tell each other.
 
 use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use roaring::RoaringBitmap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct HolderStatus {
     pub host: String,
-    pub stamp: Stamp,
+    pub stamp: MessageStamp,
     /// Where the controller is.
     pub zone: String,
     /// The token of the leader that it is meant for.
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderCommands {
     pub host: String,
-    pub stamp: Stamp,
+    pub stamp: MessageStamp,
     /// The number of the receiver's message that the leader took in last.
     pub answers: u64,
     /// The leader's token.
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -6,8 +6,8 @@
 use plankhead_core::node::{Node, StepTime};
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
-use plankhead_fencing::action::{Action, Return, ReturnCause};
-use plankhead_fencing::duty::{Duty, DutyKey};
+use plankhead_fencing::action::{Action, Return, ReturnReason};
+use plankhead_fencing::duty::{IdempotencyKey, Intent};
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 
@@ -577,8 +577,8 @@
     let rows = vec![row("job/job-000001", &record(Phase::Active, bench.now), 5)];
     bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
     bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, epoch: 9 }));
-    let back = Return { hosts: vec!["i-1".into()], cause: ReturnCause::Surplus };
-    let duty = Duty::intended(DutyKey::new("30.1"), 30, Action::Return(back), 0);
+    let back = Return { hosts: vec!["i-1".into()], cause: ReturnReason::Surplus };
+    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, Action::Return(back), 0);
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
     bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -14,7 +14,7 @@
 use plankhead_core::shard_messages::{
     Delivery, HolderStatus, LeaderCommands, MachineCommands, ShardHolding, ShardMessage,
 };
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
 use world::cuts::{How, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
@@ -459,7 +459,7 @@
     };
     LeaderCommands {
         host: "plank-0".into(),
-        stamp: Stamp { boot: 77, sequence: 1 << 50 },
+        stamp: MessageStamp { boot: 77, sequence: 1 << 50 },
         answers,
         token,
         latest_epoch: 0,
@@ -513,7 +513,7 @@
     let token = world.lease();
     let report = |host: &str, term, sequence| HolderStatus {
         host: host.into(),
-        stamp: Stamp { boot: 1, sequence },
+        stamp: MessageStamp { boot: 1, sequence },
         zone: "x".into(),
         term,
         sees_records: true,
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -9,7 +9,7 @@
 use plankhead_core::leader::Target;
 use plankhead_core::ledger::{tasks_per_chunk, JobTable};
 use plankhead_fencing::record;
-use plankhead_reachability::numbering::{self, Numbering};
+use plankhead_reachability::numbering::{self, MachineNumbering};
 use plankhead_sharding::record::Record;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -119,7 +119,7 @@
     }
     for row in rows(numbering::PREFIX) {
         let page: StoredPage = serde_json::from_str(&row.value).unwrap();
-        let mut numbering = Numbering::default();
+        let mut numbering = MachineNumbering::default();
         numbering.read(&row.key, &row.value, row.revision).unwrap();
         for (number, name) in (0..).zip(page.names) {
             assert_eq!(numbering.name(number).map(|name| name.to_string()), name);
@@ -131,7 +131,7 @@
 #[test]
 fn numbers_of_machines_are_the_same_bytes() {
     let machines = BTreeSet::from(["i-000001".into(), "i-000002".into(), "i-000007".into()]);
-    let write = Numbering::default().next_write(&machines, LOWERED_VALUE_BYTES).unwrap();
+    let write = MachineNumbering::default().next_write(&machines, LOWERED_VALUE_BYTES).unwrap();
     assert_eq!(write.key, "machines/0000");
     assert_eq!(write.value, r#"{"format":1,"names":["i-000001","i-000002","i-000007"]}"#);
 }
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -542,7 +542,7 @@
     /// The longest time for which urgent tasks waited although a machine had room.
     pub urgent_wait: Duration,
     urgent_look: Duration,
-    latest_stamps: HashMap<usize, plankhead_sharding::sequence::Stamp>,
+    latest_stamps: HashMap<usize, plankhead_sharding::sequence::MessageStamp>,
     /// The latest move: the holder before, and the next one.
     latest_move: Option<(usize, usize)>,
     /// By whom each shard was last held.
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use plankhead_core::shard_messages::ShardMessage;
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 
 /// Until a message without an answer is given up.
 const PATIENCE: Duration = secs(1);
@@ -118,7 +118,7 @@
     }
 
     /// The stamp of the latest message that a node sent as a holder, and its number.
-    pub fn latest_stamp(&self, node: usize) -> Stamp {
+    pub fn latest_stamp(&self, node: usize) -> MessageStamp {
         self.latest_stamps[&node]
     }
 
--- a/crates/plankhead-fencing/src/action.rs
+++ b/crates/plankhead-fencing/src/action.rs
@@ -23,7 +23,7 @@
 
 /// Why machines are given back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ReturnCause {
+pub enum ReturnReason {
     /// They are not needed any more.
     Surplus,
     /// They are silent, broken, or hold a task that must be gone in time.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Return {
     pub hosts: Vec<Arc<str>>,
-    pub cause: ReturnCause,
+    pub cause: ReturnReason,
 }
 
 /// An effect on the cloud that cannot be taken back.
@@ -46,15 +46,15 @@
 
 /// A digest of an action: a repeat under the same key must have the same one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Digest([u8; DIGEST_BYTES]);
+pub struct ActionDigest([u8; DIGEST_BYTES]);
 
 impl Action {
     /// The kind of action in a word, as it is stored and shown.
     pub fn kind(&self) -> &'static str {
         match self {
             Action::Rent(_) => "rent",
-            Action::Return(Return { cause: ReturnCause::Surplus, .. }) => "return",
-            Action::Return(Return { cause: ReturnCause::Reclaim, .. }) => "reclaim",
+            Action::Return(Return { cause: ReturnReason::Surplus, .. }) => "return",
+            Action::Return(Return { cause: ReturnReason::Reclaim, .. }) => "reclaim",
         }
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn digest(&self) -> Digest {
+    pub fn digest(&self) -> ActionDigest {
         let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
         match self {
             Action::Rent(rental) => {
@@ -96,7 +96,7 @@
         }
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST_BYTES]);
-        Digest(digest)
+        ActionDigest(digest)
     }
 }
 
@@ -106,13 +106,13 @@
     hasher.update(text.as_bytes());
 }
 
-impl fmt::Display for Digest {
+impl fmt::Display for ActionDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for Digest {
+impl fmt::Debug for ActionDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
--- a/crates/plankhead-fencing/src/duty.rs
+++ b/crates/plankhead-fencing/src/duty.rs
@@ -1,21 +1,21 @@
 //! A duty: one action of the lease holder, from its intention to its end.
 
-use crate::action::{Action, Digest};
+use crate::action::{Action, ActionDigest};
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 
 /// The idempotency key of a duty. It is never used for another action.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct DutyKey(Arc<str>);
+pub struct IdempotencyKey(Arc<str>);
 
-impl DutyKey {
+impl IdempotencyKey {
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 }
 
-impl fmt::Display for DutyKey {
+impl fmt::Display for IdempotencyKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -72,20 +72,20 @@
 /// A transition that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("duty {key} can't go from {} to {}", from.name(), to.name())]
-pub struct BadTransition {
-    pub key: DutyKey,
+pub struct InvalidTransition {
+    pub key: IdempotencyKey,
     pub from: State,
     pub to: State,
 }
 
 /// An action with its key, its holder and its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Duty {
-    pub key: DutyKey,
+pub struct Intent {
+    pub key: IdempotencyKey,
     /// The fencing token of the holder who intended it.
     pub holder: u64,
     pub action: Action,
-    pub digest: Digest,
+    pub digest: ActionDigest,
     /// When it was intended, by the holder's time of day: shown, never decided by.
     pub intended_ms: u64,
     /// How often it was sent.
@@ -93,15 +93,15 @@
     state: State,
 }
 
-impl Duty {
+impl Intent {
     /// A new duty of the holder.
-    pub fn intended(key: DutyKey, holder: u64, action: Action, intended_ms: u64) -> Self {
+    pub fn intended(key: IdempotencyKey, holder: u64, action: Action, intended_ms: u64) -> Self {
         let digest = action.digest();
         Self { key, holder, action, digest, intended_ms, attempts: 0, state: State::Intended }
     }
 
     /// A duty that a former holder left.
-    pub fn adopted(key: DutyKey, holder: u64, action: Action, intended_ms: u64) -> Self {
+    pub fn adopted(key: IdempotencyKey, holder: u64, action: Action, intended_ms: u64) -> Self {
         Self { state: State::Adopted, ..Self::intended(key, holder, action, intended_ms) }
     }
 
@@ -110,9 +110,9 @@
     }
 
     /// Goes on to the next state.
-    pub fn become_state(&mut self, next: State) -> Result<(), BadTransition> {
+    pub fn become_state(&mut self, next: State) -> Result<(), InvalidTransition> {
         if !self.state.may_become(next) {
-            return Err(BadTransition { key: self.key.clone(), from: self.state, to: next });
+            return Err(InvalidTransition { key: self.key.clone(), from: self.state, to: next });
         }
         if next == State::Issued {
             self.attempts = self.attempts.saturating_add(1);
--- a/crates/plankhead-fencing/src/gate.rs
+++ b/crates/plankhead-fencing/src/gate.rs
@@ -1,10 +1,10 @@
 //! The gate: the only place where an action becomes one that adapters accept.
 //!
-//! [`Permitted`] has no public constructor, and neither has [`Proof`]: a proof comes from
-//! [`DutyLog`](crate::log::DutyLog) alone, for a duty whose record is durable.
+//! [`PermittedAction`] has no public constructor, and neither has [`IssueProof`]: a proof comes from
+//! [`IntentLog`](crate::log::DutyLog) alone, for a duty whose record is durable.
 
-use crate::action::{Action, Digest};
-use crate::duty::DutyKey;
+use crate::action::{Action, ActionDigest};
+use crate::duty::IdempotencyKey;
 use thiserror::Error;
 
 /// Why an action may be sent.
@@ -20,21 +20,21 @@
 
 /// Shows that a duty may be issued; made by the duty log only.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Proof {
+pub struct IssueProof {
     pub(crate) token: u64,
-    pub(crate) key: DutyKey,
-    pub(crate) digest: Digest,
+    pub(crate) key: IdempotencyKey,
+    pub(crate) digest: ActionDigest,
     pub(crate) basis: Basis,
 }
 
 /// An action that has passed the gate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Permitted {
+pub struct PermittedAction {
     action: Action,
     basis: Basis,
 }
 
-impl Permitted {
+impl PermittedAction {
     pub fn action(&self) -> &Action {
         &self.action
     }
@@ -46,18 +46,18 @@
 
 /// Why an action was not let through.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum GateError {
     #[error("the proof for {key} is of token {given}, the gate of {own}")]
-    OtherHolder { key: DutyKey, given: u64, own: u64 },
+    OtherHolder { key: IdempotencyKey, given: u64, own: u64 },
     #[error("the proof for {key} is of another action")]
-    OtherAction { key: DutyKey },
+    OtherAction { key: IdempotencyKey },
     #[error("fencing is on: an action needs a proof")]
     NoProof,
 }
 
 /// How many actions went through, and on what grounds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct GateCounts {
+pub struct GateCounters {
     pub recorded: u64,
     pub compelled: u64,
     pub unfenced: u64,
@@ -66,21 +66,21 @@
 
 /// Lets one lease holder's actions through.
 #[derive(Debug)]
-pub struct Gate {
+pub struct FencingGate {
     token: u64,
     fenced: bool,
-    counts: GateCounts,
+    counts: GateCounters,
 }
 
-impl Gate {
+impl FencingGate {
     /// A gate that asks for proofs.
     pub fn fenced(token: u64) -> Self {
-        Self { token, fenced: true, counts: GateCounts::default() }
+        Self { token, fenced: true, counts: GateCounters::default() }
     }
 
     /// A gate that stands open, for services without fencing.
     pub fn open(token: u64) -> Self {
-        Self { token, fenced: false, counts: GateCounts::default() }
+        Self { token, fenced: false, counts: GateCounters::default() }
     }
 
     pub fn is_fenced(&self) -> bool {
@@ -88,7 +88,7 @@
     }
 
     /// Every action passes here; `proof` may lack only while fencing is off.
-    pub fn pass(&mut self, action: Action, proof: Option<Proof>) -> Result<Permitted, Refusal> {
+    pub fn pass(&mut self, action: Action, proof: Option<IssueProof>) -> Result<PermittedAction, GateError> {
         let basis = self.examine(&action, proof);
         match &basis {
             Ok(Basis::Recorded { .. }) => self.counts.recorded += 1,
@@ -96,23 +96,23 @@
             Ok(Basis::Unfenced) => self.counts.unfenced += 1,
             Err(_) => self.counts.refused += 1,
         }
-        basis.map(|basis| Permitted { action, basis })
+        basis.map(|basis| PermittedAction { action, basis })
     }
 
-    fn examine(&self, action: &Action, proof: Option<Proof>) -> Result<Basis, Refusal> {
+    fn examine(&self, action: &Action, proof: Option<IssueProof>) -> Result<Basis, GateError> {
         let Some(proof) = proof else {
-            return if self.fenced { Err(Refusal::NoProof) } else { Ok(Basis::Unfenced) };
+            return if self.fenced { Err(GateError::NoProof) } else { Ok(Basis::Unfenced) };
         };
         if proof.token != self.token {
-            return Err(Refusal::OtherHolder { key: proof.key, given: proof.token, own: self.token });
+            return Err(GateError::OtherHolder { key: proof.key, given: proof.token, own: self.token });
         }
         if proof.digest != action.digest() {
-            return Err(Refusal::OtherAction { key: proof.key });
+            return Err(GateError::OtherAction { key: proof.key });
         }
         Ok(proof.basis)
     }
 
-    pub fn counts(&self) -> GateCounts {
+    pub fn counts(&self) -> GateCounters {
         self.counts
     }
 }
--- a/crates/plankhead-fencing/src/log.rs
+++ b/crates/plankhead-fencing/src/log.rs
@@ -2,11 +2,11 @@
 //! record of them is to be written. Everything about the state service is decided here
 //! and carried out by the caller.
 
-use crate::action::{Action, Digest, Return, ReturnCause, MAX_RETURN_HOSTS};
-use crate::duty::{BadTransition, Duty, DutyKey, State};
-use crate::gate::{Basis, Proof};
+use crate::action::{Action, ActionDigest, Return, ReturnReason, MAX_RETURN_HOSTS};
+use crate::duty::{IdempotencyKey, Intent, InvalidTransition, State};
+use crate::gate::{Basis, IssueProof};
 use crate::page::Page;
-use crate::record::{self, PageId, RecordFault, PAGE_OVERHEAD};
+use crate::record::{self, PageId, RecordError, PAGE_OVERHEAD};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use thiserror::Error;
@@ -33,7 +33,7 @@
 
 /// Whether an intention was new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Intent {
+pub enum IntentAdmission {
     New,
     /// The same action stands under this key already, or stood there.
     Repeat,
@@ -43,27 +43,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IntentError {
     #[error("the key {key} was used for another action")]
-    KeyReused { key: DutyKey },
+    KeyReused { key: IdempotencyKey },
     #[error("the record of {key} takes {bytes} bytes, more than a value holds")]
-    TooLarge { key: DutyKey, bytes: usize },
+    TooLarge { key: IdempotencyKey, bytes: usize },
     #[error("{MAX_OPEN_DUTIES} duties are open")]
     TooMany,
 }
 
 /// Why a duty may not be issued.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum NotIssued {
+pub enum IssueError {
     #[error("there is no open duty {0}")]
-    Unknown(DutyKey),
+    Unknown(IdempotencyKey),
     #[error("the record of {0} is not durable")]
-    NotDurable(DutyKey),
+    NotDurable(IdempotencyKey),
     #[error(transparent)]
-    State(#[from] BadTransition),
+    State(#[from] InvalidTransition),
 }
 
 /// A change of one page, under the condition that its key has the expected revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PageChange {
+pub struct IntentPageWrite {
     pub page: PageId,
     pub expected: u64,
     /// The new value; none: the page goes.
@@ -88,7 +88,7 @@
 
 /// How many duties are in which state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Summary {
+pub struct IntentSummary {
     pub intended: usize,
     pub recorded: usize,
     pub adopted: usize,
@@ -101,7 +101,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    duty: Duty,
+    duty: Intent,
     page: PageId,
     /// Why it may be issued; none: it may not yet.
     basis: Option<Basis>,
@@ -111,24 +111,24 @@
 
 /// The pages of a write under way, with what stands in each.
 #[derive(Debug)]
-struct Writing(Vec<(PageId, BTreeSet<DutyKey>)>);
+struct Writing(Vec<(PageId, BTreeSet<IdempotencyKey>)>);
 
 /// The duties of one lease holder.
 #[derive(Debug)]
-pub struct DutyLog {
+pub struct IntentLog {
     token: u64,
     limits: Limits,
     sequence: u64,
-    entries: BTreeMap<DutyKey, Entry>,
+    entries: BTreeMap<IdempotencyKey, Entry>,
     pages: BTreeMap<PageId, Page>,
     writing: Option<Writing>,
-    over: BTreeMap<DutyKey, Digest>,
-    over_order: VecDeque<DutyKey>,
+    over: BTreeMap<IdempotencyKey, ActionDigest>,
+    over_order: VecDeque<IdempotencyKey>,
     confirmed: u64,
     abandoned: u64,
 }
 
-impl DutyLog {
+impl IntentLog {
     pub fn new(token: u64, limits: Limits) -> Self {
         Self {
             token,
@@ -145,13 +145,13 @@
     }
 
     /// A key that no other duty has: tokens are unique, and so is the number.
-    pub fn next_key(&mut self) -> DutyKey {
+    pub fn next_key(&mut self) -> IdempotencyKey {
         self.sequence += 1;
-        DutyKey::new(&format!("{}.{}", self.token, self.sequence))
+        IdempotencyKey::new(&format!("{}.{}", self.token, self.sequence))
     }
 
     /// The most of these machines whose return fits into one record.
-    pub fn returnable(&self, hosts: &[Arc<str>], cause: ReturnCause) -> Return {
+    pub fn returnable(&self, hosts: &[Arc<str>], cause: ReturnReason) -> Return {
         let mut room = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |host: &&Arc<str>| {
             let bytes = host.len() + HOST_OVERHEAD;
@@ -164,16 +164,21 @@
     }
 
     /// Takes in an intention. It may be issued once it is durable.
-    pub fn intend(&mut self, key: DutyKey, action: Action, now_ms: u64) -> Result<Intent, IntentError> {
+    pub fn intend(
+        &mut self,
+        key: IdempotencyKey,
+        action: Action,
+        now_ms: u64,
+    ) -> Result<IntentAdmission, IntentError> {
         let known = self.entries.get(&key).map(|entry| entry.duty.digest).or(self.over.get(&key).copied());
         if let Some(known) = known {
             let same = known == action.digest();
-            return if same { Ok(Intent::Repeat) } else { Err(IntentError::KeyReused { key }) };
+            return if same { Ok(IntentAdmission::Repeat) } else { Err(IntentError::KeyReused { key }) };
         }
         if self.entries.len() >= MAX_OPEN_DUTIES {
             return Err(IntentError::TooMany);
         }
-        let duty = Duty::intended(key.clone(), self.token, action, now_ms);
+        let duty = Intent::intended(key.clone(), self.token, action, now_ms);
         let bytes = record::stored_bytes(&duty);
         if bytes.saturating_add(PAGE_OVERHEAD) > self.limits.value_bytes {
             return Err(IntentError::TooLarge { key, bytes });
@@ -183,7 +188,7 @@
         page.bytes += bytes;
         page.open.insert(key.clone());
         self.entries.insert(key, Entry { duty, page: id, basis: None, unrecordable: false });
-        Ok(Intent::New)
+        Ok(IntentAdmission::New)
     }
 
     fn page_with_room(&self, bytes: usize) -> PageId {
@@ -202,23 +207,23 @@
     }
 
     /// Takes in a stored page of a former holder; returns what can't be read of it.
-    pub fn inherit(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordFault> {
+    pub fn inherit(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordError> {
         let Some(id) = PageId::parse(key) else {
-            return vec![RecordFault::Key { key: key.into() }];
+            return vec![RecordError::Key { key: key.into() }];
         };
         if id.holder == self.token {
             // Written by this holder before it had read everything.
             return Vec::new();
         }
         if id.holder > self.token {
-            return vec![RecordFault::LaterHolder { key: key.into() }];
+            return vec![RecordError::LaterHolder { key: key.into() }];
         }
         let (duties, mut faults) = record::decode(key, value);
         let mut page = Page { revision, inherited: true, ..Page::default() };
         for duty in duties {
             let known = self.entries.get(&duty.key).map(|entry| entry.duty.digest);
             if known.is_some() {
-                faults.push(RecordFault::Reused { key: key.into(), duty: duty.key });
+                faults.push(RecordError::Reused { key: key.into(), duty: duty.key });
                 continue;
             }
             page.open.insert(duty.key.clone());
@@ -232,15 +237,15 @@
     }
 
     /// The duties that a former holder left open.
-    pub fn adopted(&self) -> impl Iterator<Item = &Duty> {
+    pub fn adopted(&self) -> impl Iterator<Item = &Intent> {
         self.entries.values().map(|entry| &entry.duty).filter(|duty| duty.holder != self.token)
     }
 
-    pub fn open_duties(&self) -> impl Iterator<Item = &Duty> {
+    pub fn open_duties(&self) -> impl Iterator<Item = &Intent> {
         self.entries.values().map(|entry| &entry.duty)
     }
 
-    pub fn duty(&self, key: &DutyKey) -> Option<&Duty> {
+    pub fn duty(&self, key: &IdempotencyKey) -> Option<&Intent> {
         self.entries.get(key).map(|entry| &entry.duty)
     }
 
@@ -261,7 +266,7 @@
     /// The changes that make the log durable, as many as fit into `most` changes of one
     /// transaction; `tidy`: also those that only remove what is over. None while a write
     /// is under way.
-    pub fn begin_write(&mut self, most: usize, tidy: bool) -> Option<Vec<PageChange>> {
+    pub fn begin_write(&mut self, most: usize, tidy: bool) -> Option<Vec<IntentPageWrite>> {
         if self.writing.is_some() {
             return None;
         }
@@ -279,7 +284,7 @@
             room -= page.bytes + PAGE_OVERHEAD;
             let duties = page.open.iter().filter_map(|key| self.entries.get(key)).map(|entry| &entry.duty);
             let value = (!page.open.is_empty()).then(|| record::encode(duties));
-            changes.push(PageChange { page: *id, expected: page.revision, value });
+            changes.push(IntentPageWrite { page: *id, expected: page.revision, value });
             writing.push((*id, page.open.clone()));
         }
         if changes.is_empty() {
@@ -290,7 +295,7 @@
     }
 
     /// Takes in what came of the write; returns the duties that may be issued now.
-    pub fn end_write(&mut self, outcome: WriteOutcome) -> Vec<DutyKey> {
+    pub fn end_write(&mut self, outcome: WriteOutcome) -> Vec<IdempotencyKey> {
         let Some(Writing(pages)) = self.writing.take() else { return Vec::new() };
         match outcome {
             WriteOutcome::Committed { revision } => return self.committed(pages, revision),
@@ -305,7 +310,11 @@
         Vec::new()
     }
 
-    fn committed(&mut self, pages: Vec<(PageId, BTreeSet<DutyKey>)>, revision: u64) -> Vec<DutyKey> {
+    fn committed(
+        &mut self,
+        pages: Vec<(PageId, BTreeSet<IdempotencyKey>)>,
+        revision: u64,
+    ) -> Vec<IdempotencyKey> {
         let mut durable = Vec::new();
         for (id, stored) in pages {
             let Some(page) = self.pages.get_mut(&id) else { continue };
@@ -328,7 +337,7 @@
 
     /// The transaction may be carried out later, or was by another way: what stands there
     /// is read before the next write.
-    fn doubt(&mut self, pages: &[(PageId, BTreeSet<DutyKey>)]) {
+    fn doubt(&mut self, pages: &[(PageId, BTreeSet<IdempotencyKey>)]) {
         for (id, _) in pages {
             if let Some(page) = self.pages.get_mut(id) {
                 page.in_doubt = true;
@@ -372,21 +381,22 @@
     }
 
     /// Takes up a duty that is durable, to be sent now.
-    pub fn issue(&mut self, key: &DutyKey) -> Result<(Action, Proof), NotIssued> {
+    pub fn issue(&mut self, key: &IdempotencyKey) -> Result<(Action, IssueProof), IssueError> {
         let token = self.token;
-        let entry = self.entries.get_mut(key).ok_or_else(|| NotIssued::Unknown(key.clone()))?;
-        let basis = entry.basis.ok_or_else(|| NotIssued::NotDurable(key.clone()))?;
+        let entry = self.entries.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
+        let basis = entry.basis.ok_or_else(|| IssueError::NotDurable(key.clone()))?;
         entry.duty.become_state(State::Issued)?;
-        let proof = Proof { token, key: key.clone(), digest: entry.duty.digest, basis };
+        let proof = IssueProof { token, key: key.clone(), digest: entry.duty.digest, basis };
         Ok((entry.duty.action.clone(), proof))
     }
 
     /// Lets a duty be issued without its record: a rule forces the return of machines,
     /// and the state service has failed the attempt to record it. Time alone, or a lease
     /// that has run out by the own clock, is no ground.
-    pub fn compel(&mut self, key: &DutyKey) -> bool {
+    pub fn compel(&mut self, key: &IdempotencyKey) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return false };
-        let reclaim = matches!(entry.duty.action, Action::Return(Return { cause: ReturnCause::Reclaim, .. }));
+        let reclaim =
+            matches!(entry.duty.action, Action::Return(Return { cause: ReturnReason::Reclaim, .. }));
         if entry.basis.is_none() && entry.unrecordable && reclaim {
             entry.basis = Some(Basis::Compelled);
         }
@@ -394,16 +404,16 @@
     }
 
     /// The effect of a duty is certain.
-    pub fn confirm(&mut self, key: &DutyKey) -> Result<(), BadTransition> {
+    pub fn confirm(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
         self.end(key, State::Confirmed)
     }
 
     /// Gives a duty up.
-    pub fn abandon(&mut self, key: &DutyKey) -> Result<(), BadTransition> {
+    pub fn abandon(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
         self.end(key, State::Abandoned)
     }
 
-    fn end(&mut self, key: &DutyKey, last: State) -> Result<(), BadTransition> {
+    fn end(&mut self, key: &IdempotencyKey, last: State) -> Result<(), InvalidTransition> {
         let Some(entry) = self.entries.get_mut(key) else { return Ok(()) };
         entry.duty.become_state(last)?;
         match last {
@@ -427,9 +437,9 @@
         Ok(())
     }
 
-    pub fn summary(&self) -> Summary {
+    pub fn summary(&self) -> IntentSummary {
         let count = |state| self.entries.values().filter(|entry| entry.duty.state() == state).count();
-        Summary {
+        IntentSummary {
             intended: count(State::Intended),
             recorded: count(State::Recorded),
             adopted: count(State::Adopted),
--- a/crates/plankhead-fencing/src/page.rs
+++ b/crates/plankhead-fencing/src/page.rs
@@ -1,6 +1,6 @@
 //! One stored page of duties, as the log knows it.
 
-use crate::duty::DutyKey;
+use crate::duty::IdempotencyKey;
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone, Default)]
@@ -8,9 +8,9 @@
     /// The revision of its key; 0: not stored.
     pub revision: u64,
     /// The duties that should stand in it.
-    pub open: BTreeSet<DutyKey>,
+    pub open: BTreeSet<IdempotencyKey>,
     /// The duties that may stand in it.
-    pub stored: BTreeSet<DutyKey>,
+    pub stored: BTreeSet<IdempotencyKey>,
     /// What [`open`](Self::open) takes as a record.
     pub bytes: usize,
     /// A write of it got no answer: its revision is to be read.
--- a/crates/plankhead-fencing/src/record.rs
+++ b/crates/plankhead-fencing/src/record.rs
@@ -2,8 +2,8 @@
 //!
 //! What can't be read is reported and left alone: it may be of a later version.
 
-use crate::action::{Action, Rental, Return, ReturnCause, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
-use crate::duty::{Duty, DutyKey};
+use crate::action::{Action, Rental, Return, ReturnReason, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
+use crate::duty::{IdempotencyKey, Intent};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 
 /// What is wrong with a record.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum RecordFault {
+pub enum RecordError {
     #[error("{key} is no key of duties")]
     Key { key: String },
     #[error("{key} is of a later holder than this one")]
@@ -51,28 +51,28 @@
     #[error("{key} has format {format}")]
     Format { key: String, format: u32 },
     #[error("duty {number} of {key} can't be read: {why}")]
-    Duty { key: String, number: usize, why: String },
+    Intent { key: String, number: usize, why: String },
     #[error("duty {duty} of {key} is not what its digest says")]
-    Digest { key: String, duty: DutyKey },
+    ActionDigest { key: String, duty: IdempotencyKey },
     #[error("duty {duty} of {key} stands elsewhere with another action")]
-    Reused { key: String, duty: DutyKey },
+    Reused { key: String, duty: IdempotencyKey },
 }
 
 #[derive(Serialize)]
 struct StoredPage {
     format: u32,
-    duties: Vec<StoredDuty>,
+    duties: Vec<StoredIntent>,
 }
 
 #[derive(Deserialize)]
-struct AnyPage {
+struct StoredPageEnvelope {
     format: u32,
     #[serde(default)]
     duties: Vec<Value>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct StoredDuty {
+struct StoredIntent {
     key: String,
     intended_ms: u64,
     digest: String,
@@ -88,8 +88,8 @@
     Reclaim { hosts: Vec<String> },
 }
 
-impl StoredDuty {
-    fn of(duty: &Duty) -> Self {
+impl StoredIntent {
+    fn of(duty: &Intent) -> Self {
         let action = match duty.action.clone() {
             Action::Rent(Rental { name, machine_type, zone, spot, count }) => {
                 StoredAction::Rent { name, machine_type, zone, spot, count }
@@ -97,8 +97,8 @@
             Action::Return(back) => {
                 let hosts = back.hosts.iter().map(|host| host.to_string()).collect();
                 match back.cause {
-                    ReturnCause::Surplus => StoredAction::Return { hosts },
-                    ReturnCause::Reclaim => StoredAction::Reclaim { hosts },
+                    ReturnReason::Surplus => StoredAction::Return { hosts },
+                    ReturnReason::Reclaim => StoredAction::Reclaim { hosts },
                 }
             }
         };
@@ -120,8 +120,8 @@
             Ok(Action::Return(Return { hosts, cause }))
         };
         match self {
-            StoredAction::Return { hosts } => back(hosts, ReturnCause::Surplus),
-            StoredAction::Reclaim { hosts } => back(hosts, ReturnCause::Reclaim),
+            StoredAction::Return { hosts } => back(hosts, ReturnReason::Surplus),
+            StoredAction::Reclaim { hosts } => back(hosts, ReturnReason::Reclaim),
             StoredAction::Rent { name, machine_type, zone, spot, count } => {
                 if count == 0 || count > MAX_RENTAL_COUNT {
                     return Err("a rental of no machines or of too many");
@@ -140,30 +140,30 @@
 }
 
 /// Bytes that a duty takes in a page, with the comma after it.
-pub fn stored_bytes(duty: &Duty) -> usize {
-    serde_json::to_string(&StoredDuty::of(duty)).map_or(usize::MAX, |text| text.len() + 1)
+pub fn stored_bytes(duty: &Intent) -> usize {
+    serde_json::to_string(&StoredIntent::of(duty)).map_or(usize::MAX, |text| text.len() + 1)
 }
 
 /// A page as it is stored.
-pub fn encode<'a>(duties: impl Iterator<Item = &'a Duty>) -> String {
-    let page = StoredPage { format: FORMAT, duties: duties.map(StoredDuty::of).collect() };
+pub fn encode<'a>(duties: impl Iterator<Item = &'a Intent>) -> String {
+    let page = StoredPage { format: FORMAT, duties: duties.map(StoredIntent::of).collect() };
     // Texts and numbers under fixed names can always be written.
     serde_json::to_string(&page).unwrap_or_default()
 }
 
 /// The duties of a page, as adopted ones, and what can't be read of it.
-pub fn decode(key: &str, value: &str) -> (Vec<Duty>, Vec<RecordFault>) {
+pub fn decode(key: &str, value: &str) -> (Vec<Intent>, Vec<RecordError>) {
     let Some(id) = PageId::parse(key) else {
-        return (Vec::new(), vec![RecordFault::Key { key: key.into() }]);
+        return (Vec::new(), vec![RecordError::Key { key: key.into() }]);
     };
-    let page = match serde_json::from_str::<AnyPage>(value) {
+    let page = match serde_json::from_str::<StoredPageEnvelope>(value) {
         Ok(page) => page,
         Err(error) => {
-            return (Vec::new(), vec![RecordFault::Page { key: key.into(), why: error.to_string() }])
+            return (Vec::new(), vec![RecordError::Page { key: key.into(), why: error.to_string() }])
         }
     };
     if page.format != FORMAT {
-        return (Vec::new(), vec![RecordFault::Format { key: key.into(), format: page.format }]);
+        return (Vec::new(), vec![RecordError::Format { key: key.into(), format: page.format }]);
     }
     let (mut duties, mut faults) = (Vec::new(), Vec::new());
     for (number, value) in page.duties.into_iter().enumerate() {
@@ -175,17 +175,17 @@
     (duties, faults)
 }
 
-fn decode_duty(holder: u64, key: &str, number: usize, value: Value) -> Result<Duty, RecordFault> {
-    let fault = |why: String| RecordFault::Duty { key: key.into(), number, why };
-    let stored: StoredDuty = serde_json::from_value(value).map_err(|error| fault(error.to_string()))?;
+fn decode_duty(holder: u64, key: &str, number: usize, value: Value) -> Result<Intent, RecordError> {
+    let fault = |why: String| RecordError::Intent { key: key.into(), number, why };
+    let stored: StoredIntent = serde_json::from_value(value).map_err(|error| fault(error.to_string()))?;
     if !is_name(&stored.key) {
         return Err(fault("no idempotency key".into()));
     }
-    let duty_key = DutyKey::new(&stored.key);
+    let duty_key = IdempotencyKey::new(&stored.key);
     let action = stored.action.action().map_err(|why| fault(why.into()))?;
-    let duty = Duty::adopted(duty_key.clone(), holder, action, stored.intended_ms);
+    let duty = Intent::adopted(duty_key.clone(), holder, action, stored.intended_ms);
     if duty.digest.to_string() != stored.digest {
-        return Err(RecordFault::Digest { key: key.into(), duty: duty_key });
+        return Err(RecordError::ActionDigest { key: key.into(), duty: duty_key });
     }
     Ok(duty)
 }
--- a/crates/plankhead-fencing/tests/duties.rs
+++ b/crates/plankhead-fencing/tests/duties.rs
@@ -3,11 +3,13 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_fencing::action::{Action, Rental, Return, ReturnCause};
-use plankhead_fencing::duty::{Duty, DutyKey, State};
-use plankhead_fencing::gate::{Basis, Gate, Refusal};
-use plankhead_fencing::log::{DutyLog, Intent, IntentError, Limits, NotIssued, PageChange, WriteOutcome};
-use plankhead_fencing::record::{self, PageId, RecordFault};
+use plankhead_fencing::action::{Action, Rental, Return, ReturnReason};
+use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::gate::{Basis, FencingGate, GateError};
+use plankhead_fencing::log::{
+    IntentAdmission, IntentError, IntentLog, IntentPageWrite, IssueError, Limits, WriteOutcome,
+};
+use plankhead_fencing::record::{self, PageId, RecordError};
 use plankhead_fencing::token::{StaleToken, TokenGuard};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -21,16 +23,16 @@
     Action::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
 }
 
-fn back(hosts: &[&str], cause: ReturnCause) -> Action {
+fn back(hosts: &[&str], cause: ReturnReason) -> Action {
     Action::Return(Return { hosts: hosts.iter().map(|host| Arc::from(*host)).collect(), cause })
 }
 
-fn key(text: &str) -> DutyKey {
-    DutyKey::new(text)
+fn key(text: &str) -> IdempotencyKey {
+    IdempotencyKey::new(text)
 }
 
 /// Writes what is due; the outcome is given.
-fn write(log: &mut DutyLog, outcome: WriteOutcome) -> (Vec<PageChange>, Vec<DutyKey>) {
+fn write(log: &mut IntentLog, outcome: WriteOutcome) -> (Vec<IntentPageWrite>, Vec<IdempotencyKey>) {
     let changes = log.begin_write(4, true).unwrap_or_default();
     (changes, log.end_write(outcome))
 }
@@ -56,7 +58,7 @@
             assert_eq!(from.may_become(to), allowed.contains(&(from, to)), "{from:?} to {to:?}");
         }
     }
-    let mut duty = Duty::intended(key("k"), 7, rental("r", 1), 0);
+    let mut duty = Intent::intended(key("k"), 7, rental("r", 1), 0);
     assert!(duty.become_state(Confirmed).is_err());
     assert_eq!(duty.state(), Intended);
 }
@@ -67,11 +69,11 @@
         rental("r", 1),
         rental("r", 2),
         rental("rg", 1),
-        back(&["a"], ReturnCause::Surplus),
-        back(&["a"], ReturnCause::Reclaim),
-        back(&["a", "b"], ReturnCause::Surplus),
-        back(&["ab"], ReturnCause::Surplus),
-        back(&["b", "a"], ReturnCause::Surplus),
+        back(&["a"], ReturnReason::Surplus),
+        back(&["a"], ReturnReason::Reclaim),
+        back(&["a", "b"], ReturnReason::Surplus),
+        back(&["ab"], ReturnReason::Surplus),
+        back(&["b", "a"], ReturnReason::Surplus),
     ];
     let digests: BTreeSet<String> = different.iter().map(|action| action.digest().to_string()).collect();
     assert_eq!(digests.len(), different.len());
@@ -81,15 +83,15 @@
 
 #[test]
 fn nothing_is_issued_before_its_record_is_durable() {
-    let mut log = DutyLog::new(41, LIMITS);
-    assert_eq!(log.intend(key("r"), rental("r", 3), 5), Ok(Intent::New));
-    assert_eq!(log.issue(&key("r")).unwrap_err(), NotIssued::NotDurable(key("r")));
+    let mut log = IntentLog::new(41, LIMITS);
+    assert_eq!(log.intend(key("r"), rental("r", 3), 5), Ok(IntentAdmission::New));
+    assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
     let changes = log.begin_write(4, false).unwrap();
     assert_eq!(changes[0].page.key(), "duty/41/0");
     assert_eq!(changes[0].expected, 0);
     // Under way is not durable, nor is a write that failed or got no answer.
     for outcome in [WriteOutcome::Busy, WriteOutcome::Refused, WriteOutcome::Conflict, WriteOutcome::Lost] {
-        assert_eq!(log.issue(&key("r")).unwrap_err(), NotIssued::NotDurable(key("r")));
+        assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
         assert_eq!(log.end_write(outcome), Vec::new());
         for page in log.doubtful() {
             assert_eq!(log.begin_write(4, true), None, "written while in doubt");
@@ -99,7 +101,7 @@
     }
     assert_eq!(log.end_write(WriteOutcome::Committed { revision: 50 }), vec![key("r")]);
     let (action, proof) = log.issue(&key("r")).unwrap();
-    let mut gate = Gate::fenced(41);
+    let mut gate = FencingGate::fenced(41);
     let permitted = gate.pass(action, Some(proof)).unwrap();
     assert_eq!(permitted.basis(), Basis::Recorded { revision: 50 });
     assert_eq!(gate.counts().recorded, 1);
@@ -108,40 +110,40 @@
 #[test]
 fn the_gate_wants_a_proof_of_this_holder_and_this_action() {
     let durable = |token| {
-        let mut log = DutyLog::new(token, LIMITS);
+        let mut log = IntentLog::new(token, LIMITS);
         log.intend(key("r"), rental("r", 3), 5).unwrap();
         write(&mut log, WriteOutcome::Committed { revision: 9 });
         log.issue(&key("r")).unwrap().1
     };
-    let mut gate = Gate::fenced(41);
-    assert_eq!(gate.pass(rental("r", 3), None), Err(Refusal::NoProof));
+    let mut gate = FencingGate::fenced(41);
+    assert_eq!(gate.pass(rental("r", 3), None), Err(GateError::NoProof));
     let other = gate.pass(rental("r", 3), Some(durable(40))).unwrap_err();
-    assert_eq!(other, Refusal::OtherHolder { key: key("r"), given: 40, own: 41 });
+    assert_eq!(other, GateError::OtherHolder { key: key("r"), given: 40, own: 41 });
     let changed = gate.pass(rental("r", 4), Some(durable(41))).unwrap_err();
-    assert_eq!(changed, Refusal::OtherAction { key: key("r") });
+    assert_eq!(changed, GateError::OtherAction { key: key("r") });
     assert_eq!(gate.counts().refused, 3);
-    assert_eq!(Gate::open(41).pass(rental("r", 3), None).unwrap().basis(), Basis::Unfenced);
+    assert_eq!(FencingGate::open(41).pass(rental("r", 3), None).unwrap().basis(), Basis::Unfenced);
 }
 
 #[test]
 fn a_key_is_for_one_action_for_ever() {
-    let mut log = DutyLog::new(41, LIMITS);
+    let mut log = IntentLog::new(41, LIMITS);
     log.intend(key("r"), rental("r", 3), 5).unwrap();
-    assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(Intent::Repeat));
+    assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
     let reused = IntentError::KeyReused { key: key("r") };
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused.clone()));
     write(&mut log, WriteOutcome::Committed { revision: 9 });
     log.issue(&key("r")).unwrap();
     log.confirm(&key("r")).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused));
-    assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(Intent::Repeat));
+    assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
     assert!(log.duty(&key("r")).is_none(), "a duty that is over began again");
     assert!(log.next_key() != log.next_key());
 }
 
 #[test]
 fn records_of_what_is_over_go() {
-    let mut log = DutyLog::new(41, LIMITS);
+    let mut log = IntentLog::new(41, LIMITS);
     for name in ["a", "b"] {
         log.intend(key(name), rental(name, 1), 5).unwrap();
     }
@@ -158,28 +160,28 @@
     );
     log.confirm(&key("b")).unwrap();
     let (changes, _) = write(&mut log, WriteOutcome::Committed { revision: 11 });
-    assert_eq!(changes, vec![PageChange { page: changes[0].page, expected: 10, value: None }]);
+    assert_eq!(changes, vec![IntentPageWrite { page: changes[0].page, expected: 10, value: None }]);
     assert!(!log.is_untidy());
     assert_eq!(log.summary().pages, 0);
 }
 
 #[test]
 fn the_next_holder_finishes_what_was_open() {
-    let mut old = DutyLog::new(41, LIMITS);
+    let mut old = IntentLog::new(41, LIMITS);
     old.intend(key("r"), rental("r", 3), 5).unwrap();
-    old.intend(key("b"), back(&["i-1", "i-2"], ReturnCause::Reclaim), 6).unwrap();
+    old.intend(key("b"), back(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
     let (changes, _) = write(&mut old, WriteOutcome::Committed { revision: 9 });
     let (stored, value) = (changes[0].page.key(), changes[0].value.clone().unwrap());
 
-    let mut new = DutyLog::new(60, LIMITS);
+    let mut new = IntentLog::new(60, LIMITS);
     assert_eq!(new.inherit(&stored, &value, 9), Vec::new());
-    let adopted: Vec<&Duty> = new.adopted().collect();
+    let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
     assert!(adopted.iter().all(|duty| duty.holder == 41 && duty.state() == State::Adopted));
     assert!(!new.is_untidy(), "open duties of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
-        assert!(Gate::fenced(60).pass(action, Some(proof)).is_ok());
+        assert!(FencingGate::fenced(60).pass(action, Some(proof)).is_ok());
         assert_eq!(new.begin_write(4, true), None);
         new.confirm(&key(name)).unwrap();
     }
@@ -188,22 +190,22 @@
     assert_eq!((changes[0].expected, &changes[0].value), (9, &None));
 
     // Read once more, since reading failed halfway: nothing is there twice.
-    let mut again = DutyLog::new(60, LIMITS);
+    let mut again = IntentLog::new(60, LIMITS);
     for _ in 0..2 {
         again.begin_reading();
         assert_eq!(again.inherit(&stored, &value, 9), Vec::new());
     }
     assert_eq!(again.adopted().count(), 2);
     // A page of a later holder: this one leads no more.
-    let later = DutyLog::new(40, LIMITS).inherit(&stored, &value, 9);
-    assert_eq!(later, vec![RecordFault::LaterHolder { key: stored }]);
+    let later = IntentLog::new(40, LIMITS).inherit(&stored, &value, 9);
+    assert_eq!(later, vec![RecordError::LaterHolder { key: stored }]);
 }
 
 #[test]
 fn only_a_failed_record_compels_and_only_for_reclaims() {
-    let mut log = DutyLog::new(41, LIMITS);
-    log.intend(key("reclaim"), back(&["i-1"], ReturnCause::Reclaim), 5).unwrap();
-    log.intend(key("surplus"), back(&["i-2"], ReturnCause::Surplus), 5).unwrap();
+    let mut log = IntentLog::new(41, LIMITS);
+    log.intend(key("reclaim"), back(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
+    log.intend(key("surplus"), back(&["i-2"], ReturnReason::Surplus), 5).unwrap();
     assert!(!log.compel(&key("reclaim")), "without an attempt to record it");
     write(&mut log, WriteOutcome::Busy);
     assert!(!log.compel(&key("reclaim")), "the state service is only busy");
@@ -213,18 +215,18 @@
     write(&mut log, WriteOutcome::Refused);
     assert!(log.compel(&key("reclaim")) && !log.compel(&key("surplus")));
     let (action, proof) = log.issue(&key("reclaim")).unwrap();
-    assert_eq!(Gate::fenced(41).pass(action, Some(proof)).unwrap().basis(), Basis::Compelled);
+    assert_eq!(FencingGate::fenced(41).pass(action, Some(proof)).unwrap().basis(), Basis::Compelled);
 }
 
 #[test]
 fn records_keep_to_the_limits() {
-    let mut log = DutyLog::new(41, LIMITS);
+    let mut log = IntentLog::new(41, LIMITS);
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
     let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
-    let fits = log.returnable(&hosts, ReturnCause::Surplus);
+    let fits = log.returnable(&hosts, ReturnReason::Surplus);
     assert!(fits.hosts.len() > 50 && fits.hosts.len() < 100, "{}", fits.hosts.len());
     log.intend(key("1"), Action::Return(fits), 5).unwrap();
-    let whole = Action::Return(Return { hosts, cause: ReturnCause::Surplus });
+    let whole = Action::Return(Return { hosts, cause: ReturnReason::Surplus });
     assert!(matches!(log.intend(key("2"), whole, 5), Err(IntentError::TooLarge { .. })));
     for n in 0..40 {
         log.intend(key(&format!("r{n}")), rental(&format!("r{n}"), 1), 5).unwrap();
@@ -244,7 +246,7 @@
 
 #[test]
 fn what_cannot_be_read_is_told_and_kept() {
-    let good = Duty::intended(key("1.1"), 1, rental("r", 3), 5);
+    let good = Intent::intended(key("1.1"), 1, rental("r", 3), 5);
     let page = record::encode([&good].into_iter());
     let longest = "x".repeat(201);
     let broken = [
@@ -259,24 +261,24 @@
         "7".into(),
     ];
     for text in &broken {
-        let mut log = DutyLog::new(41, LIMITS);
+        let mut log = IntentLog::new(41, LIMITS);
         assert_eq!(log.inherit("duty/1/0", text, 9).len(), 1, "{text}");
         assert_eq!(log.adopted().count(), 0, "{text}");
         assert_eq!(log.begin_write(4, true), None, "{text} was to be removed");
     }
-    let mut log = DutyLog::new(41, LIMITS);
+    let mut log = IntentLog::new(41, LIMITS);
     for name in ["duty/1", "duty/x/0", "duty/1/0/0", "duty/01/0", "duty/-1/0", "other/1/0"] {
-        assert_eq!(log.inherit(name, &page, 9), vec![RecordFault::Key { key: name.into() }]);
+        assert_eq!(log.inherit(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
     }
     // The same duty in two pages: the first counts.
     assert_eq!(log.inherit("duty/1/0", &page, 9), Vec::new());
-    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordFault::Reused { .. }]));
+    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::Reused { .. }]));
     assert_eq!(log.adopted().count(), 1);
     // Fields of later versions are passed over.
     let later = page.replace("\"format\":1", "\"format\":1,\"more\":{}");
     assert_eq!(
         record::decode("duty/1/0", &later),
-        (vec![Duty::adopted(key("1.1"), 1, rental("r", 3), 5)], vec![])
+        (vec![Intent::adopted(key("1.1"), 1, rental("r", 3), 5)], vec![])
     );
 }
 
@@ -304,12 +306,12 @@
         self.pages.get(&page.key()).map_or(0, |(_, revision)| *revision)
     }
 
-    fn apply(&mut self, changes: &[PageChange]) -> WriteOutcome {
+    fn apply(&mut self, changes: &[IntentPageWrite]) -> WriteOutcome {
         if changes.iter().any(|change| self.revision_of(&change.page) != change.expected) {
             return WriteOutcome::Conflict;
         }
         self.revision += 1;
-        for PageChange { page, value, .. } in changes {
+        for IntentPageWrite { page, value, .. } in changes {
             match value {
                 Some(value) => drop(self.pages.insert(page.key(), (value.clone(), self.revision))),
                 None => drop(self.pages.remove(&page.key())),
@@ -318,7 +320,7 @@
         WriteOutcome::Committed { revision: self.revision }
     }
 
-    fn names(&self, duty: &DutyKey) -> bool {
+    fn names(&self, duty: &IdempotencyKey) -> bool {
         self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{duty}\"")))
     }
 }
@@ -335,8 +337,8 @@
         let mut store = Store::default();
         for holder in 1..=5u64 {
             let token = holder * 100;
-            let mut log = DutyLog::new(token, LIMITS);
-            let mut late: Vec<Vec<PageChange>> = Vec::new();
+            let mut log = IntentLog::new(token, LIMITS);
+            let mut late: Vec<Vec<IntentPageWrite>> = Vec::new();
             for (stored, (value, revision)) in &store.pages {
                 assert_eq!(log.inherit(stored, value, *revision), Vec::new());
             }
@@ -368,7 +370,7 @@
                 if rng.random_range(0..8) == 0 {
                     late.pop().map(|changes| store.apply(&changes));
                 }
-                let open: Vec<DutyKey> = log.open_duties().map(|duty| duty.key.clone()).collect();
+                let open: Vec<IdempotencyKey> = log.open_duties().map(|duty| duty.key.clone()).collect();
                 for duty in open {
                     if log.issue(&duty).is_ok() {
                         issued += 1;
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -4,7 +4,7 @@
 //! or our own. It is never evidence that an attempt is gone.
 
 use crate::mode::Mode;
-use crate::numbering::{Numbering, MAX_NUMBER};
+use crate::numbering::{MachineNumbering, MAX_NUMBER};
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -46,7 +46,7 @@
 
 /// Why a message was refused. Nothing is changed by it.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum CoverageFault {
+pub enum CoverageError {
     #[error("it is larger than {MAX_BITMAP_BYTES} bytes a bitmap")]
     TooLarge,
     #[error("it is malformed: {0}")]
@@ -67,7 +67,7 @@
 
 /// The holder of the lease, as far as this node knows.
 #[derive(Debug, Clone, Copy)]
-pub struct KnownHolder<'a> {
+pub struct KnownLeader<'a> {
     pub host: &'a str,
     pub token: u64,
 }
@@ -82,14 +82,14 @@
     bytes
 }
 
-pub fn decode_bitmap(bytes: &[u8]) -> Result<RoaringBitmap, CoverageFault> {
+pub fn decode_bitmap(bytes: &[u8]) -> Result<RoaringBitmap, CoverageError> {
     if bytes.len() > MAX_BITMAP_BYTES {
-        return Err(CoverageFault::TooLarge);
+        return Err(CoverageError::TooLarge);
     }
-    let malformed = |error: std::io::Error| CoverageFault::Malformed(error.to_string());
+    let malformed = |error: std::io::Error| CoverageError::Malformed(error.to_string());
     let bitmap = RoaringBitmap::deserialize_from(bytes).map_err(malformed)?;
     if bitmap.max().is_some_and(|number| number >= MAX_NUMBER) {
-        return Err(CoverageFault::Malformed("a number is out of range".into()));
+        return Err(CoverageError::Malformed("a number is out of range".into()));
     }
     Ok(bitmap)
 }
@@ -135,9 +135,9 @@
         &mut self,
         coverage: Coverage,
         now: Duration,
-        numbering: &Numbering,
-        holder: Option<KnownHolder<'_>>,
-    ) -> Result<&Coverage, CoverageFault> {
+        numbering: &MachineNumbering,
+        holder: Option<KnownLeader<'_>>,
+    ) -> Result<&Coverage, CoverageError> {
         if let Err(fault) = self.check(&coverage, numbering, holder) {
             self.refused += 1;
             return Err(fault);
@@ -155,42 +155,42 @@
     fn check(
         &self,
         coverage: &Coverage,
-        numbering: &Numbering,
-        holder: Option<KnownHolder<'_>>,
-    ) -> Result<(), CoverageFault> {
+        numbering: &MachineNumbering,
+        holder: Option<KnownLeader<'_>>,
+    ) -> Result<(), CoverageError> {
         if coverage.host == self.own {
-            return Err(CoverageFault::OwnName);
+            return Err(CoverageError::OwnName);
         }
         let Some(peer) = self.peers.get(&coverage.host) else {
             let shown = coverage.host.chars().take(MAX_NAME_BYTES).collect();
-            return Err(CoverageFault::UnknownPeer(shown));
+            return Err(CoverageError::UnknownPeer(shown));
         };
         if coverage.peers.len() > MAX_PEERS || coverage.peers.iter().any(|name| name.len() > MAX_NAME_BYTES) {
-            return Err(CoverageFault::Malformed("it names too many peers".into()));
+            return Err(CoverageError::Malformed("it names too many peers".into()));
         }
         let outdated = peer.former_boots.contains(&coverage.boot)
             || peer.latest.as_ref().is_some_and(|told| {
                 told.coverage.boot == coverage.boot && told.coverage.sequence >= coverage.sequence
             });
         if outdated {
-            return Err(CoverageFault::Outdated(coverage.host.clone()));
+            return Err(CoverageError::Outdated(coverage.host.clone()));
         }
         if let Some(holder) = holder.filter(|h| h.token == coverage.token && h.host != coverage.host) {
-            return Err(CoverageFault::NotTheHolder {
+            return Err(CoverageError::NotTheHolder {
                 host: coverage.host.clone(),
                 token: coverage.token,
                 holder: holder.host.into(),
             });
         }
         if coverage.numbering > numbering.revision() {
-            return Err(CoverageFault::NumberingAhead);
+            return Err(CoverageError::NumberingAhead);
         }
         let named = &coverage.heard | &coverage.reached;
         let unknown =
             |number: &u32| coverage.numbering == numbering.revision() && numbering.name(*number).is_none();
         match named.iter().filter(unknown).count() {
             0 => Ok(()),
-            count => Err(CoverageFault::UnknownMachines(count as u64)),
+            count => Err(CoverageError::UnknownMachines(count as u64)),
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Whether some peer told lately that it hears the machine.
-    pub fn heard_by_a_peer(&self, name: &str, numbering: &Numbering, now: Duration) -> bool {
+    pub fn heard_by_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
         let Some(number) = numbering.number(name) else { return false };
         self.fresh(now).any(|c| c.heard.contains(number) && numbering.meant(number, c.numbering))
     }
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -21,7 +21,7 @@
 
 /// What the leader sees itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnView {
+pub struct LeaderView {
     pub mode: Mode,
     /// Machines heard without a detour.
     pub heard: u64,
@@ -31,7 +31,7 @@
     pub state_suppressed: bool,
 }
 
-impl OwnView {
+impl LeaderView {
     /// It hears no machine at all.
     fn is_blind(&self) -> bool {
         self.mode == Mode::StateOnly && self.heard == 0
@@ -48,7 +48,7 @@
 
 /// The candidate that is clearly better placed, if one is. Nodes that hear different
 /// halves are not: each would hand over to the other for ever.
-pub fn better_placed<'a>(own: &OwnView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+pub fn better_placed<'a>(own: &LeaderView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let whole = candidates.iter().filter(|candidate| candidate.mode == Mode::Whole);
     let best = whole.max_by(|a, b| (a.heard, &b.host).cmp(&(b.heard, &a.host)))?;
     if own.state_suppressed {
@@ -90,7 +90,7 @@
     /// The node to hand over to now.
     pub fn decide(
         &mut self,
-        own: &OwnView,
+        own: &LeaderView,
         candidates: &[Candidate],
         leads_since: Duration,
         now: Duration,
--- a/crates/plankhead-reachability/src/link.rs
+++ b/crates/plankhead-reachability/src/link.rs
@@ -92,12 +92,12 @@
 
 /// What a link was last judged to be, and since when.
 #[derive(Debug, Clone, Copy)]
-struct Judgement {
+struct LinkJudgement {
     condition: Condition,
     since: Duration,
 }
 
-impl Judgement {
+impl LinkJudgement {
     fn new(now: Duration) -> Self {
         Self { condition: Condition::Unknown, since: now }
     }
@@ -130,7 +130,7 @@
     /// When a call went out last.
     sent_at: Option<Duration>,
     round_trips: Latency,
-    judgement: Judgement,
+    judgement: LinkJudgement,
     counts: LinkCounts,
 }
 
@@ -143,7 +143,7 @@
             outstanding: BTreeMap::new(),
             sent_at: None,
             round_trips: Latency::new(ROUND_TRIPS),
-            judgement: Judgement::new(now),
+            judgement: LinkJudgement::new(now),
             counts: LinkCounts::default(),
         }
     }
@@ -270,18 +270,18 @@
 /// A connection that only receives, and should do so: silence tells of it, measured by
 /// the usual time between two arrivals.
 #[derive(Debug)]
-pub struct Arrivals {
+pub struct ArrivalMonitor {
     least_silence: Duration,
     most_silence: Duration,
     last: Option<Duration>,
     gaps: Latency,
     /// Since when something should arrive.
     expected_since: Option<Duration>,
-    judgement: Judgement,
+    judgement: LinkJudgement,
     count: u64,
 }
 
-impl Arrivals {
+impl ArrivalMonitor {
     pub fn new(least_silence: Duration, most_silence: Duration, now: Duration) -> Self {
         Self {
             least_silence,
@@ -289,7 +289,7 @@
             last: None,
             gaps: Latency::new(most_silence * GAP_WINDOW),
             expected_since: None,
-            judgement: Judgement::new(now),
+            judgement: LinkJudgement::new(now),
             count: 0,
         }
     }
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -1,6 +1,6 @@
 //! All links of one node, and the mode that follows from them.
 
-use crate::link::{Arrivals, Condition, Link, LinkCounts, LinkId};
+use crate::link::{ArrivalMonitor, Condition, Link, LinkCounts, LinkId};
 use crate::mode::Mode;
 use crate::settings::Settings;
 use crate::side::Side;
@@ -59,8 +59,8 @@
 #[derive(Debug)]
 pub struct Monitor {
     links: BTreeMap<LinkId, Link>,
-    reports: Arrivals,
-    peers: Vec<Arrivals>,
+    reports: ArrivalMonitor,
+    peers: Vec<ArrivalMonitor>,
     state: Side,
     workers: Side,
     mode: Mode,
@@ -76,13 +76,13 @@
         let link = || Link::new(settings.down_after, now);
         let out = (0..peers).map(LinkId::PeerOut);
         let peer = |_| {
-            let mut arrivals = Arrivals::new(LEAST_PEER_SILENCE, MOST_PEER_SILENCE, now);
+            let mut arrivals = ArrivalMonitor::new(LEAST_PEER_SILENCE, MOST_PEER_SILENCE, now);
             arrivals.expect(true, now);
             arrivals
         };
         Self {
             links: CALL_LINKS.into_iter().chain(out).map(|id| (id, link())).collect(),
-            reports: Arrivals::new(LEAST_WORKER_SILENCE.min(most_silence), most_silence, now),
+            reports: ArrivalMonitor::new(LEAST_WORKER_SILENCE.min(most_silence), most_silence, now),
             peers: (0..peers).map(peer).collect(),
             state: Side::new(settings, now),
             workers: Side::new(settings, now),
@@ -234,7 +234,7 @@
 
     /// Whether a peer's heartbeats arrive.
     pub fn hears_peer(&self, peer: usize) -> bool {
-        let condition = self.peers.get(peer).map(Arrivals::condition);
+        let condition = self.peers.get(peer).map(ArrivalMonitor::condition);
         matches!(condition, Some(Condition::Up | Condition::Suspect))
     }
 
--- a/crates/plankhead-reachability/src/numbering.rs
+++ b/crates/plankhead-reachability/src/numbering.rs
@@ -30,7 +30,7 @@
 pub type Name = Arc<str>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum PageFault {
+pub enum NumberingPageError {
     #[error("{0} is not the key of a page of machines")]
     Key(String),
     #[error("{key} can't be read: {reason}")]
@@ -68,7 +68,7 @@
 
 /// The numbering as this node has read it.
 #[derive(Debug, Default)]
-pub struct Numbering {
+pub struct MachineNumbering {
     pages: BTreeMap<u32, Page>,
     /// Pages that can't be read: left alone.
     unreadable: BTreeSet<u32>,
@@ -84,7 +84,7 @@
     key.strip_prefix(PREFIX)?.parse().ok().filter(|page| *page < MAX_PAGES)
 }
 
-impl Numbering {
+impl MachineNumbering {
     /// The highest revision of any page that was read.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -115,8 +115,8 @@
     }
 
     /// Takes in a page as the state service has it.
-    pub fn read(&mut self, key: &str, value: &str, revision: u64) -> Result<(), PageFault> {
-        let number = page_of(key).ok_or_else(|| PageFault::Key(key.into()))?;
+    pub fn read(&mut self, key: &str, value: &str, revision: u64) -> Result<(), NumberingPageError> {
+        let number = page_of(key).ok_or_else(|| NumberingPageError::Key(key.into()))?;
         match parse(key, value) {
             Ok(names) => {
                 self.unreadable.remove(&number);
@@ -189,11 +189,11 @@
     }
 }
 
-fn parse(key: &str, value: &str) -> Result<Vec<Option<Name>>, PageFault> {
-    let fault = |reason: String| PageFault::Value { key: key.into(), reason };
+fn parse(key: &str, value: &str) -> Result<Vec<Option<Name>>, NumberingPageError> {
+    let fault = |reason: String| NumberingPageError::Value { key: key.into(), reason };
     let stored: StoredPage = serde_json::from_str(value).map_err(|error| fault(error.to_string()))?;
     if stored.format > FORMAT {
-        return Err(PageFault::Format { key: key.into(), format: stored.format });
+        return Err(NumberingPageError::Format { key: key.into(), format: stored.format });
     }
     if stored.names.len() > PAGE_NUMBERS as usize {
         return Err(fault("it has too many names".into()));
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -85,7 +85,7 @@
 
 /// Evidence with an age, which the caller judges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bound {
+pub enum Precondition {
     /// The jobs were seen so lately that no cancellation is likely to be unseen.
     JobsSynced,
     /// A cancellation that this node did not see is not due before leases run out.
@@ -98,7 +98,7 @@
 pub enum Permission {
     Allowed,
     /// As long as the evidence is there.
-    Within(Bound),
+    Within(Precondition),
     /// Not now: it is done once the side is back.
     Deferred(Reason),
     /// Refused at once.
@@ -126,9 +126,9 @@
 }
 
 fn standard(mode: Mode, action: Action) -> Permission {
-    use Bound::*;
     use Mode::*;
     use Permission::*;
+    use Precondition::*;
     use Reason::*;
     match (action, mode) {
         // Each is carried by the state service's own answer.
--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -6,7 +6,9 @@
 use plankhead_reachability::coverage::*;
 use plankhead_reachability::handover::*;
 use plankhead_reachability::mode::Mode;
-use plankhead_reachability::numbering::{Name, Numbering, PageFault, PageWrite, MAX_NUMBER, PREFIX};
+use plankhead_reachability::numbering::{
+    MachineNumbering, Name, NumberingPageError, PageWrite, MAX_NUMBER, PREFIX,
+};
 use plankhead_reachability::settings::Settings;
 use roaring::RoaringBitmap;
 use std::collections::BTreeSet;
@@ -24,7 +26,7 @@
 
 /// Writes pages until all have a number, as the state service would take them.
 fn write_all(
-    numbering: &mut Numbering,
+    numbering: &mut MachineNumbering,
     names: &BTreeSet<Name>,
     bytes: usize,
     revision: &mut u64,
@@ -43,14 +45,14 @@
 #[test]
 fn four_thousand_machines_have_a_number_each() {
     for bytes in [1_024, 8_192] {
-        let (mut numbering, mut revision) = (Numbering::default(), 10);
+        let (mut numbering, mut revision) = (MachineNumbering::default(), 10);
         let names = machines(0..4_000);
         let writes = write_all(&mut numbering, &names, bytes, &mut revision);
         let numbers: BTreeSet<u32> = names.iter().filter_map(|name| numbering.number(name)).collect();
         assert_eq!(numbers.len(), 4_000);
         assert!(numbers.iter().all(|number| *number < MAX_NUMBER));
         // Another node that reads the same pages agrees.
-        let mut other = Numbering::default();
+        let mut other = MachineNumbering::default();
         for (write, revision) in writes.iter().zip(11..) {
             other.read(&write.key, &write.value, revision).unwrap();
         }
@@ -63,7 +65,7 @@
 
 #[test]
 fn a_number_that_is_used_again_is_not_misread() {
-    let (mut numbering, mut revision) = (Numbering::default(), 10);
+    let (mut numbering, mut revision) = (MachineNumbering::default(), 10);
     write_all(&mut numbering, &machines(0..20), 1_024, &mut revision);
     let (before, number) = (numbering.revision(), numbering.number("machine-00003").unwrap());
     let mut names = machines(0..20);
@@ -80,16 +82,19 @@
 
 #[test]
 fn pages_that_cannot_be_read_are_left_alone() {
-    let mut numbering = Numbering::default();
+    let mut numbering = MachineNumbering::default();
     let key = format!("{PREFIX}0000");
     let long = format!("{{\"format\":1,\"names\":[\"{}\"]}}", "x".repeat(300));
     for value in ["", "{}", "[]", "{\"format\":1,\"names\":[7]}", long.as_str()] {
-        assert!(matches!(numbering.read(&key, value, 5), Err(PageFault::Value { .. })), "{value}");
+        assert!(matches!(numbering.read(&key, value, 5), Err(NumberingPageError::Value { .. })), "{value}");
     }
     let later = numbering.read(&key, "{\"format\":9,\"names\":[]}", 5);
-    assert_eq!(later, Err(PageFault::Format { key: key.clone(), format: 9 }));
+    assert_eq!(later, Err(NumberingPageError::Format { key: key.clone(), format: 9 }));
     for key in ["machines/", "machines/x", "machines/99999", "job/1"] {
-        assert_eq!(numbering.read(key, "{\"format\":1,\"names\":[]}", 5), Err(PageFault::Key(key.into())));
+        assert_eq!(
+            numbering.read(key, "{\"format\":1,\"names\":[]}", 5),
+            Err(NumberingPageError::Key(key.into()))
+        );
     }
     let write = numbering.next_write(&machines(0..3), 1_024).unwrap();
     assert_ne!(write.key, key, "the page of a later version is not overwritten");
@@ -99,8 +104,8 @@
     assert_eq!(numbering.len(), 3);
 }
 
-fn numbering() -> Numbering {
-    let (mut numbering, mut revision) = (Numbering::default(), 10);
+fn numbering() -> MachineNumbering {
+    let (mut numbering, mut revision) = (MachineNumbering::default(), 10);
     write_all(&mut numbering, &machines(0..10), 8_192, &mut revision);
     numbering
 }
@@ -118,27 +123,27 @@
 fn bad_messages_are_refused_and_change_nothing() {
     let numbering = numbering();
     let mut table = table();
-    let holder = Some(KnownHolder { host: "plank-2", token: 41 });
+    let holder = Some(KnownLeader { host: "plank-2", token: 41 });
     let good = Coverage { heard: [1, 2].into_iter().collect(), ..from("plank-1", 5) };
     table.receive(good.clone(), NOW, &numbering, holder).unwrap();
     let later_boot = Coverage { boot: 8, sequence: 1, ..good.clone() };
     let cases = [
-        (from("plank-0", 9), CoverageFault::OwnName),
-        (from("plank-9", 9), CoverageFault::UnknownPeer("plank-9".into())),
-        (from("plank-1", 5), CoverageFault::Outdated("plank-1".into())),
-        (from("plank-1", 4), CoverageFault::Outdated("plank-1".into())),
+        (from("plank-0", 9), CoverageError::OwnName),
+        (from("plank-9", 9), CoverageError::UnknownPeer("plank-9".into())),
+        (from("plank-1", 5), CoverageError::Outdated("plank-1".into())),
+        (from("plank-1", 4), CoverageError::Outdated("plank-1".into())),
         (
             Coverage { token: 41, ..from("plank-1", 9) },
-            CoverageFault::NotTheHolder { host: "plank-1".into(), token: 41, holder: "plank-2".into() },
+            CoverageError::NotTheHolder { host: "plank-1".into(), token: 41, holder: "plank-2".into() },
         ),
-        (Coverage { numbering: 99, ..from("plank-1", 9) }, CoverageFault::NumberingAhead),
+        (Coverage { numbering: 99, ..from("plank-1", 9) }, CoverageError::NumberingAhead),
         (
             Coverage { heard: [3, 500, 501].into_iter().collect(), ..from("plank-1", 9) },
-            CoverageFault::UnknownMachines(2),
+            CoverageError::UnknownMachines(2),
         ),
         (
             Coverage { peers: vec!["x".into(); 65], ..from("plank-1", 9) },
-            CoverageFault::Malformed("it names too many peers".into()),
+            CoverageError::Malformed("it names too many peers".into()),
         ),
     ];
     for (count, (message, fault)) in (1..).zip(cases) {
@@ -152,20 +157,20 @@
     let former = Coverage { sequence: 99, ..good };
     assert_eq!(
         table.receive(former, NOW, &numbering, holder),
-        Err(CoverageFault::Outdated("plank-1".into()))
+        Err(CoverageError::Outdated("plank-1".into()))
     );
 }
 
 #[test]
 fn malformed_and_oversized_bitmaps_are_refused() {
-    assert_eq!(decode_bitmap(&vec![0; MAX_BITMAP_BYTES + 1]), Err(CoverageFault::TooLarge));
-    assert!(matches!(decode_bitmap(b"no bitmap"), Err(CoverageFault::Malformed(_))));
+    assert_eq!(decode_bitmap(&vec![0; MAX_BITMAP_BYTES + 1]), Err(CoverageError::TooLarge));
+    assert!(matches!(decode_bitmap(b"no bitmap"), Err(CoverageError::Malformed(_))));
     let whole = encode_bitmap(&(0..5_000).step_by(3).collect());
     for length in 0..whole.len() {
-        assert!(matches!(decode_bitmap(&whole[..length]), Err(CoverageFault::Malformed(_))), "{length}");
+        assert!(matches!(decode_bitmap(&whole[..length]), Err(CoverageError::Malformed(_))), "{length}");
     }
     let far: RoaringBitmap = [MAX_NUMBER].into_iter().collect();
-    assert!(matches!(decode_bitmap(&encode_bitmap(&far)), Err(CoverageFault::Malformed(_))));
+    assert!(matches!(decode_bitmap(&encode_bitmap(&far)), Err(CoverageError::Malformed(_))));
 }
 
 #[test]
@@ -185,8 +190,8 @@
     assert!(!table.nobody_hears(NOW + LIFE));
 }
 
-fn own(mode: Mode, heard: u64) -> OwnView {
-    OwnView { mode, heard, expected: 100, state_suppressed: false }
+fn own(mode: Mode, heard: u64) -> LeaderView {
+    LeaderView { mode, heard, expected: 100, state_suppressed: false }
 }
 
 fn candidate(host: &str, mode: Mode, heard: u64) -> Candidate {
@@ -207,7 +212,7 @@
     assert_eq!(better_placed(&own(Mode::Whole, 40), &candidates), None);
     assert_eq!(better_placed(&own(Mode::StateOnly, 0), &[candidate("plank-1", Mode::Whole, 0)]), None);
     assert_eq!(better_placed(&own(Mode::StateOnly, 0), &candidates[2..]), None);
-    let flapping = OwnView { state_suppressed: true, ..own(Mode::WorkersOnly, 100) };
+    let flapping = LeaderView { state_suppressed: true, ..own(Mode::WorkersOnly, 100) };
     assert!(better_placed(&flapping, &[candidate("plank-1", Mode::Whole, 0)]).is_some());
 }
 
--- a/crates/plankhead-reachability/tests/table.rs
+++ b/crates/plankhead-reachability/tests/table.rs
@@ -1,15 +1,15 @@
 //! The table of permissions, cell by cell.
 
 use plankhead_reachability::mode::{Mode, MODES};
-use plankhead_reachability::permission::{Action, Bound, Permission, PermissionTable, ACTIONS};
+use plankhead_reachability::permission::{Action, Permission, PermissionTable, Precondition, ACTIONS};
 
 /// A cell in short: allowed, within a bound, deferred, forbidden.
 fn letter(permission: Permission) -> char {
     match permission {
         Permission::Allowed => 'a',
-        Permission::Within(Bound::JobsSynced) => 'j',
-        Permission::Within(Bound::CancellationUnseen) => 'c',
-        Permission::Within(Bound::PeersAgree) => 'p',
+        Permission::Within(Precondition::JobsSynced) => 'j',
+        Permission::Within(Precondition::CancellationUnseen) => 'c',
+        Permission::Within(Precondition::PeersAgree) => 'p',
         Permission::Deferred(_) => 'd',
         Permission::Forbidden(_) => 'f',
     }
--- a/crates/plankhead-sharding/src/alive.rs
+++ b/crates/plankhead-sharding/src/alive.rs
@@ -12,7 +12,7 @@
 pub const MAX_BITMAP_BYTES: usize = 16 * 1024;
 
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-pub enum AliveFault {
+pub enum AliveSetError {
     #[error("a bitmap that is too large")]
     TooLarge,
     #[error("not a bitmap")]
@@ -73,13 +73,13 @@
     bytes
 }
 
-pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, AliveFault> {
+pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, AliveSetError> {
     if bytes.len() > MAX_BITMAP_BYTES {
-        return Err(AliveFault::TooLarge);
+        return Err(AliveSetError::TooLarge);
     }
-    let numbers = RoaringBitmap::deserialize_from(bytes).map_err(|_| AliveFault::Malformed)?;
+    let numbers = RoaringBitmap::deserialize_from(bytes).map_err(|_| AliveSetError::Malformed)?;
     if numbers.len() > MAX_MACHINES as u64 {
-        return Err(AliveFault::TooLarge);
+        return Err(AliveSetError::TooLarge);
     }
     Ok(numbers)
 }
--- a/crates/plankhead-sharding/src/record.rs
+++ b/crates/plankhead-sharding/src/record.rs
@@ -22,12 +22,12 @@
     pub shards: u32,
     /// The move that is under way.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub moving: Option<Moving>,
+    pub moving: Option<PendingMove>,
 }
 
 /// A move that was begun: the holder is to let the shard go.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moving {
+pub struct PendingMove {
     /// The revision at which the holder was named.
     pub epoch: u64,
     /// Who is to hold the shard next.
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Error)]
-pub enum RecordFault {
+pub enum RecordError {
     #[error("not a record: {0}")]
     Json(#[from] serde_json::Error),
     #[error("format {0} is not known")]
@@ -54,14 +54,14 @@
         self.holder == host && self.boot == boot
     }
 
-    pub fn read(value: &str) -> Result<Self, RecordFault> {
+    pub fn read(value: &str) -> Result<Self, RecordError> {
         let record: Self = serde_json::from_str(value)?;
         if record.format != FORMAT {
-            return Err(RecordFault::Format(record.format));
+            return Err(RecordError::Format(record.format));
         }
         let named = !record.holder.is_empty() && record.holder.len() <= 200;
         if !named || !(1..=MAX_SHARDS_PER_ZONE).contains(&record.shards) {
-            return Err(RecordFault::Range);
+            return Err(RecordError::Range);
         }
         Ok(record)
     }
--- a/crates/plankhead-sharding/src/registry.rs
+++ b/crates/plankhead-sharding/src/registry.rs
@@ -6,7 +6,7 @@
 //! knows, which fails if the first one was carried out.
 
 use crate::balance::{self, Candidate, Holding, Holdings};
-use crate::record::{Moving, Record};
+use crate::record::{PendingMove, Record};
 use crate::settings::Settings;
 use crate::shard::ShardId;
 use crate::state::{ShardState, Transition};
@@ -98,7 +98,7 @@
 
 /// What the leader knows of the other controllers, and of the machines.
 #[derive(Debug, Clone, Default)]
-pub struct Surroundings {
+pub struct RegistryInput {
     /// Controllers that are heard and see the records, the leader's own among them, and which
     /// start of its process each of them is.
     pub alive: BTreeMap<String, u64>,
@@ -110,7 +110,7 @@
     pub zones: BTreeSet<String>,
 }
 
-impl Surroundings {
+impl RegistryInput {
     fn takes(&self, host: &str) -> bool {
         self.candidates.iter().any(|candidate| candidate.host == host)
     }
@@ -118,7 +118,7 @@
 
 /// Every shard, as the holder of the leader's lease sees it.
 #[derive(Debug)]
-pub struct Registry {
+pub struct ShardRegistry {
     term: u64,
     own: String,
     settings: Settings,
@@ -130,7 +130,7 @@
     moves: u64,
 }
 
-impl Registry {
+impl ShardRegistry {
     pub fn new(term: u64, own: &str, settings: Settings) -> Self {
         Self {
             term,
@@ -232,7 +232,7 @@
         }
     }
 
-    fn holdings(&self, around: &Surroundings) -> Holdings {
+    fn holdings(&self, around: &RegistryInput) -> Holdings {
         let mut holdings = Holdings::new();
         for shard in self.declared(around) {
             let entry = self.entries.get(&shard);
@@ -245,7 +245,7 @@
     }
 
     /// The shards that there should be.
-    fn declared(&self, around: &Surroundings) -> BTreeSet<ShardId> {
+    fn declared(&self, around: &RegistryInput) -> BTreeSet<ShardId> {
         let shards = self.settings.shards_per_zone;
         let of = |zone: &String| {
             let zone = zone.clone();
@@ -255,8 +255,8 @@
     }
 
     /// The records to be written now, at most so many. Each is taken for under way until
-    /// [`Registry::written`] says what became of it.
-    pub fn next_writes(&mut self, around: &Surroundings, most: usize, now: Duration) -> Vec<RecordWrite> {
+    /// [`ShardRegistry::written`] says what became of it.
+    pub fn next_writes(&mut self, around: &RegistryInput, most: usize, now: Duration) -> Vec<RecordWrite> {
         if self.began.is_none() {
             self.next_move = now + self.settings.move_pause;
         }
@@ -292,7 +292,7 @@
     fn due_write(
         &self,
         shard: &ShardId,
-        around: &Surroundings,
+        around: &RegistryInput,
         holdings: &Holdings,
         settled: bool,
         now: Duration,
@@ -344,7 +344,7 @@
         &self,
         shard: &ShardId,
         entry: &Entry,
-        around: &Surroundings,
+        around: &RegistryInput,
         holder: &str,
         reason: Reason,
     ) -> Option<RecordWrite> {
@@ -361,7 +361,7 @@
     /// Begins a move, if none is under way.
     fn begin_move(
         &mut self,
-        around: &Surroundings,
+        around: &RegistryInput,
         holdings: &Holdings,
         now: Duration,
     ) -> Option<RecordWrite> {
@@ -378,7 +378,7 @@
         if holder == self.own {
             return self.naming(&shard, entry, around, &to, reason);
         }
-        let moving = Some(Moving { epoch: entry.state.epoch(), to });
+        let moving = Some(PendingMove { epoch: entry.state.epoch(), to });
         let record =
             Record { moving, ..Record::held(&holder, entry.boot, self.term, self.settings.shards_per_zone) };
         Some(self.write(&shard, entry, Some(record), reason))
@@ -386,7 +386,7 @@
 
     fn next_move(
         &mut self,
-        around: &Surroundings,
+        around: &RegistryInput,
         holdings: &Holdings,
         now: Duration,
     ) -> Option<(ShardId, String, Reason)> {
@@ -407,7 +407,7 @@
     }
 
     /// A shard whose holder is there but is to hold none.
-    fn drained(&self, around: &Surroundings, holdings: &Holdings) -> Option<(ShardId, String, Reason)> {
+    fn drained(&self, around: &RegistryInput, holdings: &Holdings) -> Option<(ShardId, String, Reason)> {
         let keeps = |holding: &Holding| holding.holder.as_ref().is_none_or(|holder| around.takes(holder));
         let (shard, _) = holdings.iter().find(|(_, holding)| !keeps(holding))?;
         let to = balance::choose(shard, &around.candidates, holdings)?;
@@ -416,7 +416,7 @@
 
     /// The shard that has been with its holder for the longest, and the next controller by
     /// name.
-    fn rotation(&self, around: &Surroundings) -> Option<(ShardId, String, Reason)> {
+    fn rotation(&self, around: &RegistryInput) -> Option<(ShardId, String, Reason)> {
         let held = self.entries.iter().filter(|(_, entry)| entry.term == self.term);
         let (shard, entry) = held.min_by_key(|(_, entry)| entry.since)?;
         let holder = entry.state.holder()?;
@@ -494,7 +494,7 @@
         self.moves
     }
 
-    /// When [`Registry::next_writes`] should be asked again by time alone.
+    /// When [`ShardRegistry::next_writes`] should be asked again by time alone.
     pub fn next_due(&self, now: Duration) -> Duration {
         let waits =
             self.entries.values().any(|entry| entry.term != self.term || entry.state.next_holder().is_some());
--- a/crates/plankhead-sharding/src/sequence.rs
+++ b/crates/plankhead-sharding/src/sequence.rs
@@ -6,7 +6,7 @@
 
 /// What a message says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
+pub struct MessageStamp {
     /// Tells one start of the sending process from another; in no order.
     pub boot: u64,
     /// Grows with every message of one start.
@@ -30,12 +30,12 @@
 /// The newest message of each sender.
 #[derive(Debug, Default)]
 pub struct SequenceGuard {
-    latest: HashMap<String, Stamp>,
+    latest: HashMap<String, MessageStamp>,
 }
 
 impl SequenceGuard {
     /// Admits a message, or refuses it.
-    pub fn admit(&mut self, sender: &str, stamp: Stamp) -> Result<Admission, StaleMessage> {
+    pub fn admit(&mut self, sender: &str, stamp: MessageStamp) -> Result<Admission, StaleMessage> {
         let latest = self.latest.get(sender).filter(|latest| latest.boot == stamp.boot);
         if latest.is_some_and(|latest| stamp.sequence <= latest.sequence) {
             return Err(StaleMessage);
--- a/crates/plankhead-sharding/src/shard.rs
+++ b/crates/plankhead-sharding/src/shard.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("not the key of a shard")]
-pub struct BadShardKey;
+pub struct InvalidShardKey;
 
 impl ShardId {
     /// The shard of a machine, in a zone of so many shards. All builds agree on it: XXH3
@@ -35,12 +35,12 @@
     }
 
     /// Reads the key of a record.
-    pub fn from_key(key: &str) -> Result<Self, BadShardKey> {
+    pub fn from_key(key: &str) -> Result<Self, InvalidShardKey> {
         let (zone, index) =
-            key.strip_prefix(PREFIX).and_then(|rest| rest.rsplit_once('/')).ok_or(BadShardKey)?;
-        let index: u32 = index.parse().map_err(|_| BadShardKey)?;
+            key.strip_prefix(PREFIX).and_then(|rest| rest.rsplit_once('/')).ok_or(InvalidShardKey)?;
+        let index: u32 = index.parse().map_err(|_| InvalidShardKey)?;
         if zone.is_empty() || index >= MAX_SHARDS_PER_ZONE {
-            return Err(BadShardKey);
+            return Err(InvalidShardKey);
         }
         Ok(Self { zone: zone.into(), index })
     }
--- a/crates/plankhead-sharding/src/table.rs
+++ b/crates/plankhead-sharding/src/table.rs
@@ -1,7 +1,7 @@
 //! What a controller knows of the records: who holds which shard.
 
-use crate::record::{Record, RecordFault};
-use crate::shard::{BadShardKey, ShardId, PREFIX};
+use crate::record::{Record, RecordError};
+use crate::shard::{InvalidShardKey, ShardId, PREFIX};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -20,11 +20,11 @@
 }
 
 #[derive(Debug, Error)]
-pub enum TableFault {
+pub enum ShardTableError {
     #[error(transparent)]
-    Key(#[from] BadShardKey),
+    Key(#[from] InvalidShardKey),
     #[error(transparent)]
-    Record(#[from] RecordFault),
+    Record(#[from] RecordError),
 }
 
 /// All records of shards, as last read.
@@ -37,7 +37,7 @@
 
 impl ShardTable {
     /// Takes in a record. One that can't be read counts as none: nobody acts by it.
-    pub fn write(&mut self, key: &str, value: &str, revision: u64) -> Result<(), TableFault> {
+    pub fn write(&mut self, key: &str, value: &str, revision: u64) -> Result<(), ShardTableError> {
         let shard = ShardId::from_key(key)?;
         if self.records.get(&shard).is_some_and(|known| known.revision >= revision) {
             return Ok(());
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -6,7 +6,7 @@
 
 use plankhead_sharding::balance::Candidate;
 use plankhead_sharding::record::Record;
-use plankhead_sharding::registry::{RecordWrite, Registry, Surroundings, WriteOutcome};
+use plankhead_sharding::registry::{RecordWrite, RegistryInput, ShardRegistry, WriteOutcome};
 use plankhead_sharding::settings::Settings;
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::table::{KnownRecord, ShardTable};
@@ -91,7 +91,7 @@
     /// The lease's revision and holder.
     lease: (u64, usize),
     records: BTreeMap<ShardId, (String, u64)>,
-    registries: BTreeMap<usize, (u64, Registry)>,
+    registries: BTreeMap<usize, (u64, ShardRegistry)>,
     tables: [ShardTable; 3],
     read_at: [Option<Duration>; 3],
     there: [bool; 3],
@@ -126,7 +126,7 @@
         Settings { enabled: true, shards_per_zone: 2, rotate, ..Settings::default() }
     }
 
-    fn surroundings(&self, own: usize) -> Surroundings {
+    fn surroundings(&self, own: usize) -> RegistryInput {
         let there = (0..3).filter(|host| self.there[*host] || *host == own);
         let candidate = |host: usize| Candidate {
             host: HOSTS[host].into(),
@@ -134,7 +134,7 @@
             capacity: if host == own { 0.3 } else { 1.0 },
         };
         let candidates: Vec<Candidate> = there.map(candidate).collect();
-        Surroundings {
+        RegistryInput {
             alive: (0..3)
                 .filter(|host| self.there[*host] || *host == own)
                 .map(|host| (HOSTS[host].to_owned(), self.boots[host]))
@@ -148,7 +148,7 @@
     fn elect(&mut self, host: usize) {
         self.revision += 1;
         self.lease = (self.revision, host);
-        let mut registry = Registry::new(self.revision, HOSTS[host], Self::settings());
+        let mut registry = ShardRegistry::new(self.revision, HOSTS[host], Self::settings());
         registry.learn(&self.tables[host], self.read_at[host], self.now);
         self.registries.insert(host, (self.revision, registry));
     }
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_sharding::alive::{self, AliveFault, Names, Numbers};
+use plankhead_sharding::alive::{self, AliveSetError, Names, Numbers};
 use plankhead_sharding::balance::{choose, improve, Candidate, Holding, Holdings};
-use plankhead_sharding::record::{Moving, Record, RecordFault};
-use plankhead_sharding::sequence::{Admission, SequenceGuard, StaleMessage, Stamp};
+use plankhead_sharding::record::{PendingMove, Record, RecordError};
+use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard, StaleMessage};
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::sight::Sight;
 use plankhead_sharding::state::{ShardState, Transition};
@@ -63,17 +63,17 @@
     for key in ["shard/", "shard/x", "shard//1", "shard/x/64", "shard/x/-1", "job/x/1", "shard/x/1a"] {
         assert!(ShardId::from_key(key).is_err(), "{key}");
     }
-    let moving = Some(Moving { epoch: 7, to: "b".into() });
+    let moving = Some(PendingMove { epoch: 7, to: "b".into() });
     let record = Record { moving, ..Record::held("a", 3, 5, 2) };
     let text = serde_json::to_string(&record).unwrap();
     assert_eq!(Record::read(&text).unwrap(), record);
     assert_eq!((record.epoch(9), Record::held("a", 3, 5, 2).epoch(9)), (7, 9));
     assert!(matches!(
         Record::read(&text.replace("\"format\":1", "\"format\":2")),
-        Err(RecordFault::Format(2))
+        Err(RecordError::Format(2))
     ));
-    assert!(matches!(Record::read(&text.replace("\"shards\":2", "\"shards\":0")), Err(RecordFault::Range)));
-    assert!(matches!(Record::read("[]"), Err(RecordFault::Json(_))));
+    assert!(matches!(Record::read(&text.replace("\"shards\":2", "\"shards\":0")), Err(RecordError::Range)));
+    assert!(matches!(Record::read("[]"), Err(RecordError::Json(_))));
 }
 
 #[test]
@@ -94,7 +94,7 @@
 #[test]
 fn late_copies_are_refused_and_no_start_for_good() {
     let mut guard = SequenceGuard::default();
-    let stamp = |boot, sequence| Stamp { boot, sequence };
+    let stamp = |boot, sequence| MessageStamp { boot, sequence };
     assert_eq!(guard.admit("a", stamp(1, 5)), Ok(Admission::OtherStart));
     assert_eq!(guard.admit("a", stamp(1, 5)), Err(StaleMessage));
     assert_eq!(guard.admit("a", stamp(1, 4)), Err(StaleMessage));
@@ -123,10 +123,10 @@
     let read = alive::decode(&bytes).unwrap();
     assert_eq!(names.of(&read).count(), 4_000, "a number that nobody was told of is passed over");
     assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "a number stays");
-    assert_eq!(alive::decode(&[0; 3]), Err(AliveFault::Malformed));
-    assert_eq!(alive::decode(&vec![0; 17 * 1024]), Err(AliveFault::TooLarge));
+    assert_eq!(alive::decode(&[0; 3]), Err(AliveSetError::Malformed));
+    assert_eq!(alive::decode(&vec![0; 17 * 1024]), Err(AliveSetError::TooLarge));
     let many = alive::encode(&(0..20_000).collect());
-    assert_eq!(alive::decode(&many), Err(AliveFault::TooLarge));
+    assert_eq!(alive::decode(&many), Err(AliveSetError::TooLarge));
 }
 
 /// `a + lease (1 + d) + e <= v + cancel (1 - d)` for the holder's own sight of both.
--- a/crates/plankhead/src/coverage.rs
+++ b/crates/plankhead/src/coverage.rs
@@ -4,7 +4,7 @@
 
 use crate::peer::aligned;
 use plankhead_reachability::coverage::{
-    decode_bitmap, encode_bitmap, Coverage, CoverageFault, MAX_BITMAP_BYTES,
+    decode_bitmap, encode_bitmap, Coverage, CoverageError, MAX_BITMAP_BYTES,
 };
 use plankhead_reachability::mode::Mode;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -47,11 +47,11 @@
 }
 
 /// Reads a message, or says what is wrong with it.
-pub fn decode(bytes: &[u8]) -> Result<Coverage, CoverageFault> {
+pub fn decode(bytes: &[u8]) -> Result<Coverage, CoverageError> {
     if bytes.len() > MAX_MESSAGE {
-        return Err(CoverageFault::TooLarge);
+        return Err(CoverageError::TooLarge);
     }
-    let malformed = |error: rkyv::rancor::Error| CoverageFault::Malformed(error.to_string());
+    let malformed = |error: rkyv::rancor::Error| CoverageError::Malformed(error.to_string());
     let message = rkyv::from_bytes::<CoverageMessage, rkyv::rancor::Error>(&aligned(bytes));
     let message = message.map_err(malformed)?;
     let mode = Mode::from_code(message.mode);
@@ -60,7 +60,7 @@
         boot: message.boot,
         sequence: message.sequence,
         token: message.token,
-        mode: mode.ok_or_else(|| CoverageFault::Malformed("it has an unknown mode".into()))?,
+        mode: mode.ok_or_else(|| CoverageError::Malformed("it has an unknown mode".into()))?,
         numbering: message.numbering,
         heard: decode_bitmap(&message.heard)?,
         reached: decode_bitmap(&message.reached)?,
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -7,8 +7,8 @@
 use jiff::Timestamp;
 use plankhead_core::election::{self, Holder};
 use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
-use plankhead_fencing::duty::Duty;
-use plankhead_fencing::record::{self, RecordFault};
+use plankhead_fencing::duty::Intent;
+use plankhead_fencing::record::{self, RecordError};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -37,8 +37,8 @@
 #[derive(Debug, Default)]
 pub struct Listing {
     pub leader: Option<Leadership>,
-    pub duties: Vec<Duty>,
-    pub faults: Vec<RecordFault>,
+    pub duties: Vec<Intent>,
+    pub faults: Vec<RecordError>,
 }
 
 /// Reads the duties and prints them as a table.
@@ -79,7 +79,7 @@
 }
 
 /// What a duty waits for.
-fn waits_for(duty: &Duty, leader: Option<&Leadership>) -> &'static str {
+fn waits_for(duty: &Intent, leader: Option<&Leadership>) -> &'static str {
     match leader {
         None => "a leader, who will adopt it",
         Some(leader) if leader.token == duty.holder => "the cloud's answer, or its record's removal",
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -9,7 +9,7 @@
     ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
 use plankhead_sharding::alive;
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use rkyv::rancor::Error;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -318,7 +318,7 @@
         alive::decode(&message.alive).map_err(|fault| ShardMessageError::Malformed(fault.to_string()))?;
     Ok(HolderStatus {
         host: name(message.host, "host")?,
-        stamp: Stamp { boot: message.boot, sequence: message.sequence },
+        stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
         zone: message.zone,
         term: message.term,
         sees_records: message.sees_records,
@@ -390,7 +390,7 @@
         message.snapshot.into_iter().map(report).collect();
     Ok(LeaderCommands {
         host: name(message.host, "host")?,
-        stamp: Stamp { boot: message.boot, sequence: message.sequence },
+        stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
         answers: message.answers,
         token: message.token,
         latest_epoch: message.latest_epoch,
--- a/crates/plankhead/src/tests/duties.rs
+++ b/crates/plankhead/src/tests/duties.rs
@@ -3,14 +3,14 @@
 use crate::duties::{table, Leadership, Listing};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use plankhead_fencing::action::{Action, Rental, Return, ReturnCause};
-use plankhead_fencing::duty::{Duty, DutyKey};
-use plankhead_fencing::record::RecordFault;
+use plankhead_fencing::action::{Action, Rental, Return, ReturnReason};
+use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::record::RecordError;
 
 const AT_MS: i64 = 1_796_202_000_000;
 
-fn duty(key: &str, holder: u64, action: Action) -> Duty {
-    Duty::adopted(DutyKey::new(key), holder, action, AT_MS as u64)
+fn duty(key: &str, holder: u64, action: Action) -> Intent {
+    Intent::adopted(IdempotencyKey::new(key), holder, action, AT_MS as u64)
 }
 
 #[test]
@@ -27,9 +27,9 @@
         leader: Some(Leadership { host: "plank-1".into(), token: 57 }),
         duties: vec![
             duty("plank-0-41-3", 41, Action::Rent(rental)),
-            duty("57.1", 57, Action::Return(Return { hosts, cause: ReturnCause::Reclaim })),
+            duty("57.1", 57, Action::Return(Return { hosts, cause: ReturnReason::Reclaim })),
         ],
-        faults: vec![RecordFault::Format { key: "duty/60/0".into(), format: 2 }],
+        faults: vec![RecordError::Format { key: "duty/60/0".into(), format: 2 }],
     };
     let zone = TimeZone::get("Europe/Tallinn").unwrap();
     let now = Timestamp::from_millisecond(AT_MS + 90_000).unwrap();
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -4,7 +4,7 @@
 use crate::reachability::{parse, ReachabilityFile, SCHEMA};
 use crate::tests::compare_with_fixture;
 use crate::views::{disagreements, read, table, NodeView, Views};
-use plankhead_reachability::coverage::{Coverage, CoverageFault};
+use plankhead_reachability::coverage::{Coverage, CoverageError};
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::settings::Settings;
 use serde_json::{json, Value};
@@ -46,7 +46,7 @@
     for length in (0..bytes.len()).step_by(7) {
         assert!(decode(&bytes[..length]).is_err(), "{length} bytes");
     }
-    assert_eq!(decode(&vec![0; MAX_MESSAGE + 1]), Err(CoverageFault::TooLarge));
+    assert_eq!(decode(&vec![0; MAX_MESSAGE + 1]), Err(CoverageError::TooLarge));
     // Whatever is changed on the way, it is read or refused, and never a crash.
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -10,7 +10,7 @@
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError,
 };
-use plankhead_sharding::sequence::Stamp;
+use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -80,7 +80,7 @@
     };
     ShardMessage::HolderStatus(Box::new(HolderStatus {
         host: "plank-1".into(),
-        stamp: Stamp { boot: 5, sequence: 9 },
+        stamp: MessageStamp { boot: 5, sequence: 9 },
         zone: "a".into(),
         term: 40,
         sees_records: true,
@@ -105,7 +105,7 @@
     let kill = WorkerCommand::Kill { task: task(1), attempt: 1, leeway: Duration::from_secs(10) };
     LeaderCommands {
         host: "plank-0".into(),
-        stamp: Stamp { boot: 6, sequence: 10 },
+        stamp: MessageStamp { boot: 6, sequence: 10 },
         answers: 9,
         token: 40,
         shards: vec![(ShardId { zone: "a".into(), index: 1 }, 44)],
