--- a/crates/plankhead-core/src/easy.rs
+++ b/crates/plankhead-core/src/easy.rs
@@ -369,11 +369,11 @@
 
 /// The least that any pending task takes of each resource.
 fn least(work: &[Work]) -> Resources {
-    let all = Resources { cpus: f64::MAX, gpus: f64::MAX, ram: f64::MAX };
+    let all = Resources { cpus: f64::MAX, gpus: f64::MAX, ram_gb: f64::MAX };
     work.iter().filter(|w| w.pending > 0).fold(all, |least, w| Resources {
         cpus: least.cpus.min(w.each.cpus),
         gpus: least.gpus.min(w.each.gpus),
-        ram: least.ram.min(w.each.ram),
+        ram_gb: least.ram_gb.min(w.each.ram_gb),
     })
 }
 
@@ -384,7 +384,7 @@
     room.iter().map(|i| &slots[*i].free).fold(Resources::default(), |widest, free| Resources {
         cpus: widest.cpus.max(free.cpus),
         gpus: widest.gpus.max(free.gpus),
-        ram: widest.ram.max(free.ram),
+        ram_gb: widest.ram_gb.max(free.ram_gb),
     })
 }
 
--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/election.rs
@@ -153,7 +153,7 @@
                 self.touching = true;
                 out.state(
                     CallPurpose::Election(Step::Touch { hold, sent: now }),
-                    KvRequest::RenewLease { hold },
+                    KvRequest::RenewLease { lease: hold },
                 );
             }
             return;
@@ -167,7 +167,7 @@
             Stage::Watching { after } => {
                 (Step::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
             }
-            _ => (Step::Grant, KvRequest::GrantLease { life: self.lease }),
+            _ => (Step::Grant, KvRequest::GrantLease { ttl: self.lease }),
         };
         out.state(CallPurpose::Election(step), op);
     }
@@ -188,7 +188,7 @@
         self.pending = false;
         match (step, reply) {
             (Step::Read, Ok(KvReply::Value(row))) => return self.read(now, row, out),
-            (Step::Watch, Ok(KvReply::Events { epoch, events })) => {
+            (Step::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
                 let mut verdict = LeadershipChange::Unchanged;
                 for event in events {
                     match event {
@@ -206,8 +206,8 @@
                 }
                 return verdict;
             }
-            (Step::Grant, Ok(KvReply::LeaseGranted { hold })) => self.claim(hold, out),
-            (Step::Claim { hold }, Ok(KvReply::Committed { epoch })) => {
+            (Step::Grant, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
+            (Step::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
                 return self.won(now, epoch, hold);
             }
             (Step::Claim { hold }, Ok(_))
@@ -215,7 +215,7 @@
                 Step::Claim { hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
-                out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold });
+                out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: hold });
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
@@ -239,8 +239,8 @@
         out.state(
             CallPurpose::Election(Step::Claim { hold }),
             KvRequest::Txn {
-                conditions: vec![Condition { key: KEY.into(), stamp: 0 }],
-                changes: vec![KvChange::Put { key: KEY.into(), value, hold: Some(hold) }],
+                conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
+                changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(hold) }],
             },
         );
     }
@@ -257,16 +257,16 @@
         };
         if holder.host == self.host {
             if self.doubt == Some(holder.hold) && holder.boot == self.boot {
-                return self.won(now, row.stamp, holder.hold);
+                return self.won(now, row.mod_revision, holder.hold);
             }
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold: holder.hold });
+            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: holder.hold });
         } else {
-            self.foreman = Some((holder.host, row.stamp));
+            self.foreman = Some((holder.host, row.mod_revision));
         }
-        self.stage = Stage::Watching { after: row.stamp };
+        self.stage = Stage::Watching { after: row.mod_revision };
         LeadershipChange::Unchanged
     }
 
@@ -316,7 +316,7 @@
     /// Gives the key up, if it is still there.
     pub fn resign(&mut self, out: &mut EffectSink) -> LeadershipChange {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { hold });
+            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: hold });
         }
         self.lost()
     }
--- a/crates/plankhead-core/src/fleet.rs
+++ b/crates/plankhead-core/src/fleet.rs
@@ -51,11 +51,11 @@
 impl Pool {
     /// The pool that a report names.
     fn of(report: &Heartbeat) -> Self {
-        Self { rig: report.rig.to_string(), zone: report.zone.to_string(), spot: report.spot }
+        Self { rig: report.machine_type.to_string(), zone: report.zone.to_string(), spot: report.spot }
     }
 
     fn is_of(&self, report: &Heartbeat) -> bool {
-        *self.rig == *report.rig && *self.zone == *report.zone && self.spot == report.spot
+        *self.rig == *report.machine_type && *self.zone == *report.zone && self.spot == report.spot
     }
 }
 
@@ -227,7 +227,7 @@
     pub fn note_answer(&mut self, orders: &[WorkerCommand], now: Duration) {
         if self.proven {
             self.answered = Some(now);
-            self.asked = orders.iter().filter_map(WorkerCommand::asked).collect();
+            self.asked = orders.iter().filter_map(WorkerCommand::expected_effect).collect();
         }
     }
 
@@ -236,7 +236,7 @@
     fn heeds(&self, report: &Heartbeat) -> bool {
         let shown = |(task, attempt, run): &(TaskId, u64, bool)| {
             let listed = report.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
-            match listed.map(|l| l.seen) {
+            match listed.map(|l| l.status) {
                 Some(TaskStatus::Exited(_) | TaskStatus::Checkpointing) => true,
                 Some(_) => *run,
                 None => !*run,
@@ -260,7 +260,7 @@
 impl Fleet {
     pub fn resources(&self, rig: &str) -> Option<Resources> {
         let rig = self.rigs.get(rig)?;
-        Some(Resources { cpus: rig.cpus, gpus: rig.gpus, ram: rig.ram })
+        Some(Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram })
     }
 
     fn insert(
@@ -332,28 +332,29 @@
 
     /// Takes in a report that came at `now` to the leader under the token `own`.
     pub fn observe(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
-        if self.gone.contains(&report.host) {
+        if self.gone.contains(&report.machine) {
             return HeartbeatNews::Stale;
         }
-        if !self.machines.contains_key(&report.host) {
-            self.insert(&report.host, report.address.clone(), Pool::of(report), now, now);
+        if !self.machines.contains_key(&report.machine) {
+            self.insert(&report.machine, report.address.clone(), Pool::of(report), now, now);
         }
-        let Some(machine) = self.machines.get_mut(&report.host) else { return HeartbeatNews::Stale };
-        if machine.newest.is_some_and(|newest| (report.shift, report.tick) <= newest) {
+        let Some(machine) = self.machines.get_mut(&report.machine) else { return HeartbeatNews::Stale };
+        if machine.newest.is_some_and(|newest| (report.incarnation, report.sequence) <= newest) {
             return HeartbeatNews::Stale;
         }
         let first = machine.newest.is_none();
-        let alike =
-            |r: &Heartbeat| (r.shift, r.token) == (report.shift, report.token) && r.tasks == report.tasks;
+        let alike = |r: &Heartbeat| {
+            (r.incarnation, r.token) == (report.incarnation, report.token) && r.tasks == report.tasks
+        };
         let same = machine.report.as_ref().is_some_and(alike);
-        if machine.shift() != Some(report.shift) {
+        if machine.shift() != Some(report.incarnation) {
             // Its lease ran out although we answered: it does not hear us.
             let lately = machine.answered.is_some_and(|at| now.saturating_sub(at) < DEAF);
             if !first && lately {
                 machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
             }
             // Orders of an earlier session are refused from now on.
-            machine.unconfirmed_runs.retain(|(_, _, shift)| *shift >= report.shift);
+            machine.unconfirmed_runs.retain(|(_, _, shift)| *shift >= report.incarnation);
             machine.images.clear();
             machine.asked.clear();
             machine.slot = None;
@@ -374,14 +375,14 @@
         if machine.proven || first {
             machine.heard = now;
         }
-        machine.newest = Some((report.shift, report.tick));
+        machine.newest = Some((report.incarnation, report.sequence));
         machine.news = now;
         if !machine.pool.is_of(report) {
             machine.pool = Pool::of(report);
             machine.slot = None;
         }
         machine.address = report.address.clone();
-        machine.notice |= report.warning.is_some();
+        machine.notice |= report.preemption_notice.is_some();
         machine.report = Some(report.clone());
         if same {
             HeartbeatNews::Unchanged
@@ -392,7 +393,7 @@
 
     /// Takes in a report that answers a command of ours, so that it is no copy.
     pub fn answered(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
-        if let Some(machine) = self.machines.get_mut(&report.host) {
+        if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.proven = true;
             machine.unanswered = 0;
             // The answer to its last report may still be under way.
@@ -462,15 +463,15 @@
     pub fn listed(&mut self, hosts: &[Instance], now: Duration) {
         let mut names = BTreeSet::new();
         for host in hosts {
-            names.insert(host.host.clone());
-            if self.gone.contains(&host.host) {
+            names.insert(host.name.clone());
+            if self.gone.contains(&host.name) {
                 continue;
             }
-            let pool = Pool { rig: host.rig.clone(), zone: host.zone.clone(), spot: host.spot };
-            let since = now.saturating_sub(host.held);
-            let machine = self.insert(&host.host, host.address.clone(), pool, since, now);
+            let pool = Pool { rig: host.machine_type.clone(), zone: host.zone.clone(), spot: host.spot };
+            let since = now.saturating_sub(host.age);
+            let machine = self.insert(&host.name, host.address.clone(), pool, since, now);
             machine.since = since;
-            machine.pool = Pool { rig: host.rig.clone(), zone: host.zone.clone(), spot: host.spot };
+            machine.pool = Pool { rig: host.machine_type.clone(), zone: host.zone.clone(), spot: host.spot };
             machine.listed = true;
             // From now on its silence counts.
             if host.status == InstanceStatus::Running && !std::mem::replace(&mut machine.was_up, true) {
@@ -512,14 +513,14 @@
     pub fn judge(&mut self, now: Duration, settings: &Settings) -> usize {
         let mut judged = 0;
         let mut zones: HashMap<String, (u32, u32)> = HashMap::new();
-        let (missed, lease) = (settings.gap(), settings.lease);
+        let (missed, lease) = (settings.heartbeat_timeout(), settings.worker_lease);
         let was_up = |m: &&Machine| m.leaving.is_none() && (m.proven || m.was_up);
         for machine in self.machines.values().filter(was_up) {
             let (quiet, all) = zones.entry(machine.pool.zone.clone()).or_default();
             *quiet += u32::from(now.saturating_sub(machine.direct) > missed);
             *all += 1;
         }
-        let short = settings.silence();
+        let short = settings.failover_heartbeat_timeout();
         // Many at once may be out of this node's reach only, and come through a
         // sibling.
         let mute = |m: &Machine| m.unanswered >= MOST_UNANSWERED && now.saturating_sub(m.heard) > missed;
@@ -527,7 +528,7 @@
         let few = self.machines.values().filter(was_up).filter(|m| mute(m)).count() * FEW <= up;
         for machine in self.machines.values_mut().filter(|m| m.leaving.is_none()) {
             let (silent_here, all) = zones.get(&machine.pool.zone).copied().unwrap_or_default();
-            let boot = self.rigs.get(&machine.pool.rig).map_or(Duration::from_secs(60), |r| r.boot);
+            let boot = self.rigs.get(&machine.pool.rig).map_or(Duration::from_secs(60), |r| r.boot_time);
             let cut = silent_here > 2 && silent_here * 2 > all;
             let silent = if cut { short.max(lease + boot / 2) } else { short };
             let quiet = now.saturating_sub(machine.heard);
@@ -628,7 +629,7 @@
         if machine.images.front() == Some(&image) {
             return;
         }
-        let cache = self.rigs.get(&machine.pool.rig).map_or(0.0, |r| r.cache_gb);
+        let cache = self.rigs.get(&machine.pool.rig).map_or(0.0, |r| r.image_cache_gb);
         let (known, before) = (machine.images.contains(&image), machine.images.len());
         machine.images.retain(|i| *i != image);
         machine.images.push_front(image);
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -75,15 +75,15 @@
     /// What the leader knows of a machine in a shard that came to this node: enough to send
     /// commands, and no sign of life.
     fn take_snapshot(&mut self, now: Duration, report: &Heartbeat, named: &BTreeSet<&ShardId>) {
-        let known = self.fleet.machines.contains_key(&report.host);
+        let known = self.fleet.machines.contains_key(&report.machine);
         let shard = named.iter().find(|shard| {
             let of = self.shards.contains_key(**shard) && *shard.zone == *report.zone;
-            of && ShardId::of(&report.zone, &report.host, self.shards_of_zone(&shard.zone)) == ***shard
+            of && ShardId::of(&report.zone, &report.machine, self.shards_of_zone(&shard.zone)) == ***shard
         });
         if let Some(shard) = shard.filter(|_| !known) {
             let epoch = self.shards.get(*shard).map_or(0, |held| held.epoch);
             self.hear(now, report, ((*shard).clone(), epoch), false);
-            self.news.remove(&report.host);
+            self.news.remove(&report.machine);
         }
     }
 
@@ -111,7 +111,7 @@
         let runs: Vec<(TaskId, u64)> = orders.iter().filter_map(run).collect();
         let Some(shard) = self.shard_of.get(host).cloned() else { return };
         let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(&shard, shift));
-        commands.told.extend(orders.iter().filter_map(WorkerCommand::asked));
+        commands.told.extend(orders.iter().filter_map(WorkerCommand::expected_effect));
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
         let call = HolderCall::SendCommands { host: host.clone(), shift, runs };
@@ -123,9 +123,10 @@
     fn direct_orders(&self, machine: &Machine, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
         let orders = self.orders(&machine.name, sight, now);
         let told = self.commands.get(&machine.name).map(|commands| &commands.told);
-        let asked: Vec<(TaskId, u64, bool)> = orders.iter().filter_map(WorkerCommand::asked).collect();
+        let asked: Vec<(TaskId, u64, bool)> =
+            orders.iter().filter_map(WorkerCommand::expected_effect).collect();
         let direct = |order: &WorkerCommand| {
-            let Some(key) = order.asked() else { return false };
+            let Some(key) = order.expected_effect() else { return false };
             let both = key.2 && asked.contains(&(key.0.clone(), key.1, false));
             let listed = machine.lists(&key.0, key.1);
             let due = if key.2 { !self.behind && !both } else { listed };
@@ -138,7 +139,7 @@
     pub(super) fn orders(&self, host: &MachineName, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
         let Some(report) = &machine.report else { return Vec::new() };
-        let ordered = self.commands.get(host).filter(|commands| commands.shift == report.shift);
+        let ordered = self.commands.get(host).filter(|commands| commands.shift == report.incarnation);
         let due = |order: &&WorkerCommand| match order {
             WorkerCommand::Run { task, attempt } => {
                 sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
@@ -148,13 +149,13 @@
         };
         let mut orders: Vec<WorkerCommand> =
             ordered.into_iter().flat_map(|commands| &commands.orders).filter(due).cloned().collect();
-        for listed in report.tasks.iter().filter(|listed| !matches!(listed.seen, TaskStatus::Exited(_))) {
+        for listed in report.tasks.iter().filter(|listed| !matches!(listed.status, TaskStatus::Exited(_))) {
             let (task, attempt) = (&listed.task, listed.attempt);
             let killed = |order: &WorkerCommand| {
-                order.asked().is_some_and(|(t, n, run)| !run && t == *task && n == attempt)
+                order.expected_effect().is_some_and(|(t, n, run)| !run && t == *task && n == attempt)
             };
             if self.jobs.is_cancelled(&task.job) && !orders.iter().any(killed) {
-                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, leeway: Duration::ZERO });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, grace: Duration::ZERO });
             }
         }
         orders.truncate(MAX_ORDERS);
@@ -163,14 +164,14 @@
 
     /// Drops commands that the report shows carried out.
     pub(super) fn settle_commands(&mut self, report: &Heartbeat) {
-        let Some(commands) = self.commands.get_mut(&report.host) else { return };
-        if commands.shift != report.shift {
-            self.commands.remove(&report.host);
+        let Some(commands) = self.commands.get_mut(&report.machine) else { return };
+        if commands.shift != report.incarnation {
+            self.commands.remove(&report.machine);
             return;
         }
         let seen = |task: &TaskId, attempt: u64| {
             let listed = report.tasks.iter().find(|listed| listed.task == *task && listed.attempt == attempt);
-            listed.map(|listed| listed.seen)
+            listed.map(|listed| listed.status)
         };
         commands.orders.retain(|order| match order {
             WorkerCommand::Run { task, attempt } => seen(task, *attempt).is_none(),
@@ -197,7 +198,7 @@
         let of = self.shard_of.get(&host).and_then(|shard| Some((shard.clone(), self.epoch(shard, now)?)));
         if let (CommandReply::Answered(report), Some(of)) = (reply, of) {
             // A later token: somebody else holds the shard, and the record will say so.
-            if report.host == host && report.token <= of.1 {
+            if report.machine == host && report.token <= of.1 {
                 self.hear(now, &report, of, true);
             }
         }
@@ -222,7 +223,7 @@
         if self.behind {
             return;
         }
-        for host in self.fleet.to_inquire(now, self.settings.gap(), |_| true) {
+        for host in self.fleet.to_inquire(now, self.settings.heartbeat_timeout(), |_| true) {
             let Some(epoch) = self.shard_of.get(&host).and_then(|shard| self.epoch(shard, now)) else {
                 continue;
             };
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -169,7 +169,7 @@
 
     /// Takes in the records: which shards this node holds, and under which epoch.
     pub fn adopt(&mut self, table: &ShardTable, out: &mut EffectSink) {
-        let (host, boot) = (&self.settings.host, self.settings.boot);
+        let (host, boot) = (&self.settings.host, self.settings.boot_id);
         let own = |known: &plankhead_sharding::table::KnownRecord| known.record.is_held_by(host, boot);
         let held = table.iter().filter(|(_, known)| own(known)).map(|(shard, known)| {
             let held = Held {
@@ -279,22 +279,22 @@
         let sight = self.sight(standing);
         let heard = self.hear(now, report, (shard, epoch), false);
         let settings = &self.settings;
-        if !sight.may_renew(now, settings.lease, settings.cancel) {
-            return Response::Unavailable { retry: Duration::from_secs(1) };
+        if !sight.may_renew(now, settings.worker_lease, settings.cancel_within) {
+            return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        let orders = self.orders(&report.host, sight, now);
+        let orders = self.orders(&report.machine, sight, now);
         let Some(machine) =
-            self.fleet.machines.get_mut(&report.host).filter(|_| heard != HeartbeatNews::Stale)
+            self.fleet.machines.get_mut(&report.machine).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
-            return Response::Commands { token: epoch, orders: Vec::new() };
+            return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.relayed = relayed;
-        if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Response::Redirect { foreman: None };
+        if machine.is_sent_off(adrift, self.settings.worker_lease, now) {
+            return Response::Redirect { leader: None };
         }
         machine.note_answer(&orders, now);
-        Response::Commands { token: epoch, orders }
+        Response::Commands { token: epoch, commands: orders }
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
@@ -309,7 +309,7 @@
             true => self.fleet.answered(report, epoch, now),
             false => self.fleet.observe(report, epoch, now),
         };
-        let host = &report.host;
+        let host = &report.machine;
         match heard {
             HeartbeatNews::Stale => return heard,
             HeartbeatNews::Unchanged => {
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -25,7 +25,7 @@
             return;
         };
         let news = self.take_news(now);
-        let machines: Vec<MachineName> = news.iter().map(|news| news.report.host.clone()).collect();
+        let machines: Vec<MachineName> = news.iter().map(|news| news.report.machine.clone()).collect();
         let alive = std::mem::take(&mut self.alive);
         let numbers: RoaringBitmap = alive.iter().filter_map(|host| self.numbers.get(host)).collect();
         self.sequence += 1;
@@ -37,7 +37,7 @@
         self.report_sent = now;
         let report = HolderStatus {
             host: self.settings.host.clone(),
-            stamp: MessageStamp { boot: self.settings.boot, sequence: self.sequence },
+            stamp: MessageStamp { boot: self.settings.boot_id, sequence: self.sequence },
             zone: self.settings.zone.clone(),
             term: token,
             sees_records: !standing.failing
@@ -119,7 +119,8 @@
     /// News has come: the next message need not wait for the heartbeat.
     pub fn hasten(&mut self, now: Duration) {
         if !self.news.is_empty() && !self.reporting {
-            self.report_due = self.report_due.min(now.max(self.report_sent + self.settings.message_pause()));
+            self.report_due =
+                self.report_due.min(now.max(self.report_sent + self.settings.shard_message_interval()));
         }
     }
 
--- a/crates/plankhead-core/src/job.rs
+++ b/crates/plankhead-core/src/job.rs
@@ -42,7 +42,7 @@
 
     /// Where the record goes once the job is over, so that a new leader reads only
     /// what is alive.
-    pub fn over_key(&self) -> String {
+    pub fn archive_key(&self) -> String {
         format!("over/{}", self.0)
     }
 
@@ -94,7 +94,8 @@
 pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
-    pub ram: f64,
+    #[serde(rename = "ram")]
+    pub ram_gb: f64,
 }
 
 /// Room for the rounding errors of sums of decimal amounts.
@@ -102,24 +103,24 @@
 
 impl Resources {
     pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPS && self.gpus <= room.gpus + EPS && self.ram <= room.ram + EPS
+        self.cpus <= room.cpus + EPS && self.gpus <= room.gpus + EPS && self.ram_gb <= room.ram_gb + EPS
     }
 
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
-        self.ram += other.ram;
+        self.ram_gb += other.ram_gb;
     }
 
     pub fn times(&self, count: u32) -> Resources {
         let count = f64::from(count);
-        Resources { cpus: self.cpus * count, gpus: self.gpus * count, ram: self.ram * count }
+        Resources { cpus: self.cpus * count, gpus: self.gpus * count, ram_gb: self.ram_gb * count }
     }
 
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
-        self.ram -= other.ram;
+        self.ram_gb -= other.ram_gb;
     }
 }
 
@@ -128,24 +129,34 @@
 pub struct JobSpec {
     pub class: String,
     pub team: String,
-    pub urgency: Priority,
+    #[serde(rename = "urgency")]
+    pub priority: Priority,
     pub tasks: u32,
-    pub each: Resources,
+    #[serde(rename = "each")]
+    pub demand: Resources,
     pub image: String,
     pub image_gb: f64,
-    pub rigs: Option<Vec<String>>,
+    #[serde(rename = "rigs")]
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
-    pub one_zone: bool,
-    pub scatter: bool,
-    pub spot: bool,
+    #[serde(rename = "one_zone")]
+    pub single_zone: bool,
+    #[serde(rename = "scatter")]
+    pub spread: bool,
+    #[serde(rename = "spot")]
+    pub allows_spot: bool,
     /// Seconds that a task should run, by its owner.
-    pub estimate: f64,
+    #[serde(rename = "estimate")]
+    pub estimated_runtime_s: f64,
     /// Seconds between checkpoints; 0: never saves.
-    pub checkpoint: f64,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval_s: f64,
     /// Seconds that saving takes.
-    pub save: f64,
+    #[serde(rename = "save")]
+    pub checkpoint_duration_s: f64,
     /// Seconds from submission to the deadline.
-    pub due: Option<f64>,
+    #[serde(rename = "due")]
+    pub deadline_s: Option<f64>,
     /// All tasks run at the same time, or none does. Left out of arrays' records,
     /// which versions without gangs read; those take any record for an array, so
     /// that no gang may be stored while one of them may still be there.
@@ -162,17 +173,25 @@
     pub fn check(&self) -> Result<(), InvalidSpec> {
         let amount = |x: f64| x.is_finite() && (0.0..=MOST_AMOUNT).contains(&x);
         let text = |s: &str| !s.is_empty() && s.len() <= MOST_TEXT;
-        let e = &self.each;
+        let e = &self.demand;
         if self.tasks == 0 || self.tasks > MOST_TASKS {
             return Err(InvalidSpec("pieces must be from 1 to 100000"));
         }
-        if ![e.cpus, e.gpus, e.ram, self.image_gb, self.estimate, self.checkpoint, self.save]
-            .into_iter()
-            .all(amount)
+        if ![
+            e.cpus,
+            e.gpus,
+            e.ram_gb,
+            self.image_gb,
+            self.estimated_runtime_s,
+            self.checkpoint_interval_s,
+            self.checkpoint_duration_s,
+        ]
+        .into_iter()
+        .all(amount)
         {
             return Err(InvalidSpec("amounts must be finite, not negative and not over 1e9"));
         }
-        if self.due.is_some_and(|d| !amount(d)) {
+        if self.deadline_s.is_some_and(|d| !amount(d)) {
             return Err(InvalidSpec("dueS must be finite, not negative and not over 1e9"));
         }
         if !text(&self.class) || !text(&self.team) || !text(&self.image) {
@@ -181,7 +200,7 @@
         if self.zone.as_deref().is_some_and(|z| !text(z)) {
             return Err(InvalidSpec("yard must have 1 to 200 bytes"));
         }
-        if let Some(rigs) = &self.rigs {
+        if let Some(rigs) = &self.machine_types {
             if rigs.is_empty() || rigs.len() > 64 || !rigs.iter().all(|r| text(r)) {
                 return Err(InvalidSpec("rigs must be null or name 1 to 64 types"));
             }
@@ -192,14 +211,14 @@
 
 impl JobRecord {
     /// What is kept of a job that is over.
-    pub fn last(phase: Phase, tasks: u32) -> Self {
+    pub fn finished(phase: Phase, tasks: u32) -> Self {
         Self { phase, spec: None, tasks, per_chunk: 0, accepted_ms: 0, cancelled_ms: None }
     }
 
     /// The record's text if it fits into a value. One of a cancelled job leaves out
     /// what only placing it would need where it doesn't: it may have been stored
     /// when values were allowed to be larger.
-    pub fn text(&self, value_bytes: usize) -> Option<String> {
+    pub fn encode(&self, value_bytes: usize) -> Option<String> {
         let text = serde_json::to_string(self).ok()?;
         if text.len() <= value_bytes {
             return Some(text);
@@ -207,7 +226,7 @@
         let mut less = self.clone();
         let spec = less.spec.as_mut().filter(|_| self.phase == Phase::Cancelled)?;
         (spec.class, spec.image) = (String::new(), String::new());
-        (spec.rigs, spec.zone) = (None, None);
+        (spec.machine_types, spec.zone) = (None, None);
         serde_json::to_string(&less).ok().filter(|text| text.len() <= value_bytes)
     }
 }
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -89,7 +89,7 @@
     pub fn reply(&mut self, now: Duration, step: Step, reply: Result<KvReply, CallError>) -> Read {
         self.pending = false;
         match (step, reply) {
-            (Step::List { sent }, Ok(KvReply::Page { rows, truncated, epoch })) => {
+            (Step::List { sent }, Ok(KvReply::Page { rows, truncated, revision: epoch })) => {
                 self.page_after = rows.last().map(|row| row.key.clone());
                 let revision = *self.list_revision.get_or_insert(epoch);
                 if !truncated {
@@ -99,7 +99,7 @@
                 }
                 Read::Page { rows, complete: !truncated }
             }
-            (Step::Watch { sent }, Ok(KvReply::Events { epoch, events })) => {
+            (Step::Watch { sent }, Ok(KvReply::Events { revision: epoch, events })) => {
                 self.revision = self.revision.max(Some(epoch));
                 self.saw(sent);
                 Read::Events(events)
--- a/crates/plankhead-core/src/leader/clock.rs
+++ b/crates/plankhead-core/src/leader/clock.rs
@@ -69,7 +69,7 @@
         // At the first step of a leader that has read all, too: nothing larger than
         // what may be written is ever sent.
         if self.to_lay {
-            self.to_lay = self.ledger.lay_anew(tasks_per_chunk(self.settings.value_bytes));
+            self.to_lay = self.ledger.lay_anew(tasks_per_chunk(self.settings.max_value_bytes));
         }
         self.advance_duties(times, sight, out);
         self.tick_shards(now, firm, requests, out);
@@ -132,8 +132,8 @@
     pub(super) fn list_hosts(&mut self, now: Duration, out: &mut EffectSink) {
         if !self.listing && now >= self.hosts_due && self.cloud.take(now, 1) {
             self.listing = true;
-            self.hosts_due = now + self.settings.list_lag.max(Duration::from_secs(3));
-            let after = self.list.last().map(|h| h.host.clone());
+            self.hosts_due = now + self.settings.inventory_lag.max(Duration::from_secs(3));
+            let after = self.list.last().map(|h| h.name.clone());
             out.cloud(
                 CallPurpose::Leader(self.token, LeaderCall::ListInstances),
                 CloudRequest::ListInstances { after },
@@ -144,7 +144,7 @@
     /// Whether some worker was heard lately, or none could be: those of machines that the
     /// cloud lists no more are not there, whatever fails this node.
     pub(super) fn in_contact(&self, now: Duration) -> bool {
-        let recent = self.settings.gap() + Duration::from_secs(1);
+        let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let there = |m: &&Machine| m.up() && !m.is_unlisted();
         let mut up = self.fleet.machines.values().filter(there).peekable();
         up.peek().is_none() || up.any(|m| now.saturating_sub(m.heard) < recent)
@@ -153,7 +153,7 @@
     /// Whether no worker at all has reached this node for so long that another
     /// should try to lead.
     pub fn isolated(&self, now: Duration) -> bool {
-        let patience = self.settings.gap() + Duration::from_secs(3);
+        let patience = self.settings.heartbeat_timeout() + Duration::from_secs(3);
         self.stage == Stage::Ready
             && now.saturating_sub(self.contact) > patience
             && self.fleet.machines.values().filter(|m| m.up()).count() > 1
@@ -162,7 +162,7 @@
     /// Whether the cloud has answered lately, so that what it is asked takes effect now
     /// and not when some cut ends.
     pub(super) fn cloud_near(&self, now: Duration) -> bool {
-        let lately = self.settings.list_lag.max(Duration::from_secs(3)) * 2 + Duration::from_secs(1);
+        let lately = self.settings.inventory_lag.max(Duration::from_secs(3)) * 2 + Duration::from_secs(1);
         self.cloud_heard.is_some_and(|at| now.saturating_sub(at) < lately)
     }
 
@@ -178,7 +178,7 @@
         let reading = self.stage == Stage::Loading;
         let due = reading || now.saturating_sub(self.fresh) >= self.cancel_grace();
         if due && sight.among_all && self.cloud_near(now) {
-            let silence = self.settings.lease + Duration::from_secs(1);
+            let silence = self.settings.worker_lease + Duration::from_secs(1);
             self.fleet.judge_blind(now, silence, reading);
         }
     }
@@ -190,7 +190,7 @@
 
     /// When a cancellation is due, for certain, on whatever clock it was told.
     fn cancel_due(&self) -> Duration {
-        self.settings.cancel.saturating_sub(self.settings.clock_off * 2)
+        self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
     }
 
     fn mind_machines(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
@@ -217,7 +217,7 @@
         // A cancelled task that is not proven gone takes its machine along, whoever
         // else is silent: in an outage, or where all machines hang, too.
         let (due, grace) = (self.cancel_due(), self.cancel_grace());
-        let heard = now.saturating_sub(self.began) > self.settings.silence();
+        let heard = now.saturating_sub(self.began) > self.settings.failover_heartbeat_timeout();
         let overdue: Vec<MachineName> = self
             .ledger
             .jobs
@@ -245,7 +245,9 @@
 
     /// Asks machines whose reports are late directly whether they are there.
     fn inquire(&mut self, now: Duration, out: &mut EffectSink) {
-        for host in self.fleet.to_inquire(now, self.settings.gap(), |machine| self.commands(machine)) {
+        for host in
+            self.fleet.to_inquire(now, self.settings.heartbeat_timeout(), |machine| self.commands(machine))
+        {
             let token = self.token_for(&host);
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.shift() else { continue };
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -50,8 +50,8 @@
     pub(super) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
         let fencing = settings.fencing;
         let limits = Limits {
-            value_bytes: settings.value_bytes,
-            changes: settings.txn_ops,
+            value_bytes: settings.max_value_bytes,
+            changes: settings.max_txn_changes,
             transaction_bytes: TXN_BYTES,
         };
         Self {
@@ -222,7 +222,7 @@
             let key = IdempotencyKey::new(&refused.rental.name);
             if refused.due > now {
                 self.duties.refused_rentals.push(refused);
-            } else if now.saturating_sub(self.began) > self.duties.settings.abandon_rental {
+            } else if now.saturating_sub(self.began) > self.duties.settings.abandon_rental_after {
                 out.log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
                 self.end_duty(&key, State::Abandoned, out);
             } else {
@@ -258,15 +258,15 @@
         if !(due || tidy && self.duties.log.is_untidy()) {
             return;
         }
-        let most = self.writes.available(now).min(self.settings.txn_ops);
+        let most = self.writes.available(now).min(self.settings.max_txn_changes);
         let Some(changes) =
             (most > 0).then(|| self.duties.log.begin_write(most, tidy || !urgent && lacks)).flatten()
         else {
             return;
         };
         self.writes.take(now, changes.len());
-        self.duties.write_due = now + self.duties.settings.write_pause;
-        self.duties.tidy_due = now + self.duties.settings.tidy_pause;
+        self.duties.write_due = now + self.duties.settings.write_interval;
+        self.duties.tidy_due = now + self.duties.settings.compaction_interval;
         let (conditions, changes) = self.duty_transaction(changes);
         self.state(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
     }
@@ -276,9 +276,9 @@
         let mut changes = Vec::new();
         for IntentPageWrite { page, expected, value } in pages {
             let key = page.key();
-            conditions.push(Condition { key: key.clone(), stamp: expected });
+            conditions.push(Condition { key: key.clone(), mod_revision: expected });
             changes.push(match value {
-                Some(value) => KvChange::Put { key, value, hold: None },
+                Some(value) => KvChange::Put { key, value, lease: None },
                 None => KvChange::Delete { key },
             });
         }
@@ -295,7 +295,7 @@
     ) -> bool {
         let fresh = now.saturating_sub(sent) < FRESH_FAILURE;
         let outcome = match reply {
-            Ok(KvReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
+            Ok(KvReply::Committed { revision: epoch }) => WriteOutcome::Committed { revision: epoch },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
@@ -326,7 +326,7 @@
     ) {
         self.duties.reading.remove(&page);
         match reply {
-            Ok(KvReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.stamp)),
+            Ok(KvReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.mod_revision)),
             Err(CallError::RateLimited) => self.hold_until = now + PAUSE,
             _ => {
                 self.hold_until = now + PAUSE;
@@ -356,7 +356,7 @@
         };
         self.page_after = rows.last().map(|row| row.key.clone());
         for row in &rows {
-            for fault in self.duties.log.inherit(&row.key, &row.value, row.stamp) {
+            for fault in self.duties.log.inherit(&row.key, &row.value, row.mod_revision) {
                 out.log(LogLevel::Error, format!("left alone: {fault}"));
             }
         }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -160,7 +160,8 @@
 pub struct Target {
     pub round: u64,
     pub at_ms: u64,
-    pub rigs: BTreeMap<String, Size>,
+    #[serde(rename = "rigs")]
+    pub sizes: BTreeMap<String, Size>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -308,8 +309,8 @@
             follow_due: now,
             txns: 0,
             hold_until: Duration::ZERO,
-            writes: write_budget(settings.write_rps),
-            cloud: TokenBucket::new(settings.cloud_rps * 0.8, settings.cloud_rps),
+            writes: write_budget(settings.kv_changes_per_s),
+            cloud: TokenBucket::new(settings.cloud_requests_per_s * 0.8, settings.cloud_requests_per_s),
             reading: HashSet::new(),
             garbage: Vec::new(),
             pressing: 0,
@@ -326,7 +327,7 @@
             round_due: now,
             round: None,
             portion_due: now,
-            portions: CpuBudget::new(settings.cpu),
+            portions: CpuBudget::new(settings.cpu_share),
             target_dirty: false,
             target_writing: false,
             rentals_begun: 0,
@@ -378,7 +379,7 @@
     /// what older versions can't read may be stored.
     pub fn all_new(&mut self) {
         if !std::mem::replace(&mut self.all_new, true) {
-            let (now, next) = (self.settings.write_rps, self.settings.write_rps_next);
+            let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
             if next < now {
                 self.writes = write_budget(next);
             }
@@ -392,7 +393,7 @@
 
     /// The condition under which alone the leader writes.
     fn lead(&self) -> Condition {
-        Condition { key: election::KEY.into(), stamp: self.token }
+        Condition { key: election::KEY.into(), mod_revision: self.token }
     }
 }
 
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -21,7 +21,7 @@
             // Leases must run out before a cancellation that was not seen is due.
             Precondition::CancellationUnseen => {
                 let settings = &self.settings;
-                blind < settings.cancel.saturating_sub(settings.lease + BLIND_MARGIN)
+                blind < settings.cancel_within.saturating_sub(settings.worker_lease + BLIND_MARGIN)
             }
             Precondition::PeersAgree => self.peers_agree,
         }
@@ -30,7 +30,7 @@
     /// What the node's reachability needs to know of this leader. `steady`: its grant is
     /// good, and nothing says that the state service fails it.
     pub fn facts(&self, now: Duration, steady: bool) -> LeaderFacts {
-        let lately = self.settings.gap() + Duration::from_secs(1);
+        let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < lately;
         let up = || self.fleet.machines.values().filter(|machine| machine.up());
         let direct = up().filter(|machine| !machine.relayed && recent(machine.direct));
@@ -47,9 +47,9 @@
 
     /// Whether a report shows the answer to the one before; `None` if there was none.
     pub fn answer_shown(&self, report: &Heartbeat) -> Option<bool> {
-        let machine = self.fleet.machines.get(&report.host)?;
+        let machine = self.fleet.machines.get(&report.machine)?;
         machine.answered?;
-        let later = machine.newest.is_some_and(|newest| (report.shift, report.tick) > newest);
+        let later = machine.newest.is_some_and(|newest| (report.incarnation, report.sequence) > newest);
         later.then_some(report.token >= self.token)
     }
 
@@ -70,7 +70,7 @@
     /// Notes which machines with late reports are heard by some peer: their silence is
     /// our link's.
     pub fn note_heard_elsewhere(&mut self, now: Duration, heard_by_a_peer: impl Fn(&str) -> bool) {
-        let gap = self.settings.gap();
+        let gap = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
             if now.saturating_sub(machine.heard) > gap && heard_by_a_peer(&machine.name) {
                 machine.heard_elsewhere = Some(now);
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placing.rs
@@ -5,16 +5,16 @@
 impl Leader {
     pub(super) fn estimate(&self, spec: &JobSpec) -> Duration {
         let ratio = self.ratios.get(&spec.class).copied().unwrap_or(1.0);
-        Duration::from_secs_f64((spec.estimate * ratio).clamp(0.1, 1e6))
+        Duration::from_secs_f64((spec.estimated_runtime_s * ratio).clamp(0.1, 1e6))
     }
 
     /// When a job should start at the latest, by its deadline and by what its
     /// class expects.
     pub(super) fn due(&self, spec: &JobSpec, accepted: Duration) -> Duration {
-        let expected = self.settings.expectations.get(&spec.class).copied().unwrap_or_default();
+        let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
         let done =
             self.done_within(spec).map(|within| (accepted + within).saturating_sub(self.estimate(spec)));
-        let wait = expected.wait.map(|within| accepted + within);
+        let wait = expected.start_within.map(|within| accepted + within);
         let default = accepted + Duration::from_secs(600);
         [done, wait].into_iter().flatten().min().unwrap_or(default)
     }
@@ -22,32 +22,32 @@
     /// Until when a task can start so that it may be lost with its machine, unseen,
     /// and still be done in time.
     fn again_by(&self, spec: &JobSpec, accepted: Duration) -> Duration {
-        let need = self.estimate(spec) * 2 + self.settings.silence();
+        let need = self.estimate(spec) * 2 + self.settings.failover_heartbeat_timeout();
         self.done_within(spec).map_or(Duration::MAX, |within| (accepted + within).saturating_sub(need))
     }
 
     /// The time in which a job should be done, by its deadline and its class.
     pub(super) fn done_within(&self, spec: &JobSpec) -> Option<Duration> {
-        let expected = self.settings.expectations.get(&spec.class).copied().unwrap_or_default();
-        let deadline = spec.due.map(|d| Duration::from_secs_f64(d.min(1e7)));
-        [deadline, expected.finished].into_iter().flatten().min()
+        let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
+        let deadline = spec.deadline_s.map(|d| Duration::from_secs_f64(d.min(1e7)));
+        [deadline, expected.finish_within].into_iter().flatten().min()
     }
 
     pub(super) fn teams(&self) -> Vec<TeamUsage> {
         let room = |team: &Team| TeamUsage {
-            guarantee: Resources { cpus: team.cpus, gpus: team.gpus, ram: 0.0 },
-            cap: Resources { cpus: team.cpus_max, gpus: team.gpus_max, ram: 0.0 },
+            guarantee: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
+            cap: Resources { cpus: team.max_cpus, gpus: team.max_gpus, ram_gb: 0.0 },
             used: Resources::default(),
         };
         let mut rooms: Vec<TeamUsage> = self.settings.teams.values().map(room).collect();
         for entry in self.ledger.jobs.values().filter(|e| e.placed > 0) {
             if let Some(team) = self.team_of(&entry.spec) {
-                let each = &entry.spec.each;
+                let each = &entry.spec.demand;
                 let many = f64::from(entry.placed);
                 rooms[team].used.add(&Resources {
                     cpus: each.cpus * many,
                     gpus: each.gpus * many,
-                    ram: each.ram * many,
+                    ram_gb: each.ram_gb * many,
                 });
             }
         }
@@ -63,17 +63,17 @@
     pub(super) fn all_of(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
         Work {
             team,
-            urgency: spec.urgency,
+            urgency: spec.priority,
             guaranteed: false,
             accepted,
             due: self.due(spec, accepted),
             again_by: self.again_by(spec, accepted),
-            each: spec.each,
+            each: spec.demand,
             image: self.image(spec),
             image_gb: spec.image_gb,
             pools: self.places.allowed(spec),
-            one_zone: spec.one_zone,
-            zone_most: if spec.scatter { spec.tasks.div_ceil(2) } else { u32::MAX },
+            one_zone: spec.single_zone,
+            zone_most: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
             estimate: self.estimate(spec),
             pending: spec.tasks,
             gang: spec.gang,
@@ -127,8 +127,8 @@
         let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
         for (id, entry) in self.ledger.jobs.iter().filter(|(_, e)| live(e)) {
             let Some(team) = self.team_of(&entry.spec) else { continue };
-            let (each, many) = (&entry.spec.each, f64::from(entry.unfinished()));
-            let need = Resources { cpus: each.cpus * many, gpus: each.gpus * many, ram: 0.0 };
+            let (each, many) = (&entry.spec.demand, f64::from(entry.unfinished()));
+            let need = Resources { cpus: each.cpus * many, gpus: each.gpus * many, ram_gb: 0.0 };
             if !entry.stale && entry.not_before <= now && entry.placeable() {
                 waiting.push((id.clone(), entry.spec.clone(), team, needs.len()));
             }
@@ -173,7 +173,7 @@
             running: Vec::new(),
             images: machine.images.iter().copied().collect(),
             fetching: 0,
-            pull_gb_per_s: rig.pull_gb_per_s,
+            pull_gb_per_s: rig.image_fetch_gb_per_s,
         };
         for task in self.ledger.on_host(host) {
             let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(task))
@@ -197,7 +197,7 @@
                 (end, grace) = (Duration::ZERO, STOPPING);
             }
             let team = self.team_of(spec).unwrap_or(0);
-            slot.run(Running { end, grace, each: spec.each, team, booked: false });
+            slot.run(Running { end, grace, each: spec.demand, team, booked: false });
         }
         Some(slot)
     }
@@ -227,9 +227,9 @@
             let mut slot = sketch.clone();
             slot.overdue(now);
             slot.ready = if !machine.proven {
-                (machine.since + rig.boot).max(now + Duration::from_secs(3))
-            } else if machine.doubtful(now, self.settings.gap()) {
-                now + self.settings.report
+                (machine.since + rig.boot_time).max(now + Duration::from_secs(3))
+            } else if machine.doubtful(now, self.settings.heartbeat_timeout()) {
+                now + self.settings.heartbeat_interval
             } else {
                 now.max(machine.full_until)
             };
@@ -377,7 +377,7 @@
             else {
                 continue;
             };
-            let (each, urgency) = (entry.spec.each, entry.spec.urgency);
+            let (each, urgency) = (entry.spec.demand, entry.spec.priority);
             if attempt.stop {
                 found.room.add(&each);
                 continue;
--- a/crates/plankhead-core/src/leader/renting.rs
+++ b/crates/plankhead-core/src/leader/renting.rs
@@ -36,7 +36,7 @@
 impl Leader {
     pub(super) fn rent_machines(&mut self, now: Duration, out: &mut EffectSink) {
         self.retry_rentals(now, out);
-        for (rig, size) in self.target.rigs.clone() {
+        for (rig, size) in self.target.sizes.clone() {
             let coming = |spot: Option<bool>| -> u32 {
                 let such = |r: &&PendingRental| r.pool.rig == rig && spot.is_none_or(|s| s == r.pool.spot);
                 self.rentals.iter().filter(such).map(|r| r.count).sum()
@@ -101,7 +101,7 @@
     /// Chooses the machines that go back: those above the target as they fall idle,
     /// and empty ones that are about to be taken.
     pub(super) fn give_back(&mut self, now: Duration) {
-        for (rig, size) in self.target.rigs.clone() {
+        for (rig, size) in self.target.sizes.clone() {
             let mut surplus = self.fleet.count(&rig).saturating_sub(size.machines);
             let mut idle: Vec<(bool, Duration, MachineName)> = self
                 .fleet
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -26,7 +26,7 @@
             LeaderCall::WatchJobs { sent } => {
                 self.following = false;
                 match reply {
-                    Ok(KvReply::Events { epoch, events }) => {
+                    Ok(KvReply::Events { revision: epoch, events }) => {
                         for event in events {
                             if let WatchEvent::Put(row) = event {
                                 self.job_row(times, &row, requests);
@@ -44,7 +44,7 @@
             LeaderCall::ReadChunk(id, number) => {
                 self.reading.remove(&self.chunk_key(&id, number));
                 if let Ok(KvReply::Value(row)) = reply {
-                    self.ledger.restamp(&id, number, row.map_or(0, |r| r.stamp));
+                    self.ledger.restamp(&id, number, row.map_or(0, |r| r.mod_revision));
                 } else {
                     self.hold_until = now + PAUSE;
                 }
@@ -112,7 +112,7 @@
         self.txns -= 1;
         let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
-            Ok(KvReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { revision: epoch }) => {
                 let mut hosts = BTreeSet::new();
                 for (id, number, version) in &batch.chunks {
                     hosts.extend(self.ledger.committed(id, *number, *version, epoch));
@@ -125,7 +125,7 @@
                     if self.ledger.finished(id) {
                         self.garbage.extend(stored);
                         requests.over(id, Status::Done, tasks);
-                        let record = JobRecord::last(Phase::Done, tasks);
+                        let record = JobRecord::finished(Phase::Done, tasks);
                         self.archive.push_back((id.clone(), epoch, record));
                     }
                 }
@@ -175,7 +175,7 @@
             self.cloud_heard = Some(now);
         }
         match (leader_call, reply) {
-            (LeaderCall::ListInstances, Ok(CloudReply::Instances { hosts, truncated })) => {
+            (LeaderCall::ListInstances, Ok(CloudReply::Instances { instances: hosts, truncated })) => {
                 self.listing = false;
                 self.list.extend(hosts);
                 if truncated {
@@ -244,7 +244,7 @@
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
         if let CommandReply::Answered(report) = reply {
-            if report.host == host {
+            if report.machine == host {
                 self.hear(times, &report, true, out);
             }
         }
--- a/crates/plankhead-core/src/leader/rounds.rs
+++ b/crates/plankhead-core/src/leader/rounds.rs
@@ -88,8 +88,8 @@
 /// How many such tasks an empty machine holds.
 fn most_on(work: &Work, room: &Resources) -> u32 {
     let of = |have: f64, need: f64| if need > 0.0 { (have / need + 1e-6).floor() } else { f64::MAX };
-    let Resources { cpus, gpus, ram } = work.each;
-    of(room.cpus, cpus).min(of(room.gpus, gpus)).min(of(room.ram, ram)).min(1e6) as u32
+    let Resources { cpus, gpus, ram_gb: ram } = work.each;
+    of(room.cpus, cpus).min(of(room.gpus, gpus)).min(of(room.ram_gb, ram)).min(1e6) as u32
 }
 
 /// Machines that a job takes at least at a time: a gang all of it, and so many in
@@ -108,9 +108,9 @@
     /// far it goes under overload.
     fn capacity(&self, rig: &str, now: Duration) -> (u32, u32) {
         let cpus = self.fleet.resources(rig).map_or(1.0, |r| r.cpus.max(1.0));
-        let guaranteed: f64 = self.settings.teams.values().map(|t| t.cpus).sum();
+        let guaranteed: f64 = self.settings.teams.values().map(|t| t.guaranteed_cpus).sum();
         let fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
-        let set = self.settings.sizing.capacity;
+        let set = self.settings.sizing.max_machines;
         let known = self.fleet.learned(rig, now).unwrap_or(u32::MAX);
         let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
         (bound(1.0), bound(BORROWED))
@@ -119,7 +119,7 @@
     /// The time between rounds: longer than a boot, so that each sees what the one
     /// before brought.
     pub(super) fn interval(&self) -> Duration {
-        let boot = self.fleet.rigs.values().map(|r| r.boot).max().unwrap_or_default();
+        let boot = self.fleet.rigs.values().map(|r| r.boot_time).max().unwrap_or_default();
         self.settings.sizing.interval.unwrap_or(LEAST_ROUND.max(boot.mul_f64(ROUND_BOOTS)))
     }
 
@@ -139,18 +139,19 @@
             return;
         }
         let Some(round) = self.round.take() else { return };
-        let mut target = Target { round: self.target.round + 1, at_ms: times.wall_ms(), rigs: round.sizes() };
+        let mut target =
+            Target { round: self.target.round + 1, at_ms: times.wall_ms(), sizes: round.sizes() };
         if round.cold {
-            for (rig, before) in &self.target.rigs {
-                let size = target.rigs.entry(rig.clone()).or_default();
+            for (rig, before) in &self.target.sizes {
+                let size = target.sizes.entry(rig.clone()).or_default();
                 size.machines = size.machines.max(before.machines);
                 size.ordinary = size.ordinary.max(before.ordinary);
             }
         }
-        let level = if target.rigs == self.target.rigs { LogLevel::Debug } else { LogLevel::Info };
+        let level = if target.sizes == self.target.sizes { LogLevel::Debug } else { LogLevel::Info };
         let took = now.saturating_sub(round.began).as_millis();
         let trials = round.trace.join(" ");
-        out.log(level, format!("round {}: {:?} in {took} ms, {trials}", target.round, target.rigs));
+        out.log(level, format!("round {}: {:?} in {took} ms, {trials}", target.round, target.sizes));
         self.target = target;
         self.target_dirty = true;
     }
@@ -219,11 +220,11 @@
             slot.ready = now;
         }
         let busy = if strict { 0 } else { held.iter().filter(|s| !s.running.is_empty()).count() as u32 };
-        let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram: kind.ram };
+        let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram_gb: kind.ram };
         let widest = work.iter().map(|w| width(w, &total, kind.zones.len())).max();
         let least = busy.max(widest.unwrap_or(0));
         let (most, beyond) = self.capacity(rig, now);
-        let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.threshold);
+        let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.max_slowdown);
         let fresh = ordinary
             .into_iter()
             .map(|(pool, zone)| Slot {
@@ -278,7 +279,7 @@
             }
             let mut fits = Vec::new();
             for (name, rig) in &self.fleet.rigs {
-                let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram: rig.ram };
+                let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram };
                 let pool = |zone: &String, spot| Pool { rig: name.clone(), zone: zone.clone(), spot };
                 let ordinary = rig.zones.iter().any(|z| w.allows(self.places.pool(&pool(z, false))));
                 let spot = rig.zones.iter().any(|z| w.allows(self.places.pool(&pool(z, true))));
@@ -292,7 +293,7 @@
             let more = lacking.div_ceil(most_on(w, &self.fleet.resources(&rig).unwrap_or_default()).max(1));
             let ordinary: u32 =
                 self.fleet.pools(&rig).iter().filter(|p| !p.spot).map(|p| self.fleet.staying(p)).sum();
-            let size = self.target.rigs.entry(rig).or_default();
+            let size = self.target.sizes.entry(rig).or_default();
             if size.machines <= count && self.rentals.is_empty() {
                 size.machines = count + more;
                 self.target_dirty = true;
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -145,7 +145,7 @@
             let doubt = shards.registry.is_in_doubt();
             return if doubt { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
         }
-        let shard = shards.registry.shard_of(&report.zone, &report.host);
+        let shard = shards.registry.shard_of(&report.zone, &report.machine);
         match self.other_holder(&shard) {
             Some((host, epoch)) => LeaderRoute::Holder { host, epoch },
             None => LeaderRoute::Own,
@@ -163,8 +163,8 @@
     pub fn inherit(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
         let Some(report) = &machine.report else { return };
         self.hear(times, report, false, out);
-        self.vouch(&report.host, machine.proven, machine.heard);
-        if let Some(own) = self.fleet.machines.get_mut(&report.host) {
+        self.vouch(&report.machine, machine.proven, machine.heard);
+        if let Some(own) = self.fleet.machines.get_mut(&report.machine) {
             own.relayed = machine.relayed;
         }
     }
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -21,7 +21,7 @@
         let waits = |machine: &&Machine| {
             let report = machine.report.as_ref();
             let ended =
-                report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.seen, TaskStatus::Exited(_))));
+                report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.status, TaskStatus::Exited(_))));
             ended || self.ledger.on_host(&machine.name).next().is_some()
         };
         let hosts: Vec<MachineName> =
@@ -108,7 +108,7 @@
         let told = machines.iter().map(|machine| machine.host.clone()).collect();
         let message = LeaderCommands {
             host: self.settings.host.clone(),
-            stamp: MessageStamp { boot: self.settings.boot, sequence },
+            stamp: MessageStamp { boot: self.settings.boot_id, sequence },
             answers: peer.latest,
             latest_epoch,
             token: self.token,
@@ -157,7 +157,7 @@
     pub fn orders_told(&mut self, now: Duration, to: &str, told: SentShardCommands, delivery: Delivery) {
         let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(to)) else { return };
         peer.sending = false;
-        peer.retry = now + self.settings.message_pause();
+        peer.retry = now + self.settings.shard_message_interval();
         if delivery != Delivery::Accepted {
             peer.retry = now + RETRY;
             for host in told.machines {
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -10,7 +10,7 @@
         let Some(shards) = &self.shards else { return around };
         let there =
             |peer: &&Peer| peer.sees_records && now.saturating_sub(peer.heard) < settings.holder_timeout;
-        let own = (&self.settings.host, &self.settings.zone, settings.leader_capacity, self.settings.boot);
+        let own = (&self.settings.host, &self.settings.zone, settings.leader_capacity, self.settings.boot_id);
         let peers = shards.peers.iter().filter(|(_, peer)| there(peer));
         let peers = peers.map(|(host, peer)| (host, &peer.zone, 1.0, peer.boot));
         for (host, zone, capacity, boot) in peers.chain([own]) {
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn write_records(&mut self, now: Duration, out: &mut EffectSink) {
-        let most = self.settings.txn_ops.min(self.writes.available(now));
+        let most = self.settings.max_txn_changes.min(self.writes.available(now));
         let around = self.surroundings(now);
         let Some(shards) = &mut self.shards else { return };
         shards.write_due = shards.registry.next_due(now);
@@ -58,13 +58,14 @@
             return;
         }
         self.writes.take(now, writes.len());
-        let condition = |write: &RecordWrite| Condition { key: write.shard.key(), stamp: write.revision };
+        let condition =
+            |write: &RecordWrite| Condition { key: write.shard.key(), mod_revision: write.revision };
         let conditions = [self.lead()].into_iter().chain(writes.iter().map(condition)).collect();
         let change = |write: &RecordWrite| {
             let key = write.shard.key();
             let value = write.record.as_ref().and_then(|record| serde_json::to_string(record).ok());
             match value {
-                Some(value) => KvChange::Put { key, value, hold: None },
+                Some(value) => KvChange::Put { key, value, lease: None },
                 None => KvChange::Delete { key },
             }
         };
@@ -82,7 +83,7 @@
         out: &mut EffectSink,
     ) -> bool {
         let outcome = match reply {
-            Ok(KvReply::Committed { epoch }) => WriteOutcome::Committed { revision: epoch },
+            Ok(KvReply::Committed { revision: epoch }) => WriteOutcome::Committed { revision: epoch },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
--- a/crates/plankhead-core/src/leader/shards/reports.rs
+++ b/crates/plankhead-core/src/leader/shards/reports.rs
@@ -11,7 +11,7 @@
         out: &mut EffectSink,
     ) -> Delivery {
         let now = times.now;
-        let sibling = self.settings.siblings.contains(&message.host);
+        let sibling = self.settings.peers.contains(&message.host);
         let Some(shards) = self.shards.as_mut() else { return Delivery::Unsupported };
         let meant = sibling && message.term == self.token;
         let admitted = if meant { shards.guard.admit(&message.host, message.stamp).ok() } else { None };
@@ -36,7 +36,7 @@
             peer.due.extend(std::mem::take(&mut peer.sent).into_keys());
         }
         for news in &message.news {
-            peer.names.learn(news.number, news.report.host.clone());
+            peer.names.learn(news.number, news.report.machine.clone());
         }
         let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
@@ -77,7 +77,7 @@
     ) -> bool {
         let report = &news.report;
         let shards = self.shards.as_mut();
-        let Some(shard) = shards.map(|shards| shards.registry.shard_of(&report.zone, &report.host)) else {
+        let Some(shard) = shards.map(|shards| shards.registry.shard_of(&report.zone, &report.machine)) else {
             return false;
         };
         if self.other_holder(&shard).is_none_or(|(of, _)| of != holder) {
@@ -87,14 +87,14 @@
             return false;
         }
         self.hear(times, report, false, out);
-        self.vouch(&report.host, news.proven, times.now.saturating_sub(news.age));
-        if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
+        self.vouch(&report.machine, news.proven, times.now.saturating_sub(news.age));
+        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
             machine.unanswered = news.unanswered;
             if news.deaf {
                 machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
-        self.order_due(&report.host);
+        self.order_due(&report.machine);
         true
     }
 }
--- a/crates/plankhead-core/src/leader/takeover.rs
+++ b/crates/plankhead-core/src/leader/takeover.rs
@@ -33,7 +33,7 @@
         requests: &mut RequestHandler,
         out: &mut EffectSink,
     ) {
-        let Ok(KvReply::Page { rows, truncated, epoch }) = reply else {
+        let Ok(KvReply::Page { rows, truncated, revision: epoch }) = reply else {
             return self.load_failed(times.now);
         };
         self.epoch.get_or_insert(epoch);
@@ -67,9 +67,9 @@
             });
             match (id, number) {
                 (Some(id), Some(_)) if !self.ledger.jobs.contains_key(&id) => {
-                    self.garbage.push(StoredKey { key: row.key, revision: Some(row.stamp) });
+                    self.garbage.push(StoredKey { key: row.key, revision: Some(row.mod_revision) });
                 }
-                (Some(id), Some(number)) => self.rows.push((id, number, row.value, row.stamp)),
+                (Some(id), Some(number)) => self.rows.push((id, number, row.value, row.mod_revision)),
                 _ => out.log(LogLevel::Error, format!("strange key {}", row.key)),
             }
         }
@@ -103,7 +103,7 @@
         self.all_new |= !small.is_empty();
         self.load_chunks(rows, now, out);
         if self.all_new {
-            self.ledger.lay_anew(tasks_per_chunk(self.settings.value_bytes));
+            self.ledger.lay_anew(tasks_per_chunk(self.settings.max_value_bytes));
         }
         self.load_chunks(small, now, out);
         self.ledger.loaded();
@@ -172,7 +172,7 @@
                 let stored = self.ledger.jobs.get(&id).map(|e| e.stored(&id)).unwrap_or_default();
                 let news = self.ledger.finished(&id);
                 if self.stage == Stage::Loading || news {
-                    self.archive.push_back((id.clone(), row.stamp, record));
+                    self.archive.push_back((id.clone(), row.mod_revision, record));
                 }
                 if news {
                     self.garbage.extend(stored);
@@ -202,7 +202,7 @@
                 }
             }
         }
-        self.ledger.upsert(&id, record, row.stamp, accepted, cancelled, per_chunk);
+        self.ledger.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
         self.dirty = true;
     }
 
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -85,7 +85,7 @@
             .take(1000)
             .map(|(id, e)| {
                 serde_json::json!({
-                    "nameId": id, "lane": e.spec.class, "crew": e.spec.team, "urgency": e.spec.urgency,
+                    "nameId": id, "lane": e.spec.class, "crew": e.spec.team, "urgency": e.spec.priority,
                     "ageS": now.saturating_sub(e.accepted).as_secs_f64(),
                     "pieces": e.spec.tasks, "done": e.done, "running": e.running,
                     "late": self.late(e, now), "stuck": self.stuck(e, now),
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -33,32 +33,32 @@
         let now = times.now;
         self.reached |= !relayed;
         if !self.permits(Action::AnswerReports, now) {
-            return Response::Unavailable { retry: Duration::from_secs(1) };
+            return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        if !self.may_answer(now) || self.fleet.is_gone(&report.host) {
+        if !self.may_answer(now) || self.fleet.is_gone(&report.machine) {
             // What it tells counts all the same, and that it is there.
             self.hear(times, &report, false, out);
-            return Response::Unavailable { retry: Duration::from_secs(1) };
+            return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        let host = report.host.clone();
+        let host = report.machine.clone();
         let heard = self.hear(times, &report, false, out);
         let token = self.token_for(&host);
         let orders = self.orders(now, &host, requests);
         let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
-            return Response::Commands { token, orders: Vec::new() };
+            return Response::Commands { token, commands: Vec::new() };
         };
         machine.relayed = relayed;
         if !relayed {
             machine.direct = now;
         }
-        if machine.is_sent_off(adrift, self.settings.lease, now) {
-            return Response::Redirect { foreman: None };
+        if machine.is_sent_off(adrift, self.settings.worker_lease, now) {
+            return Response::Redirect { leader: None };
         }
         machine.note_answer(&orders, now);
         self.note_offers(&orders, token);
-        Response::Commands { token, orders }
+        Response::Commands { token, commands: orders }
     }
 
     /// Notes which attempts a worker may be told to run from now on, and under which token.
@@ -80,7 +80,7 @@
         ours: bool,
         out: &mut EffectSink,
     ) -> HeartbeatNews {
-        let up = |fleet: &Fleet| fleet.machines.get(&report.host).is_some_and(Machine::up);
+        let up = |fleet: &Fleet| fleet.machines.get(&report.machine).is_some_and(Machine::up);
         let before = up(&self.fleet);
         let heard = match ours {
             true => self.fleet.answered(report, self.token, times.now),
@@ -108,31 +108,31 @@
         };
         if lost > 0 {
             // Such an attempt is neither there nor proven gone.
-            if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
+            if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
                 machine.leaving.get_or_insert(RemovalReason::LostAttempts);
             }
         }
         for listed in report.tasks.iter().filter(|_| heard == HeartbeatNews::Changed) {
             // Who waits for other tasks of a gang has the image.
-            if !matches!(listed.seen, TaskStatus::Running | TaskStatus::WaitingForGang) {
+            if !matches!(listed.status, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
             }
             if let Some(spec) = self.ledger.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
                 let image = self.image(&spec);
-                self.fleet.imaged(&report.host, image, &self.places);
+                self.fleet.imaged(&report.machine, image, &self.places);
             }
         }
         for end in ended {
-            self.ended(now, &report.host, &end, out);
+            self.ended(now, &report.machine, &end, out);
             self.dirty = true;
         }
-        if let Some(left) = report.warning {
-            self.leave_in_time(now, &report.host, left, out);
+        if let Some(left) = report.preemption_notice {
+            self.leave_in_time(now, &report.machine, left, out);
         }
         self.tell_urgent(now, out);
-        if let Some(machine) = self.fleet.machines.get_mut(&report.host) {
-            let idle = report.tasks.iter().all(|t| matches!(t.seen, TaskStatus::Exited(_)));
-            match (idle && self.ledger.on_host(&report.host).next().is_none(), machine.idle_since) {
+        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+            let idle = report.tasks.iter().all(|t| matches!(t.status, TaskStatus::Exited(_)));
+            match (idle && self.ledger.on_host(&report.machine).next().is_none(), machine.idle_since) {
                 (true, None) => {
                     machine.idle_since = Some(now);
                     self.dirty = true;
@@ -176,8 +176,8 @@
                 machine.errors = 0;
                 entry.errors = 0;
                 entry.error_hosts.clear();
-                if let Some(ran) = end.ran.filter(|_| entry.spec.estimate > 0.5) {
-                    let ratio = (ran.as_secs_f64() / entry.spec.estimate).clamp(0.2, 5.0);
+                if let Some(ran) = end.ran.filter(|_| entry.spec.estimated_runtime_s > 0.5) {
+                    let ratio = (ran.as_secs_f64() / entry.spec.estimated_runtime_s).clamp(0.2, 5.0);
                     let mean = self.ratios.entry(entry.spec.class.clone()).or_insert(1.0);
                     *mean += 0.1 * (ratio - *mean);
                 }
@@ -221,7 +221,7 @@
         let Some(report) = &machine.report else { return Vec::new() };
         let mut orders = Vec::new();
         let (reaps, kills) = (self.permits(Action::AcknowledgeEnds, now), self.permits(Action::Kill, now));
-        for ReportedTask { task, attempt, seen } in report.tasks.iter() {
+        for ReportedTask { task, attempt, status: seen } in report.tasks.iter() {
             let attempt = *attempt;
             if matches!(seen, TaskStatus::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
@@ -231,7 +231,7 @@
                     orders.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
             } else if let Some(leeway) = self.unwanted(host, task, attempt, requests).filter(|_| kills) {
-                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, leeway });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, grace: leeway });
             }
         }
         orders.extend(self.unheard(now, machine, report));
@@ -263,8 +263,8 @@
     pub(super) fn leeway(&self, task: &TaskId) -> Duration {
         let Some(entry) = self.ledger.jobs.get(&task.job) else { return Duration::ZERO };
         // A gang that lost a task saves nothing any more.
-        let saves = entry.phase == Phase::Active && entry.spec.checkpoint > 0.0 && !entry.broken();
-        let save = Duration::from_secs_f64(entry.spec.save.min(3600.0));
+        let saves = entry.phase == Phase::Active && entry.spec.checkpoint_interval_s > 0.0 && !entry.broken();
+        let save = Duration::from_secs_f64(entry.spec.checkpoint_duration_s.min(3600.0));
         if saves && save <= MOST_LEEWAY {
             MOST_LEEWAY
         } else {
@@ -282,13 +282,14 @@
             let ending = |e: &&JobEntry| e.phase == Phase::Active && e.ending();
             let found = self.ledger.jobs.get(&task.job).filter(ending).and(self.ledger.attempt(task));
             let Some(attempt) = found else { continue };
-            let told = attempt.offered.is_some() && attempt.seen.is_none() && attempt.shift == report.shift;
+            let told =
+                attempt.offered.is_some() && attempt.seen.is_none() && attempt.shift == report.incarnation;
             let listed = report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt.number);
             if told && !listed {
                 let number = attempt.number;
                 orders.push(WorkerCommand::Run { task: task.clone(), attempt: number });
                 let leeway = Duration::ZERO;
-                orders.push(WorkerCommand::Kill { task: task.clone(), attempt: number, leeway });
+                orders.push(WorkerCommand::Kill { task: task.clone(), attempt: number, grace: leeway });
             }
         }
         orders
@@ -354,7 +355,7 @@
             if let Some(a) = self.ledger.attempt_mut(task) {
                 a.kill_told = true;
             }
-            orders.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, leeway });
+            orders.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, grace: leeway });
         }
         let token = self.token_for(host);
         for (task, attempt) in &runs {
--- a/crates/plankhead-core/src/leader/writing.rs
+++ b/crates/plankhead-core/src/leader/writing.rs
@@ -19,7 +19,7 @@
         }
         while self.txns < MOST_TXNS {
             let available = self.writes.available(now);
-            let most = self.settings.txn_ops.min(available);
+            let most = self.settings.max_txn_changes.min(available);
             if most == 0 {
                 return;
             }
@@ -48,7 +48,7 @@
     fn waiting_placements(&self) -> Vec<(JobId, u32)> {
         let order = |(id, number): &(JobId, u32)| {
             let entry = self.ledger.jobs.get(id)?;
-            Some(((std::cmp::Reverse(entry.spec.urgency), entry.accepted), (id.clone(), *number)))
+            Some(((std::cmp::Reverse(entry.spec.priority), entry.accepted), (id.clone(), *number)))
         };
         let mut waiting: Vec<_> = self.ledger.placing.iter().filter_map(order).collect();
         waiting.sort();
@@ -86,10 +86,10 @@
                 return;
             }
             let key = id.chunk_key(number, entry.laid_anew);
-            txn.condition(Condition { key: id.key(), stamp: entry.stamp });
-            txn.condition(Condition { key: key.clone(), stamp: chunk.stamp });
+            txn.condition(Condition { key: id.key(), mod_revision: entry.stamp });
+            txn.condition(Condition { key: key.clone(), mod_revision: chunk.stamp });
             txn.bytes += value.len() + 400;
-            txn.changes.push(KvChange::Put { key, value, hold: None });
+            txn.changes.push(KvChange::Put { key, value, lease: None });
             txn.batch.chunks.push((id.clone(), number, version));
             if let Some(chunk) = self.ledger.jobs.get_mut(&id).and_then(|e| e.chunks.get_mut(&number)) {
                 chunk.writing = true;
@@ -108,13 +108,13 @@
             if entry.phase != Phase::Active || entry.stale || entry.finishing || writing {
                 continue;
             }
-            let record = JobRecord::last(Phase::Done, entry.spec.tasks);
+            let record = JobRecord::finished(Phase::Done, entry.spec.tasks);
             let Ok(value) = serde_json::to_string(&record) else { continue };
             entry.finishing = true;
             let stamp = entry.stamp;
-            txn.condition(Condition { key: id.key(), stamp });
+            txn.condition(Condition { key: id.key(), mod_revision: stamp });
             txn.bytes += value.len() + 200;
-            txn.changes.push(KvChange::Put { key: id.key(), value, hold: None });
+            txn.changes.push(KvChange::Put { key: id.key(), value, lease: None });
             txn.batch.finals.push(id.clone());
         }
     }
@@ -142,7 +142,7 @@
                 // The next leader would wait for proof of all that is left here.
                 let before = self.garbage.len();
                 self.discard(&id, &entry);
-                self.archive.push_back((id, entry.stamp, JobRecord::last(Phase::Cancelled, 0)));
+                self.archive.push_back((id, entry.stamp, JobRecord::finished(Phase::Cancelled, 0)));
                 let added = self.garbage.len() - before;
                 self.garbage.rotate_right(added);
                 self.pressing += added;
@@ -175,7 +175,7 @@
 
     fn write_target(&mut self, now: Duration, out: &mut EffectSink) {
         let Ok(value) = serde_json::to_string(&self.target) else { return };
-        if value.len() > self.settings.value_bytes {
+        if value.len() > self.settings.max_value_bytes {
             self.target_dirty = false;
             return out.log(LogLevel::Error, "the target is too large to be stored".into());
         }
@@ -184,13 +184,13 @@
         }
         self.target_dirty = false;
         self.target_writing = true;
-        let changes = vec![KvChange::Put { key: TARGET.into(), value, hold: None }];
+        let changes = vec![KvChange::Put { key: TARGET.into(), value, lease: None }];
         self.state(LeaderCall::WriteTarget, KvRequest::Txn { conditions: vec![self.lead()], changes }, out);
     }
 
     /// Drops chunks that nobody needs, when there is room to write.
     pub(super) fn sweep(&mut self, now: Duration, out: &mut EffectSink) {
-        let spare = self.writes.available(now) as f64 >= self.settings.write_rps * 0.4;
+        let spare = self.writes.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
         let due = spare || self.pressing > 0;
         if self.sweeping || !due || now < self.hold_until {
             return;
@@ -199,7 +199,7 @@
             return self.put_away(now, out);
         }
         let most = if spare { self.garbage.len() } else { self.pressing.min(self.garbage.len()) };
-        let most = self.settings.txn_ops.min(most).min(self.writes.available(now));
+        let most = self.settings.max_txn_changes.min(most).min(self.writes.available(now));
         let mut keys: Vec<StoredKey> = self.garbage.drain(..most).collect();
         keys.sort_by(|a, b| a.key.cmp(&b.key));
         keys.dedup_by(|a, b| a.key == b.key);
@@ -213,7 +213,7 @@
         self.sweeping = true;
         let mut conditions = vec![self.lead()];
         if self.duties.fenced() {
-            let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), stamp: k.revision? });
+            let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), mod_revision: k.revision? });
             conditions.extend(keys.iter().filter_map(revision));
         }
         let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
@@ -251,7 +251,7 @@
             _ if needed => {}
             Ok(KvReply::Value(None)) => {}
             Ok(KvReply::Value(Some(row))) => {
-                self.garbage.push(StoredKey { key, revision: Some(row.stamp) });
+                self.garbage.push(StoredKey { key, revision: Some(row.mod_revision) });
             }
             _ => self.garbage.push(StoredKey { key, revision: None }),
         }
@@ -259,7 +259,7 @@
 
     /// Moves records of jobs that are over to where no new leader reads them.
     fn put_away(&mut self, now: Duration, out: &mut EffectSink) {
-        let most = (self.settings.txn_ops / 2).min(self.archive.len());
+        let most = (self.settings.max_txn_changes / 2).min(self.archive.len());
         if most == 0 || !self.writes.take(now, most * 2) {
             return;
         }
@@ -269,8 +269,8 @@
         let mut changes = Vec::new();
         for (id, stamp, record) in &finals {
             let Ok(value) = serde_json::to_string(record) else { continue };
-            conditions.push(Condition { key: id.key(), stamp: *stamp });
-            changes.push(KvChange::Put { key: id.over_key(), value, hold: None });
+            conditions.push(Condition { key: id.key(), mod_revision: *stamp });
+            changes.push(KvChange::Put { key: id.archive_key(), value, lease: None });
             changes.push(KvChange::Delete { key: id.key() });
         }
         self.state(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, out);
--- a/crates/plankhead-core/src/ledger.rs
+++ b/crates/plankhead-core/src/ledger.rs
@@ -719,9 +719,9 @@
     /// listed is not there and can't come. That is enough to forget attempts of
     /// cancelled jobs, of which no new ones will be made.
     pub fn observe(&mut self, report: &Heartbeat, own: bool, now: Duration) -> (Vec<Ended>, u32) {
-        let here: Vec<TaskId> = self.on_host(&report.host).cloned().collect();
+        let here: Vec<TaskId> = self.on_host(&report.machine).cloned().collect();
         let listed: HashMap<(&TaskId, u64), TaskStatus> =
-            report.tasks.iter().map(|l| ((&l.task, l.attempt), l.seen)).collect();
+            report.tasks.iter().map(|l| ((&l.task, l.attempt), l.status)).collect();
         let mut ended = Vec::new();
         let mut lost = 0;
         for id in here {
@@ -729,13 +729,13 @@
             let number = attempt.number;
             let (stopped, running) = (attempt.stop, attempt.running);
             let finish = |cause, ran| Ended { task: id.clone(), attempt: number, cause, ran, stopped };
-            if attempt.shift < report.shift {
+            if attempt.shift < report.incarnation {
                 ended.push(finish(None, None));
                 self.end(&id, false);
                 self.note_end(&id, now);
                 continue;
             }
-            if attempt.shift > report.shift {
+            if attempt.shift > report.incarnation {
                 continue;
             }
             match listed.get(&(&id, number)) {
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -95,8 +95,8 @@
             requests: RequestHandler::new(settings.clone()),
             election: Election::new(
                 settings.host.clone(),
-                settings.boot,
-                CpuBudget::new(settings.cpu).leader_lease(),
+                settings.boot_id,
+                CpuBudget::new(settings.cpu_share).leader_lease(),
             ),
             version_barrier: VersionBarrier::new(&settings),
             settings,
@@ -123,9 +123,11 @@
     /// all; when the state service fails all, nobody does.
     pub fn healthy(&self, now: Duration) -> bool {
         let refused = self.state_bad.is_some_and(|since| now.saturating_sub(since) > REFUSED);
-        let better =
-            self.siblings.values().any(|(at, pulse)| now.saturating_sub(*at) < PULSE_LIFE && pulse.state_ok);
-        let alone = !self.settings.siblings.is_empty() && !self.company(now);
+        let better = self
+            .siblings
+            .values()
+            .any(|(at, pulse)| now.saturating_sub(*at) < PULSE_LIFE && pulse.kv_available);
+        let alone = !self.settings.peers.is_empty() && !self.company(now);
         !(refused && (better || alone))
     }
 
@@ -229,13 +231,13 @@
     fn handle(&mut self, times: StepTime, event: Event) {
         let now = times.now;
         match event {
-            Event::Submit { ask, id, job } => {
+            Event::Submit { request: ask, id, job } => {
                 let takes = (&self.rigs, self.version_barrier.open());
                 self.requests.submit(times, ask, id, job, takes, &mut self.out);
             }
-            Event::Poll { ask, id } => self.requests.poll(now, ask, id, &mut self.out),
-            Event::Cancel { ask, id } => self.requests.abort(now, ask, id, &mut self.out),
-            Event::Heartbeat { ask, report, relayed } => {
+            Event::Poll { request: ask, id } => self.requests.poll(now, ask, id, &mut self.out),
+            Event::Cancel { request: ask, id } => self.requests.abort(now, ask, id, &mut self.out),
+            Event::Heartbeat { request: ask, heartbeat: report, relayed } => {
                 let Some(report) = self.hold(now, ask, report, relayed) else { return };
                 let answer = self.beat(times, report, relayed);
                 self.out.answer(ask, answer);
@@ -324,7 +326,7 @@
                     _ => {}
                 }
             }
-            Event::ShardMessage { ask, message } => {
+            Event::ShardMessage { request: ask, message } => {
                 let delivery = self.shard_message(times, message);
                 self.out.answer(ask, Response::ShardMessageDelivery(delivery));
             }
@@ -336,7 +338,7 @@
                     reach.peer_told(&host, confirmed, now);
                 }
             }
-            Event::View { ask } => {
+            Event::View { request: ask } => {
                 let view = self.view(times);
                 self.out.answer(ask, Response::View(view));
             }
@@ -400,7 +402,7 @@
             let heard = self.siblings.get(name);
             heard.is_some_and(|(at, pulse)| now.saturating_sub(*at) < PULSE_LIFE && pulse.token == 0)
         };
-        self.settings.siblings.iter().all(there)
+        self.settings.peers.iter().all(there)
     }
 
     /// The node that leads, under no earlier token than `least`: by its key, or
@@ -417,7 +419,7 @@
         self.catalog_asked = false;
         match reply {
             Ok(CloudReply::MachineTypes(rigs)) if !rigs.is_empty() => {
-                self.rigs = rigs.into_iter().map(|r| (r.label.clone(), r)).collect();
+                self.rigs = rigs.into_iter().map(|r| (r.name.clone(), r)).collect();
                 self.catalog_due = now + CATALOG_AGE;
                 if let Some(leader) = &mut self.leader {
                     leader.catalog(self.rigs.clone());
@@ -453,7 +455,7 @@
     }
 
     fn pulse(&mut self, times: StepTime, mut pulse: PeerHeartbeat) {
-        if !self.settings.siblings.contains(&pulse.host) {
+        if !self.settings.peers.contains(&pulse.host) {
             return;
         }
         self.admit_claim(&mut pulse);
@@ -515,7 +517,7 @@
             };
             self.out.effects.push(Effect::SendPeerHeartbeat(PeerHeartbeat {
                 host: self.settings.host.clone(),
-                state_ok: self.state_bad.is_none(),
+                kv_available: self.state_bad.is_none(),
                 token: self.leader.as_ref().map_or(0, |l| l.token),
                 progress,
             }));
@@ -528,7 +530,7 @@
             .values()
             .map(|(at, p)| {
                 serde_json::json!({"host": p.host, "heardS": times.now.saturating_sub(*at).as_secs_f64(),
-                    "stateOk": p.state_ok, "leads": p.token > 0})
+                    "stateOk": p.kv_available, "leads": p.token > 0})
             })
             .collect();
         serde_json::json!({
--- a/crates/plankhead-core/src/node/out.rs
+++ b/crates/plankhead-core/src/node/out.rs
@@ -45,12 +45,12 @@
 
     pub fn state(&mut self, purpose: CallPurpose, op: KvRequest) {
         let call = self.call(purpose);
-        self.effects.push(Effect::CallKv { call, op });
+        self.effects.push(Effect::CallKv { call, request: op });
     }
 
     pub fn cloud(&mut self, purpose: CallPurpose, op: CloudRequest) {
         let call = self.call(purpose);
-        self.effects.push(Effect::CallCloud { call, op });
+        self.effects.push(Effect::CallCloud { call, request: op });
     }
 
     pub fn orders(
@@ -62,7 +62,13 @@
         orders: Vec<WorkerCommand>,
     ) {
         let call = self.call(purpose);
-        self.effects.push(Effect::SendCommands { call, address, token, shift, orders });
+        self.effects.push(Effect::SendCommands {
+            call,
+            address,
+            token,
+            incarnation: shift,
+            commands: orders,
+        });
     }
 
     pub fn shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
@@ -71,7 +77,7 @@
     }
 
     pub fn answer(&mut self, ask: RequestId, answer: Response) {
-        self.effects.push(Effect::Respond { ask, answer });
+        self.effects.push(Effect::Respond { request: ask, response: answer });
     }
 
     pub fn log(&mut self, level: LogLevel, text: String) {
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -57,7 +57,7 @@
     pub(super) fn holder_route(&self, report: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
-            let shard = table.shard_of(&report.zone, &report.host)?;
+            let shard = table.shard_of(&report.zone, &report.machine)?;
             let known = table.get(&shard)?;
             // The worker knows a later one: the record is not read yet, or is over.
             (known.epoch() >= report.token).then_some((sharding, shard, known))
@@ -88,7 +88,7 @@
         let standing = self.standing(now);
         let blind = standing.records.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
         let adrift = (blind || standing.failing) && !self.company(now);
-        let Some(sharding) = &mut self.sharding else { return Response::Redirect { foreman: None } };
+        let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
         sharding.holder.beat(times, report, of, (relayed, adrift), standing)
     }
 
@@ -182,7 +182,7 @@
                 leader.holder_report(times, *report, &mut self.out)
             }
             (Ok(ShardMessage::LeaderCommands(orders)), None)
-                if self.settings.siblings.contains(&orders.host) =>
+                if self.settings.peers.contains(&orders.host) =>
             {
                 let taken = sharding.holder.leader_orders(times.now, *orders, standing, &mut self.out);
                 if taken {
--- a/crates/plankhead-core/src/node/workers.rs
+++ b/crates/plankhead-core/src/node/workers.rs
@@ -61,7 +61,9 @@
                 LeaderRoute::Holder { host, epoch } => {
                     return self.redirect(now, report, (epoch, host), relayed)
                 }
-                LeaderRoute::HolderUnknown => return Response::Unavailable { retry: Duration::from_secs(1) },
+                LeaderRoute::HolderUnknown => {
+                    return Response::Unavailable { retry_after: Duration::from_secs(1) }
+                }
                 LeaderRoute::Superseded => {}
             }
             // A worker has seen a later token than ours.
@@ -78,7 +80,7 @@
         let least = report.token.max(self.highest_token());
         match self.foreman(now, least) {
             Some(leader) => self.redirect(now, report, leader, relayed),
-            None => Response::Redirect { foreman: None },
+            None => Response::Redirect { leader: None },
         }
     }
 
@@ -95,23 +97,23 @@
             let since = now.saturating_sub(*at);
             *to == token && since > SENT && since < SENT_LIFE
         };
-        let known = token == report.token || self.sent.get(&report.host).is_some_and(back);
+        let known = token == report.token || self.sent.get(&report.machine).is_some_and(back);
         if known && !relayed {
-            return Response::Relay { foreman };
+            return Response::Relay { leader: foreman };
         }
         if self.sent.len() >= MOST_SENT {
             self.sent.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
         }
         if self.sent.len() < MOST_SENT {
-            self.sent.insert(report.host, (token, now));
+            self.sent.insert(report.machine, (token, now));
         }
-        Response::Redirect { foreman: Some(foreman) }
+        Response::Redirect { leader: Some(foreman) }
     }
 
     /// What a report tells of the links to workers.
     fn note_report(&mut self, report: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reach) = &mut self.reach else { return };
-        reach.report(&report.host, relayed, now);
+        reach.report(&report.machine, relayed, now);
         if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(report)) {
             reach.answer_shown(shown, now);
         }
--- a/crates/plankhead-core/src/places.rs
+++ b/crates/plankhead-core/src/places.rs
@@ -62,8 +62,8 @@
     /// By pool: whether the job may use it.
     pub fn allowed(&self, spec: &JobSpec) -> Vec<bool> {
         let allows = |pool: &Pool| {
-            (spec.spot || !pool.spot)
-                && spec.rigs.as_ref().is_none_or(|rigs| rigs.contains(&pool.rig))
+            (spec.allows_spot || !pool.spot)
+                && spec.machine_types.as_ref().is_none_or(|rigs| rigs.contains(&pool.rig))
                 && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
         };
         self.pools.iter().map(allows).collect()
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -17,22 +17,22 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     Submit {
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
         job: Result<JobSpec, String>,
     },
     Poll {
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
     },
     Cancel {
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
     },
     /// `relayed`: through a sibling, since the worker can't reach this node.
     Heartbeat {
-        ask: RequestId,
-        report: Heartbeat,
+        request: RequestId,
+        heartbeat: Heartbeat,
         relayed: bool,
     },
     KvReply {
@@ -52,7 +52,7 @@
     Coverage(Result<Box<Coverage>, CoverageError>),
     /// A message of a peer about shards, or why it was refused.
     ShardMessage {
-        ask: RequestId,
+        request: RequestId,
         message: Result<ShardMessage, ShardMessageError>,
     },
     /// What became of a message about shards.
@@ -67,30 +67,30 @@
     },
     /// Asks for the operators' view.
     View {
-        ask: RequestId,
+        request: RequestId,
     },
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     Respond {
-        ask: RequestId,
-        answer: Response,
+        request: RequestId,
+        response: Response,
     },
     CallKv {
         call: CallId,
-        op: KvRequest,
+        request: KvRequest,
     },
     CallCloud {
         call: CallId,
-        op: CloudRequest,
+        request: CloudRequest,
     },
     SendCommands {
         call: CallId,
         address: Arc<str>,
         token: u64,
-        shift: u64,
-        orders: Vec<WorkerCommand>,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
     },
     /// Tells every sibling.
     SendPeerHeartbeat(PeerHeartbeat),
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PeerHeartbeat {
     pub host: String,
-    pub state_ok: bool,
+    pub kv_available: bool,
     /// The token under which the sender leads, or 0.
     pub token: u64,
     pub progress: Vec<JobProgress>,
@@ -133,7 +133,7 @@
 pub enum Response {
     /// 201 or 200 with the job's state.
     Job {
-        fresh: bool,
+        created: bool,
         id: JobId,
         status: Status,
         done: u32,
@@ -144,20 +144,20 @@
     NotFound,
     /// 503, with the time after which to try again.
     Unavailable {
-        retry: Duration,
+        retry_after: Duration,
     },
     Commands {
         token: u64,
-        orders: Vec<WorkerCommand>,
+        commands: Vec<WorkerCommand>,
     },
     /// 421, with the node to report to where it is known.
     Redirect {
-        foreman: Option<String>,
+        leader: Option<String>,
     },
     /// The worker knows this leader already, so that it can't reach it now:
     /// its report is to be passed on, and the answer passed back.
     Relay {
-        foreman: String,
+        leader: String,
     },
     View(serde_json::Value),
     /// What became of a peer's message about shards.
@@ -194,15 +194,15 @@
 /// kept whole.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
-    pub host: MachineName,
+    pub machine: MachineName,
     pub address: Arc<str>,
-    pub rig: Arc<str>,
+    pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
-    pub shift: u64,
-    pub tick: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
-    pub warning: Option<Duration>,
+    pub preemption_notice: Option<Duration>,
     pub tasks: Arc<[ReportedTask]>,
 }
 
@@ -211,7 +211,7 @@
 pub struct ReportedTask {
     pub task: TaskId,
     pub attempt: u64,
-    pub seen: TaskStatus,
+    pub status: TaskStatus,
 }
 
 /// What a worker says of an attempt.
@@ -246,13 +246,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerCommand {
     Run { task: TaskId, attempt: u64 },
-    Kill { task: TaskId, attempt: u64, leeway: Duration },
+    Kill { task: TaskId, attempt: u64, grace: Duration },
     Acknowledge { task: TaskId, attempt: u64 },
 }
 
 impl WorkerCommand {
     /// What a worker's next report must show: a run, or the end of an attempt.
-    pub fn asked(&self) -> Option<(TaskId, u64, bool)> {
+    pub fn expected_effect(&self) -> Option<(TaskId, u64, bool)> {
         match self {
             WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt, true)),
             WorkerCommand::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
@@ -289,16 +289,16 @@
     Get { key: String },
     List { prefix: String, after: Option<String> },
     Txn { conditions: Vec<Condition>, changes: Vec<KvChange> },
-    GrantLease { life: Duration },
-    RenewLease { hold: u64 },
-    RevokeLease { hold: u64 },
+    GrantLease { ttl: Duration },
+    RenewLease { lease: u64 },
+    RevokeLease { lease: u64 },
     Watch { prefix: String, after: u64, wait: Duration },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     pub key: String,
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -307,7 +307,7 @@
     Put {
         key: String,
         value: String,
-        hold: Option<u64>,
+        lease: Option<u64>,
     },
     Delete {
         key: String,
@@ -318,7 +318,7 @@
 pub struct KeyValue {
     pub key: String,
     pub value: String,
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -327,10 +327,10 @@
     Page {
         rows: Vec<KeyValue>,
         truncated: bool,
-        epoch: u64,
+        revision: u64,
     },
     Committed {
-        epoch: u64,
+        revision: u64,
     },
     Conflict {
         failed: Vec<String>,
@@ -338,11 +338,11 @@
     /// The grant named by a write or a touch is over.
     NoSuchLease,
     LeaseGranted {
-        hold: u64,
+        lease: u64,
     },
     LeaseRenewed,
     Events {
-        epoch: u64,
+        revision: u64,
         events: Vec<WatchEvent>,
     },
     /// The history asked for is gone; read the keys again.
@@ -352,7 +352,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEvent {
     Put(KeyValue),
-    Delete { key: String, stamp: u64 },
+    Delete { key: String, revision: u64 },
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -368,7 +368,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     MachineTypes(Vec<MachineType>),
-    Instances { hosts: Vec<Instance>, truncated: bool },
+    Instances { instances: Vec<Instance>, truncated: bool },
     Rented(Vec<MachineName>),
     NoCapacity,
     Released,
@@ -377,27 +377,27 @@
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    pub label: String,
+    pub name: String,
     pub cpus: f64,
     pub gpus: f64,
     pub ram: f64,
-    pub cache_gb: f64,
-    pub pull_gb_per_s: f64,
+    pub image_cache_gb: f64,
+    pub image_fetch_gb_per_s: f64,
     pub price: f64,
     pub spot_price: f64,
-    pub boot: Duration,
+    pub boot_time: Duration,
     pub zones: Vec<String>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Instance {
-    pub host: MachineName,
+    pub name: MachineName,
     pub address: Arc<str>,
-    pub rig: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub status: InstanceStatus,
-    pub held: Duration,
+    pub age: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/plankhead-core/src/queue.rs
+++ b/crates/plankhead-core/src/queue.rs
@@ -125,7 +125,7 @@
     for i in order {
         let team = needs[i].team;
         sums[team].add(&needs[i].amount);
-        let room = Resources { ram: f64::INFINITY, ..teams[team].guarantee };
+        let room = Resources { ram_gb: f64::INFINITY, ..teams[team].guarantee };
         fit[i] = sums[team].fits(&room);
     }
     fit
--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reach.rs
@@ -110,10 +110,10 @@
 impl Reachability {
     pub fn new(settings: Arc<Settings>, now: Duration) -> Self {
         let reachability = &settings.reachability;
-        let silence = settings.gap() + Duration::from_secs(1);
+        let silence = settings.heartbeat_timeout() + Duration::from_secs(1);
         Self {
-            monitor: Monitor::new(reachability, settings.siblings.len(), silence, now),
-            table: CoverageTable::new(&settings.host, &settings.siblings),
+            monitor: Monitor::new(reachability, settings.peers.len(), silence, now),
+            table: CoverageTable::new(&settings.host, &settings.peers),
             numbering: MachineNumbering::default(),
             handover: Handover::new(reachability),
             settings,
@@ -173,7 +173,7 @@
     pub fn sent(&mut self, effects: &[Effect], now: Duration) {
         for effect in effects {
             let (call, link) = match effect {
-                Effect::CallKv { call, op } => (*call, state_link(op)),
+                Effect::CallKv { call, request: op } => (*call, state_link(op)),
                 Effect::CallCloud { call, .. } => (*call, LinkId::Cloud),
                 Effect::SendCommands { call, .. } => (*call, LinkId::Commands),
                 _ => continue,
@@ -239,7 +239,7 @@
     }
 
     fn peer(&self, host: &str) -> Option<usize> {
-        self.settings.siblings.iter().position(|sibling| sibling == host)
+        self.settings.peers.iter().position(|sibling| sibling == host)
     }
 
     pub fn peer_heard(&mut self, host: &str, now: Duration) {
@@ -302,7 +302,7 @@
 
     /// Whether all peers exchange coverage, so that it decides who should lead.
     pub fn is_complete(&self, now: Duration) -> bool {
-        self.enabled() && !self.settings.siblings.is_empty() && self.table.complete(now)
+        self.enabled() && !self.settings.peers.is_empty() && self.table.complete(now)
     }
 
     fn numbers<'a>(&self, hosts: impl Iterator<Item = &'a MachineName>) -> RoaringBitmap {
@@ -316,15 +316,15 @@
         now: Duration,
         out: &mut EffectSink,
     ) {
-        let lately = self.settings.gap() + Duration::from_secs(1);
+        let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         self.heard.retain(|_, at| now.saturating_sub(*at) < lately);
         self.sequence += 1;
-        let siblings = self.settings.siblings.iter().enumerate();
+        let siblings = self.settings.peers.iter().enumerate();
         let peers = siblings.filter(|(peer, _)| self.monitor.hears_peer(*peer));
         let peers = peers.map(|(_, sibling)| sibling.clone()).collect();
         let coverage = Coverage {
             host: self.settings.host.clone(),
-            boot: self.settings.boot,
+            boot: self.settings.boot_id,
             sequence: self.sequence,
             token: facts.map_or(0, |facts| facts.token),
             mode: self.mode(),
@@ -411,12 +411,12 @@
 
     /// Writes one page of the numbering, as the leader.
     pub fn write_numbers(&mut self, machines: &BTreeSet<MachineName>, token: u64, out: &mut EffectSink) {
-        let Some(write) = self.numbering.next_write(machines, self.settings.value_bytes) else { return };
+        let Some(write) = self.numbering.next_write(machines, self.settings.max_value_bytes) else { return };
         self.writing = true;
-        let lead = Condition { key: election::KEY.into(), stamp: token };
-        let page = Condition { key: write.key.clone(), stamp: write.revision };
+        let lead = Condition { key: election::KEY.into(), mod_revision: token };
+        let page = Condition { key: write.key.clone(), mod_revision: write.revision };
         let (key, value) = (write.key, write.value);
-        let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), hold: None }];
+        let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), lease: None }];
         let call = ReachabilityCall::WritePage { key, value };
         out.state(CallPurpose::Reachability(call), KvRequest::Txn { conditions: vec![lead, page], changes });
     }
@@ -435,7 +435,7 @@
             );
         }
         if self.monitor.wants_probe(LinkId::StateWrites, now) {
-            let conditions = vec![Condition { key: election::KEY.into(), stamp: NO_REVISION }];
+            let conditions = vec![Condition { key: election::KEY.into(), mod_revision: NO_REVISION }];
             let changes = vec![KvChange::Delete { key: election::KEY.into() }];
             out.state(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
@@ -457,8 +457,8 @@
             ReachabilityCall::WritePage { key, value } => {
                 self.writing = false;
                 match reply {
-                    Ok(KvReply::Committed { epoch }) => {
-                        self.take_in(&KeyValue { key, value, stamp: epoch }, out);
+                    Ok(KvReply::Committed { revision: epoch }) => {
+                        self.take_in(&KeyValue { key, value, mod_revision: epoch }, out);
                         // More may be left to write.
                         self.write_due = now;
                     }
@@ -489,7 +489,7 @@
     }
 
     fn take_in(&mut self, row: &KeyValue, out: &mut EffectSink) {
-        if let Err(fault) = self.numbering.read(&row.key, &row.value, row.stamp) {
+        if let Err(fault) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
             out.log(LogLevel::Debug, format!("left alone: {fault}"));
         }
     }
@@ -503,7 +503,7 @@
 
     pub fn view(&self, now: Duration) -> serde_json::Value {
         let age = |at: Duration| now.saturating_sub(at).as_secs_f64();
-        let peer = |number: usize| self.settings.siblings.get(number).cloned();
+        let peer = |number: usize| self.settings.peers.get(number).cloned();
         let link = |view: plankhead_reachability::monitor::LinkView| {
             let of = match view.link {
                 LinkId::PeerIn(number) | LinkId::PeerOut(number) => peer(number),
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -103,8 +103,11 @@
             batches: 0,
             pending: 0,
             // The leader's own calls need the rest.
-            reads: TokenBucket::new(settings.state_rps * 0.7 / nodes, settings.state_rps * 0.5 / nodes),
-            writes: write_budget(settings.write_rps, settings.nodes),
+            reads: TokenBucket::new(
+                settings.kv_requests_per_s * 0.7 / nodes,
+                settings.kv_requests_per_s * 0.5 / nodes,
+            ),
+            writes: write_budget(settings.kv_changes_per_s, settings.nodes),
             settings,
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
@@ -123,7 +126,7 @@
 
     /// The state service may take less from now on.
     pub fn all_new(&mut self) {
-        let (now, next) = (self.settings.write_rps, self.settings.write_rps_next);
+        let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
         if next < now {
             self.writes = write_budget(next, self.settings.nodes);
         }
@@ -156,7 +159,7 @@
     }
 
     fn unavailable(ask: RequestId, out: &mut EffectSink) {
-        out.answer(ask, Response::Unavailable { retry: RETRY });
+        out.answer(ask, Response::Unavailable { retry_after: RETRY });
     }
 
     /// Whether one more request may go to the state service; if not, it has
@@ -186,7 +189,7 @@
             return Self::unavailable(ask, out);
         }
         self.pending += 1;
-        let key = if over { id.over_key() } else { id.key() };
+        let key = if over { id.archive_key() } else { id.key() };
         out.state(
             CallPurpose::UserRequest(PendingRequest::Lookup { ask, id, why, over }),
             KvRequest::Get { key },
@@ -198,7 +201,8 @@
             return false;
         }
         let Some((status, done)) = self.finals.get(id) else { return false };
-        let answer = Response::Job { fresh: false, id: id.clone(), status: *status, done: *done, running: 0 };
+        let answer =
+            Response::Job { created: false, id: id.clone(), status: *status, done: *done, running: 0 };
         out.answer(ask, answer);
         true
     }
@@ -235,7 +239,7 @@
             }
         };
         if rigs.is_empty() {
-            let later = Response::Unavailable { retry: RETRY };
+            let later = Response::Unavailable { retry_after: RETRY };
             return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(reason) = self.impossible(&spec, rigs) {
@@ -249,7 +253,7 @@
         }
         // An older node would take it for an array.
         if spec.gang && !takes_gangs {
-            let later = Response::Unavailable { retry: RETRY };
+            let later = Response::Unavailable { retry_after: RETRY };
             return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
         if let Some(same) = self.waiting.iter_mut().find(|c| c.id == id) {
@@ -259,13 +263,13 @@
         let record = JobRecord {
             phase: Phase::Active,
             tasks: spec.tasks,
-            per_chunk: tasks_per_chunk(self.settings.value_bytes),
+            per_chunk: tasks_per_chunk(self.settings.max_value_bytes),
             spec: Some(spec),
             accepted_ms: times.wall_ms(),
             cancelled_ms: None,
         };
         match serde_json::to_string(&record) {
-            Ok(value) if value.len() + 200 <= self.settings.value_bytes => {
+            Ok(value) if value.len() + 200 <= self.settings.max_value_bytes => {
                 self.pending += 1;
                 self.waiting.push_back(Create { asks: vec![ask], id, value, since: times.now });
             }
@@ -280,26 +284,27 @@
         let Some(team) = self.settings.teams.get(&spec.team) else {
             return Some("no such team".into());
         };
-        if spec.each.cpus > team.cpus_max + 1e-9 || spec.each.gpus > team.gpus_max + 1e-9 {
+        if spec.demand.cpus > team.max_cpus + 1e-9 || spec.demand.gpus > team.max_gpus + 1e-9 {
             return Some("one task needs more than the team's limit".into());
         }
         if spec.gang {
-            let all = spec.each.times(spec.tasks);
-            if all.cpus > team.cpus_max + 1e-6 || all.gpus > team.gpus_max + 1e-6 {
+            let all = spec.demand.times(spec.tasks);
+            if all.cpus > team.max_cpus + 1e-6 || all.gpus > team.max_gpus + 1e-6 {
                 return Some("all tasks together need more than the team's limit".into());
             }
         }
-        let allowed = |r: &&MachineType| spec.rigs.as_ref().is_none_or(|list| list.contains(&r.label));
+        let allowed =
+            |r: &&MachineType| spec.machine_types.as_ref().is_none_or(|list| list.contains(&r.name));
         let holds = |r: &MachineType| {
-            let room = crate::job::Resources { cpus: r.cpus, gpus: r.gpus, ram: r.ram };
-            spec.each.fits(&room) && spec.zone.as_ref().is_none_or(|z| r.zones.contains(z))
+            let room = crate::job::Resources { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram };
+            spec.demand.fits(&room) && spec.zone.as_ref().is_none_or(|z| r.zones.contains(z))
         };
         // At most half of a gang, rounded up, may be in one zone, and all of it runs at
         // the same time: it needs another.
         let zones: BTreeSet<&String> =
             rigs.values().filter(allowed).filter(|r| holds(r)).flat_map(|r| &r.zones).collect();
-        let one = spec.one_zone || spec.zone.is_some() || zones.len() < 2;
-        if spec.gang && spec.scatter && spec.tasks > 1 && one {
+        let one = spec.single_zone || spec.zone.is_some() || zones.len() < 2;
+        if spec.gang && spec.spread && spec.tasks > 1 && one {
             return Some("the tasks can't all be in one zone and at most half of them in each".into());
         }
         if !rigs.values().filter(allowed).any(holds) {
@@ -344,7 +349,7 @@
             }
         }
         while !self.waiting.is_empty() && self.batches < MOST_BATCHES && now >= self.held {
-            let most = self.settings.txn_ops.min(self.writes.available(now));
+            let most = self.settings.max_txn_changes.min(self.writes.available(now));
             let mut bytes = 0;
             let mut batch = Vec::new();
             while let Some(create) = self.waiting.front() {
@@ -359,11 +364,11 @@
                 return;
             }
             self.batches += 1;
-            let keys = batch.iter().flat_map(|c| [c.id.key(), c.id.over_key()]);
-            let conditions = keys.map(|key| Condition { key, stamp: 0 }).collect();
+            let keys = batch.iter().flat_map(|c| [c.id.key(), c.id.archive_key()]);
+            let conditions = keys.map(|key| Condition { key, mod_revision: 0 }).collect();
             let changes = batch
                 .iter()
-                .map(|c| KvChange::Put { key: c.id.key(), value: c.value.clone(), hold: None })
+                .map(|c| KvChange::Put { key: c.id.key(), value: c.value.clone(), lease: None })
                 .collect();
             out.state(
                 CallPurpose::UserRequest(PendingRequest::Create(batch)),
@@ -410,7 +415,7 @@
     ) -> Vec<KeyValue> {
         let mut news = Vec::new();
         match reply {
-            Ok(KvReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { revision: epoch }) => {
                 for create in batch {
                     for ask in create.asks {
                         // It may have been cancelled while the answer was under way.
@@ -420,7 +425,7 @@
                         out.answer(
                             ask,
                             Response::Job {
-                                fresh: true,
+                                created: true,
                                 id: create.id.clone(),
                                 status: Status::Queued,
                                 done: 0,
@@ -428,12 +433,12 @@
                             },
                         );
                     }
-                    news.push(KeyValue { key: create.id.key(), value: create.value, stamp: epoch });
+                    news.push(KeyValue { key: create.id.key(), value: create.value, mod_revision: epoch });
                 }
             }
             Ok(KvReply::Conflict { failed }) => {
                 for create in batch {
-                    if failed.contains(&create.id.key()) || failed.contains(&create.id.over_key()) {
+                    if failed.contains(&create.id.key()) || failed.contains(&create.id.archive_key()) {
                         for ask in create.asks {
                             self.look(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
                         }
@@ -504,12 +509,12 @@
             Phase::Cancelled => self.over(&id, Status::Cancelled, 0),
             Phase::Active => {
                 if let LookupReason::Cancel { attempts } = why {
-                    return self.cancel(times, ask, id, record, row.stamp, attempts, out);
+                    return self.cancel(times, ask, id, record, row.mod_revision, attempts, out);
                 }
                 let known = progress(&id).or_else(|| self.seen.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
                 let status = Status::of(Phase::Active, running);
-                return out.answer(ask, Response::Job { fresh: false, id, status, done, running });
+                return out.answer(ask, Response::Job { created: false, id, status, done, running });
             }
         }
         self.known(ask, &id, out);
@@ -531,7 +536,7 @@
         }
         record.phase = Phase::Cancelled;
         record.cancelled_ms = Some(times.wall_ms());
-        let Some(value) = record.text(self.settings.value_bytes) else {
+        let Some(value) = record.encode(self.settings.max_value_bytes) else {
             return Self::unavailable(ask, out);
         };
         self.pending += 1;
@@ -539,8 +544,8 @@
         out.state(
             CallPurpose::UserRequest(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
             KvRequest::Txn {
-                conditions: vec![Condition { key: key.clone(), stamp }],
-                changes: vec![KvChange::Put { key, value, hold: None }],
+                conditions: vec![Condition { key: key.clone(), mod_revision: stamp }],
+                changes: vec![KvChange::Put { key, value, lease: None }],
             },
         );
     }
@@ -557,11 +562,11 @@
         out: &mut EffectSink,
     ) -> Vec<KeyValue> {
         match reply {
-            Ok(KvReply::Committed { epoch }) => {
+            Ok(KvReply::Committed { revision: epoch }) => {
                 self.over(&id, Status::Cancelled, 0);
                 self.known(ask, &id, out);
-                let Some(value) = record.text(self.settings.value_bytes) else { return Vec::new() };
-                return vec![KeyValue { key: id.key(), value, stamp: epoch }];
+                let Some(value) = record.encode(self.settings.max_value_bytes) else { return Vec::new() };
+                return vec![KeyValue { key: id.key(), value, mod_revision: epoch }];
             }
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 Self::unavailable(ask, out)
--- a/crates/plankhead-core/src/shard_records.rs
+++ b/crates/plankhead-core/src/shard_records.rs
@@ -73,12 +73,12 @@
     fn event(&mut self, event: WatchEvent, out: &mut EffectSink) {
         match event {
             WatchEvent::Put(row) => self.write(&row, out),
-            WatchEvent::Delete { key, stamp } => self.table.remove(&key, stamp),
+            WatchEvent::Delete { key, revision: stamp } => self.table.remove(&key, stamp),
         }
     }
 
     fn write(&mut self, row: &KeyValue, out: &mut EffectSink) {
-        if let Err(fault) = self.table.write(&row.key, &row.value, row.stamp) {
+        if let Err(fault) = self.table.write(&row.key, &row.value, row.mod_revision) {
             out.log(LogLevel::Error, format!("the record {} is left alone: {fault}", row.key));
         }
     }
--- a/crates/plankhead-core/src/version_barrier.rs
+++ b/crates/plankhead-core/src/version_barrier.rs
@@ -41,7 +41,7 @@
 
 impl VersionBarrier {
     pub fn new(settings: &Settings) -> Self {
-        let all = settings.siblings.iter().chain([&settings.host]).cloned().collect();
+        let all = settings.peers.iter().chain([&settings.host]).cloned().collect();
         let host = settings.host.clone();
         Self { host, all, marked: false, open: false, pending: false, due: Duration::ZERO }
     }
@@ -64,8 +64,8 @@
         let key = format!("{PREFIX}{}", self.host);
         let (step, op) = match (self.marked, serde_json::to_string(&Shown { format: FORMAT })) {
             (false, Ok(value)) => {
-                let conditions = vec![Condition { key: key.clone(), stamp: 0 }];
-                let changes = vec![KvChange::Put { key, value, hold: None }];
+                let conditions = vec![Condition { key: key.clone(), mod_revision: 0 }];
+                let changes = vec![KvChange::Put { key, value, lease: None }];
                 (Step::Mark, KvRequest::Txn { conditions, changes })
             }
             _ => (Step::Look, KvRequest::List { prefix: PREFIX.into(), after: None }),
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -20,20 +20,20 @@
     JobSpec {
         class: "c".into(),
         team: "t".into(),
-        urgency: Priority::Standard,
+        priority: Priority::Standard,
         tasks,
-        each: Resources { cpus: 1.0, gpus: 0.0, ram: 1.0 },
+        demand: Resources { cpus: 1.0, gpus: 0.0, ram_gb: 1.0 },
         image: "img".into(),
         image_gb: 1.0,
-        rigs: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        scatter: false,
-        spot: true,
-        estimate: 10.0,
-        checkpoint: 0.0,
-        save: 0.0,
-        due: None,
+        single_zone: false,
+        spread: false,
+        allows_spot: true,
+        estimated_runtime_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
         gang: false,
     }
 }
@@ -62,21 +62,21 @@
 
 fn report(shift: u64, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
     Heartbeat {
-        host: "i-1".into(),
+        machine: "i-1".into(),
         address: "10.0.0.9:1".into(),
-        rig: "r".into(),
+        machine_type: "r".into(),
         zone: "z".into(),
         spot: true,
-        shift,
-        tick,
+        incarnation: shift,
+        sequence: tick,
         token: 0,
-        warning: None,
+        preemption_notice: None,
         tasks: tasks
             .iter()
             .map(|(index, attempt, seen)| ReportedTask {
                 task: TaskId { job: id(), index: *index },
                 attempt: *attempt,
-                seen: *seen,
+                status: *seen,
             })
             .collect(),
     }
@@ -87,23 +87,23 @@
     Settings {
         host: "plank-0".into(),
         zone: "x".into(),
-        boot: 1,
+        boot_id: 1,
         nodes: 3,
-        siblings: Vec::new(),
+        peers: Vec::new(),
         teams: BTreeMap::new(),
-        expectations: BTreeMap::new(),
-        report: Duration::from_secs(report),
-        lease: Duration::from_secs(lease),
-        cancel: Duration::from_secs(lease + 30),
-        state_rps: 250.0,
-        write_rps: 60.0,
-        write_rps_next: 60.0,
-        cpu: 1.0,
-        value_bytes: 4096,
-        txn_ops: 8,
-        cloud_rps: 4.0,
-        list_lag: Duration::from_secs(3),
-        clock_off: Duration::from_millis(100),
+        objectives: BTreeMap::new(),
+        heartbeat_interval: Duration::from_secs(report),
+        worker_lease: Duration::from_secs(lease),
+        cancel_within: Duration::from_secs(lease + 30),
+        kv_requests_per_s: 250.0,
+        kv_changes_per_s: 60.0,
+        next_kv_changes_per_s: 60.0,
+        cpu_share: 1.0,
+        max_value_bytes: 4096,
+        max_txn_changes: 8,
+        cloud_requests_per_s: 4.0,
+        inventory_lag: Duration::from_secs(3),
+        clock_error: Duration::from_millis(100),
         sizing: Sizing::default(),
         fencing: Fencing::default(),
         reachability: Default::default(),
@@ -275,8 +275,11 @@
     let settings = settings(1, 11);
     let mut fleet = Fleet::default();
     fleet.expect(&"i-1".into(), NOW);
-    assert_eq!(fleet.judge(NOW + settings.silence(), &settings), 0);
-    assert_eq!(fleet.judge(NOW + settings.silence() + Duration::from_millis(1), &settings), 1);
+    assert_eq!(fleet.judge(NOW + settings.failover_heartbeat_timeout(), &settings), 0);
+    assert_eq!(
+        fleet.judge(NOW + settings.failover_heartbeat_timeout() + Duration::from_millis(1), &settings),
+        1
+    );
     assert_eq!(fleet.machines["i-1"].leaving, Some(RemovalReason::HeartbeatTimeout));
 }
 
@@ -287,7 +290,10 @@
 fn who_reports_seldom_is_not_silent() {
     let settings = settings(5, 26);
     let well = Duration::from_millis(6250 + 4000 + 1000 + 500);
-    assert!(well < settings.silence() && settings.silence() < settings.lease);
+    assert!(
+        well < settings.failover_heartbeat_timeout()
+            && settings.failover_heartbeat_timeout() < settings.worker_lease
+    );
     let heard = |unanswered: u32, quiet: Duration| {
         let mut fleet = Fleet::default();
         let mut up = report(1, 1, &[]);
@@ -295,7 +301,7 @@
         fleet.observe(&up, 7, NOW);
         // One of many: more at once may be out of reach only.
         for n in 2..=50 {
-            up.host = format!("i-{n}").into();
+            up.machine = format!("i-{n}").into();
             fleet.observe(&up, 7, NOW + quiet);
         }
         fleet.machines.get_mut("i-1").unwrap().unanswered = unanswered;
@@ -303,7 +309,7 @@
         let mut forgiven = fleet.clone();
         forgiven.forgive(NOW);
         assert_eq!(forgiven.judge(NOW + quiet, &settings), 0);
-        let late = !fleet.to_inquire(NOW + quiet, settings.gap(), |_| true).is_empty();
+        let late = !fleet.to_inquire(NOW + quiet, settings.heartbeat_timeout(), |_| true).is_empty();
         (late, fleet.judge(NOW + quiet, &settings))
     };
     assert_eq!(heard(0, well), (true, 0));
@@ -320,7 +326,7 @@
     let mut fleet = Fleet::default();
     for n in 0..6 {
         let mut up = report(1, 1, &[]);
-        up.host = format!("i-{n}").into();
+        up.machine = format!("i-{n}").into();
         up.zone = if n < 4 { "x".into() } else { "y".into() };
         up.token = 7;
         fleet.observe(&up, 7, NOW);
@@ -372,15 +378,15 @@
     fleet.rigs.insert(
         "r".into(),
         MachineType {
-            label: "r".into(),
+            name: "r".into(),
             cpus: 16.0,
             gpus: 0.0,
             ram: 64.0,
-            cache_gb: 10.0,
-            pull_gb_per_s: 1.0,
+            image_cache_gb: 10.0,
+            image_fetch_gb_per_s: 1.0,
             price: 1.0,
             spot_price: 0.3,
-            boot: Duration::from_secs(30),
+            boot_time: Duration::from_secs(30),
             zones: vec!["z".into()],
         },
     );
@@ -418,7 +424,7 @@
 }
 
 fn from(host: &str, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
-    Heartbeat { host: host.into(), ..report(3, tick, tasks) }
+    Heartbeat { machine: host.into(), ..report(3, tick, tasks) }
 }
 
 /// Once a task is gone the others are told to end at once, and none is placed again
--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -196,7 +196,7 @@
     for seed in 0..8 {
         let world = play("outage", FENCED, Troubles::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
-                (job.runs, job.spec.estimate) = (70.0, 70.0);
+                (job.runs, job.spec.estimated_runtime_s) = (70.0, 70.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             let at = secs(30) + ms(137 * seed);
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -234,7 +234,7 @@
         let mut world = World::new(seed, Troubles { notices: 8, ..Troubles::default() });
         world.plan(40, secs(90));
         for job in world.jobs.iter_mut().filter(|j| j.spec.gang) {
-            (job.runs, job.spec.estimate, job.spec.spot) = (30.0, 30.0, true);
+            (job.runs, job.spec.estimated_runtime_s, job.spec.allows_spot) = (30.0, 30.0, true);
         }
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
@@ -302,16 +302,16 @@
         world.capacity = 3;
         world.plan(2, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.urgency = if n == 0 { Priority::Standard } else { Priority::Urgent };
+            job.spec.priority = if n == 0 { Priority::Standard } else { Priority::Urgent };
             job.spec.tasks = if n == 0 { 12 } else { 2 };
-            job.spec.each.cpus = 2.0;
-            job.spec.estimate = if n == 0 { 200.0 } else { 5.0 };
-            job.spec.due = Some(if n == 0 { 9000.0 } else { 6.0 });
+            job.spec.demand.cpus = 2.0;
+            job.spec.estimated_runtime_s = if n == 0 { 200.0 } else { 5.0 };
+            job.spec.deadline_s = Some(if n == 0 { 9000.0 } else { 6.0 });
             job.runs = if n == 0 { 200.0 } else { 5.0 };
             job.spec.team = if n == 0 { "a".into() } else { "b".into() };
-            (job.spec.spot, job.spec.zone) = (true, None);
-            (job.spec.one_zone, job.spec.scatter) = (false, false);
-            (job.spec.checkpoint, job.spec.save) = (100.0, 1.0);
+            (job.spec.allows_spot, job.spec.zone) = (true, None);
+            (job.spec.single_zone, job.spec.spread) = (false, false);
+            (job.spec.checkpoint_interval_s, job.spec.checkpoint_duration_s) = (100.0, 1.0);
             job.spec.gang = if n == 0 { lesser } else { urgent };
         }
         world.arrive(0, secs(1));
@@ -337,13 +337,13 @@
         for (n, job) in world.jobs.iter_mut().enumerate() {
             let wide = n == 0;
             job.spec.gang = wide;
-            job.spec.one_zone = wide;
+            job.spec.single_zone = wide;
             job.spec.team = if wide { "b".into() } else { "a".into() };
-            job.spec.urgency = Priority::Standard;
+            job.spec.priority = Priority::Standard;
             job.spec.tasks = if wide { 3 } else { 1 };
-            job.spec.each.cpus = if wide { 8.0 } else { 2.0 };
-            (job.spec.spot, job.spec.zone, job.spec.scatter) = (true, None, false);
-            (job.spec.estimate, job.runs) = (8.0, 8.0);
+            job.spec.demand.cpus = if wide { 8.0 } else { 2.0 };
+            (job.spec.allows_spot, job.spec.zone, job.spec.spread) = (true, None, false);
+            (job.spec.estimated_runtime_s, job.runs) = (8.0, 8.0);
         }
         world.arrive(0, secs(20));
         for job in 1..90 {
@@ -367,13 +367,14 @@
         world.plan(260, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
             let wide = n == 0;
-            job.spec.urgency = if wide { Priority::Standard } else { Priority::Urgent };
+            job.spec.priority = if wide { Priority::Standard } else { Priority::Urgent };
             job.spec.team = if wide { "b".into() } else { "a".into() };
             job.spec.tasks = if wide { 2 } else { 1 };
-            job.spec.each.cpus = if wide { 8.0 } else { 4.0 };
-            job.spec.estimate = 8.0;
+            job.spec.demand.cpus = if wide { 8.0 } else { 4.0 };
+            job.spec.estimated_runtime_s = 8.0;
             job.runs = 8.0;
-            (job.spec.spot, job.spec.zone, job.spec.one_zone, job.spec.scatter) = (true, None, false, false);
+            (job.spec.allows_spot, job.spec.zone, job.spec.single_zone, job.spec.spread) =
+                (true, None, false, false);
         }
         world.arrive(0, secs(40));
         for job in 1..260 {
@@ -395,7 +396,7 @@
         let mut world = World::of(kind, seed, Troubles::default());
         world.plan(1, secs(5));
         let job = &mut world.jobs[0];
-        (job.spec.tasks, job.spec.scatter, job.runs) = (2, false, 40.0);
+        (job.spec.tasks, job.spec.spread, job.runs) = (2, false, 40.0);
         let ends = if seed % 2 == 0 { Happening::Die } else { Happening::Notice { left: secs(0) } };
         world.after(secs(25), ends);
         world.run(secs(600));
--- a/crates/plankhead-core/tests/large_fleet.rs
+++ b/crates/plankhead-core/tests/large_fleet.rs
@@ -33,10 +33,10 @@
     world.plan(jobs, secs(1));
     world.without_cancellations();
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimate) = (40.0, 40.0);
+        (job.runs, job.spec.estimated_runtime_s) = (40.0, 40.0);
         let spec = &mut job.spec;
-        (spec.tasks, spec.each.cpus, spec.gang, spec.scatter) = (TASKS, 8.0, false, false);
-        (spec.zone, spec.one_zone, spec.spot) = (None, false, true);
+        (spec.tasks, spec.demand.cpus, spec.gang, spec.spread) = (TASKS, 8.0, false, false);
+        (spec.zone, spec.single_zone, spec.allows_spot) = (None, false, true);
     }
     // All run when the leader ends: the next one must take up every machine.
     world.after(secs(55), Happening::Leader(Blow::End(secs(8))));
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -56,7 +56,7 @@
 /// more of them than the teams' limits let begin in four minutes.
 fn long(world: &mut World, runs: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimate) = (runs, runs);
+        (job.runs, job.spec.estimated_runtime_s) = (runs, runs);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
@@ -64,7 +64,7 @@
 /// Gangs as wide as the limit of [`TIGHT`] are refused: narrower ones.
 fn narrow(world: &mut World) {
     for job in world.jobs.iter_mut().filter(|j| j.spec.gang) {
-        (job.spec.tasks, job.spec.each.cpus) = (2, 2.0);
+        (job.spec.tasks, job.spec.demand.cpus) = (2, 2.0);
     }
 }
 
@@ -316,8 +316,8 @@
     let troubles = Troubles { zone_cuts: 2, deaths: 2, cancels: 3, crashes: 1, ..Troubles::default() };
     play("zone", SMALL, troubles, 16, |world, _| {
         for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.one_zone |= n % 2 == 0;
-            if n % 3 == 0 && !job.spec.scatter {
+            job.spec.single_zone |= n % 2 == 0;
+            if n % 3 == 0 && !job.spec.spread {
                 job.spec.zone = Some(if n % 2 == 0 { "x".into() } else { "y".into() });
             }
         }
@@ -390,9 +390,9 @@
             2,
             |world, _| {
                 for (n, job) in world.jobs.iter_mut().enumerate() {
-                    (job.spec.tasks, job.spec.gang, job.spec.one_zone) = (1, false, false);
-                    (job.spec.scatter, job.spec.zone) = (false, None);
-                    job.spec.each.cpus = if n % 4 == 0 { 4.0 } else { 1.0 };
+                    (job.spec.tasks, job.spec.gang, job.spec.single_zone) = (1, false, false);
+                    (job.spec.spread, job.spec.zone) = (false, None);
+                    job.spec.demand.cpus = if n % 4 == 0 { 4.0 } else { 1.0 };
                 }
                 for n in 0..480 {
                     world.arrive(n, ms(500 + 250 * n as u64));
@@ -414,8 +414,8 @@
     let troubles = Troubles { slow: true, held: 0.1, lost: 0.03, late: 0.5, ..Troubles::default() };
     play_jobs("overload", Kind { cap: 16.0, pool: 1, capacity: 4, ..SMALL }, troubles, 60, 4, |world, _| {
         for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.urgency = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
-            (job.runs, job.spec.estimate) = (4.0, 4.0);
+            job.spec.priority = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
+            (job.runs, job.spec.estimated_runtime_s) = (4.0, 4.0);
             if job.spec.gang {
                 job.spec.tasks = job.spec.tasks.min(4);
             }
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -25,46 +25,46 @@
     JobSpec {
         class: "c".into(),
         team: "a".into(),
-        urgency: Priority::Standard,
+        priority: Priority::Standard,
         tasks: 1,
-        each: Resources { cpus: 1.0, gpus: 0.0, ram: 1.0 },
+        demand: Resources { cpus: 1.0, gpus: 0.0, ram_gb: 1.0 },
         image: "img".into(),
         image_gb: 1.0,
-        rigs: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        scatter: false,
-        spot: true,
-        estimate: 100.0,
-        checkpoint: 0.0,
-        save: 0.0,
-        due: None,
+        single_zone: false,
+        spread: false,
+        allows_spot: true,
+        estimated_runtime_s: 100.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
         gang: false,
     }
 }
 
 fn settings() -> Settings {
-    let team = Team { cpus: 16.0, cpus_max: 16.0, gpus: 0.0, gpus_max: 0.0 };
+    let team = Team { guaranteed_cpus: 16.0, max_cpus: 16.0, guaranteed_gpus: 0.0, max_gpus: 0.0 };
     Settings {
         host: "plank-0".into(),
         zone: "x".into(),
-        boot: 1,
+        boot_id: 1,
         nodes: 2,
-        siblings: vec!["plank-1".into()],
+        peers: vec!["plank-1".into()],
         teams: BTreeMap::from([("a".into(), team)]),
-        expectations: BTreeMap::new(),
-        report: Duration::from_secs(1),
-        lease: Duration::from_secs(11),
-        cancel: Duration::from_secs(36),
-        state_rps: 250.0,
-        write_rps: 60.0,
-        write_rps_next: 60.0,
-        cpu: 1.0,
-        value_bytes: 4096,
-        txn_ops: 8,
-        cloud_rps: 4.0,
-        list_lag: Duration::from_secs(3),
-        clock_off: ms(100),
+        objectives: BTreeMap::new(),
+        heartbeat_interval: Duration::from_secs(1),
+        worker_lease: Duration::from_secs(11),
+        cancel_within: Duration::from_secs(36),
+        kv_requests_per_s: 250.0,
+        kv_changes_per_s: 60.0,
+        next_kv_changes_per_s: 60.0,
+        cpu_share: 1.0,
+        max_value_bytes: 4096,
+        max_txn_changes: 8,
+        cloud_requests_per_s: 4.0,
+        inventory_lag: Duration::from_secs(3),
+        clock_error: ms(100),
         sizing: Sizing::default(),
         fencing: Fencing::default(),
         reachability: Default::default(),
@@ -81,30 +81,30 @@
 }
 
 fn row(key: &str, value: &str, stamp: u64) -> KeyValue {
-    KeyValue { key: key.into(), value: value.into(), stamp }
+    KeyValue { key: key.into(), value: value.into(), mod_revision: stamp }
 }
 
 /// A machine's report under the token that it knows, with the job's task running.
 fn report(tick: u64, token: u64) -> Heartbeat {
     let task = TaskId { job: id(), index: 0 };
     Heartbeat {
-        host: "i-1".into(),
+        machine: "i-1".into(),
         address: "10.0.0.9:1".into(),
-        rig: "r".into(),
+        machine_type: "r".into(),
         zone: "z".into(),
         spot: true,
-        shift: 3,
-        tick,
+        incarnation: 3,
+        sequence: tick,
         token,
-        warning: None,
-        tasks: [ReportedTask { task, attempt: 1, seen: TaskStatus::Running }].into(),
+        preemption_notice: None,
+        tasks: [ReportedTask { task, attempt: 1, status: TaskStatus::Running }].into(),
     }
 }
 
 /// The machines that a call to the cloud gives back.
 fn released(effect: &Effect) -> Option<&[MachineName]> {
     match effect {
-        Effect::CallCloud { op: CloudRequest::Execute(permitted), .. } => match permitted.action() {
+        Effect::CallCloud { request: CloudRequest::Execute(permitted), .. } => match permitted.action() {
             Action::Return(back) => Some(&back.hosts),
             Action::Rent(_) => None,
         },
@@ -140,7 +140,7 @@
         let wall = SystemTime::UNIX_EPOCH + self.now;
         for effect in self.node.step(StepTime { now: self.now, wall }, batch) {
             match effect {
-                Effect::CallKv { call, op } => self.calls.push((call, op)),
+                Effect::CallKv { call, request: op } => self.calls.push((call, op)),
                 effect => self.effects.push(effect),
             }
         }
@@ -167,7 +167,7 @@
             if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::Watch { .. })) {
                 let cancelled = record(Phase::Cancelled, START);
                 let events = vec![WatchEvent::Put(row("job/job-000001", &cancelled, 10))];
-                self.reply_to(call, Ok(KvReply::Events { epoch: 10, events }));
+                self.reply_to(call, Ok(KvReply::Events { revision: 10, events }));
             }
         }
     }
@@ -180,12 +180,12 @@
                 match op {
                     KvRequest::RenewLease { .. } => self.reply_to(call, Ok(KvReply::LeaseRenewed)),
                     KvRequest::Watch { after, .. } => {
-                        self.reply_to(call, Ok(KvReply::Events { epoch: after, events: Vec::new() }));
+                        self.reply_to(call, Ok(KvReply::Events { revision: after, events: Vec::new() }));
                     }
                     KvRequest::Txn { .. } => {
                         self.written.push(op);
                         let epoch = 100 + self.written.len() as u64;
-                        self.reply_to(call, Ok(KvReply::Committed { epoch }));
+                        self.reply_to(call, Ok(KvReply::Committed { revision: epoch }));
                     }
                     _ => self.calls.push((call, op)),
                 }
@@ -196,12 +196,12 @@
     /// An idle machine reports: what is it told?
     fn idle(&mut self, host: &str, tick: u64) -> Vec<WorkerCommand> {
         let mut idle = report(tick, 41);
-        idle.host = host.into();
+        idle.machine = host.into();
         idle.tasks = [].into();
         self.lives_quietly(ms(300));
-        let ask = self.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
+        let ask = self.ask(|ask| Event::Heartbeat { request: ask, heartbeat: idle, relayed: false });
         match self.answer(ask) {
-            Some(Response::Commands { orders, .. }) => orders.clone(),
+            Some(Response::Commands { commands: orders, .. }) => orders.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -209,22 +209,22 @@
     /// The cloud tells of a machine type that fits, and of no machines.
     fn sees_the_cloud(&mut self) {
         let rig = MachineType {
-            label: "r".into(),
+            name: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
             ram: 64.0,
-            cache_gb: 10.0,
-            pull_gb_per_s: 1.0,
+            image_cache_gb: 10.0,
+            image_fetch_gb_per_s: 1.0,
             price: 1.0,
             spot_price: 0.4,
-            boot: Duration::from_secs(5),
+            boot_time: Duration::from_secs(5),
             zones: vec!["z".into()],
         };
         let calls: Vec<(CallId, CloudRequest)> = self
             .effects
             .iter()
             .filter_map(|e| match e {
-                Effect::CallCloud { call, op } => Some((*call, op.clone())),
+                Effect::CallCloud { call, request: op } => Some((*call, op.clone())),
                 _ => None,
             })
             .collect();
@@ -232,7 +232,7 @@
             let reply = match op {
                 CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
                 CloudRequest::ListInstances { .. } => {
-                    CloudReply::Instances { hosts: Vec::new(), truncated: false }
+                    CloudReply::Instances { instances: Vec::new(), truncated: false }
                 }
                 CloudRequest::Execute(_) => continue,
             };
@@ -257,12 +257,12 @@
     }
 
     fn beat(&mut self, tick: u64, token: u64) -> RequestId {
-        self.ask(|ask| Event::Heartbeat { ask, report: report(tick, token), relayed: false })
+        self.ask(|ask| Event::Heartbeat { request: ask, heartbeat: report(tick, token), relayed: false })
     }
 
     fn answer(&self, ask: RequestId) -> Option<&Response> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Respond { ask: a, answer } if *a == ask => Some(answer),
+            Effect::Respond { request: a, response: answer } if *a == ask => Some(answer),
             _ => None,
         })
     }
@@ -272,15 +272,15 @@
         self.reply(gets("lead"), Ok(KvReply::Value(None)));
         self.reply(
             |op| matches!(op, KvRequest::GrantLease { .. }),
-            Ok(KvReply::LeaseGranted { hold: token }),
+            Ok(KvReply::LeaseGranted { lease: token }),
         );
-        self.reply(writes("lead"), Ok(KvReply::Committed { epoch: token }));
+        self.reply(writes("lead"), Ok(KvReply::Committed { revision: token }));
     }
 
     /// Has the leader read one job, live by what was read, and its placement on i-1.
     fn loads(&mut self) {
         let rows = vec![row("job/job-000001", &record(Phase::Active, self.now), 5)];
-        let page = |rows| Ok(KvReply::Page { rows, truncated: false, epoch: 9 });
+        let page = |rows| Ok(KvReply::Page { rows, truncated: false, revision: 9 });
         self.reply(lists("job/"), page(rows));
         self.loads_placements();
     }
@@ -288,7 +288,7 @@
     fn loads_placements(&mut self) {
         let text = r#"{"h":[["i-1",3,"z"]],"t":[[0,1,0]],"d":[]}"#;
         let rows = vec![row("run/job-000001/0", text, 6)];
-        self.reply(lists("run/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+        self.reply(lists("run/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
         self.reply(gets("target"), Ok(KvReply::Value(None)));
     }
 }
@@ -350,13 +350,13 @@
     bench.wins(41);
     let page = bench.taken(lists("job/")).unwrap();
     let live = record(Phase::Active, bench.now);
-    let poll = bench.ask(|ask| Event::Poll { ask, id: id() });
+    let poll = bench.ask(|ask| Event::Poll { request: ask, id: id() });
     let cancelled = row("job/job-000001", &record(Phase::Cancelled, bench.now), 10);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
     assert!(matches!(bench.answer(poll), Some(Response::Job { status: Status::Cancelled, .. })));
     // The list was read before that, and its reply comes after.
     let rows = vec![row("job/job-000001", &live, 5)];
-    bench.reply_to(page.0, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply_to(page.0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.loads_placements();
     // Nothing is heard of the machine: it goes back in time.
     bench.lives(Duration::from_secs(36));
@@ -372,8 +372,8 @@
     bench.wins(41);
     bench.loads();
     let mut copy = report(9, 7);
-    copy.shift = 2;
-    bench.ask(|ask| Event::Heartbeat { ask, report: copy, relayed: false });
+    copy.incarnation = 2;
+    bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: copy, relayed: false });
     bench.lives(ms(900));
     bench.beat(30, 7);
     bench.lives(ms(900));
@@ -393,8 +393,8 @@
     for tick in 0..30 {
         // Two others go on reporting, a sibling is there and does not lead.
         for host in ["i-2", "i-3"] {
-            let up = Heartbeat { host: host.into(), tasks: [].into(), ..report(tick, 7) };
-            bench.ask(|ask| Event::Heartbeat { ask, report: up, relayed: false });
+            let up = Heartbeat { machine: host.into(), tasks: [].into(), ..report(tick, 7) };
+            bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: up, relayed: false });
         }
         bench.step(vec![Event::PeerHeartbeat(PeerHeartbeat {
             host: "plank-1".into(),
@@ -405,12 +405,12 @@
             bench.reply_to(call, Err(CallError::Refused));
         }
         let asked = |e: &Effect| match e {
-            Effect::CallCloud { call, op: CloudRequest::ListInstances { .. } } => Some(*call),
+            Effect::CallCloud { call, request: CloudRequest::ListInstances { .. } } => Some(*call),
             _ => None,
         };
         let lists: Vec<CallId> = bench.effects.iter().filter_map(asked).collect();
         for call in lists {
-            let reply = Ok(CloudReply::Instances { hosts: Vec::new(), truncated: false });
+            let reply = Ok(CloudReply::Instances { instances: Vec::new(), truncated: false });
             bench.step(vec![Event::CloudReply { call, reply }]);
         }
         bench.effects.retain(|e| asked(e).is_none());
@@ -431,7 +431,7 @@
         }
     }
     let rows = vec![row("job/job-000001", &record(Phase::Active, START), 5)];
-    bench.reply_to(reads.unwrap().0, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply_to(reads.unwrap().0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.loads_placements();
     bench.lives(Duration::from_secs(6));
     // Its user has called it off meanwhile, so that nothing of it is kept.
@@ -467,7 +467,7 @@
     // Its own claim whose answer was lost is another matter.
     let mut bench = Bench::new();
     bench.reply(gets("lead"), Ok(KvReply::Value(None)));
-    bench.reply(|op| matches!(op, KvRequest::GrantLease { .. }), Ok(KvReply::LeaseGranted { hold: 41 }));
+    bench.reply(|op| matches!(op, KvRequest::GrantLease { .. }), Ok(KvReply::LeaseGranted { lease: 41 }));
     bench.reply(writes("lead"), Err(CallError::OutcomeUnknown));
     bench.pass(ms(300));
     bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
@@ -489,8 +489,8 @@
         // The machine has not begun the task that was placed there.
         let mut idle = report(1, 7);
         idle.tasks = [].into();
-        let beat = bench.ask(|ask| Event::Heartbeat { ask, report: idle, relayed: false });
-        let Some(Response::Commands { orders, .. }) = bench.answer(beat) else { panic!() };
+        let beat = bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: idle, relayed: false });
+        let Some(Response::Commands { commands: orders, .. }) = bench.answer(beat) else { panic!() };
         let runs = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
         assert_eq!(runs, !failed, "{orders:?}");
     }
@@ -504,25 +504,25 @@
     bench.step(vec![Event::CloudReply {
         call: catalog(&bench),
         reply: Ok(CloudReply::MachineTypes(vec![MachineType {
-            label: "r".into(),
+            name: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
             ram: 64.0,
-            cache_gb: 10.0,
-            pull_gb_per_s: 1.0,
+            image_cache_gb: 10.0,
+            image_fetch_gb_per_s: 1.0,
             price: 1.0,
             spot_price: 0.4,
-            boot: Duration::from_secs(5),
+            boot_time: Duration::from_secs(5),
             zones: vec!["z".into()],
         }])),
     }]);
-    let submit = bench.ask(|ask| Event::Submit { ask, id: id(), job: Ok(spec()) });
+    let submit = bench.ask(|ask| Event::Submit { request: ask, id: id(), job: Ok(spec()) });
     let create = bench.taken(writes("job/job-000001")).unwrap();
-    bench.ask(|ask| Event::Cancel { ask, id: id() });
+    bench.ask(|ask| Event::Cancel { request: ask, id: id() });
     let live = record(Phase::Active, bench.now);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &live, 5)))));
-    bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { epoch: 6 }));
-    bench.reply_to(create.0, Ok(KvReply::Committed { epoch: 5 }));
+    bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { revision: 6 }));
+    bench.reply_to(create.0, Ok(KvReply::Committed { revision: 5 }));
     assert!(
         matches!(bench.answer(submit), Some(Response::Job { status: Status::Cancelled, .. })),
         "{:?}",
@@ -532,7 +532,7 @@
 
 fn catalog(bench: &Bench) -> CallId {
     let asked = |e: &Effect| match e {
-        Effect::CallCloud { call, op: CloudRequest::ListMachineTypes } => Some(*call),
+        Effect::CallCloud { call, request: CloudRequest::ListMachineTypes } => Some(*call),
         _ => None,
     };
     bench.effects.iter().find_map(asked).unwrap()
@@ -543,25 +543,29 @@
 #[test]
 fn a_claim_under_a_token_that_is_over_is_refused() {
     let progress = vec![JobProgress { id: id().to_string(), done: 0, running: 1 }];
-    let claim =
-        |token| PeerHeartbeat { host: "plank-1".into(), state_ok: true, token, progress: progress.clone() };
+    let claim = |token| PeerHeartbeat {
+        host: "plank-1".into(),
+        kv_available: true,
+        token,
+        progress: progress.clone(),
+    };
     for (fenced, sent) in [(false, Some("plank-1")), (true, None)] {
         let mut bench =
             Bench::of(Settings { fencing: Fencing { enabled: fenced, ..Fencing::default() }, ..settings() });
         bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let early = bench.beat(1, 7);
-        assert!(matches!(bench.answer(early), Some(Response::Redirect { foreman: Some(_) })));
+        assert!(matches!(bench.answer(early), Some(Response::Redirect { leader: Some(_) })));
         // Another leads meanwhile, as a worker shows; then the first is heard again.
         let mut later = report(2, 60);
-        later.host = "i-2".into();
-        bench.ask(|ask| Event::Heartbeat { ask, report: later, relayed: false });
+        later.machine = "i-2".into();
+        bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: later, relayed: false });
         bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let mut third = report(3, 7);
-        third.host = "i-3".into();
-        let asked = bench.ask(|ask| Event::Heartbeat { ask, report: third, relayed: false });
-        let Some(Response::Redirect { foreman }) = bench.answer(asked) else { panic!("no answer") };
+        third.machine = "i-3".into();
+        let asked = bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: third, relayed: false });
+        let Some(Response::Redirect { leader: foreman }) = bench.answer(asked) else { panic!("no answer") };
         assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
-        let view = bench.ask(|ask| Event::View { ask });
+        let view = bench.ask(|ask| Event::View { request: ask });
         let Some(Response::View(view)) = bench.answer(view) else { panic!("no view") };
         assert_eq!(view["tokens"]["refused"], u64::from(fenced));
     }
@@ -575,13 +579,13 @@
     let mut bench = Bench::of(Settings { fencing, ..settings() });
     bench.wins(41);
     let rows = vec![row("job/job-000001", &record(Phase::Active, bench.now), 5)];
-    bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
-    bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, epoch: 9 }));
+    bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+    bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
     let back = Return { hosts: vec!["i-1".into()], cause: ReturnReason::Surplus };
     let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, Action::Return(back), 0);
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
-    bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, epoch: 9 }));
+    bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.reply(gets("target"), Ok(KvReply::Value(None)));
     bench.sees_the_cloud();
     // The machine is there, idle, with room for the waiting job.
@@ -600,8 +604,8 @@
     let drops = |op: &KvRequest| {
         let of = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "duty/30/0");
         matches!(op, KvRequest::Txn { conditions, changes } if changes.iter().any(of)
-            && conditions.contains(&Condition { key: "lead".into(), stamp: 41 })
-            && conditions.contains(&Condition { key: "duty/30/0".into(), stamp: 8 }))
+            && conditions.contains(&Condition { key: "lead".into(), mod_revision: 41 })
+            && conditions.contains(&Condition { key: "duty/30/0".into(), mod_revision: 8 }))
     };
     assert!(bench.written.iter().any(drops), "its record is kept: {:?}", bench.written);
     let answered = bench.beat(20, 41);
--- a/crates/plankhead-core/tests/portions.rs
+++ b/crates/plankhead-core/tests/portions.rs
@@ -59,7 +59,7 @@
         zone_most: u32::MAX,
         one_zone: false,
         gang: false,
-        each: Resources { cpus, gpus: 0.0, ram: cpus },
+        each: Resources { cpus, gpus: 0.0, ram_gb: cpus },
         image: (number % 5) as u32,
         image_gb: 1.0,
         estimate: Duration::from_secs(5 + number % 20),
@@ -74,7 +74,7 @@
         pool: 0,
         zone: 0,
         price: 1.0,
-        free: Resources { cpus: 6.0, gpus: 0.0, ram: 6.0 },
+        free: Resources { cpus: 6.0, gpus: 0.0, ram_gb: 6.0 },
         ready: NOW,
         running: Vec::new(),
         images: vec![number as u32 % 5],
@@ -86,7 +86,7 @@
 /// A replay finds the same however small its portions are.
 #[test]
 fn portions_change_nothing_of_a_replay() {
-    let most = Resources { cpus: 60.0, gpus: 0.0, ram: 1e9 };
+    let most = Resources { cpus: 60.0, gpus: 0.0, ram_gb: 1e9 };
     let team = TeamUsage { guarantee: most, cap: most, used: Resources::default() };
     let slowdown = |passes: usize| {
         let slots = (0..12).map(slot).collect();
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -267,7 +267,7 @@
         let how = HOWS[(seed % 3) as usize];
         play("elsewhere", REACH, Troubles::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
-                (job.runs, job.spec.estimate) = (40.0, 40.0);
+                (job.runs, job.spec.estimated_runtime_s) = (40.0, 40.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             world.after(secs(30), Happening::Leader(CutLinks(&BLIND, how, secs(45))));
@@ -367,7 +367,7 @@
             play("gap", REACH, Troubles::default(), seed, |world| {
                 world.table = table.clone();
                 for job in world.jobs.iter_mut() {
-                    (job.runs, job.spec.estimate) = (60.0, 60.0);
+                    (job.runs, job.spec.estimated_runtime_s) = (60.0, 60.0);
                     job.spec.tasks = job.spec.tasks.min(4);
                 }
                 world.after(secs(30), Happening::Leader(Refuse(secs(70))));
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -21,7 +21,7 @@
 }
 
 fn cpus(cpus: f64) -> Resources {
-    Resources { cpus, gpus: 0.0, ram: 1.0 }
+    Resources { cpus, gpus: 0.0, ram_gb: 1.0 }
 }
 
 fn slot(free: f64, running: &[(u64, f64)]) -> Slot {
@@ -37,7 +37,7 @@
         pool: 0,
         zone: 0,
         price: 1.0,
-        free: Resources { cpus: free, gpus: 0.0, ram: 100.0 },
+        free: Resources { cpus: free, gpus: 0.0, ram_gb: 100.0 },
         ready: NOW,
         running: running.collect(),
         images: vec![7],
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -86,9 +86,9 @@
         let waits = (0..more(10)).map(|seed| {
             let steady = |world: &mut World| {
                 for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
-                    (job.spec.scatter, job.spec.tasks) = (false, job.spec.tasks.min(6));
+                    (job.spec.spread, job.spec.tasks) = (false, job.spec.tasks.min(6));
                     if job.id.as_str().ends_with(['0', '2', '4', '6', '8']) {
-                        job.spec.urgency = Priority::Urgent;
+                        job.spec.priority = Priority::Urgent;
                     }
                 }
             };
@@ -116,7 +116,7 @@
         let mut world = World::of(kind, seed, Troubles::default());
         world.plan(120, secs(120));
         for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
-            (job.spec.scatter, job.spec.tasks, job.runs) = (false, job.spec.tasks.min(4), 2.0);
+            (job.spec.spread, job.spec.tasks, job.runs) = (false, job.spec.tasks.min(4), 2.0);
         }
         world.idle(secs(60));
         let leader = world.leader().unwrap();
@@ -287,7 +287,7 @@
 /// Jobs that run for long, so that few end by themselves while the troubles last.
 fn long(world: &mut World, runs: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimate) = (runs, runs);
+        (job.runs, job.spec.estimated_runtime_s) = (runs, runs);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
@@ -389,7 +389,7 @@
             |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if task.index == 90);
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::SendCommands { orders, .. } if orders.iter().any(run)))
+            .any(|effect| matches!(effect, Effect::SendCommands { commands: orders, .. } if orders.iter().any(run)))
     };
     assert!(!runs(&mut world, true), "a cancelled job's");
     assert!(runs(&mut world, false), "a live job's is passed on");
@@ -400,14 +400,14 @@
 fn gangs_and_full_teams_while_shards_move() {
     let narrow = |world: &mut World| {
         for job in world.jobs.iter_mut().filter(|job| job.spec.gang) {
-            (job.spec.tasks, job.spec.each.cpus) = (2, 2.0);
+            (job.spec.tasks, job.spec.demand.cpus) = (2, 2.0);
         }
     };
     let crashes = Troubles { crashes: 4, hangs: 2, ..Troubles::default() };
     assert!(play("full teams", TIGHT, crashes, 4, narrow) > 40);
     let gangs = |world: &mut World| {
         for job in world.jobs.iter_mut().filter(|job| job.spec.gang) {
-            (job.spec.tasks, job.spec.each.cpus, job.spec.one_zone) = (5, 4.0, false);
+            (job.spec.tasks, job.spec.demand.cpus, job.spec.single_zone) = (5, 4.0, false);
         }
     };
     assert!(play("gangs", MOVING, crashes, 4, gangs) > 40);
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -50,7 +50,7 @@
     assert_eq!(serde_json::to_string(&read).unwrap(), holder);
     let target = r#"{"round":4,"at_ms":1790000000123,"rigs":{"r":{"machines":7,"ordinary":2}}}"#;
     let read: Target = serde_json::from_str(target).unwrap();
-    assert_eq!(read.rigs["r"], Size { machines: 7, ordinary: 2 });
+    assert_eq!(read.sizes["r"], Size { machines: 7, ordinary: 2 });
     assert_eq!(serde_json::to_string(&read).unwrap(), target);
 }
 
@@ -159,16 +159,16 @@
         let host = ledger.attempt(&task).unwrap().host.clone();
         let seen = TaskStatus::Exited(ExitReason::Completed);
         let report = Heartbeat {
-            host,
+            machine: host,
             address: "a".into(),
-            rig: "r".into(),
+            machine_type: "r".into(),
             zone: "raekoja-hall".into(),
             spot: true,
-            shift: 1,
-            tick: 5,
+            incarnation: 1,
+            sequence: 5,
             token: 1,
-            warning: None,
-            tasks: [ReportedTask { task, attempt: 2, seen }].into(),
+            preemption_notice: None,
+            tasks: [ReportedTask { task, attempt: 2, status: seen }].into(),
         };
         let (ended, _) = ledger.observe(&report, true, NOW);
         assert_eq!(ended.len(), 1);
@@ -188,39 +188,39 @@
 fn a_large_record_can_be_cancelled() {
     let mut record: JobRecord = serde_json::from_str(&live()).unwrap();
     if let Some(spec) = &mut record.spec {
-        spec.rigs = Some((0..64).map(|i| format!("{i:0>100}")).collect());
+        spec.machine_types = Some((0..64).map(|i| format!("{i:0>100}")).collect());
         (spec.image, spec.class) = ("i".repeat(200), "c".repeat(200));
     }
     assert!(serde_json::to_string(&record).unwrap().len() > 6000);
-    assert_eq!(record.text(2048), None);
+    assert_eq!(record.encode(2048), None);
     record.phase = Phase::Cancelled;
-    let text = record.text(2048).unwrap();
+    let text = record.encode(2048).unwrap();
     let read: JobRecord = serde_json::from_str(&text).unwrap();
     let spec = read.spec.unwrap();
-    assert_eq!((spec.team.as_str(), spec.tasks, spec.each.cpus), ("requests", 12, 4.0));
+    assert_eq!((spec.team.as_str(), spec.tasks, spec.demand.cpus), ("requests", 12, 4.0));
 }
 
 fn settings() -> Settings {
     Settings {
         host: "plank-0".into(),
         zone: "x".into(),
-        boot: 1,
+        boot_id: 1,
         nodes: 3,
-        siblings: vec!["plank-1".into(), "plank-2".into()],
+        peers: vec!["plank-1".into(), "plank-2".into()],
         teams: BTreeMap::new(),
-        expectations: BTreeMap::new(),
-        report: Duration::from_secs(1),
-        lease: Duration::from_secs(11),
-        cancel: Duration::from_secs(36),
-        state_rps: 250.0,
-        write_rps: 60.0,
-        write_rps_next: 42.0,
-        cpu: 1.0,
-        value_bytes: 2048,
-        txn_ops: 4,
-        cloud_rps: 3.0,
-        list_lag: Duration::from_secs(3),
-        clock_off: Duration::ZERO,
+        objectives: BTreeMap::new(),
+        heartbeat_interval: Duration::from_secs(1),
+        worker_lease: Duration::from_secs(11),
+        cancel_within: Duration::from_secs(36),
+        kv_requests_per_s: 250.0,
+        kv_changes_per_s: 60.0,
+        next_kv_changes_per_s: 42.0,
+        cpu_share: 1.0,
+        max_value_bytes: 2048,
+        max_txn_changes: 4,
+        cloud_requests_per_s: 3.0,
+        inventory_lag: Duration::from_secs(3),
+        clock_error: Duration::ZERO,
         sizing: Sizing::default(),
         fencing: Fencing::default(),
         reachability: Default::default(),
@@ -235,7 +235,7 @@
     let row = |host: &str, format: u32| KeyValue {
         key: format!("node/{host}"),
         value: format!("{{\"format\":{format}}}"),
-        stamp: 1,
+        mod_revision: 1,
     };
     let look = |rows: Vec<KeyValue>| {
         let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), EffectSink::default());
@@ -246,7 +246,11 @@
             &mut out,
         );
         version_barrier.tick(NOW, &mut out);
-        version_barrier.reply(Step::Look, Ok(KvReply::Page { rows, truncated: false, epoch: 9 }), &mut out);
+        version_barrier.reply(
+            Step::Look,
+            Ok(KvReply::Page { rows, truncated: false, revision: 9 }),
+            &mut out,
+        );
         version_barrier
     };
     assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).open());
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -93,10 +93,10 @@
     pub(super) fn pass_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
         let fencing::Actor { node, boot, .. } = actor;
         let link = match &effect {
-            Effect::CallKv { op, .. } => link_of(op),
+            Effect::CallKv { request: op, .. } => link_of(op),
             Effect::CallCloud { .. } => Link::Cloud,
             Effect::SendCommands { .. } => Link::Commands,
-            Effect::Respond { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
+            Effect::Respond { request: ask, .. } => match self.asks.get(&(node, boot, *ask)) {
                 Some((_, Asked::Beat { .. })) => Link::Answers,
                 _ => return Some(effect),
             },
@@ -105,7 +105,7 @@
         let Some(how) = self.cut_of(node, link) else { return Some(effect) };
         let carried_out = how == How::LoseAnswers;
         let (patience, reply) = match effect {
-            Effect::CallKv { call, op } => {
+            Effect::CallKv { call, request: op } => {
                 let follow = matches!(op, KvRequest::Watch { .. });
                 if carried_out && !follow {
                     self.at(ms(2), Happening::StateArrives { node, boot, call, op, answered: false });
@@ -113,13 +113,13 @@
                 let error = if how == How::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
                 (STATE_PATIENCE, Event::KvReply { call, reply: Err(error) })
             }
-            Effect::CallCloud { call, op } => {
+            Effect::CallCloud { call, request: op } => {
                 if carried_out {
                     self.at(ms(100), Happening::CloudArrives { actor, call, op, answered: false });
                 }
                 (CLOUD_PATIENCE, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
             }
-            Effect::SendCommands { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 self.sent(token, &orders);
                 let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 if carried_out {
@@ -129,8 +129,8 @@
                 let reply = if how == How::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
                 (COMMAND_PATIENCE, Event::CommandReply { call, reply })
             }
-            Effect::Respond { ask, answer } => {
-                if let Response::Commands { token, orders } = &answer {
+            Effect::Respond { request: ask, response: answer } => {
+                if let Response::Commands { token, commands: orders } = &answer {
                     self.sent(*token, orders);
                 }
                 self.asks.remove(&(node, boot, ask));
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -74,22 +74,22 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Respond { ask, answer } => {
+            Effect::Respond { request: ask, response: answer } => {
                 self.tag(1);
                 self.number(*ask);
                 self.answer(answer);
             }
-            Effect::CallKv { call, op } => {
+            Effect::CallKv { call, request: op } => {
                 self.tag(2);
                 self.number(*call);
                 self.state_op(op);
             }
-            Effect::CallCloud { call, op } => {
+            Effect::CallCloud { call, request: op } => {
                 self.tag(3);
                 self.number(*call);
                 self.cloud_op(op);
             }
-            Effect::SendCommands { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 self.tag(4);
                 self.number(*call);
                 self.text(address);
@@ -100,7 +100,7 @@
             Effect::SendPeerHeartbeat(pulse) => {
                 self.tag(5);
                 self.text(&pulse.host);
-                self.flag(pulse.state_ok);
+                self.flag(pulse.kv_available);
                 self.number(pulse.token);
                 self.number(pulse.progress.len() as u64);
                 for progress in &pulse.progress {
@@ -128,7 +128,7 @@
 
     fn answer(&mut self, answer: &Response) {
         match answer {
-            Response::Job { fresh, id, status, done, running } => {
+            Response::Job { created: fresh, id, status, done, running } => {
                 self.tag(1);
                 self.flag(*fresh);
                 self.text(id.as_str());
@@ -144,20 +144,20 @@
             Response::BadRequest(_) => self.tag(2),
             Response::Unprocessable(_) => self.tag(3),
             Response::NotFound => self.tag(4),
-            Response::Unavailable { retry } => {
+            Response::Unavailable { retry_after: retry } => {
                 self.tag(5);
                 self.duration(*retry);
             }
-            Response::Commands { token, orders } => {
+            Response::Commands { token, commands: orders } => {
                 self.tag(6);
                 self.number(*token);
                 self.orders(orders);
             }
-            Response::Redirect { foreman } => {
+            Response::Redirect { leader: foreman } => {
                 self.tag(7);
                 self.optional(foreman.as_deref(), Self::text);
             }
-            Response::Relay { foreman } => {
+            Response::Relay { leader: foreman } => {
                 self.tag(8);
                 self.text(foreman);
             }
@@ -177,7 +177,7 @@
                     self.tag(1);
                     self.attempt(task, *attempt);
                 }
-                WorkerCommand::Kill { task, attempt, leeway } => {
+                WorkerCommand::Kill { task, attempt, grace: leeway } => {
                     self.tag(2);
                     self.attempt(task, *attempt);
                     self.duration(*leeway);
@@ -212,20 +212,20 @@
                 self.number(conditions.len() as u64);
                 for condition in conditions {
                     self.text(&condition.key);
-                    self.number(condition.stamp);
+                    self.number(condition.mod_revision);
                 }
                 self.number(changes.len() as u64);
                 changes.iter().for_each(|change| self.change(change));
             }
-            KvRequest::GrantLease { life } => {
+            KvRequest::GrantLease { ttl: life } => {
                 self.tag(4);
                 self.duration(*life);
             }
-            KvRequest::RenewLease { hold } => {
+            KvRequest::RenewLease { lease: hold } => {
                 self.tag(5);
                 self.number(*hold);
             }
-            KvRequest::RevokeLease { hold } => {
+            KvRequest::RevokeLease { lease: hold } => {
                 self.tag(6);
                 self.number(*hold);
             }
@@ -240,7 +240,7 @@
 
     fn change(&mut self, change: &KvChange) {
         match change {
-            KvChange::Put { key, value, hold } => {
+            KvChange::Put { key, value, lease: hold } => {
                 self.tag(1);
                 self.text(key);
                 self.text(value);
@@ -351,19 +351,19 @@
     }
 
     fn report(&mut self, report: &Heartbeat) {
-        self.text(&report.host);
+        self.text(&report.machine);
         self.text(&report.address);
-        self.text(&report.rig);
+        self.text(&report.machine_type);
         self.text(&report.zone);
         self.flag(report.spot);
-        self.number(report.shift);
-        self.number(report.tick);
+        self.number(report.incarnation);
+        self.number(report.sequence);
         self.number(report.token);
-        self.optional(report.warning, Self::duration);
+        self.optional(report.preemption_notice, Self::duration);
         self.number(report.tasks.len() as u64);
         for listed in report.tasks.iter() {
             self.attempt(&listed.task, listed.attempt);
-            match listed.seen {
+            match listed.status {
                 TaskStatus::FetchingImage => self.tag(1),
                 TaskStatus::WaitingForGang => self.tag(2),
                 TaskStatus::Running => self.tag(3),
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -145,7 +145,7 @@
 
     /// Something writes into the state service.
     pub fn put(&mut self, key: &str, value: &str) {
-        let changes = vec![KvChange::Put { key: key.into(), value: value.into(), hold: None }];
+        let changes = vec![KvChange::Put { key: key.into(), value: value.into(), lease: None }];
         let reply = self.kv.apply(self.now, KvRequest::Txn { conditions: Vec::new(), changes });
         assert!(matches!(reply, Ok(KvReply::Committed { .. })));
     }
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -79,7 +79,7 @@
         let j = &self.jobs[job];
         let ran = j.run.as_ref().map_or(0.0, |r| until.saturating_sub(r.began).as_secs_f64());
         let all = j.progress + ran;
-        let checkpoint = j.spec.checkpoint;
+        let checkpoint = j.spec.checkpoint_interval_s;
         (all, if checkpoint > 0.0 { (all / checkpoint).floor() * checkpoint } else { 0.0 })
     }
 
@@ -87,7 +87,8 @@
     pub(super) fn gang_look(&mut self, job: usize, attempt: u64) {
         let now = self.now;
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
-        let (tasks, save, runs) = (self.jobs[job].spec.tasks, self.jobs[job].spec.save, self.jobs[job].runs);
+        let (tasks, save, runs) =
+            (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runs);
         let peer = self.kind.gang_peer;
         let mates = self.mates(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
         let whole = mates.len() as u32 == tasks;
@@ -141,7 +142,8 @@
     pub(super) fn gang_told(&mut self, task: &TaskId, attempt: u64, leeway: Duration) -> bool {
         let now = self.now;
         let job = &mut self.jobs[self.by_id[&task.job]];
-        let enough = job.spec.checkpoint > 0.0 && leeway >= Duration::from_secs_f64(job.spec.save);
+        let enough = job.spec.checkpoint_interval_s > 0.0
+            && leeway >= Duration::from_secs_f64(job.spec.checkpoint_duration_s);
         let Some(run) = job.run.as_mut().filter(|r| r.attempt == attempt && r.torn.is_none()) else {
             return false;
         };
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -73,7 +73,7 @@
             KvRequest::Get { key } => KvReply::Value(self.keys.get(&key).map(|v| KeyValue {
                 key,
                 value: v.text.clone(),
-                stamp: v.stamp,
+                mod_revision: v.stamp,
             })),
             KvRequest::List { prefix, after } => {
                 let from = after.unwrap_or_default();
@@ -81,26 +81,26 @@
                     .keys
                     .iter()
                     .filter(|(k, _)| k.starts_with(&prefix) && **k > from)
-                    .map(|(k, v)| KeyValue { key: k.clone(), value: v.text.clone(), stamp: v.stamp })
+                    .map(|(k, v)| KeyValue { key: k.clone(), value: v.text.clone(), mod_revision: v.stamp })
                     .collect();
                 let truncated = rows.len() > 20;
                 rows.truncate(20);
-                KvReply::Page { rows, truncated, epoch: self.epoch }
+                KvReply::Page { rows, truncated, revision: self.epoch }
             }
             KvRequest::Txn { conditions, changes } => return self.txn(conditions, changes),
-            KvRequest::GrantLease { life } => {
+            KvRequest::GrantLease { ttl: life } => {
                 self.last_grant += 1;
                 self.grants.insert(self.last_grant, (life, now + life));
-                KvReply::LeaseGranted { hold: self.last_grant }
+                KvReply::LeaseGranted { lease: self.last_grant }
             }
-            KvRequest::RenewLease { hold } => match self.grants.get_mut(&hold) {
+            KvRequest::RenewLease { lease: hold } => match self.grants.get_mut(&hold) {
                 Some((life, until)) => {
                     *until = now + *life;
                     KvReply::LeaseRenewed
                 }
                 None => KvReply::NoSuchLease,
             },
-            KvRequest::RevokeLease { hold } => {
+            KvRequest::RevokeLease { lease: hold } => {
                 self.end(hold);
                 KvReply::LeaseRenewed
             }
@@ -115,7 +115,7 @@
 
     fn txn(&mut self, conditions: Vec<Condition>, changes: Vec<KvChange>) -> Result<KvReply, CallError> {
         let unknown =
-            |c: &KvChange| matches!(c, KvChange::Put { hold: Some(h), .. } if !self.grants.contains_key(h));
+            |c: &KvChange| matches!(c, KvChange::Put { lease: Some(h), .. } if !self.grants.contains_key(h));
         if changes.iter().any(unknown) {
             return Ok(KvReply::NoSuchLease);
         }
@@ -126,7 +126,7 @@
         }
         let stamp = |k: &str| self.keys.get(k).map_or(0, |v| v.stamp);
         let failed: Vec<String> =
-            conditions.iter().filter(|c| stamp(&c.key) != c.stamp).map(|c| c.key.clone()).collect();
+            conditions.iter().filter(|c| stamp(&c.key) != c.mod_revision).map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return Ok(KvReply::Conflict { failed });
         }
@@ -134,21 +134,21 @@
         self.epoch += 1;
         for change in changes {
             match change {
-                KvChange::Put { key, value, hold } => {
+                KvChange::Put { key, value, lease: hold } => {
                     assert!(!self.mixed || before::reads(&key, &value), "older nodes misread {key}: {value}");
-                    let row = KeyValue { key: key.clone(), value: value.clone(), stamp: self.epoch };
+                    let row = KeyValue { key: key.clone(), value: value.clone(), mod_revision: self.epoch };
                     self.log.push((self.epoch, WatchEvent::Put(row)));
                     self.keys.insert(key, Value { text: value, stamp: self.epoch, hold });
                 }
                 KvChange::Delete { key } => self.drop_key(key),
             }
         }
-        Ok(KvReply::Committed { epoch: self.epoch })
+        Ok(KvReply::Committed { revision: self.epoch })
     }
 
     fn drop_key(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            self.log.push((self.epoch, WatchEvent::Delete { key, stamp: self.epoch }));
+            self.log.push((self.epoch, WatchEvent::Delete { key, revision: self.epoch }));
         }
     }
 
@@ -188,7 +188,7 @@
     pub fn changes(&self, prefix: &str, after: u64) -> KvReply {
         let events =
             self.log.iter().filter(|(at, e)| *at > after && matches(e, prefix)).map(|(_, e)| e.clone());
-        KvReply::Events { epoch: self.epoch, events: events.collect() }
+        KvReply::Events { revision: self.epoch, events: events.collect() }
     }
 }
 
