--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -582,28 +582,33 @@
     table: &PermissionTable,
 ) -> Settings {
     let name = |n: usize| format!("plank-{n}");
-    let team = Team { cpus: kind.cap * 2.0 / 3.0, cpus_max: kind.cap, gpus: 0.0, gpus_max: 0.0 };
+    let team = Team {
+        guaranteed_cpus: kind.cap * 2.0 / 3.0,
+        max_cpus: kind.cap,
+        guaranteed_gpus: 0.0,
+        max_gpus: 0.0,
+    };
     Settings {
         host: name(node),
         zone: zone_of(node).into(),
-        boot,
+        boot_id: boot,
         nodes: 3,
-        siblings: (0..3).filter(|n| *n != node).map(name).collect(),
+        peers: (0..3).filter(|n| *n != node).map(name).collect(),
         teams: BTreeMap::from([("a".into(), team), ("b".into(), team)]),
-        expectations: BTreeMap::new(),
-        report: kind.report,
-        lease: kind.lease,
-        cancel: kind.cancel,
-        state_rps: 250.0,
-        write_rps: kind.write_rps,
-        write_rps_next: kind.write_rps * 0.75,
-        cpu: 1.0,
-        value_bytes: if old { 8192 } else { 1024 },
-        txn_ops: if old { 8 } else { 4 },
-        cloud_rps: kind.cloud_rps,
-        list_lag: secs(3),
-        clock_off: ms(100),
-        sizing: Sizing { threshold: 1.5, interval: Some(secs(20)), capacity: Some(capacity) },
+        objectives: BTreeMap::new(),
+        heartbeat_interval: kind.report,
+        worker_lease: kind.lease,
+        cancel_within: kind.cancel,
+        kv_requests_per_s: 250.0,
+        kv_changes_per_s: kind.write_rps,
+        next_kv_changes_per_s: kind.write_rps * 0.75,
+        cpu_share: 1.0,
+        max_value_bytes: if old { 8192 } else { 1024 },
+        max_txn_changes: if old { 8 } else { 4 },
+        cloud_requests_per_s: kind.cloud_rps,
+        inventory_lag: secs(3),
+        clock_error: ms(100),
+        sizing: Sizing { max_slowdown: 1.5, interval: Some(secs(20)), max_machines: Some(capacity) },
         fencing: Fencing { enabled: fenced, ..Fencing::default() },
         reachability: Reachability {
             enabled: kind.reach && !old,
@@ -729,24 +734,24 @@
             let spec = JobSpec {
                 class: format!("c{}", n % 3),
                 team: if n % 2 == 0 { "a".into() } else { "b".into() },
-                urgency: if n % 3 == 0 { Priority::Urgent } else { Priority::Standard },
+                priority: if n % 3 == 0 { Priority::Urgent } else { Priority::Standard },
                 tasks,
-                each: Resources {
+                demand: Resources {
                     cpus: if wide { 1.0 } else { [1.0, 2.0, 4.0][n % 3] },
                     gpus: 0.0,
-                    ram: 4.0,
+                    ram_gb: 4.0,
                 },
                 image: format!("img-{}", n % 4),
                 image_gb: 1.0,
-                rigs: None,
+                machine_types: None,
                 zone: if n % 7 == 3 { Some("y".into()) } else { None },
-                one_zone: n % 5 == 1,
-                scatter: n % 5 == 2 && !gang,
-                spot: n % 4 != 3,
-                estimate: 5.0,
-                checkpoint: if gang { 2.0 } else { 0.0 },
-                save: if gang { 1.0 } else { 0.0 },
-                due: None,
+                single_zone: n % 5 == 1,
+                spread: n % 5 == 2 && !gang,
+                allows_spot: n % 4 != 3,
+                estimated_runtime_s: 5.0,
+                checkpoint_interval_s: if gang { 2.0 } else { 0.0 },
+                checkpoint_duration_s: if gang { 1.0 } else { 0.0 },
+                deadline_s: None,
                 gang,
             };
             let id = JobId::parse(&format!("job-{n:06}")).unwrap();
@@ -1056,13 +1061,13 @@
                 let (id, spec) = (j.id.clone(), j.spec.clone());
                 self.ask(
                     Asked::Submit(job),
-                    |ask| Event::Submit { ask, id, job: Ok(spec) },
+                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
                     Happening::Submit { job },
                 );
             }
             Happening::Poll { job } => {
                 let id = self.jobs[job].id.clone();
-                self.ask(Asked::Poll(job), |ask| Event::Poll { ask, id }, Happening::Poll { job });
+                self.ask(Asked::Poll(job), |ask| Event::Poll { request: ask, id }, Happening::Poll { job });
             }
             Happening::Abort { job } => {
                 if self.jobs[job].submitted {
@@ -1072,7 +1077,7 @@
                 let id = self.jobs[job].id.clone();
                 self.ask(
                     Asked::Abort { job, known },
-                    |ask| Event::Cancel { ask, id },
+                    |ask| Event::Cancel { request: ask, id },
                     Happening::Abort { job },
                 );
             }
@@ -1093,11 +1098,16 @@
             Happening::Odd { odd, known } => self.ask_oddly(odd, known),
             Happening::PollAt { job, node } => {
                 let id = self.jobs[job].id.clone();
-                self.ask_at(node, Asked::Poll(job), |ask| Event::Poll { ask, id }, None);
+                self.ask_at(node, Asked::Poll(job), |ask| Event::Poll { request: ask, id }, None);
             }
             Happening::SubmitAt { job, node } => {
                 let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
-                self.ask_at(node, Asked::Submit(job), |ask| Event::Submit { ask, id, job: Ok(spec) }, None);
+                self.ask_at(
+                    node,
+                    Asked::Submit(job),
+                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
+                    None,
+                );
             }
             Happening::CopyTo { node, report } => self.copy_to(node, report),
             Happening::Cut { until } => self.someone(|w| w.cut = until),
@@ -1112,7 +1122,7 @@
             }
             Happening::Part { node, until } => self.apart[node] = until,
             Happening::Copy { mut report } => {
-                report.shift += u64::from(self.troubles.lying_copies);
+                report.incarnation += u64::from(self.troubles.lying_copies);
                 let node = self.rng.random_range(0..3);
                 self.copy_to(node, report);
             }
@@ -1179,7 +1189,7 @@
         if let Some((boot, _)) = &self.nodes[node] {
             let boot = *boot;
             self.last_ask += 1;
-            let event = Event::Heartbeat { ask: self.last_ask, report, relayed: false };
+            let event = Event::Heartbeat { request: self.last_ask, heartbeat: report, relayed: false };
             self.at(ms(1), Happening::ToNode { node, boot, event });
         }
     }
@@ -1254,17 +1264,17 @@
     fn perform_cut(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
-            Effect::CallKv { call, op } => {
+            Effect::CallKv { call, request: op } => {
                 if !matches!(op, KvRequest::Watch { .. }) {
                     self.at(held, Happening::StateArrives { node, boot, call, op, answered: false });
                 }
                 Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::CallCloud { call, op } => {
+            Effect::CallCloud { call, request: op } => {
                 self.at(held, Happening::CloudArrives { actor, call, op, answered: false });
                 Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::SendCommands { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
                 self.at(held, late);
@@ -1282,7 +1292,7 @@
     fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let inside = match &effect {
-            Effect::Respond { ask, .. } => match self.asks.get(&(node, boot, *ask)) {
+            Effect::Respond { request: ask, .. } => match self.asks.get(&(node, boot, *ask)) {
                 Some((_, Asked::Beat { host, .. })) => self.inside(node, host),
                 _ => false,
             },
@@ -1300,8 +1310,8 @@
         }
         let Some(effect) = self.pass_cuts(actor, effect) else { return };
         match effect {
-            Effect::Respond { ask, answer } => {
-                if let Response::Commands { token, orders } = &answer {
+            Effect::Respond { request: ask, response: answer } => {
+                if let Response::Commands { token, commands: orders } = &answer {
                     if let Some((_, Asked::Beat { host, .. })) = self.asks.get(&(node, boot, ask)) {
                         let host = host.clone();
                         self.last_answer = self.now;
@@ -1315,8 +1325,8 @@
                 }
             }
             // The version before knows nothing of this.
-            Effect::CallKv { op, .. } if self.old[node] && touches(&op, "node/") => {}
-            Effect::CallKv { call, op } => {
+            Effect::CallKv { request: op, .. } if self.old[node] && touches(&op, "node/") => {}
+            Effect::CallKv { call, request: op } => {
                 self.duty_sent(&op);
                 let listed = matches!(op, KvRequest::List { .. }) && self.now < self.unreadable;
                 let refused = self.now < self.outage || self.now < self.refused[node] || listed;
@@ -1342,19 +1352,19 @@
                 }
                 self.at(delay, Happening::StateArrives { node, boot, call, op, answered: !lost });
             }
-            Effect::CallCloud { call, op } => {
+            Effect::CallCloud { call, request: op } => {
                 if matches!(op, CloudRequest::Execute(_)) {
                     self.moment(Moment::CloudCalled);
                 }
                 if self.holding[node] && self.now < self.frozen[node] {
-                    let effect = Box::new(Effect::CallCloud { call, op });
+                    let effect = Box::new(Effect::CallCloud { call, request: op });
                     return self.at(self.frozen[node] - self.now, Happening::Perform { actor, effect });
                 }
                 let answered = !self.chance(self.troubles.lost);
                 let delay = if answered { ms(100) } else { self.between(100, 20_000) };
                 self.at(delay, Happening::CloudArrives { actor, call, op, answered });
             }
-            Effect::SendCommands { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 let starts = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
                 assert!(!starts || self.lag.is_zero(), "a start of its own while behind");
                 self.sent(token, &orders);
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -260,10 +260,10 @@
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
         let event = |ask| match odd {
-            Odd::Malformed => Event::Submit { ask, id, job: Err("a field is missing".into()) },
-            Odd::Impossible => Event::Submit { ask, id, job: Ok(spec) },
-            Odd::Unknown if ask % 2 == 0 => Event::Poll { ask, id },
-            Odd::Unknown => Event::Cancel { ask, id },
+            Odd::Malformed => Event::Submit { request: ask, id, job: Err("a field is missing".into()) },
+            Odd::Impossible => Event::Submit { request: ask, id, job: Ok(spec) },
+            Odd::Unknown if ask % 2 == 0 => Event::Poll { request: ask, id },
+            Odd::Unknown => Event::Cancel { request: ask, id },
         };
         let asked = Asked::Odd { odd, known: known.filter(|_| accepted) };
         self.ask_at(node, asked, event, None);
@@ -310,7 +310,7 @@
         self.urgent_look = now + URGENT_LOOK;
         for (n, waiting) in self.waits() {
             let job = &mut self.jobs[n];
-            if job.spec.urgency < Priority::Urgent || !waiting {
+            if job.spec.priority < Priority::Urgent || !waiting {
                 job.urgent_waiting = None;
                 continue;
             }
@@ -330,8 +330,8 @@
             for ((task, _), seen) in &worker.tasks {
                 if !matches!(seen, TaskStatus::Exited(_)) {
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
-                    free -= spec.each.cpus;
-                    *used.entry(&spec.team).or_default() += spec.each.cpus;
+                    free -= spec.demand.cpus;
+                    *used.entry(&spec.team).or_default() += spec.demand.cpus;
                     on.insert(task);
                 }
             }
@@ -344,15 +344,15 @@
             let here = (0..spec.tasks).filter(|i| on.contains(&TaskId { job: job.id.clone(), index: *i }));
             let (placed, done) = (here.count() as u32, job.done.len() as u32);
             // Zones that other tasks of the job decide about are left out.
-            let bound = spec.gang || spec.scatter || spec.one_zone && placed > 0;
+            let bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
             let needs = open && !bound && placed + done < spec.tasks;
             let most = self.kind.cap - used.get(spec.team.as_str()).copied().unwrap_or_default();
             let fits = |(w, free): &(&Worker, f64)| {
-                spec.each.cpus <= *free
+                spec.demand.cpus <= *free
                     && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
-                    && (spec.spot || !w.spot)
+                    && (spec.allows_spot || !w.spot)
             };
-            waits.push((n, needs && spec.each.cpus <= most && room.iter().any(fits)));
+            waits.push((n, needs && spec.demand.cpus <= most && room.iter().any(fits)));
         }
         waits
     }
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -58,7 +58,7 @@
         self.last_ask += 1;
         let ask = self.last_ask;
         self.asks.insert((other, peer_boot, ask), (self.now, Asked::Shard { node, boot, call }));
-        let event = Event::ShardMessage { ask, message: Ok(message) };
+        let event = Event::ShardMessage { request: ask, message: Ok(message) };
         self.at(way, Happening::ToNode { node: other, boot: peer_boot, event });
         let again = Box::new(told(Delivery::NoResponse));
         self.at(PATIENCE, Happening::Unanswered { node: other, boot: peer_boot, ask, again });
@@ -70,7 +70,7 @@
         let Some((boot, _)) = &self.nodes[other] else { return };
         let boot = *boot;
         self.last_ask += 1;
-        let event = Event::ShardMessage { ask: self.last_ask, message: Ok(message) };
+        let event = Event::ShardMessage { request: self.last_ask, message: Ok(message) };
         self.at(late, Happening::ToNode { node: other, boot, event });
     }
 
@@ -132,9 +132,11 @@
         self.last_ask += 1;
         let ask = self.last_ask;
         let (_, core) = self.nodes[node].as_mut().unwrap();
-        let effects = core.step(times, vec![Event::ShardMessage { ask, message: Ok(message) }]);
+        let effects = core.step(times, vec![Event::ShardMessage { request: ask, message: Ok(message) }]);
         let answer = effects.iter().find_map(|effect| match effect {
-            Effect::Respond { ask: of, answer: Response::ShardMessageDelivery(delivery) } if *of == ask => {
+            Effect::Respond { request: of, response: Response::ShardMessageDelivery(delivery) }
+                if *of == ask =>
+            {
                 Some(*delivery)
             }
             _ => None,
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -63,22 +63,22 @@
     fn report(&mut self, now: Duration) -> Heartbeat {
         self.tick += 1;
         Heartbeat {
-            host: self.name.clone(),
+            machine: self.name.clone(),
             address: format!("at-{}", self.name).into(),
-            rig: "r".into(),
+            machine_type: "r".into(),
             zone: self.zone.as_str().into(),
             spot: self.spot,
-            shift: self.shift,
-            tick: self.tick,
+            incarnation: self.shift,
+            sequence: self.tick,
             token: self.token,
-            warning: self.taken.map(|at| at.saturating_sub(now)),
+            preemption_notice: self.taken.map(|at| at.saturating_sub(now)),
             tasks: self
                 .tasks
                 .iter()
                 .map(|((task, attempt), seen)| ReportedTask {
                     task: task.clone(),
                     attempt: *attempt,
-                    seen: *seen,
+                    status: *seen,
                 })
                 .collect(),
         }
@@ -91,15 +91,15 @@
     pub(super) fn cloud(&mut self, op: CloudRequest) -> Result<CloudReply, CallError> {
         Ok(match op {
             CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![MachineType {
-                label: "r".into(),
+                name: "r".into(),
                 cpus: 8.0,
                 gpus: 0.0,
                 ram: 64.0,
-                cache_gb: 10.0,
-                pull_gb_per_s: 1.0,
+                image_cache_gb: 10.0,
+                image_fetch_gb_per_s: 1.0,
                 price: 1.0,
                 spot_price: 0.4,
-                boot: secs(5),
+                boot_time: secs(5),
                 zones: vec!["x".into(), "y".into()],
             }]),
             CloudRequest::ListInstances { after } => {
@@ -113,9 +113,9 @@
                 let seen = known.filter(from);
                 let mut hosts: Vec<Instance> = seen
                     .map(|w| Instance {
-                        host: w.name.clone(),
+                        name: w.name.clone(),
                         address: format!("at-{}", w.name).into(),
-                        rig: "r".into(),
+                        machine_type: "r".into(),
                         zone: w.zone.clone(),
                         spot: w.spot,
                         status: match w.ended {
@@ -123,12 +123,12 @@
                             _ if now >= w.up_at + lag => InstanceStatus::Running,
                             _ => InstanceStatus::Booting,
                         },
-                        held: now - w.hired,
+                        age: now - w.hired,
                     })
                     .collect();
                 let truncated = hosts.len() > self.kind.page;
                 hosts.truncate(self.kind.page);
-                CloudReply::Instances { hosts, truncated }
+                CloudReply::Instances { instances: hosts, truncated }
             }
             CloudRequest::Execute(permitted) => return self.act(permitted.action().clone()),
         })
@@ -226,7 +226,7 @@
         self.last_ask += 1;
         let ask = self.last_ask;
         let again = Box::new(report.clone());
-        let event = Event::Heartbeat { ask, report, relayed: false };
+        let event = Event::Heartbeat { request: ask, heartbeat: report, relayed: false };
         let held = if cut { self.workers[&host].cut - now } else { Duration::ZERO };
         if !self.reach(node, &host) {
             return;
@@ -242,7 +242,7 @@
                 self.relay(sent, report, answer);
             }
             Asked::Beat { host, sent, report } => {
-                let (shift, tick) = (report.shift, report.tick);
+                let (shift, tick) = (report.incarnation, report.sequence);
                 let away = self.workers.get(&host).is_some_and(|w| self.now < w.cut.max(w.deaf));
                 if !away {
                     self.at(ms(1), Happening::BeatAnswered { host, sent, shift, tick, answer });
@@ -259,19 +259,19 @@
 
     /// One node passes a report on to another, if it can.
     fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
-        let Response::Relay { foreman } = answer else { return };
+        let Response::Relay { leader: foreman } = answer else { return };
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
-        let host = report.host.clone();
+        let host = report.machine.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut[node].max(self.alone[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
-            let nobody = Response::Redirect { foreman: None };
+            let nobody = Response::Redirect { leader: None };
             return self.answered(Asked::Beat { host, sent, report }, nobody);
         };
         let boot = *boot;
         self.last_ask += 1;
         let ask = self.last_ask;
-        let event = Event::Heartbeat { ask, report: (*report).clone(), relayed: true };
+        let event = Event::Heartbeat { request: ask, heartbeat: (*report).clone(), relayed: true };
         self.asks.insert((node, boot, ask), (self.now, Asked::Beat { host, sent, report }));
         self.relayed += 1;
         self.at(ms(2), Happening::ToNode { node, boot, event });
@@ -292,7 +292,7 @@
         }
         worker.waiting = None;
         let pause = match answer {
-            Response::Commands { token, orders } => {
+            Response::Commands { token, commands: orders } => {
                 if token < self.led.0 && token >= worker.token {
                     self.held = self.held.max(now.saturating_sub(self.led.1));
                 }
@@ -309,7 +309,7 @@
                 let report = self.kind.report.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
-            Response::Redirect { foreman: Some(name) } => {
+            Response::Redirect { leader: Some(name) } => {
                 worker.node = name.trim_start_matches("plank-").parse().unwrap();
                 ms(200)
             }
@@ -376,8 +376,8 @@
                 let busy =
                     worker.tasks.iter().any(|((t, _), s)| *t == task && !matches!(s, TaskStatus::Exited(_)));
                 let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, TaskStatus::Exited(_)));
-                let cpus: f64 = live.map(|((t, _), _)| self.jobs[self.by_id[&t.job]].spec.each.cpus).sum();
-                let need = self.jobs[self.by_id[&task.job]].spec.each.cpus;
+                let cpus: f64 = live.map(|((t, _), _)| self.jobs[self.by_id[&t.job]].spec.demand.cpus).sum();
+                let need = self.jobs[self.by_id[&task.job]].spec.demand.cpus;
                 let seen = match (busy, cpus + need > 8.0) {
                     (true, _) => TaskStatus::Exited(ExitReason::AttemptConflict),
                     (_, true) => TaskStatus::Exited(ExitReason::InsufficientResources),
@@ -390,7 +390,7 @@
                     self.at(pull, Happening::Pulled { host: host.clone(), task, attempt, shift });
                 }
             }
-            WorkerCommand::Kill { task, attempt, leeway } => {
+            WorkerCommand::Kill { task, attempt, grace: leeway } => {
                 let there = worker.tasks.get(&(task.clone(), attempt));
                 if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&TaskStatus::Running) {
                     let saves = self.gang_told(&task, attempt, leeway);
@@ -442,13 +442,13 @@
         let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
         assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - EPOCH);
         assert!(job.spec.zone.as_ref().is_none_or(|z| *z == zone), "wrong_place: zone");
-        assert!(job.spec.spot || !spot, "wrong_place: spot");
+        assert!(job.spec.allows_spot || !spot, "wrong_place: spot");
         let here = |w: &&Worker| w.zone == zone;
         let of_job = |w: &Worker| w.runs().filter(|(t, _)| t.job == task.job).count() as u32;
         let in_zone: u32 = self.workers.values().filter(here).map(of_job).sum();
         let all: u32 = self.workers.values().map(of_job).sum();
-        assert!(!job.spec.one_zone || in_zone == all, "wrong_place: samePlace");
-        assert!(!job.spec.scatter || in_zone <= job.spec.tasks.div_ceil(2), "wrong_place: scatter");
+        assert!(!job.spec.single_zone || in_zone == all, "wrong_place: samePlace");
+        assert!(!job.spec.spread || in_zone <= job.spec.tasks.div_ceil(2), "wrong_place: scatter");
         let late = job.cancelled.is_some_and(|at| now > at + self.kind.cancel);
         assert!(!late, "ran_cancelled: {task:?} starts");
         let last = f64::from(task.index) / f64::from(job.spec.tasks.max(2) - 1);
@@ -513,7 +513,7 @@
                     }
                 }
             }
-            Response::Unavailable { retry } => self.at(retry, Happening::Submit { job }),
+            Response::Unavailable { retry_after: retry } => self.at(retry, Happening::Submit { job }),
             other => panic!("forgotten: a good submission gets {other:?}"),
         }
     }
@@ -592,7 +592,7 @@
         for worker in self.workers.values().filter(|w| !w.dead) {
             for (task, _) in worker.runs() {
                 let job = &self.jobs[self.by_id[&task.job]];
-                *cpus.entry(&job.spec.team).or_default() += job.spec.each.cpus;
+                *cpus.entry(&job.spec.team).or_default() += job.spec.demand.cpus;
                 let late = job.cancelled.is_some_and(|at| self.now > at + self.kind.cancel);
                 if late && std::env::var_os("WORLD_DUMP").is_some() {
                     println!("{:?} cancelled {:?}", self.now - EPOCH, job.cancelled.map(|at| at - EPOCH));
--- a/crates/plankhead/src/cloud.rs
+++ b/crates/plankhead/src/cloud.rs
@@ -37,7 +37,7 @@
         }
         (CloudRequest::ListInstances { .. }, StatusCode::OK) => {
             let (hosts, truncated) = wire::hosts(&body).ok_or(CallError::OutcomeUnknown)?;
-            Ok(CloudReply::Instances { hosts, truncated })
+            Ok(CloudReply::Instances { instances: hosts, truncated })
         }
         (CloudRequest::Execute(permitted), status) => acted(permitted.action(), status, &body),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
--- a/crates/plankhead/src/config.rs
+++ b/crates/plankhead/src/config.rs
@@ -61,9 +61,9 @@
     fn default() -> Self {
         let core = Sizing::default();
         Self {
-            threshold: core.threshold,
+            threshold: core.max_slowdown,
             interval_s: core.interval.map(|i| i.as_secs_f64()),
-            capacity: core.capacity,
+            capacity: core.max_machines,
         }
     }
 }
@@ -251,10 +251,10 @@
         let before = r.faults.len();
         let name = r.text(team, "name");
         let found = Team {
-            cpus: r.amount(team, "cpus", 0.0, 1e9),
-            cpus_max: r.amount(team, "cpus_max", 0.0, 1e9),
-            gpus: r.amount(team, "gpus", 0.0, 1e9),
-            gpus_max: r.amount(team, "gpus_max", 0.0, 1e9),
+            guaranteed_cpus: r.amount(team, "cpus", 0.0, 1e9),
+            max_cpus: r.amount(team, "cpus_max", 0.0, 1e9),
+            guaranteed_gpus: r.amount(team, "gpus", 0.0, 1e9),
+            max_gpus: r.amount(team, "gpus_max", 0.0, 1e9),
         };
         if teams.insert(name.clone(), found).is_some() {
             r.fault("name", &format!("{name} is there twice"));
@@ -276,8 +276,8 @@
         let expectation = expectations.entry(class.into()).or_default();
         let least = |old: Option<Duration>| Some(old.map_or(within, |old| old.min(within)));
         match kind {
-            "wait" => expectation.wait = least(expectation.wait),
-            "finished" => expectation.finished = least(expectation.finished),
+            "wait" => expectation.start_within = least(expectation.start_within),
+            "finished" => expectation.finish_within = least(expectation.finish_within),
             _ => {}
         }
     }
@@ -304,27 +304,27 @@
     let core = Settings {
         host,
         zone,
-        boot: rand::random(),
+        boot_id: rand::random(),
         nodes: siblings.len() + 1,
-        siblings: siblings.iter().map(|(name, _)| name.clone()).collect(),
+        peers: siblings.iter().map(|(name, _)| name.clone()).collect(),
         teams,
-        expectations,
-        report: r.seconds(root, "params.workers.report_s"),
-        lease: r.seconds(root, "params.workers.lease_s"),
-        cancel: r.seconds(root, "params.workers.cancel_s"),
-        state_rps: r.amount(root, "params.state.rps", 1.0, 1e6),
-        write_rps,
-        write_rps_next,
-        value_bytes: (value_kb * 1024.0) as usize,
-        txn_ops: txn_ops as usize,
-        cloud_rps: r.amount(root, "params.cloud.rps", 0.1, 1e6),
-        cpu,
-        list_lag: r.seconds(root, "params.cloud.list_lag_s"),
-        clock_off: Duration::from_secs_f64(r.amount(root, "params.clock_off_ms", 0.0, 1e6) / 1e3),
+        objectives: expectations,
+        heartbeat_interval: r.seconds(root, "params.workers.report_s"),
+        worker_lease: r.seconds(root, "params.workers.lease_s"),
+        cancel_within: r.seconds(root, "params.workers.cancel_s"),
+        kv_requests_per_s: r.amount(root, "params.state.rps", 1.0, 1e6),
+        kv_changes_per_s: write_rps,
+        next_kv_changes_per_s: write_rps_next,
+        max_value_bytes: (value_kb * 1024.0) as usize,
+        max_txn_changes: txn_ops as usize,
+        cloud_requests_per_s: r.amount(root, "params.cloud.rps", 0.1, 1e6),
+        cpu_share: cpu,
+        inventory_lag: r.seconds(root, "params.cloud.list_lag_s"),
+        clock_error: Duration::from_secs_f64(r.amount(root, "params.clock_off_ms", 0.0, 1e6) / 1e3),
         sizing: Sizing {
-            threshold: operator.sizing.threshold,
+            max_slowdown: operator.sizing.threshold,
             interval: operator.sizing.interval_s.map(Duration::from_secs_f64),
-            capacity: operator.sizing.capacity,
+            max_machines: operator.sizing.capacity,
         },
         fencing: Fencing::default(),
         reachability: Default::default(),
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -56,12 +56,14 @@
 impl CoreRequest {
     fn event(self, ask: RequestId) -> Event {
         match self {
-            CoreRequest::Submit { id, job } => Event::Submit { ask, id, job },
-            CoreRequest::Poll { id } => Event::Poll { ask, id },
-            CoreRequest::Cancel { id } => Event::Cancel { ask, id },
-            CoreRequest::Heartbeat { report, relayed } => Event::Heartbeat { ask, report, relayed },
-            CoreRequest::ShardMessage { message } => Event::ShardMessage { ask, message },
-            CoreRequest::View => Event::View { ask },
+            CoreRequest::Submit { id, job } => Event::Submit { request: ask, id, job },
+            CoreRequest::Poll { id } => Event::Poll { request: ask, id },
+            CoreRequest::Cancel { id } => Event::Cancel { request: ask, id },
+            CoreRequest::Heartbeat { report, relayed } => {
+                Event::Heartbeat { request: ask, heartbeat: report, relayed }
+            }
+            CoreRequest::ShardMessage { message } => Event::ShardMessage { request: ask, message },
+            CoreRequest::View => Event::View { request: ask },
         }
     }
 }
@@ -119,7 +121,7 @@
     /// Asks about a report, or has a sibling that leads asked.
     pub async fn beat(&self, report: Heartbeat, body: &[u8]) -> Reply {
         match self.answer(CoreRequest::Heartbeat { report, relayed: false }).await {
-            Ok(Response::Relay { foreman }) => match self.siblings.get(&foreman) {
+            Ok(Response::Relay { leader: foreman }) => match self.siblings.get(&foreman) {
                 Some(sibling) => match sibling.relay(body).await {
                     Some(answer) if self.is_current(&answer) => answer,
                     _ => reply(&NOBODY),
@@ -133,7 +135,7 @@
 }
 
 /// For a worker that no node could help.
-const NOBODY: Response = Response::Redirect { foreman: None };
+const NOBODY: Response = Response::Redirect { leader: None };
 
 fn reply(answer: &Response) -> Reply {
     let (status, body, retry) = wire::answer(answer);
@@ -193,16 +195,16 @@
 impl Outside {
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Respond { ask, answer } => self.asks.answer(ask, answer),
-            Effect::CallKv { call, op } => {
+            Effect::Respond { request: ask, response: answer } => self.asks.answer(ask, answer),
+            Effect::CallKv { call, request: op } => {
                 let client = self.state.clone();
                 self.spawn(async move { Event::KvReply { call, reply: state::call(&client, op).await } });
             }
-            Effect::CallCloud { call, op } => {
+            Effect::CallCloud { call, request: op } => {
                 let client = self.cloud.clone();
                 self.spawn(async move { Event::CloudReply { call, reply: cloud::call(&client, op).await } });
             }
-            Effect::SendCommands { call, address, token, shift, orders } => {
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 let agents = self.agents.clone();
                 self.spawn(async move {
                     Event::CommandReply { call, reply: agents.orders(address, token, shift, orders).await }
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -75,7 +75,7 @@
 
 fn leadership(row: &KeyValue) -> Option<Leadership> {
     let holder: Holder = serde_json::from_str(&row.value).ok()?;
-    Some(Leadership { host: holder.host, token: row.stamp })
+    Some(Leadership { host: holder.host, token: row.mod_revision })
 }
 
 /// What a duty waits for.
--- a/crates/plankhead/src/fencing.rs
+++ b/crates/plankhead/src/fencing.rs
@@ -35,10 +35,10 @@
         let core = Fencing::default();
         Self {
             enabled: core.enabled,
-            write_pause_ms: core.write_pause.as_millis() as u64,
-            tidy_pause_s: core.tidy_pause.as_secs(),
+            write_pause_ms: core.write_interval.as_millis() as u64,
+            tidy_pause_s: core.compaction_interval.as_secs(),
             refused_rental_retry_s: core.refused_rental_retry.as_secs(),
-            abandon_rental_s: core.abandon_rental.as_secs(),
+            abandon_rental_s: core.abandon_rental_after.as_secs(),
         }
     }
 }
@@ -48,9 +48,9 @@
     let file: FencingFile = config::parse_checked("fencing settings", SCHEMA, value, faults);
     Fencing {
         enabled: file.enabled,
-        write_pause: Duration::from_millis(file.write_pause_ms),
-        tidy_pause: Duration::from_secs(file.tidy_pause_s),
+        write_interval: Duration::from_millis(file.write_pause_ms),
+        compaction_interval: Duration::from_secs(file.tidy_pause_s),
         refused_rental_retry: Duration::from_secs(file.refused_rental_retry_s),
-        abandon_rental: Duration::from_secs(file.abandon_rental_s),
+        abandon_rental_after: Duration::from_secs(file.abandon_rental_s),
     }
 }
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -36,7 +36,7 @@
 pub fn encode(pulse: &PeerHeartbeat) -> Option<Vec<u8>> {
     let message = PulseMessage {
         host: pulse.host.clone(),
-        state_ok: pulse.state_ok,
+        state_ok: pulse.kv_available,
         baton: pulse.token,
         progress: pulse.progress.iter().map(|p| (p.id.clone(), p.done, p.running)).collect(),
     };
@@ -51,7 +51,7 @@
     let progress = message.progress.into_iter();
     Some(PeerHeartbeat {
         host: message.host,
-        state_ok: message.state_ok,
+        kv_available: message.state_ok,
         token: message.baton,
         progress: progress.map(|(id, done, running)| JobProgress { id, done, running }).collect(),
     })
@@ -251,7 +251,7 @@
         let progress = |id: &str, done, running| JobProgress { id: id.into(), done, running };
         let pulse = PeerHeartbeat {
             host: "plank-1".into(),
-            state_ok: true,
+            kv_available: true,
             token: 41,
             progress: vec![progress("job-000412", 3, 13), progress("job-7", 0, 1)],
         };
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -203,18 +203,18 @@
         job: listed.task.job.to_string(),
         index: listed.task.index,
         attempt: listed.attempt,
-        seen: code(listed.seen),
+        seen: code(listed.status),
     };
     HeartbeatMessage {
-        host: report.host.to_string(),
+        host: report.machine.to_string(),
         address: report.address.to_string(),
-        machine_type: report.rig.to_string(),
+        machine_type: report.machine_type.to_string(),
         zone: report.zone.to_string(),
         spot: report.spot,
-        session: report.shift,
-        tick: report.tick,
+        session: report.incarnation,
+        tick: report.sequence,
         token: report.token,
-        warning_ms: report.warning.map(millis),
+        warning_ms: report.preemption_notice.map(millis),
         tasks: report.tasks.iter().map(task).collect(),
     }
 }
@@ -243,7 +243,7 @@
 fn order_message(order: &WorkerCommand) -> OrderMessage {
     let (kind, task, attempt, leeway) = match order {
         WorkerCommand::Run { task, attempt } => (RUN, task, attempt, Duration::ZERO),
-        WorkerCommand::Kill { task, attempt, leeway } => (KILL, task, attempt, *leeway),
+        WorkerCommand::Kill { task, attempt, grace: leeway } => (KILL, task, attempt, *leeway),
         WorkerCommand::Acknowledge { task, attempt } => (REAP, task, attempt, Duration::ZERO),
     };
     OrderMessage {
@@ -350,19 +350,19 @@
 fn report(message: HeartbeatMessage) -> Result<Heartbeat, ShardMessageError> {
     let listed = |listed: &ListedTask| {
         let seen = SEEN.get(usize::from(listed.seen)).ok_or(ShardMessageError::Range("seen"))?;
-        Ok(ReportedTask { task: task(&listed.job, listed.index)?, attempt: listed.attempt, seen: *seen })
+        Ok(ReportedTask { task: task(&listed.job, listed.index)?, attempt: listed.attempt, status: *seen })
     };
     let tasks: Result<Vec<ReportedTask>, ShardMessageError> = message.tasks.iter().map(listed).collect();
     Ok(Heartbeat {
-        host: name(message.host, "machine")?.as_str().into(),
+        machine: name(message.host, "machine")?.as_str().into(),
         address: message.address.as_str().into(),
-        rig: message.machine_type.as_str().into(),
+        machine_type: message.machine_type.as_str().into(),
         zone: name(message.zone, "zone")?.as_str().into(),
         spot: message.spot,
-        shift: message.session,
-        tick: message.tick,
+        incarnation: message.session,
+        sequence: message.tick,
         token: message.token,
-        warning: message.warning_ms.map(Duration::from_millis),
+        preemption_notice: message.warning_ms.map(Duration::from_millis),
         tasks: tasks?.into(),
     })
 }
@@ -405,7 +405,7 @@
     let (task, attempt) = (task(&message.job, message.index)?, message.attempt);
     match message.kind {
         RUN => Ok(WorkerCommand::Run { task, attempt }),
-        KILL => Ok(WorkerCommand::Kill { task, attempt, leeway: Duration::from_millis(message.leeway_ms) }),
+        KILL => Ok(WorkerCommand::Kill { task, attempt, grace: Duration::from_millis(message.leeway_ms) }),
         REAP => Ok(WorkerCommand::Acknowledge { task, attempt }),
         _ => Err(ShardMessageError::Range("command")),
     }
--- a/crates/plankhead/src/shard_table.rs
+++ b/crates/plankhead/src/shard_table.rs
@@ -51,7 +51,7 @@
         let reply = state::call(&client, op).await.map_err(TableError::State)?;
         let KvReply::Page { rows, truncated, .. } = reply else { return Err(TableError::Response) };
         for row in &rows {
-            if let Err(fault) = shards.table.write(&row.key, &row.value, row.stamp) {
+            if let Err(fault) = shards.table.write(&row.key, &row.value, row.mod_revision) {
                 shards.faults.push(format!("{}: {fault}", row.key));
             }
         }
--- a/crates/plankhead/src/state.rs
+++ b/crates/plankhead/src/state.rs
@@ -28,14 +28,16 @@
             let body = wire::txn(conditions, changes).ok_or(CallError::Refused)?;
             (Method::POST, "/txn".into(), body, PATIENCE)
         }
-        KvRequest::GrantLease { life } => {
+        KvRequest::GrantLease { ttl: life } => {
             let body = format!("{{\"lifeMs\":{}}}", life.as_millis()).into_bytes();
             (Method::POST, "/grants".into(), body, PATIENCE)
         }
-        KvRequest::RenewLease { hold } => {
+        KvRequest::RenewLease { lease: hold } => {
             (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE)
         }
-        KvRequest::RevokeLease { hold } => (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE),
+        KvRequest::RevokeLease { lease: hold } => {
+            (Method::DELETE, format!("/grants/{hold}"), Vec::new(), PATIENCE)
+        }
         KvRequest::Watch { prefix, after, wait } => {
             let path = format!("/follow?prefix={prefix}&after={after}&waitMs={}", wait.as_millis());
             (Method::GET, path, Vec::new(), *wait + WATCH_EXTRA)
@@ -55,7 +57,7 @@
     let no_lease = |changes: &[KvChange], body: &Bytes| {
         let value: serde_json::Value = parse(body)?;
         let known = value.get("error").and_then(|e| e.as_str()) == Some("no such lease");
-        let held = changes.iter().any(|c| matches!(c, KvChange::Put { hold: Some(_), .. }));
+        let held = changes.iter().any(|c| matches!(c, KvChange::Put { lease: Some(_), .. }));
         match (known, held) {
             (true, _) => Ok(KvReply::NoSuchLease),
             (false, true) => Err(CallError::OutcomeUnknown),
@@ -70,17 +72,17 @@
         (KvRequest::List { .. }, 200) => {
             let page: wire::Page = parse(body)?;
             let rows = page.rows.into_iter().map(KeyValue::from).collect();
-            Ok(KvReply::Page { rows, truncated: page.truncated, epoch: page.epoch })
+            Ok(KvReply::Page { rows, truncated: page.truncated, revision: page.epoch })
         }
         (KvRequest::Txn { .. }, 200) => {
-            parse::<wire::Epoch>(body).map(|e| KvReply::Committed { epoch: e.epoch })
+            parse::<wire::Epoch>(body).map(|e| KvReply::Committed { revision: e.epoch })
         }
         (KvRequest::Txn { .. }, 409) => {
             parse::<wire::Failed>(body).map(|f| KvReply::Conflict { failed: f.failed })
         }
         (KvRequest::Txn { changes, .. }, 400) => no_lease(changes, body),
         (KvRequest::GrantLease { .. }, 200) => {
-            parse::<wire::Hold>(body).map(|h| KvReply::LeaseGranted { hold: h.hold })
+            parse::<wire::Hold>(body).map(|h| KvReply::LeaseGranted { lease: h.hold })
         }
         (KvRequest::RenewLease { .. }, 200) => Ok(KvReply::LeaseRenewed),
         (KvRequest::RenewLease { .. }, 404) => Ok(KvReply::NoSuchLease),
@@ -89,7 +91,7 @@
             let events: wire::Events = parse(body)?;
             let epoch = events.epoch;
             let events = events.events().ok_or(CallError::OutcomeUnknown)?;
-            Ok(KvReply::Events { epoch, events })
+            Ok(KvReply::Events { revision: epoch, events })
         }
         (KvRequest::Watch { .. }, 410) => Ok(KvReply::Compacted),
         _ => Err(CallError::OutcomeUnknown),
--- a/crates/plankhead/src/tests/messages.rs
+++ b/crates/plankhead/src/tests/messages.rs
@@ -7,7 +7,7 @@
 #[test]
 fn pulses_are_checked() {
     let progress = vec![JobProgress { id: "job-1".into(), done: 3, running: 4 }];
-    let pulse = PeerHeartbeat { host: "plank-1".into(), state_ok: true, token: 7, progress };
+    let pulse = PeerHeartbeat { host: "plank-1".into(), kv_available: true, token: 7, progress };
     let bytes = encode(&pulse).unwrap();
     assert_eq!(decode(&bytes), Some(pulse));
     assert_eq!(decode(&bytes[..bytes.len() - 3]), None);
@@ -23,7 +23,7 @@
     let parse = |v: &Value| wire::report(v.to_string().as_bytes());
     let report = parse(&good).unwrap();
     assert_eq!(
-        (report.tasks[0].task.index, report.tasks[1].seen),
+        (report.tasks[0].task.index, report.tasks[1].status),
         (3, TaskStatus::Exited(ExitReason::Completed))
     );
     for (pointer, bad) in [
@@ -49,7 +49,7 @@
         let piece = json!({"piece": "job-1/3", "try": 2, "status": status, "cause": cause});
         let report = json!({"host": "i-1", "address": "10.1.0.2:9000", "rig": "g8", "yard": "a", "loaners": true,
             "shift": 1, "tick": 88, "baton": 41, "warningS": null, "pieces": [piece]});
-        wire::report(report.to_string().as_bytes()).unwrap().tasks[0].seen
+        wire::report(report.to_string().as_bytes()).unwrap().tasks[0].status
     };
     assert_eq!(piece("waiting", Value::Null), TaskStatus::WaitingForGang);
     assert_eq!(piece("asleep", Value::Null), TaskStatus::Unrecognized);
@@ -68,7 +68,7 @@
 #[test]
 fn transactions_are_written_as_published() {
     let changes = [
-        KvChange::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), hold: Some(7) },
+        KvChange::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), lease: Some(7) },
         KvChange::Delete { key: "c/d".into() },
     ];
     let body: Value = serde_json::from_slice(&wire::txn(&[], &changes).unwrap()).unwrap();
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -54,17 +54,17 @@
         TaskStatus::FetchingImage,
         TaskStatus::Exited(ExitReason::Unrecognized),
     ];
-    let listed = |n: u32| ReportedTask { task: task(n), attempt: u64::from(n), seen: seen[n as usize % 4] };
+    let listed = |n: u32| ReportedTask { task: task(n), attempt: u64::from(n), status: seen[n as usize % 4] };
     Heartbeat {
-        host: format!("i-{machine:06}").as_str().into(),
+        machine: format!("i-{machine:06}").as_str().into(),
         address: "10.1.0.232:9000".into(),
-        rig: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        shift: 3,
-        tick: 88,
+        incarnation: 3,
+        sequence: 88,
         token: 41,
-        warning: Some(Duration::from_secs(30)),
+        preemption_notice: Some(Duration::from_secs(30)),
         tasks: (0..tasks).map(listed).collect(),
     }
 }
@@ -102,7 +102,7 @@
         WorkerCommand::Run { task: task(4), attempt: 2 },
         WorkerCommand::Acknowledge { task: task(0), attempt: 1 },
     );
-    let kill = WorkerCommand::Kill { task: task(1), attempt: 1, leeway: Duration::from_secs(10) };
+    let kill = WorkerCommand::Kill { task: task(1), attempt: 1, grace: Duration::from_secs(10) };
     LeaderCommands {
         host: "plank-0".into(),
         stamp: MessageStamp { boot: 6, sequence: 10 },
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -79,25 +79,25 @@
     let spec = JobSpec {
         class: work.lane,
         team: work.crew,
-        urgency: match work.urgency {
+        priority: match work.urgency {
             UrgencyName::Critical => Priority::Critical,
             UrgencyName::Urgent => Priority::Urgent,
             UrgencyName::Standard => Priority::Standard,
             UrgencyName::Idle => Priority::Idle,
         },
         tasks: work.pieces,
-        each: Resources { cpus: work.cpus, gpus: work.gpus, ram: work.ram_gb },
+        demand: Resources { cpus: work.cpus, gpus: work.gpus, ram_gb: work.ram_gb },
         image: work.bundle,
         image_gb: work.image_gb,
-        rigs: work.rigs,
+        machine_types: work.rigs,
         zone: work.yard,
-        one_zone: work.same_place,
-        scatter: work.scatter,
-        spot: work.loaners,
-        estimate: work.guess_s,
-        checkpoint: work.bookmark_s,
-        save: work.stow_s,
-        due: work.due_s,
+        single_zone: work.same_place,
+        spread: work.scatter,
+        allows_spot: work.loaners,
+        estimated_runtime_s: work.guess_s,
+        checkpoint_interval_s: work.bookmark_s,
+        checkpoint_duration_s: work.stow_s,
+        deadline_s: work.due_s,
         gang: matches!(work.shape, Shape::Group),
     };
     spec.check().map_err(|e| e.to_string())?;
@@ -148,7 +148,7 @@
 pub fn answer(answer: &Response) -> (u16, Vec<u8>, Option<Duration>) {
     let error = |error: &str| text(&ErrorResponse { error });
     match answer {
-        Response::Job { fresh, id, status: s, done, running } => {
+        Response::Job { created: fresh, id, status: s, done, running } => {
             let code = if *fresh { 201 } else { 200 };
             let (done, running) = (*done, *running);
             (code, text(&JobResponse { name_id: id.as_str(), status: status(*s), done, running }), None)
@@ -156,12 +156,12 @@
         Response::BadRequest(reason) => (400, error(reason), None),
         Response::Unprocessable(reason) => (422, error(reason), None),
         Response::NotFound => (404, error("no such job"), None),
-        Response::Unavailable { retry } => (503, error("try again later"), Some(*retry)),
-        Response::Commands { token, orders } => {
+        Response::Unavailable { retry_after: retry } => (503, error("try again later"), Some(*retry)),
+        Response::Commands { token, commands: orders } => {
             let orders = orders.iter().map(OrderMessage::from).collect();
             (200, text(&CommandsResponse { baton: *token, orders }), None)
         }
-        Response::Redirect { foreman } => {
+        Response::Redirect { leader: foreman } => {
             (421, text(&RedirectResponse { foreman: foreman.as_deref() }), None)
         }
         Response::Relay { .. } => (421, text(&RedirectResponse { foreman: None }), None),
@@ -295,7 +295,7 @@
             return None;
         }
         let tick = serde_json::from_slice(&body[start..end]).ok()?;
-        Some(Heartbeat { tick, ..self.report.clone() })
+        Some(Heartbeat { sequence: tick, ..self.report.clone() })
     }
 }
 
@@ -333,18 +333,18 @@
             }),
             (PieceStatus::Ended, None) => return Err("an ended task without a cause".into()),
         };
-        tasks.push(ReportedTask { task: task(&piece.piece)?, attempt: piece.attempt, seen });
+        tasks.push(ReportedTask { task: task(&piece.piece)?, attempt: piece.attempt, status: seen });
     }
     let report = Heartbeat {
-        host: beat.host.into(),
+        machine: beat.host.into(),
         address: beat.address.into(),
-        rig: beat.rig.into(),
+        machine_type: beat.rig.into(),
         zone: beat.yard.into(),
         spot: beat.loaners,
-        shift: beat.shift,
-        tick,
+        incarnation: beat.shift,
+        sequence: tick,
         token: beat.baton,
-        warning,
+        preemption_notice: warning,
         tasks: tasks.into(),
     };
     Ok((report, span))
@@ -374,7 +374,7 @@
     fn from(order: &'a WorkerCommand) -> Self {
         let (verb, task, attempt, leeway) = match order {
             WorkerCommand::Run { task, attempt } => ("run", task, attempt, None),
-            WorkerCommand::Kill { task, attempt, leeway } => {
+            WorkerCommand::Kill { task, attempt, grace: leeway } => {
                 ("kill", task, attempt, Some(leeway.as_secs_f64()))
             }
             WorkerCommand::Acknowledge { task, attempt } => ("reap", task, attempt, None),
@@ -427,15 +427,15 @@
             return None;
         }
         rigs.push(MachineType {
-            label: rig.label,
+            name: rig.label,
             cpus: rig.cpus,
             gpus: rig.gpus,
             ram: rig.ram_gb,
-            cache_gb: rig.local_gb,
-            pull_gb_per_s: rig.pull_gb_per_s,
+            image_cache_gb: rig.local_gb,
+            image_fetch_gb_per_s: rig.pull_gb_per_s,
             price: rig.rate,
             spot_price: rig.market_price,
-            boot: seconds(rig.ready_s)?,
+            boot_time: seconds(rig.ready_s)?,
             zones: rig.yards,
         });
     }
@@ -473,9 +473,9 @@
     let mut hosts = Vec::with_capacity(page.hosts.len());
     for row in page.hosts {
         hosts.push(Instance {
-            host: row.name_id.into(),
+            name: row.name_id.into(),
             address: row.address.into(),
-            rig: row.rig,
+            machine_type: row.rig,
             zone: row.yard,
             spot: row.loaners,
             status: match row.status {
@@ -483,7 +483,7 @@
                 HostStatusName::Running => InstanceStatus::Running,
                 HostStatusName::Failed => InstanceStatus::Failed,
             },
-            held: seconds(row.held_s)?,
+            age: seconds(row.held_s)?,
         });
     }
     Some((hosts, page.truncated))
@@ -522,7 +522,7 @@
 
 impl From<StateRow> for KeyValue {
     fn from(row: StateRow) -> Self {
-        KeyValue { key: row.k, value: row.value.get().into(), stamp: row.stamp }
+        KeyValue { key: row.k, value: row.value.get().into(), mod_revision: row.stamp }
     }
 }
 
@@ -566,9 +566,9 @@
     pub fn events(self) -> Option<Vec<WatchEvent>> {
         let event = |e: RawEvent| match (e.write, e.drop, e.value) {
             (Some(key), None, Some(value)) => {
-                Some(WatchEvent::Put(KeyValue { key, value: value.get().into(), stamp: e.stamp }))
+                Some(WatchEvent::Put(KeyValue { key, value: value.get().into(), mod_revision: e.stamp }))
             }
-            (None, Some(key), _) => Some(WatchEvent::Delete { key, stamp: e.stamp }),
+            (None, Some(key), _) => Some(WatchEvent::Delete { key, revision: e.stamp }),
             _ => None,
         };
         self.events.into_iter().map(event).collect()
@@ -586,7 +586,7 @@
     let mut apply: Vec<Box<RawValue>> = Vec::with_capacity(changes.len());
     for change in changes {
         let text = match change {
-            KvChange::Put { key, value, hold } => {
+            KvChange::Put { key, value, lease: hold } => {
                 let value: &RawValue = serde_json::from_str(value).ok()?;
                 serde_json::to_string(&Put { write: key, value, hold: *hold })
             }
@@ -594,7 +594,8 @@
         };
         apply.push(RawValue::from_string(text.ok()?).ok()?);
     }
-    let conditions: Vec<Value> = conditions.iter().map(|c| json!({"k": c.key, "stamp": c.stamp})).collect();
+    let conditions: Vec<Value> =
+        conditions.iter().map(|c| json!({"k": c.key, "stamp": c.mod_revision})).collect();
     #[derive(Serialize)]
     struct Txn {
         r#if: Vec<Value>,
