--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/election.rs
@@ -29,10 +29,10 @@
 pub enum Step {
     Read,
     Watch,
-    Grant,
+    GrantLease,
     Claim { hold: u64 },
-    Touch { hold: u64, sent: Duration },
-    Revoke,
+    RenewLease { hold: u64, sent: Duration },
+    RevokeLease,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,24 +62,24 @@
 #[derive(Debug)]
 pub struct Election {
     host: String,
-    boot: u64,
+    boot_id: u64,
     stage: Stage,
-    pending: bool,
-    not_before: Duration,
+    call_in_flight: bool,
+    retry_at: Duration,
     /// The last known holder that is not us, with its token.
-    pub foreman: Option<(String, u64)>,
-    touched: Duration,
-    next_touch: Duration,
-    touching: bool,
+    pub known_leader: Option<(String, u64)>,
+    lease_renewed_at: Duration,
+    next_renewal_at: Duration,
+    renewal_in_flight: bool,
     /// The last renewal of the grant failed.
-    shaken: bool,
+    last_renewal_failed: bool,
     /// The grant of a claim whose answer was lost: it alone may still win the key
     /// without being asked again.
-    doubt: Option<u64>,
+    uncertain_claim: Option<u64>,
     /// How long the key outlives its leader.
     lease: Duration,
     /// Others are better placed to lead.
-    holds_back: bool,
+    defers_to_peers: bool,
     /// Since when the key is vacant.
     vacant_since: Duration,
 }
@@ -89,35 +89,35 @@
         Self {
             lease,
             host,
-            boot,
+            boot_id: boot,
             stage: Stage::Unknown,
-            pending: false,
-            not_before: Duration::ZERO,
-            foreman: None,
-            touched: Duration::ZERO,
-            next_touch: Duration::ZERO,
-            touching: false,
-            shaken: false,
-            doubt: None,
-            holds_back: false,
+            call_in_flight: false,
+            retry_at: Duration::ZERO,
+            known_leader: None,
+            lease_renewed_at: Duration::ZERO,
+            next_renewal_at: Duration::ZERO,
+            renewal_in_flight: false,
+            last_renewal_failed: false,
+            uncertain_claim: None,
+            defers_to_peers: false,
             vacant_since: Duration::ZERO,
         }
     }
 
     /// Whether others are better placed: a vacant key is left to them for a moment, and no
     /// longer, since they may be gone.
-    pub fn hold_back(&mut self, holds_back: bool) {
-        self.holds_back = holds_back;
+    pub fn set_defers_to_peers(&mut self, holds_back: bool) {
+        self.defers_to_peers = holds_back;
     }
 
-    fn vacant(&mut self, now: Duration) {
+    fn key_vacant(&mut self, now: Duration) {
         self.stage = Stage::Vacant;
         self.vacant_since = now;
     }
 
     /// Until when a vacant key is left to others.
-    fn held_until(&self) -> Option<Duration> {
-        let held = self.holds_back && self.stage == Stage::Vacant;
+    fn deferred_until(&self) -> Option<Duration> {
+        let held = self.defers_to_peers && self.stage == Stage::Vacant;
         held.then_some(self.vacant_since + HOLD_BACK)
     }
 
@@ -129,45 +129,48 @@
     }
 
     /// Whether the grant was renewed lately enough that writes make sense.
-    pub fn firm(&self, now: Duration) -> bool {
-        self.token().is_some() && now.saturating_sub(self.touched) < self.lease
+    pub fn is_lease_valid(&self, now: Duration) -> bool {
+        self.token().is_some() && now.saturating_sub(self.lease_renewed_at) < self.lease
     }
 
     /// Whether, beyond that, nothing says that the state service fails this node:
     /// another may have the key soon and confirm what this one can't see.
-    pub fn steady(&self, now: Duration) -> bool {
-        self.firm(now) && !self.shaken
+    pub fn is_lease_undisputed(&self, now: Duration) -> bool {
+        self.is_lease_valid(now) && !self.last_renewal_failed
     }
 
     /// When [`Election::tick`] has something to do next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
         match self.stage {
-            Stage::Leading { .. } => (!self.touching).then_some(self.next_touch),
-            _ => (!self.pending).then(|| self.not_before.max(self.held_until().unwrap_or_default())),
+            Stage::Leading { .. } => (!self.renewal_in_flight).then_some(self.next_renewal_at),
+            _ => (!self.call_in_flight).then(|| self.retry_at.max(self.deferred_until().unwrap_or_default())),
         }
     }
 
     pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Stage::Leading { hold, .. } = self.stage {
-            if !self.touching && now >= self.next_touch {
-                self.touching = true;
+            if !self.renewal_in_flight && now >= self.next_renewal_at {
+                self.renewal_in_flight = true;
                 out.state(
-                    CallPurpose::Election(Step::Touch { hold, sent: now }),
+                    CallPurpose::Election(Step::RenewLease { hold, sent: now }),
                     KvRequest::RenewLease { lease: hold },
                 );
             }
             return;
         }
-        if self.pending || now < self.not_before || self.held_until().is_some_and(|until| now < until) {
+        if self.call_in_flight
+            || now < self.retry_at
+            || self.deferred_until().is_some_and(|until| now < until)
+        {
             return;
         }
-        self.pending = true;
+        self.call_in_flight = true;
         let (step, op) = match self.stage {
             Stage::Unknown => (Step::Read, KvRequest::Get { key: KEY.into() }),
             Stage::Watching { after } => {
                 (Step::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
             }
-            _ => (Step::Grant, KvRequest::GrantLease { ttl: self.lease }),
+            _ => (Step::GrantLease, KvRequest::GrantLease { ttl: self.lease }),
         };
         out.state(CallPurpose::Election(step), op);
     }
@@ -179,24 +182,24 @@
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) -> LeadershipChange {
-        if let Step::Touch { hold, sent } = step {
-            return self.touched(now, hold, sent, reply);
+        if let Step::RenewLease { hold, sent } = step {
+            return self.lease_renewal_reply(now, hold, sent, reply);
         }
-        if step == Step::Revoke {
+        if step == Step::RevokeLease {
             return LeadershipChange::Unchanged;
         }
-        self.pending = false;
+        self.call_in_flight = false;
         match (step, reply) {
-            (Step::Read, Ok(KvReply::Value(row))) => return self.read(now, row, out),
+            (Step::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, out),
             (Step::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
                 let mut verdict = LeadershipChange::Unchanged;
                 for event in events {
                     match event {
                         WatchEvent::Put(row) if row.key == KEY => {
-                            verdict = self.read(now, Some(row), out);
+                            verdict = self.key_read(now, Some(row), out);
                         }
                         WatchEvent::Delete { key, .. } if key == KEY => {
-                            self.vacant(now);
+                            self.key_vacant(now);
                         }
                         _ => {}
                     }
@@ -206,7 +209,7 @@
                 }
                 return verdict;
             }
-            (Step::Grant, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
+            (Step::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
             (Step::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
                 return self.won(now, epoch, hold);
             }
@@ -215,27 +218,27 @@
                 Step::Claim { hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
-                out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: hold });
+                out.state(CallPurpose::Election(Step::RevokeLease), KvRequest::RevokeLease { lease: hold });
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
             (Step::Claim { hold }, Err(CallError::OutcomeUnknown)) => {
-                self.doubt = Some(hold);
+                self.uncertain_claim = Some(hold);
                 self.stage = Stage::Unknown;
-                self.not_before = now + PAUSE;
+                self.retry_at = now + PAUSE;
             }
             _ => {
                 self.stage = Stage::Unknown;
-                self.not_before = now + PAUSE;
+                self.retry_at = now + PAUSE;
             }
         }
         LeadershipChange::Unchanged
     }
 
     fn claim(&mut self, hold: u64, out: &mut EffectSink) {
-        let holder = Holder { host: self.host.clone(), boot: self.boot, hold };
+        let holder = Holder { host: self.host.clone(), boot: self.boot_id, hold };
         let Ok(value) = serde_json::to_string(&holder) else { return };
-        self.pending = true;
+        self.call_in_flight = true;
         out.state(
             CallPurpose::Election(Step::Claim { hold }),
             KvRequest::Txn {
@@ -245,26 +248,29 @@
         );
     }
 
-    fn read(&mut self, now: Duration, row: Option<KeyValue>, out: &mut EffectSink) -> LeadershipChange {
+    fn key_read(&mut self, now: Duration, row: Option<KeyValue>, out: &mut EffectSink) -> LeadershipChange {
         let Some(row) = row else {
-            self.vacant(now);
+            self.key_vacant(now);
             return LeadershipChange::Unchanged;
         };
         let Ok(holder) = serde_json::from_str::<Holder>(&row.value) else {
             out.log(LogLevel::Error, "the key of the leader holds something strange".into());
-            self.not_before = now + PAUSE;
+            self.retry_at = now + PAUSE;
             return LeadershipChange::Unchanged;
         };
         if holder.host == self.host {
-            if self.doubt == Some(holder.hold) && holder.boot == self.boot {
+            if self.uncertain_claim == Some(holder.hold) && holder.boot == self.boot_id {
                 return self.won(now, row.mod_revision, holder.hold);
             }
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: holder.hold });
+            out.state(
+                CallPurpose::Election(Step::RevokeLease),
+                KvRequest::RevokeLease { lease: holder.hold },
+            );
         } else {
-            self.foreman = Some((holder.host, row.mod_revision));
+            self.known_leader = Some((holder.host, row.mod_revision));
         }
         self.stage = Stage::Watching { after: row.mod_revision };
         LeadershipChange::Unchanged
@@ -272,16 +278,16 @@
 
     fn won(&mut self, now: Duration, token: u64, hold: u64) -> LeadershipChange {
         self.stage = Stage::Leading { token, hold };
-        self.foreman = None;
-        self.touched = now;
-        self.next_touch = now;
-        self.touching = false;
-        self.shaken = false;
-        self.doubt = None;
+        self.known_leader = None;
+        self.lease_renewed_at = now;
+        self.next_renewal_at = now;
+        self.renewal_in_flight = false;
+        self.last_renewal_failed = false;
+        self.uncertain_claim = None;
         LeadershipChange::Won { token }
     }
 
-    fn touched(
+    fn lease_renewal_reply(
         &mut self,
         now: Duration,
         renewed: u64,
@@ -292,40 +298,40 @@
         if !matches!(self.stage, Stage::Leading { hold, .. } if hold == renewed) {
             return LeadershipChange::Unchanged;
         }
-        self.touching = false;
-        self.shaken = reply.is_err();
+        self.renewal_in_flight = false;
+        self.last_renewal_failed = reply.is_err();
         match reply {
             Ok(KvReply::LeaseRenewed) => {
-                self.touched = self.touched.max(sent);
-                self.next_touch = now.max(sent + TOUCH);
+                self.lease_renewed_at = self.lease_renewed_at.max(sent);
+                self.next_renewal_at = now.max(sent + TOUCH);
             }
-            Ok(KvReply::NoSuchLease) => return self.lost(),
-            _ => self.next_touch = now + PAUSE,
+            Ok(KvReply::NoSuchLease) => return self.lease_lost(),
+            _ => self.next_renewal_at = now + PAUSE,
         }
         LeadershipChange::Unchanged
     }
 
     /// Steps down of its own will, so that a node that hears the workers can
     /// lead.
-    pub fn abdicate(&mut self, now: Duration, out: &mut EffectSink) -> LeadershipChange {
-        let verdict = self.resign(out);
-        self.not_before = now + ABSTAIN;
+    pub fn step_down_for_peers(&mut self, now: Duration, out: &mut EffectSink) -> LeadershipChange {
+        let verdict = self.release_lease(out);
+        self.retry_at = now + ABSTAIN;
         verdict
     }
 
     /// Gives the key up, if it is still there.
-    pub fn resign(&mut self, out: &mut EffectSink) -> LeadershipChange {
+    pub fn release_lease(&mut self, out: &mut EffectSink) -> LeadershipChange {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.state(CallPurpose::Election(Step::Revoke), KvRequest::RevokeLease { lease: hold });
+            out.state(CallPurpose::Election(Step::RevokeLease), KvRequest::RevokeLease { lease: hold });
         }
-        self.lost()
+        self.lease_lost()
     }
 
     /// Steps down: the key is somebody else's, or will be.
-    pub fn lost(&mut self) -> LeadershipChange {
+    pub fn lease_lost(&mut self) -> LeadershipChange {
         self.stage = Stage::Unknown;
-        self.pending = false;
-        self.not_before = Duration::ZERO;
+        self.call_in_flight = false;
+        self.retry_at = Duration::ZERO;
         LeadershipChange::Lost
     }
 }
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -99,7 +99,7 @@
         let sight = self.sight(standing);
         let Some(epoch) = self.shard_of.get(host).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(host) else { return };
-        let Some(shift) = machine.shift().filter(|_| machine.takes_commands()) else { return };
+        let Some(shift) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
         let orders: Vec<WorkerCommand> = self.direct_orders(machine, sight, now);
         if orders.is_empty() {
             return;
@@ -138,14 +138,14 @@
     /// Commands for a machine, by its newest report.
     pub(super) fn orders(&self, host: &MachineName, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
-        let Some(report) = &machine.report else { return Vec::new() };
+        let Some(report) = &machine.last_heartbeat else { return Vec::new() };
         let ordered = self.commands.get(host).filter(|commands| commands.shift == report.incarnation);
         let due = |order: &&WorkerCommand| match order {
             WorkerCommand::Run { task, attempt } => {
                 sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
             }
             WorkerCommand::Kill { .. } => true,
-            WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_run(task, *attempt),
+            WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_start(task, *attempt),
         };
         let mut orders: Vec<WorkerCommand> =
             ordered.into_iter().flat_map(|commands| &commands.orders).filter(due).cloned().collect();
@@ -208,7 +208,7 @@
     /// Ends tasks of cancelled jobs, without waiting for the workers' reports.
     pub(super) fn tell_kills(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
         let holds = |machine: &&Machine| {
-            let tasks = machine.report.as_ref().map(|report| &report.tasks);
+            let tasks = machine.last_heartbeat.as_ref().map(|report| &report.tasks);
             tasks.is_some_and(|tasks| tasks.iter().any(|listed| self.jobs.is_cancelled(&listed.task.job)))
         };
         let hosts: Vec<MachineName> =
@@ -223,12 +223,12 @@
         if self.behind {
             return;
         }
-        for host in self.fleet.to_inquire(now, self.settings.heartbeat_timeout(), |_| true) {
+        for host in self.fleet.machines_to_probe(now, self.settings.heartbeat_timeout(), |_| true) {
             let Some(epoch) = self.shard_of.get(&host).and_then(|shard| self.epoch(shard, now)) else {
                 continue;
             };
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
-            let Some(shift) = machine.shift() else { continue };
+            let Some(shift) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
             let call = HolderCall::SendCommands { host, shift, runs: Vec::new() };
             out.orders(CallPurpose::Holder(call), address, epoch, shift, Vec::new());
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -289,11 +289,11 @@
             // A copy gets no orders, nor counts as heard.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
-        machine.relayed = relayed;
-        if machine.is_sent_off(adrift, self.settings.worker_lease, now) {
+        machine.is_relayed = relayed;
+        if machine.take_redirect(adrift, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
         }
-        machine.note_answer(&orders, now);
+        machine.record_response(&orders, now);
         Response::Commands { token: epoch, commands: orders }
     }
 
@@ -306,8 +306,8 @@
         ours: bool,
     ) -> HeartbeatNews {
         let heard = match ours {
-            true => self.fleet.answered(report, epoch, now),
-            false => self.fleet.observe(report, epoch, now),
+            true => self.fleet.observe_command_reply(report, epoch, now),
+            false => self.fleet.observe_heartbeat(report, epoch, now),
         };
         let host = &report.machine;
         match heard {
@@ -333,7 +333,7 @@
         self.jobs.tick(now, out);
         if now >= self.look_due {
             self.look_due = now + LOOK;
-            let silent = |machine: &&Machine| now.saturating_sub(machine.heard) > FORGET;
+            let silent = |machine: &&Machine| now.saturating_sub(machine.last_heard_at) > FORGET;
             let silent: Vec<MachineName> =
                 self.fleet.machines.values().filter(silent).map(|machine| machine.name.clone()).collect();
             silent.iter().for_each(|host| self.forget(host));
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -79,15 +79,15 @@
                 return Vec::new();
             };
             let Some(machine) = self.fleet.machines.get(&host) else { continue };
-            let Some(report) = &machine.report else { continue };
+            let Some(report) = &machine.last_heartbeat else { continue };
             tasks += report.tasks.len();
             told.push(MachineUpdate {
                 number,
                 report: report.clone(),
-                proven: machine.proven,
-                deaf: machine.leaving == Some(RemovalReason::IgnoresCommands),
-                unanswered: machine.unanswered,
-                age: now.saturating_sub(machine.heard),
+                proven: machine.confirmed,
+                deaf: machine.removal == Some(RemovalReason::IgnoresCommands),
+                unanswered: machine.unanswered_commands,
+                age: now.saturating_sub(machine.last_heard_at),
             });
         }
         told
--- a/crates/plankhead-core/src/leader/clock.rs
+++ b/crates/plankhead-core/src/leader/clock.rs
@@ -9,96 +9,97 @@
     pub fn tick(
         &mut self,
         times: StepTime,
-        sight: Sight,
+        sight: LeaderEvidence,
         requests: &mut RequestHandler,
         out: &mut EffectSink,
     ) {
-        let (now, firm) = (times.now, sight.firm);
-        self.duties.wall_ms = times.wall_ms();
-        self.behind = sight.behind;
+        let (now, firm) = (times.now, sight.lease_valid);
+        self.intents.wall_ms = times.wall_ms();
+        self.cpu_starved = sight.cpu_starved;
         self.mode = sight.mode;
         self.peers_agree = sight.peers_agree;
-        if !sight.steady {
-            self.shaken = Some(now);
+        if !sight.kv_undisputed {
+            self.lease_doubted_at = Some(now);
         }
-        if std::mem::take(&mut self.reached) || self.stage == Stage::Loading {
-            self.contact = now;
+        if std::mem::take(&mut self.direct_heartbeat_arrived) || self.stage == Stage::Loading {
+            self.last_direct_heartbeat_at = now;
         }
         if self.stage == Stage::Loading {
-            if self.load_due.is_some_and(|due| now >= due) {
+            if self.load_retry_at.is_some_and(|due| now >= due) {
                 // Whatever failed, reading starts over: rows are idempotent.
-                self.load_due = None;
-                self.page_after = None;
-                self.rows.clear();
+                self.load_retry_at = None;
+                self.load_after_key = None;
+                self.loaded_chunks.clear();
                 self.garbage.clear();
-                self.archive.clear();
-                self.pressing = 0;
-                self.load(now, out);
+                self.to_archive.clear();
+                self.urgent_garbage = 0;
+                self.begin_loading(now, out);
             }
-            if now >= self.minded {
-                self.minded = now + MIND;
-                self.judge_blind(now, sight);
-                self.release(now, sight, out);
+            if now >= self.next_maintenance_at {
+                self.next_maintenance_at = now + MIND;
+                self.remove_silent_beyond_lease(now, sight);
+                self.release_removed_machines(now, sight, out);
             }
-            self.advance_duties(times, sight, out);
-            self.list_hosts(now, out);
+            self.advance_intents(times, sight, out);
+            self.list_instances(now, out);
             return;
         }
-        if let Some(epoch) = self.epoch.filter(|_| !self.following && now >= self.follow_due) {
-            self.following = true;
+        if let Some(epoch) = self.jobs_revision.filter(|_| !self.watch_in_flight && now >= self.next_watch_at)
+        {
+            self.watch_in_flight = true;
             let op = KvRequest::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
-            self.state(LeaderCall::WatchJobs { sent: now }, op, out);
+            self.call_kv(LeaderCall::WatchJobs { sent: now }, op, out);
         }
         let places = firm && self.permits(Action::Place, now);
-        let rents = firm && self.surveyed && self.permits(Action::Rent, now);
+        let rents = firm && self.inventory_complete && self.permits(Action::Rent, now);
         // What could not be written yet could not start either: the next pass
         // waits for it and so puts more into one write, but not for long.
-        let backlog = self.ledger.placing.len();
-        let written = backlog == 0 || backlog <= self.writes.available(now);
-        let due = if written { self.pass_due } else { self.pass_due + PASS_PATIENCE };
-        if places && self.dirty && now >= due {
-            self.dirty = false;
-            self.pass_due = now + self.portions.pass_pause();
-            self.schedule(now, out);
+        let backlog = self.job_table.dirty_placements.len();
+        let written = backlog == 0 || backlog <= self.write_budget.available(now);
+        let due = if written { self.next_pass_at } else { self.next_pass_at + PASS_PATIENCE };
+        if places && self.pass_needed && now >= due {
+            self.pass_needed = false;
+            self.next_pass_at = now + self.cpu_budget.pass_pause();
+            self.run_placement_pass(now, out);
         }
         // A new leader that had not seen the machines yet took the fleet for none: it
         // hired all anew, and its round gave back what then turned up.
         if rents {
-            self.size(times, out);
+            self.advance_sizing(times, out);
         }
         // At the first step of a leader that has read all, too: nothing larger than
         // what may be written is ever sent.
-        if self.to_lay {
-            self.to_lay = self.ledger.lay_anew(tasks_per_chunk(self.settings.max_value_bytes));
+        if self.rechunk_pending {
+            self.rechunk_pending = self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
-        self.advance_duties(times, sight, out);
+        self.advance_intents(times, sight, out);
         self.tick_shards(now, firm, requests, out);
         if firm {
             self.flush(now, requests, out);
         }
         // Every report brings a step: what costs time with every machine or job
         // has a beat of its own.
-        if now < self.minded {
+        if now < self.next_maintenance_at {
             return;
         }
-        self.minded = now + MIND;
-        self.mind_machines(now, sight, out);
+        self.next_maintenance_at = now + MIND;
+        self.check_machines(now, sight, out);
         // A new leader's rentals took the cloud's rate while a cancellation was due.
-        if self.fleet.machines.values().any(|m| m.leaving == Some(RemovalReason::CancellationDue)) {
-            self.release(now, sight, out);
+        if self.fleet.machines.values().any(|m| m.removal == Some(RemovalReason::CancellationDue)) {
+            self.release_removed_machines(now, sight, out);
         }
         if rents {
             self.rent_machines(now, out);
         }
         if firm && self.permits(Action::Return, now) {
-            self.give_back(now);
+            self.remove_surplus(now);
         }
         if firm {
-            self.sweep(now, out);
+            self.delete_garbage(now, out);
         }
-        self.release(now, sight, out);
-        self.list_hosts(now, out);
-        self.tell_late(now, out);
+        self.release_removed_machines(now, sight, out);
+        self.list_instances(now, out);
+        self.log_late_jobs(now, out);
     }
 
     /// When [`Leader::tick`] has something to do next, unless an event comes before.
@@ -106,22 +107,24 @@
     /// whose time cannot be told.
     pub fn next_due(&self, now: Duration, retry: Duration) -> Duration {
         if self.stage == Stage::Loading {
-            return self.load_due.map_or(self.minded, |due| due.min(self.minded));
+            return self
+                .load_retry_at
+                .map_or(self.next_maintenance_at, |due| due.min(self.next_maintenance_at));
         }
-        let mut due = self.minded;
-        if !self.following && self.epoch.is_some() {
-            due = due.min(self.follow_due);
+        let mut due = self.next_maintenance_at;
+        if !self.watch_in_flight && self.jobs_revision.is_some() {
+            due = due.min(self.next_watch_at);
         }
-        if self.dirty {
-            due = due.min(if self.pass_due > now { self.pass_due } else { retry });
+        if self.pass_needed {
+            due = due.min(if self.next_pass_at > now { self.next_pass_at } else { retry });
         }
-        let waits = !self.ledger.placing.is_empty()
-            || !self.ledger.closing.is_empty()
+        let waits = !self.job_table.dirty_placements.is_empty()
+            || !self.job_table.ended_jobs.is_empty()
             || self.target_dirty
-            || self.to_lay
-            || self.duties.wait();
+            || self.rechunk_pending
+            || self.intents.has_pending_work();
         if self.round.is_some() {
-            due = due.min(self.portion_due);
+            due = due.min(self.next_replay_slice_at);
         }
         if waits {
             due = due.min(retry);
@@ -129,11 +132,11 @@
         due
     }
 
-    pub(super) fn list_hosts(&mut self, now: Duration, out: &mut EffectSink) {
-        if !self.listing && now >= self.hosts_due && self.cloud.take(now, 1) {
-            self.listing = true;
-            self.hosts_due = now + self.settings.inventory_lag.max(Duration::from_secs(3));
-            let after = self.list.last().map(|h| h.name.clone());
+    pub(super) fn list_instances(&mut self, now: Duration, out: &mut EffectSink) {
+        if !self.inventory_in_flight && now >= self.next_inventory_at && self.cloud_budget.take(now, 1) {
+            self.inventory_in_flight = true;
+            self.next_inventory_at = now + self.settings.inventory_lag.max(Duration::from_secs(3));
+            let after = self.inventory_pages.last().map(|h| h.name.clone());
             out.cloud(
                 CallPurpose::Leader(self.token, LeaderCall::ListInstances),
                 CloudRequest::ListInstances { after },
@@ -143,27 +146,27 @@
 
     /// Whether some worker was heard lately, or none could be: those of machines that the
     /// cloud lists no more are not there, whatever fails this node.
-    pub(super) fn in_contact(&self, now: Duration) -> bool {
+    pub(super) fn hears_workers(&self, now: Duration) -> bool {
         let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
-        let there = |m: &&Machine| m.up() && !m.is_unlisted();
+        let there = |m: &&Machine| m.is_up() && !m.is_unlisted();
         let mut up = self.fleet.machines.values().filter(there).peekable();
-        up.peek().is_none() || up.any(|m| now.saturating_sub(m.heard) < recent)
+        up.peek().is_none() || up.any(|m| now.saturating_sub(m.last_heard_at) < recent)
     }
 
     /// Whether no worker at all has reached this node for so long that another
     /// should try to lead.
-    pub fn isolated(&self, now: Duration) -> bool {
+    pub fn is_isolated(&self, now: Duration) -> bool {
         let patience = self.settings.heartbeat_timeout() + Duration::from_secs(3);
         self.stage == Stage::Ready
-            && now.saturating_sub(self.contact) > patience
-            && self.fleet.machines.values().filter(|m| m.up()).count() > 1
+            && now.saturating_sub(self.last_direct_heartbeat_at) > patience
+            && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
     }
 
     /// Whether the cloud has answered lately, so that what it is asked takes effect now
     /// and not when some cut ends.
-    pub(super) fn cloud_near(&self, now: Duration) -> bool {
+    pub(super) fn is_cloud_reachable(&self, now: Duration) -> bool {
         let lately = self.settings.inventory_lag.max(Duration::from_secs(3)) * 2 + Duration::from_secs(1);
-        self.cloud_heard.is_some_and(|at| now.saturating_sub(at) < lately)
+        self.cloud_replied_at.is_some_and(|at| now.saturating_sub(at) < lately)
     }
 
     /// Without the state service nobody knows what was cancelled last. A machine that
@@ -174,12 +177,12 @@
     ///
     /// A leader that has not read yet does not know how old its ignorance is, and
     /// doesn't wait; but it takes the silence of many for its own fault.
-    fn judge_blind(&mut self, now: Duration, sight: Sight) {
+    fn remove_silent_beyond_lease(&mut self, now: Duration, sight: LeaderEvidence) {
         let reading = self.stage == Stage::Loading;
-        let due = reading || now.saturating_sub(self.fresh) >= self.cancel_grace();
-        if due && sight.among_all && self.cloud_near(now) {
+        let due = reading || now.saturating_sub(self.jobs_synced_at) >= self.cancel_grace();
+        if due && sight.no_peer_leads && self.is_cloud_reachable(now) {
             let silence = self.settings.worker_lease + Duration::from_secs(1);
-            self.fleet.judge_blind(now, silence, reading);
+            self.fleet.mark_silent_beyond_lease(now, silence, reading);
         }
     }
 
@@ -193,17 +196,17 @@
         self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
     }
 
-    fn mind_machines(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
-        let contact = self.in_contact(now);
+    fn check_machines(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
+        let contact = self.hears_workers(now);
         // Where no node hears any worker, the silence is theirs.
         let silence_tells = contact || self.mode == Mode::StateOnly;
-        if sight.firm && silence_tells && self.permits(Action::JudgeSilent, now) {
-            if !std::mem::replace(&mut self.sound, true) {
-                self.fleet.forgive(now);
+        if sight.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
+            if !std::mem::replace(&mut self.silence_is_reliable, true) {
+                self.fleet.reset_silence(now);
             }
-            self.dirty |= self.fleet.judge(now, &self.settings) > 0;
-            if !self.behind {
-                self.inquire(now, out);
+            self.pass_needed |= self.fleet.mark_for_removal(now, &self.settings) > 0;
+            if !self.cpu_starved {
+                self.probe_late_machines(now, out);
             }
         } else {
             // A leader that is cut off hears nobody, and its requests to the
@@ -211,46 +214,50 @@
             // a whole healthy fleet. While it hears workers, the others' silence is
             // theirs: forgiven after every lost renewal, machines that were gone kept
             // their tasks for ever under a lossy state service.
-            self.sound &= contact;
-            self.judge_blind(now, sight);
+            self.silence_is_reliable &= contact;
+            self.remove_silent_beyond_lease(now, sight);
         }
         // A cancelled task that is not proven gone takes its machine along, whoever
         // else is silent: in an outage, or where all machines hang, too.
         let (due, grace) = (self.cancel_due(), self.cancel_grace());
-        let heard = now.saturating_sub(self.began) > self.settings.failover_heartbeat_timeout();
+        let heard = now.saturating_sub(self.started_at) > self.settings.failover_heartbeat_timeout();
         let overdue: Vec<MachineName> = self
-            .ledger
+            .job_table
             .jobs
             .values()
-            .filter(|e| e.placed > 0 && e.cancelled.is_some_and(|at| now.saturating_sub(at) >= grace))
-            .flat_map(|e| self.ledger.placements(e).map(|a| (e.cancelled.unwrap_or_default(), a)))
+            .filter(|e| e.placed > 0 && e.cancelled_at.is_some_and(|at| now.saturating_sub(at) >= grace))
+            .flat_map(|e| self.job_table.attempts_of(e).map(|a| (e.cancelled_at.unwrap_or_default(), a)))
             // What an earlier leader placed may have ended under it, which the
             // first reports to us show, if the time left allows to wait for them.
             // A leader that comes when hardly any is left does not wait: it waited for
             // silence then, and a hung machine kept its task beyond the time.
             .filter(|(at, a)| {
                 let last = *at + due.saturating_sub(RELEASE);
-                a.seen.is_some() || a.offered.is_some() || heard || (self.began < *at + due && now >= last)
+                a.reported_status.is_some()
+                    || a.offered_under_token.is_some()
+                    || heard
+                    || (self.started_at < *at + due && now >= last)
             })
-            .map(|(_, a)| a.host.clone())
+            .map(|(_, a)| a.machine.clone())
             .collect();
         let reclaims = self.permits(Action::ReclaimOverdue, now);
         for host in overdue.into_iter().filter(|_| reclaims) {
-            self.fleet.expect(&host, now);
+            self.fleet.expect_machine(&host, now);
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.leaving.get_or_insert(RemovalReason::CancellationDue);
+                machine.removal.get_or_insert(RemovalReason::CancellationDue);
             }
         }
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    fn inquire(&mut self, now: Duration, out: &mut EffectSink) {
-        for host in
-            self.fleet.to_inquire(now, self.settings.heartbeat_timeout(), |machine| self.commands(machine))
+    fn probe_late_machines(&mut self, now: Duration, out: &mut EffectSink) {
+        for host in self
+            .fleet
+            .machines_to_probe(now, self.settings.heartbeat_timeout(), |machine| self.commands(machine))
         {
             let token = self.token_for(&host);
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
-            let Some(shift) = machine.shift() else { continue };
+            let Some(shift) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
             let call =
                 CallPurpose::Leader(self.token, LeaderCall::SendCommands { host, shift, runs: Vec::new() });
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -69,18 +69,18 @@
         }
     }
 
-    pub(super) fn fenced(&self) -> bool {
+    pub(super) fn is_fenced(&self) -> bool {
         self.gate.is_fenced()
     }
 
     /// Whether something waits for the state service or for the cloud's rate.
-    pub(super) fn wait(&self) -> bool {
+    pub(super) fn has_pending_work(&self) -> bool {
         !self.ready.is_empty() || !self.log.doubtful().is_empty() || self.log.lacks_records()
     }
 
     /// How many machines one return names.
-    pub(super) fn returnable(&self, hosts: &[MachineName], cause: ReturnReason) -> Return {
-        if self.fenced() {
+    pub(super) fn machines_per_return(&self, hosts: &[MachineName], cause: ReturnReason) -> Return {
+        if self.is_fenced() {
             return self.log.returnable(hosts, cause);
         }
         Return { hosts: hosts.iter().take(MAX_RETURN_HOSTS).cloned().collect(), cause }
@@ -97,7 +97,7 @@
         };
         let open: Vec<_> = self.log.open_duties().take(MOST_SHOWN).map(shown).collect();
         serde_json::json!({
-            "enabled": self.fenced(),
+            "enabled": self.is_fenced(),
             "passed": {"recorded": counts.recorded, "compelled": counts.compelled,
                 "unfenced": counts.unfenced, "refused": counts.refused},
             "intended": summary.intended, "recorded": summary.recorded, "adopted": summary.adopted,
@@ -111,16 +111,21 @@
 impl Leader {
     /// The one way to the cloud for whatever can't be taken back there. A repeat under the
     /// same key with the same action is sent again.
-    pub(super) fn request(&mut self, key: IdempotencyKey, action: Action, out: &mut EffectSink) -> bool {
-        if !self.duties.fenced() {
+    pub(super) fn request_cloud_action(
+        &mut self,
+        key: IdempotencyKey,
+        action: Action,
+        out: &mut EffectSink,
+    ) -> bool {
+        if !self.intents.is_fenced() {
             self.pass_gate(&key, action, None, out);
             return true;
         }
         use plankhead_fencing::log::IntentAdmission;
-        match self.duties.log.intend(key.clone(), action, self.duties.wall_ms) {
+        match self.intents.log.intend(key.clone(), action, self.intents.wall_ms) {
             Ok(IntentAdmission::New) => true,
             Ok(IntentAdmission::Repeat) => {
-                self.duties.ready.push_back(key);
+                self.intents.ready.push_back(key);
                 true
             }
             Err(error) => {
@@ -137,7 +142,7 @@
         proof: Option<IssueProof>,
         out: &mut EffectSink,
     ) {
-        match self.duties.gate.pass(action, proof) {
+        match self.intents.gate.pass(action, proof) {
             Ok(permitted) => self.send_action(key, permitted, out),
             Err(refusal) => out.log(LogLevel::Error, format!("the gate refused {key}: {refusal}")),
         }
@@ -153,9 +158,9 @@
 
     /// Sends the duties that may go now.
     fn send_ready(&mut self, out: &mut EffectSink) {
-        for _ in 0..self.duties.ready.len() {
-            let Some(key) = self.duties.ready.pop_front() else { return };
-            match self.duties.log.issue(&key) {
+        for _ in 0..self.intents.ready.len() {
+            let Some(key) = self.intents.ready.pop_front() else { return };
+            match self.intents.log.issue(&key) {
                 Ok((action, proof)) => self.pass_gate(&key, action, Some(proof), out),
                 Err(error) => out.log(LogLevel::Debug, format!("not sent: {error}")),
             }
@@ -163,53 +168,53 @@
     }
 
     /// Makes duties durable, and sends those that are.
-    pub(super) fn advance_duties(&mut self, times: StepTime, sight: Sight, out: &mut EffectSink) {
-        if !self.duties.fenced() {
+    pub(super) fn advance_intents(&mut self, times: StepTime, sight: LeaderEvidence, out: &mut EffectSink) {
+        if !self.intents.is_fenced() {
             return;
         }
         let now = times.now;
-        self.compel(now, sight, out);
+        self.force_unrecorded_returns(now, sight, out);
         self.retry_returns(now, sight);
         self.retry_refused_rentals(now, out);
         self.send_ready(out);
-        self.read_doubtful(now, out);
-        self.write_duties(now, sight, out);
+        self.read_uncertain_pages(now, out);
+        self.write_intents(now, sight, out);
     }
 
     /// A rule can't wait for a state service that fails: a cancelled task must be gone in
     /// time. What was tried to be recorded in this very step, and failed, goes without.
-    fn compel(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
+    fn force_unrecorded_returns(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
         let forced: Vec<(IdempotencyKey, bool)> =
-            self.duties.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
+            self.intents.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
-            let state = self.duties.log.duty(&key).map(Intent::state);
+            let state = self.intents.log.duty(&key).map(Intent::state);
             if state != Some(State::Intended) {
-                self.duties.forced.remove(&key);
+                self.intents.forced.remove(&key);
                 continue;
             }
-            let allowed = (!blind || sight.among_all) && self.cloud_near(now);
-            if allowed && self.duties.log.compel(&key) {
+            let allowed = (!blind || sight.no_peer_leads) && self.is_cloud_reachable(now);
+            if allowed && self.intents.log.compel(&key) {
                 out.log(
                     LogLevel::Info,
                     format!("duty {key} goes without its record: the state service fails"),
                 );
-                self.duties.forced.remove(&key);
-                self.duties.ready.push_back(key);
+                self.intents.forced.remove(&key);
+                self.intents.ready.push_back(key);
             }
         }
-        self.duties.log.forget_failures();
+        self.intents.log.forget_failures();
     }
 
-    fn retry_returns(&mut self, now: Duration, sight: Sight) {
-        if !sight.firm && !self.cloud_near(now) {
+    fn retry_returns(&mut self, now: Duration, sight: LeaderEvidence) {
+        if !sight.lease_valid && !self.is_cloud_reachable(now) {
             return;
         }
-        let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.duties.returns_due);
+        let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.intents.returns_due);
         for (at, key) in due {
-            if at <= now && self.cloud.take(now, 1) {
-                self.duties.ready.push_back(key);
+            if at <= now && self.cloud_budget.take(now, 1) {
+                self.intents.ready.push_back(key);
             } else {
-                self.duties.returns_due.push((at, key));
+                self.intents.returns_due.push((at, key));
             }
         }
     }
@@ -217,27 +222,27 @@
     /// A rental that was refused may still be carried out from an earlier copy of its
     /// request: only its name's success makes sure that no more machines come of it.
     fn retry_refused_rentals(&mut self, now: Duration, out: &mut EffectSink) {
-        let all = std::mem::take(&mut self.duties.refused_rentals);
+        let all = std::mem::take(&mut self.intents.refused_rentals);
         for refused in all {
             let key = IdempotencyKey::new(&refused.rental.name);
             if refused.due > now {
-                self.duties.refused_rentals.push(refused);
-            } else if now.saturating_sub(self.began) > self.duties.settings.abandon_rental_after {
+                self.intents.refused_rentals.push(refused);
+            } else if now.saturating_sub(self.started_at) > self.intents.settings.abandon_rental_after {
                 out.log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
-                self.end_duty(&key, State::Abandoned, out);
+                self.end_intent(&key, State::Abandoned, out);
             } else {
                 self.retry_rental(now, refused.rental);
             }
         }
     }
 
-    fn read_doubtful(&mut self, now: Duration, out: &mut EffectSink) {
-        if now < self.hold_until {
+    fn read_uncertain_pages(&mut self, now: Duration, out: &mut EffectSink) {
+        if now < self.writes_paused_until {
             return;
         }
-        for page in self.duties.log.doubtful() {
-            if self.duties.reading.insert(page) {
-                self.state(
+        for page in self.intents.log.doubtful() {
+            if self.intents.reading.insert(page) {
+                self.call_kv(
                     LeaderCall::ReadDuties { page, sent: now },
                     KvRequest::Get { key: page.key() },
                     out,
@@ -246,33 +251,33 @@
         }
     }
 
-    fn write_duties(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
-        let urgent = !self.duties.forced.is_empty();
+    fn write_intents(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
+        let urgent = !self.intents.forced.is_empty();
         // Without the lease a write would only fail, which a forced return must know.
-        if !sight.firm && !urgent || now < self.hold_until {
+        if !sight.lease_valid && !urgent || now < self.writes_paused_until {
             return;
         }
-        let tidy = sight.firm && now >= self.duties.tidy_due;
-        let lacks = self.duties.log.lacks_records();
-        let due = lacks && (urgent || now >= self.duties.write_due);
-        if !(due || tidy && self.duties.log.is_untidy()) {
+        let tidy = sight.lease_valid && now >= self.intents.tidy_due;
+        let lacks = self.intents.log.lacks_records();
+        let due = lacks && (urgent || now >= self.intents.write_due);
+        if !(due || tidy && self.intents.log.is_untidy()) {
             return;
         }
-        let most = self.writes.available(now).min(self.settings.max_txn_changes);
+        let most = self.write_budget.available(now).min(self.settings.max_txn_changes);
         let Some(changes) =
-            (most > 0).then(|| self.duties.log.begin_write(most, tidy || !urgent && lacks)).flatten()
+            (most > 0).then(|| self.intents.log.begin_write(most, tidy || !urgent && lacks)).flatten()
         else {
             return;
         };
-        self.writes.take(now, changes.len());
-        self.duties.write_due = now + self.duties.settings.write_interval;
-        self.duties.tidy_due = now + self.duties.settings.compaction_interval;
-        let (conditions, changes) = self.duty_transaction(changes);
-        self.state(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
+        self.write_budget.take(now, changes.len());
+        self.intents.write_due = now + self.intents.settings.write_interval;
+        self.intents.tidy_due = now + self.intents.settings.compaction_interval;
+        let (conditions, changes) = self.intent_transaction(changes);
+        self.call_kv(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
     }
 
-    fn duty_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
-        let mut conditions = vec![self.lead()];
+    fn intent_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
+        let mut conditions = vec![self.leader_condition()];
         let mut changes = Vec::new();
         for IntentPageWrite { page, expected, value } in pages {
             let key = page.key();
@@ -286,7 +291,7 @@
     }
 
     /// The reply to a write of duties; false: somebody else leads.
-    pub(super) fn duties_written(
+    pub(super) fn intents_written(
         &mut self,
         now: Duration,
         sent: Duration,
@@ -305,81 +310,81 @@
             _ => WriteOutcome::Lost,
         };
         if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Lost) {
-            self.hold_until = self.hold_until.max(now + PAUSE);
+            self.writes_paused_until = self.writes_paused_until.max(now + PAUSE);
         }
-        let durable = self.duties.log.end_write(outcome);
+        let durable = self.intents.log.end_write(outcome);
         if !fresh {
-            self.duties.log.forget_failures();
+            self.intents.log.forget_failures();
         }
-        self.duties.ready.extend(durable);
+        self.intents.ready.extend(durable);
         self.send_ready(out);
         true
     }
 
     /// The reply to a question after a page's revision.
-    pub(super) fn duties_reread(
+    pub(super) fn intents_reread(
         &mut self,
         now: Duration,
         page: PageId,
         sent: Duration,
         reply: Result<KvReply, CallError>,
     ) {
-        self.duties.reading.remove(&page);
+        self.intents.reading.remove(&page);
         match reply {
-            Ok(KvReply::Value(row)) => self.duties.log.reread(page, row.map_or(0, |row| row.mod_revision)),
-            Err(CallError::RateLimited) => self.hold_until = now + PAUSE,
+            Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
+            Err(CallError::RateLimited) => self.writes_paused_until = now + PAUSE,
             _ => {
-                self.hold_until = now + PAUSE;
+                self.writes_paused_until = now + PAUSE;
                 if now.saturating_sub(sent) < FRESH_FAILURE {
-                    self.duties.log.reread_failed();
+                    self.intents.log.reread_failed();
                 }
             }
         }
     }
 
-    pub(super) fn list_duties(&mut self, out: &mut EffectSink) {
-        let after = self.page_after.clone();
+    pub(super) fn list_intents(&mut self, out: &mut EffectSink) {
+        let after = self.load_after_key.clone();
         if after.is_none() {
-            self.duties.log.begin_reading();
+            self.intents.log.begin_reading();
         }
-        self.state(LeaderCall::ListDuties, KvRequest::List { prefix: record::PREFIX.into(), after }, out);
+        self.call_kv(LeaderCall::ListDuties, KvRequest::List { prefix: record::PREFIX.into(), after }, out);
     }
 
-    pub(super) fn loaded_duties(
+    pub(super) fn intents_page_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
-            return self.load_failed(times.now);
+            return self.retry_loading(times.now);
         };
-        self.page_after = rows.last().map(|row| row.key.clone());
+        self.load_after_key = rows.last().map(|row| row.key.clone());
         for row in &rows {
-            for fault in self.duties.log.inherit(&row.key, &row.value, row.mod_revision) {
+            for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
                 out.log(LogLevel::Error, format!("left alone: {fault}"));
             }
         }
         if truncated {
-            return self.list_duties(out);
+            return self.list_intents(out);
         }
-        self.page_after = None;
+        self.load_after_key = None;
         self.read_target(out);
     }
 
     /// Takes up what former leaders left open, before anything is placed: their machines
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
-    pub(super) fn adopt_duties(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn adopt_intents(&mut self, now: Duration, out: &mut EffectSink) {
         let adopted: Vec<(IdempotencyKey, Action)> =
-            self.duties.log.adopted().map(|duty| (duty.key.clone(), duty.action.clone())).collect();
+            self.intents.log.adopted().map(|duty| (duty.key.clone(), duty.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
                 Action::Rent(rental) => self.retry_rental(now, rental.clone().into()),
                 Action::Return(back) => {
-                    self.fleet.returning(&back.hosts);
+                    self.fleet.returns_inherited(&back.hosts);
                     self.releasing.extend(back.hosts.iter().cloned());
-                    self.duties.returns_due.push((now, key.clone()));
+                    self.intents.returns_due.push((now, key.clone()));
                 }
             }
         }
@@ -390,15 +395,15 @@
 
     /// Has a rental asked for again as soon as the cloud's rate allows.
     fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
-        self.rentals.push(rental.clone());
+        self.rentals_in_flight.push(rental.clone());
         self.rental_retries.push(renting::RentalRetry { due: now, rental });
     }
 
     /// A duty is over.
-    fn end_duty(&mut self, key: &IdempotencyKey, last: State, out: &mut EffectSink) {
+    fn end_intent(&mut self, key: &IdempotencyKey, last: State, out: &mut EffectSink) {
         let ended = match last {
-            State::Abandoned => self.duties.log.abandon(key),
-            _ => self.duties.log.confirm(key),
+            State::Abandoned => self.intents.log.abandon(key),
+            _ => self.intents.log.confirm(key),
         };
         if let Err(error) = ended {
             out.log(LogLevel::Error, error.to_string());
@@ -406,9 +411,9 @@
     }
 
     /// The cloud has carried a duty out, or said that it never will.
-    pub(super) fn confirm_duty(&mut self, key: &IdempotencyKey, out: &mut EffectSink) {
-        if self.duties.fenced() {
-            self.end_duty(key, State::Confirmed, out);
+    pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, out: &mut EffectSink) {
+        if self.intents.is_fenced() {
+            self.end_intent(key, State::Confirmed, out);
         }
     }
 
@@ -416,17 +421,17 @@
     /// under way, it stays open.
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
-        let Some(duty) = self.duties.log.duty(&key) else { return };
+        let Some(duty) = self.intents.log.duty(&key) else { return };
         if duty.holder == self.token && duty.attempts <= 1 {
-            return self.confirm_duty(&key, out);
+            return self.confirm_intent(&key, out);
         }
-        let due = now + self.duties.settings.refused_rental_retry;
-        self.duties.refused_rentals.push(RefusedRental { due, rental });
+        let due = now + self.intents.settings.refused_rental_retry;
+        self.intents.refused_rentals.push(RefusedRental { due, rental });
     }
 
     /// A return got no answer: it is asked for again, under the same key.
     pub(super) fn return_failed(&mut self, now: Duration, key: IdempotencyKey) {
-        self.duties.returns_due.push((now + RETURN_RETRY, key));
+        self.intents.returns_due.push((now + RETURN_RETRY, key));
     }
 
     /// Has machines returned; `forced`: a rule asks for it whatever the state service
@@ -440,18 +445,18 @@
         let surplus = leaving.iter().all(|(_, why)| *why == RemovalReason::Surplus);
         let cause = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
         let hosts: Vec<MachineName> = leaving.iter().map(|(host, _)| host.clone()).collect();
-        let back = self.duties.returnable(&hosts, cause);
+        let back = self.intents.machines_per_return(&hosts, cause);
         for (host, why) in
             leaving.iter().take(back.hosts.len()).filter(|(_, why)| *why != RemovalReason::Surplus)
         {
             out.log(LogLevel::Info, format!("gives back {host}: {why:?}"));
         }
-        let key = self.duties.log.next_key();
+        let key = self.intents.log.next_key();
         let hosts = back.hosts.clone();
-        if !hosts.is_empty() && self.request(key.clone(), Action::Return(back), out) {
+        if !hosts.is_empty() && self.request_cloud_action(key.clone(), Action::Return(back), out) {
             self.releasing.extend(hosts);
-            if forced && self.duties.fenced() {
-                self.duties.forced.insert(key, blind);
+            if forced && self.intents.is_fenced() {
+                self.intents.forced.insert(key, blind);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -174,15 +174,15 @@
 
 /// How well a leader sees what others do.
 #[derive(Debug, Clone, Copy)]
-pub struct Sight {
+pub struct LeaderEvidence {
     /// Its grant was renewed lately, so that its writes make sense.
-    pub firm: bool,
+    pub lease_valid: bool,
     /// And the state service has not failed it since.
-    pub steady: bool,
+    pub kv_undisputed: bool,
     /// It hears every sibling, and none of them leads.
-    pub among_all: bool,
+    pub no_peer_leads: bool,
     /// The process has no processor time left.
-    pub behind: bool,
+    pub cpu_starved: bool,
     /// Which sides this node sees.
     pub mode: Mode,
     /// Every other node hears no worker either.
@@ -199,92 +199,92 @@
 pub struct Leader {
     settings: Arc<Settings>,
     pub token: u64,
-    began: Duration,
+    started_at: Duration,
     stage: Stage,
-    pub ledger: JobTable,
+    pub job_table: JobTable,
     pub fleet: Fleet,
-    rows: Vec<ChunkRow>,
+    loaded_chunks: Vec<ChunkRow>,
     /// Every node has this version: what older ones can't read may be stored.
-    pub all_new: bool,
+    pub all_nodes_upgraded: bool,
     /// Some job's chunks are still to be laid anew.
-    to_lay: bool,
-    page_after: Option<String>,
-    load_due: Option<Duration>,
+    rechunk_pending: bool,
+    load_after_key: Option<String>,
+    load_retry_at: Option<Duration>,
     /// Reading failed since it last succeeded.
-    load_failed: bool,
+    loading_failed: bool,
     /// The revision up to which the jobs are known; `fresh`: as of when.
-    epoch: Option<u64>,
-    fresh: Duration,
-    following: bool,
-    follow_due: Duration,
-    txns: usize,
-    hold_until: Duration,
-    writes: TokenBucket,
-    cloud: TokenBucket,
-    reading: HashSet<String>,
+    jobs_revision: Option<u64>,
+    jobs_synced_at: Duration,
+    watch_in_flight: bool,
+    next_watch_at: Duration,
+    txns_in_flight: usize,
+    writes_paused_until: Duration,
+    write_budget: TokenBucket,
+    cloud_budget: TokenBucket,
+    keys_being_read: HashSet<String>,
     garbage: Vec<StoredKey>,
     /// How many of these, at the front, should go soon.
-    pressing: usize,
+    urgent_garbage: usize,
     /// Records of jobs that are over, to be moved out of the next leader's way.
-    archive: VecDeque<FinishedJob>,
-    sweeping: bool,
+    to_archive: VecDeque<FinishedJob>,
+    garbage_write_in_flight: bool,
     /// It has sent its first starts.
-    started: bool,
+    first_start_sent: bool,
     /// Something changed that may let tasks start.
-    dirty: bool,
-    pass_due: Duration,
-    preempt_due: Duration,
+    pass_needed: bool,
+    next_pass_at: Duration,
+    next_preemption_at: Duration,
     /// When what time alone brings about is looked at again.
-    minded: Duration,
+    next_maintenance_at: Duration,
     /// Some key's stamp is in doubt.
-    doubts: bool,
-    ends_due: Duration,
+    has_uncertain_revisions: bool,
+    next_end_flush_at: Duration,
     pub target: Target,
-    round_due: Duration,
+    next_round_at: Duration,
     round: Option<rounds::Round>,
     /// When the round may go on.
-    portion_due: Duration,
-    portions: CpuBudget,
+    next_replay_slice_at: Duration,
+    cpu_budget: CpuBudget,
     target_dirty: bool,
-    target_writing: bool,
-    rentals_begun: u64,
+    target_write_in_flight: bool,
+    rental_counter: u64,
     /// Rentals without an answer.
-    rentals: Vec<PendingRental>,
+    rentals_in_flight: Vec<PendingRental>,
     rental_retries: Vec<renting::RentalRetry>,
     releasing: BTreeSet<MachineName>,
-    duties: duties::Intents,
-    release_due: Duration,
-    hosts_due: Duration,
-    listing: bool,
-    list: Vec<Instance>,
+    intents: duties::Intents,
+    next_release_at: Duration,
+    next_inventory_at: Duration,
+    inventory_in_flight: bool,
+    inventory_pages: Vec<Instance>,
     /// The whole machine list was read once: what is held is known.
-    surveyed: bool,
-    places: PlacementIndex,
+    inventory_complete: bool,
+    placement_index: PlacementIndex,
     /// Where a gang that waits for machines will have most of its room.
     wanted_zone: Option<String>,
     /// Each team's place among the teams.
-    team_places: HashMap<String, usize>,
+    team_indices: HashMap<String, usize>,
     /// Run time over estimate, by class.
-    ratios: HashMap<String, f64>,
-    late_due: Duration,
+    runtime_ratios: HashMap<String, f64>,
+    next_lateness_scan_at: Duration,
     /// A worker reached this node itself; `contact`: when that was last looked at.
-    reached: bool,
-    contact: Duration,
+    direct_heartbeat_arrived: bool,
+    last_direct_heartbeat_at: Duration,
     /// Whether silence of a machine could be blamed on the machine.
-    sound: bool,
+    silence_is_reliable: bool,
     /// When the state service last failed this node, or was about to.
-    shaken: Option<Duration>,
+    lease_doubted_at: Option<Duration>,
     /// The process is behind: starts go with the answers to reports only.
-    behind: bool,
+    cpu_starved: bool,
     /// Which sides this node sees, and whether the others hear no worker either.
     mode: Mode,
     peers_agree: bool,
     /// When the cloud last answered.
-    cloud_heard: Option<Duration>,
+    cloud_replied_at: Option<Duration>,
     /// The jobs of the last interval: when each came, and what it was.
-    arrivals: VecDeque<(Duration, Arc<JobSpec>)>,
+    recent_arrivals: VecDeque<(Duration, Arc<JobSpec>)>,
     /// When the service's first job came; zero if that was before this leader.
-    opened: Option<Duration>,
+    first_job_at: Option<Duration>,
     /// Who holds which machines, where they are divided.
     shards: Option<shards::LeaderShards>,
 }
@@ -293,106 +293,109 @@
     pub fn new(settings: Arc<Settings>, token: u64, now: Duration) -> Self {
         Self {
             token,
-            began: now,
+            started_at: now,
             stage: Stage::Loading,
-            ledger: JobTable::default(),
+            job_table: JobTable::default(),
             fleet: Fleet::default(),
-            rows: Vec::new(),
-            all_new: false,
-            to_lay: false,
-            page_after: None,
-            load_due: None,
-            load_failed: false,
-            epoch: None,
-            fresh: now,
-            following: false,
-            follow_due: now,
-            txns: 0,
-            hold_until: Duration::ZERO,
-            writes: write_budget(settings.kv_changes_per_s),
-            cloud: TokenBucket::new(settings.cloud_requests_per_s * 0.8, settings.cloud_requests_per_s),
-            reading: HashSet::new(),
+            loaded_chunks: Vec::new(),
+            all_nodes_upgraded: false,
+            rechunk_pending: false,
+            load_after_key: None,
+            load_retry_at: None,
+            loading_failed: false,
+            jobs_revision: None,
+            jobs_synced_at: now,
+            watch_in_flight: false,
+            next_watch_at: now,
+            txns_in_flight: 0,
+            writes_paused_until: Duration::ZERO,
+            write_budget: write_budget(settings.kv_changes_per_s),
+            cloud_budget: TokenBucket::new(
+                settings.cloud_requests_per_s * 0.8,
+                settings.cloud_requests_per_s,
+            ),
+            keys_being_read: HashSet::new(),
             garbage: Vec::new(),
-            pressing: 0,
-            archive: VecDeque::new(),
-            sweeping: false,
-            started: false,
-            dirty: true,
-            pass_due: now,
-            preempt_due: now,
-            minded: now,
-            doubts: false,
-            ends_due: now,
+            urgent_garbage: 0,
+            to_archive: VecDeque::new(),
+            garbage_write_in_flight: false,
+            first_start_sent: false,
+            pass_needed: true,
+            next_pass_at: now,
+            next_preemption_at: now,
+            next_maintenance_at: now,
+            has_uncertain_revisions: false,
+            next_end_flush_at: now,
             target: Target::default(),
-            round_due: now,
+            next_round_at: now,
             round: None,
-            portion_due: now,
-            portions: CpuBudget::new(settings.cpu_share),
+            next_replay_slice_at: now,
+            cpu_budget: CpuBudget::new(settings.cpu_share),
             target_dirty: false,
-            target_writing: false,
-            rentals_begun: 0,
-            rentals: Vec::new(),
+            target_write_in_flight: false,
+            rental_counter: 0,
+            rentals_in_flight: Vec::new(),
             rental_retries: Vec::new(),
             releasing: BTreeSet::new(),
-            duties: duties::Intents::new(&settings, token, now),
-            release_due: now,
-            hosts_due: now,
-            listing: false,
-            list: Vec::new(),
-            surveyed: false,
-            places: PlacementIndex::default(),
+            intents: duties::Intents::new(&settings, token, now),
+            next_release_at: now,
+            next_inventory_at: now,
+            inventory_in_flight: false,
+            inventory_pages: Vec::new(),
+            inventory_complete: false,
+            placement_index: PlacementIndex::default(),
             wanted_zone: None,
-            team_places: settings.teams.keys().cloned().zip(0..).collect(),
-            ratios: HashMap::new(),
-            late_due: now,
-            reached: false,
-            contact: now,
-            sound: true,
-            shaken: None,
-            behind: false,
+            team_indices: settings.teams.keys().cloned().zip(0..).collect(),
+            runtime_ratios: HashMap::new(),
+            next_lateness_scan_at: now,
+            direct_heartbeat_arrived: false,
+            last_direct_heartbeat_at: now,
+            silence_is_reliable: true,
+            lease_doubted_at: None,
+            cpu_starved: false,
             mode: Mode::Whole,
             peers_agree: false,
-            cloud_heard: None,
-            arrivals: VecDeque::new(),
-            opened: None,
+            cloud_replied_at: None,
+            recent_arrivals: VecDeque::new(),
+            first_job_at: None,
             shards: settings.sharding.enabled.then(|| shards::LeaderShards::new(&settings, token, now)),
             settings,
         }
     }
 
     /// Takes in the machine types that the cloud has.
-    pub fn catalog(&mut self, rigs: BTreeMap<String, MachineType>) {
-        self.fleet.rigs = rigs;
-        for rig in self.fleet.rigs.keys() {
+    pub fn set_machine_types(&mut self, rigs: BTreeMap<String, MachineType>) {
+        self.fleet.machine_types = rigs;
+        for rig in self.fleet.machine_types.keys() {
             for pool in self.fleet.pools(rig) {
-                self.places.pool(&pool);
-                self.places.zone(&pool.zone);
+                self.placement_index.pool(&pool);
+                self.placement_index.zone(&pool.zone);
             }
         }
         for machine in self.fleet.machines.values_mut() {
-            machine.slot = None;
+            machine.cached_slot = None;
         }
-        self.dirty = true;
+        self.pass_needed = true;
     }
 
     /// Every node has this version by now: the limits may be lowered at any time, and
     /// what older versions can't read may be stored.
-    pub fn all_new(&mut self) {
-        if !std::mem::replace(&mut self.all_new, true) {
+    pub fn set_all_nodes_upgraded(&mut self) {
+        if !std::mem::replace(&mut self.all_nodes_upgraded, true) {
             let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
             if next < now {
-                self.writes = write_budget(next);
+                self.write_budget = write_budget(next);
             }
-            self.to_lay = true;
+            self.rechunk_pending = true;
         }
     }
 
-    fn state(&self, leader_call: LeaderCall, op: KvRequest, out: &mut EffectSink) {
+    fn call_kv(&self, leader_call: LeaderCall, op: KvRequest, out: &mut EffectSink) {
         out.state(CallPurpose::Leader(self.token, leader_call), op);
     }
 
     /// The condition under which alone the leader writes.
-    fn lead(&self) -> Condition {
+    fn leader_condition(&self) -> Condition {
         Condition { key: election::KEY.into(), mod_revision: self.token }
     }
 }
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -15,7 +15,7 @@
     }
 
     fn is_within(&self, bound: Precondition, now: Duration) -> bool {
-        let blind = now.saturating_sub(self.fresh);
+        let blind = now.saturating_sub(self.jobs_synced_at);
         match bound {
             Precondition::JobsSynced => blind < STALE,
             // Leases must run out before a cancellation that was not seen is due.
@@ -32,12 +32,12 @@
     pub fn facts(&self, now: Duration, steady: bool) -> LeaderFacts {
         let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < lately;
-        let up = || self.fleet.machines.values().filter(|machine| machine.up());
-        let direct = up().filter(|machine| !machine.relayed && recent(machine.direct));
-        let reached = up().filter(|machine| machine.answered.is_some() && recent(machine.heard));
+        let up = || self.fleet.machines.values().filter(|machine| machine.is_up());
+        let direct = up().filter(|machine| !machine.is_relayed && recent(machine.last_direct_at));
+        let reached = up().filter(|machine| machine.answered_at.is_some() && recent(machine.last_heard_at));
         LeaderFacts {
             token: self.token,
-            since: self.began,
+            since: self.started_at,
             steady: steady && self.stage == Stage::Ready,
             up: up().count(),
             direct: direct.map(|machine| machine.name.clone()).collect(),
@@ -48,15 +48,16 @@
     /// Whether a report shows the answer to the one before; `None` if there was none.
     pub fn answer_shown(&self, report: &Heartbeat) -> Option<bool> {
         let machine = self.fleet.machines.get(&report.machine)?;
-        machine.answered?;
-        let later = machine.newest.is_some_and(|newest| (report.incarnation, report.sequence) > newest);
+        machine.answered_at?;
+        let later =
+            machine.last_heartbeat_id.is_some_and(|newest| (report.incarnation, report.sequence) > newest);
         later.then_some(report.token >= self.token)
     }
 
     /// Machines that should report to this leader.
     pub fn machines_up(&self) -> usize {
         if self.stage == Stage::Ready {
-            self.fleet.machines.values().filter(|machine| machine.up() && self.commands(machine)).count()
+            self.fleet.machines.values().filter(|machine| machine.is_up() && self.commands(machine)).count()
         } else {
             0
         }
@@ -72,8 +73,8 @@
     pub fn note_heard_elsewhere(&mut self, now: Duration, heard_by_a_peer: impl Fn(&str) -> bool) {
         let gap = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
-            if now.saturating_sub(machine.heard) > gap && heard_by_a_peer(&machine.name) {
-                machine.heard_elsewhere = Some(now);
+            if now.saturating_sub(machine.last_heard_at) > gap && heard_by_a_peer(&machine.name) {
+                machine.heard_by_peer_at = Some(now);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placing.rs
@@ -3,17 +3,18 @@
 use super::*;
 
 impl Leader {
-    pub(super) fn estimate(&self, spec: &JobSpec) -> Duration {
-        let ratio = self.ratios.get(&spec.class).copied().unwrap_or(1.0);
+    pub(super) fn estimated_runtime(&self, spec: &JobSpec) -> Duration {
+        let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
         Duration::from_secs_f64((spec.estimated_runtime_s * ratio).clamp(0.1, 1e6))
     }
 
     /// When a job should start at the latest, by its deadline and by what its
     /// class expects.
-    pub(super) fn due(&self, spec: &JobSpec, accepted: Duration) -> Duration {
+    pub(super) fn latest_start(&self, spec: &JobSpec, accepted: Duration) -> Duration {
         let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
-        let done =
-            self.done_within(spec).map(|within| (accepted + within).saturating_sub(self.estimate(spec)));
+        let done = self
+            .completion_objective(spec)
+            .map(|within| (accepted + within).saturating_sub(self.estimated_runtime(spec)));
         let wait = expected.start_within.map(|within| accepted + within);
         let default = accepted + Duration::from_secs(600);
         [done, wait].into_iter().flatten().min().unwrap_or(default)
@@ -21,27 +22,28 @@
 
     /// Until when a task can start so that it may be lost with its machine, unseen,
     /// and still be done in time.
-    fn again_by(&self, spec: &JobSpec, accepted: Duration) -> Duration {
-        let need = self.estimate(spec) * 2 + self.settings.failover_heartbeat_timeout();
-        self.done_within(spec).map_or(Duration::MAX, |within| (accepted + within).saturating_sub(need))
+    fn latest_restart(&self, spec: &JobSpec, accepted: Duration) -> Duration {
+        let need = self.estimated_runtime(spec) * 2 + self.settings.failover_heartbeat_timeout();
+        self.completion_objective(spec)
+            .map_or(Duration::MAX, |within| (accepted + within).saturating_sub(need))
     }
 
     /// The time in which a job should be done, by its deadline and its class.
-    pub(super) fn done_within(&self, spec: &JobSpec) -> Option<Duration> {
+    pub(super) fn completion_objective(&self, spec: &JobSpec) -> Option<Duration> {
         let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
         let deadline = spec.deadline_s.map(|d| Duration::from_secs_f64(d.min(1e7)));
         [deadline, expected.finish_within].into_iter().flatten().min()
     }
 
-    pub(super) fn teams(&self) -> Vec<TeamUsage> {
+    pub(super) fn team_usage(&self) -> Vec<TeamUsage> {
         let room = |team: &Team| TeamUsage {
             guarantee: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
             cap: Resources { cpus: team.max_cpus, gpus: team.max_gpus, ram_gb: 0.0 },
             used: Resources::default(),
         };
         let mut rooms: Vec<TeamUsage> = self.settings.teams.values().map(room).collect();
-        for entry in self.ledger.jobs.values().filter(|e| e.placed > 0) {
-            if let Some(team) = self.team_of(&entry.spec) {
+        for entry in self.job_table.jobs.values().filter(|e| e.placed > 0) {
+            if let Some(team) = self.team_index(&entry.spec) {
                 let each = &entry.spec.demand;
                 let many = f64::from(entry.placed);
                 rooms[team].used.add(&Resources {
@@ -55,26 +57,26 @@
     }
 
     /// The place of the job's team among the teams.
-    pub(super) fn team_of(&self, spec: &JobSpec) -> Option<usize> {
-        self.team_places.get(&spec.team).copied()
+    pub(super) fn team_index(&self, spec: &JobSpec) -> Option<usize> {
+        self.team_indices.get(&spec.team).copied()
     }
 
     /// A whole job as work for a pass.
-    pub(super) fn all_of(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
+    pub(super) fn whole_job_as_work(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
         Work {
             team,
             urgency: spec.priority,
             guaranteed: false,
             accepted,
-            due: self.due(spec, accepted),
-            again_by: self.again_by(spec, accepted),
+            due: self.latest_start(spec, accepted),
+            again_by: self.latest_restart(spec, accepted),
             each: spec.demand,
-            image: self.image(spec),
+            image: self.image_number(spec),
             image_gb: spec.image_gb,
-            pools: self.places.allowed(spec),
+            pools: self.placement_index.allowed(spec),
             one_zone: spec.single_zone,
             zone_most: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
-            estimate: self.estimate(spec),
+            estimate: self.estimated_runtime(spec),
             pending: spec.tasks,
             gang: spec.gang,
             begun: false,
@@ -84,35 +86,35 @@
 
     /// The number of the job's image. When there are too many, what machines
     /// hold is learned anew.
-    pub(super) fn image(&mut self, spec: &JobSpec) -> u32 {
-        if let Some(image) = self.places.image(&spec.image, spec.image_gb) {
+    pub(super) fn image_number(&mut self, spec: &JobSpec) -> u32 {
+        if let Some(image) = self.placement_index.image(&spec.image, spec.image_gb) {
             return image;
         }
-        self.places.forget_images();
+        self.placement_index.forget_images();
         for machine in self.fleet.machines.values_mut() {
-            machine.images.clear();
-            machine.slot = None;
+            machine.cached_images.clear();
+            machine.cached_slot = None;
         }
-        self.places.image(&spec.image, spec.image_gb).unwrap_or(0)
+        self.placement_index.image(&spec.image, spec.image_gb).unwrap_or(0)
     }
 
     /// The jobs of the last interval, as if they came again in the next and on.
-    pub(super) fn expected(&mut self, now: Duration) -> Vec<Arrival> {
-        let interval = self.interval();
-        let window = interval.min(now.saturating_sub(self.began).max(LEAST_WINDOW));
+    pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
+        let interval = self.round_interval();
+        let window = interval.min(now.saturating_sub(self.started_at).max(LEAST_WINDOW));
         let from = now.saturating_sub(window);
-        self.arrivals.retain(|(at, _)| *at >= from);
+        self.recent_arrivals.retain(|(at, _)| *at >= from);
         let mut expected = Vec::new();
         let mut shift = window;
-        let seen: Vec<(Duration, Arc<JobSpec>)> = self.arrivals.iter().cloned().collect();
+        let seen: Vec<(Duration, Arc<JobSpec>)> = self.recent_arrivals.iter().cloned().collect();
         // Half an interval more shows whether a backlog grows. A leader younger than
         // the interval repeats what it saw.
         let horizon = interval + interval / 2;
         while shift < horizon + window {
             for (at, spec) in &seen {
                 let at = *at + shift;
-                if let Some(team) = self.team_of(spec).filter(|_| at < now + horizon) {
-                    expected.push(Arrival { at, work: self.all_of(spec, team, at) });
+                if let Some(team) = self.team_index(spec).filter(|_| at < now + horizon) {
+                    expected.push(Arrival { at, work: self.whole_job_as_work(spec, team, at) });
                 }
             }
             shift += window;
@@ -121,18 +123,18 @@
     }
 
     /// The pending work, with the ids of its jobs.
-    pub(super) fn work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
+    pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
         let live = |e: &JobEntry| e.phase == Phase::Active && e.done < e.spec.tasks;
         let mut needs = Vec::new();
         let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
-        for (id, entry) in self.ledger.jobs.iter().filter(|(_, e)| live(e)) {
-            let Some(team) = self.team_of(&entry.spec) else { continue };
+        for (id, entry) in self.job_table.jobs.iter().filter(|(_, e)| live(e)) {
+            let Some(team) = self.team_index(&entry.spec) else { continue };
             let (each, many) = (&entry.spec.demand, f64::from(entry.unfinished()));
             let need = Resources { cpus: each.cpus * many, gpus: each.gpus * many, ram_gb: 0.0 };
-            if !entry.stale && entry.not_before <= now && entry.placeable() {
+            if !entry.revision_uncertain && entry.backoff_until <= now && entry.is_placeable() {
                 waiting.push((id.clone(), entry.spec.clone(), team, needs.len()));
             }
-            needs.push(QuotaDemand { team, accepted: entry.accepted, amount: need });
+            needs.push(QuotaDemand { team, accepted: entry.accepted_at, amount: need });
         }
         if waiting.is_empty() {
             return Default::default();
@@ -140,12 +142,13 @@
         let guaranteed = guaranteed(&needs, teams);
         let mut both: Vec<(JobId, Work)> = Vec::with_capacity(waiting.len());
         for (id, spec, team, need) in waiting {
-            let mut work = self.all_of(&spec, team, needs[need].accepted);
-            let Some(entry) = self.ledger.jobs.get(&id) else { continue };
+            let mut work = self.whole_job_as_work(&spec, team, needs[need].accepted);
+            let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             work.guaranteed = guaranteed[need];
             work.pending = entry.pending();
-            work.begun = entry.fresh > 0;
-            work.zones = entry.zones.iter().map(|(z, n)| (self.places.zone(z), *n)).collect();
+            work.begun = entry.first_unplaced > 0;
+            work.zones =
+                entry.attempts_by_zone.iter().map(|(z, n)| (self.placement_index.zone(z), *n)).collect();
             both.push((id, work));
         }
         if both.len() > MOST_WORK {
@@ -160,31 +163,32 @@
     }
 
     /// A machine as the passes see it, whatever the time.
-    fn sketch(&mut self, host: &MachineName) -> Option<Slot> {
+    fn build_slot(&mut self, host: &MachineName) -> Option<Slot> {
         let machine = self.fleet.machines.get(host)?;
-        let total = self.fleet.resources(&machine.pool.rig)?;
-        let rig = self.fleet.rigs.get(&machine.pool.rig)?;
+        let total = self.fleet.resources(&machine.pool.machine_type)?;
+        let rig = self.fleet.machine_types.get(&machine.pool.machine_type)?;
         let mut slot = Slot {
-            pool: self.places.pool(&machine.pool),
-            zone: self.places.zone(&machine.pool.zone),
+            pool: self.placement_index.pool(&machine.pool),
+            zone: self.placement_index.zone(&machine.pool.zone),
             price: if machine.pool.spot { rig.spot_price } else { rig.price },
             free: total,
             ready: Duration::ZERO,
             running: Vec::new(),
-            images: machine.images.iter().copied().collect(),
+            images: machine.cached_images.iter().copied().collect(),
             fetching: 0,
             pull_gb_per_s: rig.image_fetch_gb_per_s,
         };
-        for task in self.ledger.on_host(host) {
-            let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(task))
+        for task in self.job_table.by_machine(host) {
+            let (Some(entry), Some(attempt)) =
+                (self.job_table.jobs.get(&task.job), self.job_table.attempt(task))
             else {
                 continue;
             };
             let spec = &entry.spec;
-            let estimate = self.estimate(spec);
-            let mut end = attempt.running.unwrap_or(attempt.placed) + estimate;
-            let mut grace = if attempt.running.is_some() { estimate / 5 } else { estimate };
-            let image = self.places.image(&spec.image, spec.image_gb);
+            let estimate = self.estimated_runtime(spec);
+            let mut end = attempt.running_since.unwrap_or(attempt.placed_at) + estimate;
+            let mut grace = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
+            let image = self.placement_index.image(&spec.image, spec.image_gb);
             if let Some(image) = image.filter(|i| !slot.images.contains(i)) {
                 slot.fetching += 1;
                 slot.images.push(image);
@@ -193,10 +197,10 @@
                     end += Duration::from_secs_f64(fetch);
                 }
             }
-            if attempt.stop {
+            if attempt.stop_requested {
                 (end, grace) = (Duration::ZERO, STOPPING);
             }
-            let team = self.team_of(spec).unwrap_or(0);
+            let team = self.team_index(spec).unwrap_or(0);
             slot.run(Running { end, grace, each: spec.demand, team, booked: false });
         }
         Some(slot)
@@ -204,34 +208,41 @@
 
     /// The machines that take tasks, as passes see them. What has not changed
     /// since the last time is taken from there.
-    pub(super) fn slots(&mut self, now: Duration) -> Vec<(MachineName, Slot)> {
-        for host in std::mem::take(&mut self.ledger.touched) {
+    pub(super) fn available_slots(&mut self, now: Duration) -> Vec<(MachineName, Slot)> {
+        for host in std::mem::take(&mut self.job_table.changed_machines) {
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.slot = None;
+                machine.cached_slot = None;
             }
         }
-        let new: Vec<MachineName> =
-            self.fleet.machines.values().filter(|m| m.slot.is_none()).map(|m| m.name.clone()).collect();
+        let new: Vec<MachineName> = self
+            .fleet
+            .machines
+            .values()
+            .filter(|m| m.cached_slot.is_none())
+            .map(|m| m.name.clone())
+            .collect();
         for host in new {
-            let slot = self.sketch(&host);
+            let slot = self.build_slot(&host);
             if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.slot = slot;
+                machine.cached_slot = slot;
             }
         }
-        let usable = |m: &&Machine| m.leaving.is_none() && !m.notice;
+        let usable = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut slots = Vec::with_capacity(self.fleet.machines.len());
         for machine in self.fleet.machines.values().filter(usable) {
-            let (Some(sketch), Some(rig)) = (&machine.slot, self.fleet.rigs.get(&machine.pool.rig)) else {
+            let (Some(sketch), Some(rig)) =
+                (&machine.cached_slot, self.fleet.machine_types.get(&machine.pool.machine_type))
+            else {
                 continue;
             };
             let mut slot = sketch.clone();
             slot.overdue(now);
-            slot.ready = if !machine.proven {
-                (machine.since + rig.boot_time).max(now + Duration::from_secs(3))
-            } else if machine.doubtful(now, self.settings.heartbeat_timeout()) {
+            slot.ready = if !machine.confirmed {
+                (machine.rented_at + rig.boot_time).max(now + Duration::from_secs(3))
+            } else if machine.is_start_doubtful(now, self.settings.heartbeat_timeout()) {
                 now + self.settings.heartbeat_interval
             } else {
-                now.max(machine.full_until)
+                now.max(machine.no_starts_until)
             };
             slots.push((machine.name.clone(), slot));
         }
@@ -239,35 +250,35 @@
     }
 
     /// Starts what may start now. Several changes share a pass.
-    pub(super) fn schedule(&mut self, now: Duration, out: &mut EffectSink) {
-        let mut teams = self.teams();
-        let (ids, mut work) = self.work(now, &teams);
+    pub(super) fn run_placement_pass(&mut self, now: Duration, out: &mut EffectSink) {
+        let mut teams = self.team_usage();
+        let (ids, mut work) = self.pending_work(now, &teams);
         if work.is_empty() {
             return;
         }
-        if self.surveyed {
-            self.raise(&work);
+        if self.inventory_complete {
+            self.raise_for_wide_jobs(&work);
         }
-        let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.slots(now).into_iter().unzip();
-        let most = self.portions.starts();
+        let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.available_slots(now).into_iter().unzip();
+        let most = self.cpu_budget.starts();
         let starts = easy::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
         // The rest has its turn after what else there is to do.
         let cut = starts.iter().filter(|s| s.at <= now).count() >= most;
-        self.dirty |= cut;
+        self.pass_needed |= cut;
         for start in starts.into_iter().filter(|s| s.at <= now) {
             let host = &hosts[start.slot];
-            let zone = self.places.zone_name(slots[start.slot].zone);
+            let zone = self.placement_index.zone_name(slots[start.slot].zone);
             if let Some(machine) = self.fleet.machines.get_mut(host) {
-                let Some(shift) = machine.shift() else { continue };
+                let Some(shift) = machine.incarnation() else { continue };
                 machine.idle_since = None;
-                self.ledger.place(&ids[start.work], host, shift, &zone, now);
+                self.job_table.place(&ids[start.work], host, shift, &zone, now);
             }
         }
         for (id, _) in ids.iter().zip(&work).filter(|(_, w)| w.gang) {
-            self.ledger.whole_or_none(id);
+            self.job_table.break_incomplete_gang(id);
         }
-        if !cut && now >= self.preempt_due {
-            self.preempt_due = now + self.portions.preemption_pause();
+        if !cut && now >= self.next_preemption_at {
+            self.next_preemption_at = now + self.cpu_budget.preemption_pause();
             self.preempt(now, &slots, &hosts, &mut work, &mut teams, out);
         }
     }
@@ -318,7 +329,7 @@
             .iter()
             .zip(slots)
             .map(|(host, slot)| match slot.ready <= now {
-                true => self.lesser(now, host, slot.free),
+                true => self.preemption_candidates(now, host, slot.free),
                 false => PreemptionCandidates::default(),
             })
             .collect();
@@ -331,7 +342,7 @@
             while left > 0 && teams[work[i].team].admits(&each) && stops + chosen.len() < MOST_STOPS {
                 let fit = |(place, slot): (usize, &Slot)| {
                     let suits = work[i].allows(slot.pool) && work[i].zone_admits(slot.zone);
-                    let found = suits.then(|| lesser[place].victims(&each, urgency)).flatten();
+                    let found = suits.then(|| lesser[place].victims_needed(&each, urgency)).flatten();
                     found.map(|(gang, loss, count)| (gang, loss, place, count))
                 };
                 let Some((_, _, place, count)) = slots.iter().enumerate().filter_map(fit).min() else {
@@ -342,7 +353,7 @@
                     lesser[place].room.add(&victim.each);
                     if victim.gang {
                         // The others end with it and make room where they are.
-                        lesser.iter_mut().for_each(|l| l.without(&victim.task.job));
+                        lesser.iter_mut().for_each(|l| l.remove_job(&victim.task.job));
                     }
                     chosen.push((place, victim.task));
                 }
@@ -358,38 +369,44 @@
             }
             stops += chosen.len();
             for (place, task) in chosen {
-                self.ledger.stop(&task);
+                self.job_table.stop(&task);
                 told.insert(hosts[place].clone());
             }
         }
-        told.append(&mut self.ledger.urgent);
+        told.append(&mut self.job_table.machines_to_stop);
         for host in told {
-            self.tell(now, &host, out);
+            self.send_commands(now, &host, out);
         }
     }
 
     /// What may be stopped on a machine: young tasks below the highest urgency,
     /// the least progressed first.
-    fn lesser(&self, now: Duration, host: &MachineName, free: Resources) -> PreemptionCandidates {
+    fn preemption_candidates(
+        &self,
+        now: Duration,
+        host: &MachineName,
+        free: Resources,
+    ) -> PreemptionCandidates {
         let mut found = PreemptionCandidates { room: free, tasks: Vec::new() };
-        for task in self.ledger.on_host(host) {
-            let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(task))
+        for task in self.job_table.by_machine(host) {
+            let (Some(entry), Some(attempt)) =
+                (self.job_table.jobs.get(&task.job), self.job_table.attempt(task))
             else {
                 continue;
             };
             let (each, urgency) = (entry.spec.demand, entry.spec.priority);
-            if attempt.stop {
+            if attempt.stop_requested {
                 found.room.add(&each);
                 continue;
             }
-            let ran = attempt.running.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            let young = ran < self.estimate(&entry.spec) / 2;
+            let ran = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
+            let young = ran < self.estimated_runtime(&entry.spec) / 2;
             let often = attempt.number > MOST_PREEMPTED;
             // To stop one task of a gang costs the progress of all, or the time they
             // need to save: they come last.
             let gang = entry.gang.is_some();
             let ran = if gang { ran * entry.spec.tasks } else { ran };
-            if attempt.seen.is_some() && young && !often && urgency < Priority::Critical {
+            if attempt.reported_status.is_some() && young && !often && urgency < Priority::Critical {
                 found.tasks.push(Victim { ran, task: task.clone(), each, urgency, gang });
             }
         }
@@ -418,7 +435,7 @@
 
 impl PreemptionCandidates {
     /// The job's tasks are being stopped.
-    fn without(&mut self, job: &JobId) {
+    fn remove_job(&mut self, job: &JobId) {
         let room = &mut self.room;
         self.tasks.retain(|v| {
             let ends = v.task.job == *job;
@@ -431,7 +448,7 @@
 
     /// How many of the tasks would have to stop for one more, the progress lost, and
     /// first of all whether a gang would have to.
-    fn victims(&self, each: &Resources, urgency: Priority) -> Option<(bool, Duration, usize)> {
+    fn victims_needed(&self, each: &Resources, urgency: Priority) -> Option<(bool, Duration, usize)> {
         let mut room = self.room;
         let (mut gang, mut loss) = (false, Duration::ZERO);
         let mut count = 0;
--- a/crates/plankhead-core/src/leader/renting.rs
+++ b/crates/plankhead-core/src/leader/renting.rs
@@ -14,7 +14,7 @@
 
 impl From<PendingRental> for Rental {
     fn from(rental: PendingRental) -> Self {
-        let Pool { rig: machine_type, zone, spot } = rental.pool;
+        let Pool { machine_type, zone, spot } = rental.pool;
         Self { name: rental.name, machine_type, zone, spot, count: rental.count }
     }
 }
@@ -22,7 +22,7 @@
 impl From<Rental> for PendingRental {
     fn from(rental: Rental) -> Self {
         let Rental { name, machine_type, zone, spot, count } = rental;
-        Self { name, pool: Pool { rig: machine_type, zone, spot }, count }
+        Self { name, pool: Pool { machine_type, zone, spot }, count }
     }
 }
 
@@ -38,18 +38,27 @@
         self.retry_rentals(now, out);
         for (rig, size) in self.target.sizes.clone() {
             let coming = |spot: Option<bool>| -> u32 {
-                let such = |r: &&PendingRental| r.pool.rig == rig && spot.is_none_or(|s| s == r.pool.spot);
-                self.rentals.iter().filter(such).map(|r| r.count).sum()
+                let such =
+                    |r: &&PendingRental| r.pool.machine_type == rig && spot.is_none_or(|s| s == r.pool.spot);
+                self.rentals_in_flight.iter().filter(such).map(|r| r.count).sum()
             };
-            let ordinary =
-                self.fleet.pools(&rig).iter().filter(|p| !p.spot).map(|p| self.fleet.staying(p)).sum::<u32>();
+            let ordinary = self
+                .fleet
+                .pools(&rig)
+                .iter()
+                .filter(|p| !p.spot)
+                .map(|p| self.fleet.machines_staying(p))
+                .sum::<u32>();
             let strict = size.ordinary.saturating_sub(ordinary + coming(Some(false)));
-            let want = size.machines.saturating_sub(self.fleet.count(&rig) + coming(None)).max(strict);
+            let want =
+                size.machines.saturating_sub(self.fleet.machines_of_type(&rig) + coming(None)).max(strict);
             if want == 0 {
                 continue;
             }
             let mut pools: Vec<Pool> = self.fleet.pools(&rig);
-            pools.retain(|p| self.fleet.open(p, now) && !self.rentals.iter().any(|r| r.pool == *p));
+            pools.retain(|p| {
+                self.fleet.may_rent_from(p, now) && !self.rentals_in_flight.iter().any(|r| r.pool == *p)
+            });
             if strict > 0 {
                 pools.retain(|p| !p.spot);
             }
@@ -58,19 +67,19 @@
             pools.retain(|p| p.spot == cheap);
             // A gang that waits for room in its zone comes before an even spread.
             let wanted = |p: &Pool| self.wanted_zone.as_ref() == Some(&p.zone);
-            pools.sort_by_key(|p| (!wanted(p), self.fleet.staying(p)));
+            pools.sort_by_key(|p| (!wanted(p), self.fleet.machines_staying(p)));
             let mut left = if strict > 0 { strict } else { want };
             let share = left.div_ceil(pools.len().max(1) as u32);
             for pool in pools {
                 let count = share.min(left).min(MAX_RENTAL_COUNT);
-                if count == 0 || !self.cloud.take(now, 1) {
+                if count == 0 || !self.cloud_budget.take(now, 1) {
                     break;
                 }
                 left -= count;
-                self.rentals_begun += 1;
-                let name = format!("{}-{}-{}", self.settings.host, self.token, self.rentals_begun);
+                self.rental_counter += 1;
+                let name = format!("{}-{}-{}", self.settings.host, self.token, self.rental_counter);
                 let rental = PendingRental { name, pool, count };
-                self.rentals.push(rental.clone());
+                self.rentals_in_flight.push(rental.clone());
                 self.rent(rental, out);
             }
         }
@@ -82,7 +91,7 @@
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|retry| retry.due <= now);
         self.rental_retries = later;
         for retry in due {
-            if self.cloud.take(now, 1) {
+            if self.cloud_budget.take(now, 1) {
                 self.rent(retry.rental, out);
             } else {
                 self.rental_retries.push(retry);
@@ -93,31 +102,31 @@
     fn rent(&mut self, rental: PendingRental, out: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
-        if !self.request(key, Action::Rent(rental.into()), out) {
-            self.rentals.retain(|other| other.name != name);
+        if !self.request_cloud_action(key, Action::Rent(rental.into()), out) {
+            self.rentals_in_flight.retain(|other| other.name != name);
         }
     }
 
     /// Chooses the machines that go back: those above the target as they fall idle,
     /// and empty ones that are about to be taken.
-    pub(super) fn give_back(&mut self, now: Duration) {
+    pub(super) fn remove_surplus(&mut self, now: Duration) {
         for (rig, size) in self.target.sizes.clone() {
-            let mut surplus = self.fleet.count(&rig).saturating_sub(size.machines);
+            let mut surplus = self.fleet.machines_of_type(&rig).saturating_sub(size.machines);
             let mut idle: Vec<(bool, Duration, MachineName)> = self
                 .fleet
                 .machines
                 .values()
-                .filter(|m| m.pool.rig == rig && m.leaving.is_none() && !m.notice)
-                .filter(|m| self.ledger.on_host(&m.name).next().is_none())
+                .filter(|m| m.pool.machine_type == rig && m.removal.is_none() && !m.has_preemption_notice)
+                .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
                 .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= IDLE))
-                .map(|m| (m.pool.spot, m.since, m.name.clone()))
+                .map(|m| (m.pool.spot, m.rented_at, m.name.clone()))
                 .collect();
             idle.sort();
             let mut ordinary = self
                 .fleet
                 .machines
                 .values()
-                .filter(|m| m.pool.rig == rig && !m.pool.spot && m.leaving.is_none())
+                .filter(|m| m.pool.machine_type == rig && !m.pool.spot && m.removal.is_none())
                 .count() as u32;
             for (spot, _, host) in idle {
                 if surplus == 0 {
@@ -127,16 +136,16 @@
                     continue;
                 }
                 if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                    machine.leaving = Some(RemovalReason::Surplus);
+                    machine.removal = Some(RemovalReason::Surplus);
                     surplus -= 1;
                     ordinary -= u32::from(!spot);
                 }
             }
         }
         for machine in self.fleet.machines.values_mut() {
-            let empty = self.ledger.on_host(&machine.name).next().is_none();
-            if machine.notice && machine.leaving.is_none() && empty {
-                machine.leaving = Some(RemovalReason::Surplus);
+            let empty = self.job_table.by_machine(&machine.name).next().is_none();
+            if machine.has_preemption_notice && machine.removal.is_none() && empty {
+                machine.removal = Some(RemovalReason::Surplus);
             }
         }
     }
@@ -144,27 +153,32 @@
     /// Returns machines that are to go. A leader without its grant, who may be cut off
     /// or not lead any more, returns only what a cancellation or its blindness forces
     /// it to, and only while the cloud hears it.
-    pub(super) fn release(&mut self, now: Duration, sight: Sight, out: &mut EffectSink) {
-        let free = sight.firm && self.stage == Stage::Ready;
-        if now < self.release_due || !(free || self.cloud_near(now)) {
+    pub(super) fn release_removed_machines(
+        &mut self,
+        now: Duration,
+        sight: LeaderEvidence,
+        out: &mut EffectSink,
+    ) {
+        let free = sight.lease_valid && self.stage == Stage::Ready;
+        if now < self.next_release_at || !(free || self.is_cloud_reachable(now)) {
             return;
         }
         let may = |why: RemovalReason| match why {
             RemovalReason::CancellationDue => true,
-            RemovalReason::HeartbeatTimeout => free || sight.among_all,
+            RemovalReason::HeartbeatTimeout => free || sight.no_peer_leads,
             _ => free,
         };
         let machines = self.fleet.machines.values();
-        let leaving = machines.filter_map(|m| m.leaving.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
+        let leaving = machines.filter_map(|m| m.removal.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
         let mut leaving: Vec<(MachineName, RemovalReason)> =
             leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_HOSTS).collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
         let due = leaving.iter().any(|(_, why)| *why == RemovalReason::CancellationDue);
-        if due && self.duties.fenced() {
+        if due && self.intents.is_fenced() {
             leaving.retain(|(_, why)| *why == RemovalReason::CancellationDue);
         }
-        if !leaving.is_empty() && self.cloud.take(now, 1) {
+        if !leaving.is_empty() && self.cloud_budget.take(now, 1) {
             self.return_machines(&leaving, (due || !free, !due), out);
         }
     }
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -14,54 +14,54 @@
     ) -> bool {
         let now = times.now;
         match leader_call {
-            LeaderCall::ListJobs => self.loaded_jobs(times, reply, requests, out),
-            LeaderCall::ListChunks => self.loaded_chunks(times, reply, out),
-            LeaderCall::ReadTarget => self.loaded_target(times, reply, out),
-            LeaderCall::ListDuties => self.loaded_duties(times, reply, out),
-            LeaderCall::WriteDuties { sent } => return self.duties_written(now, sent, reply, out),
+            LeaderCall::ListJobs => self.jobs_page_loaded(times, reply, requests, out),
+            LeaderCall::ListChunks => self.chunks_page_loaded(times, reply, out),
+            LeaderCall::ReadTarget => self.target_loaded(times, reply, out),
+            LeaderCall::ListDuties => self.intents_page_loaded(times, reply, out),
+            LeaderCall::WriteDuties { sent } => return self.intents_written(now, sent, reply, out),
             LeaderCall::WriteShards { writes, sent } => {
                 return self.shards_written(now, (writes, sent), reply, out);
             }
-            LeaderCall::ReadDuties { page, sent } => self.duties_reread(now, page, sent, reply),
+            LeaderCall::ReadDuties { page, sent } => self.intents_reread(now, page, sent, reply),
             LeaderCall::WatchJobs { sent } => {
-                self.following = false;
+                self.watch_in_flight = false;
                 match reply {
                     Ok(KvReply::Events { revision: epoch, events }) => {
                         for event in events {
                             if let WatchEvent::Put(row) = event {
-                                self.job_row(times, &row, requests);
+                                self.job_record_changed(times, &row, requests);
                             }
                         }
-                        self.epoch = self.epoch.max(Some(epoch));
-                        self.fresh = self.fresh.max(sent);
-                        self.tell_kills(now, out);
+                        self.jobs_revision = self.jobs_revision.max(Some(epoch));
+                        self.jobs_synced_at = self.jobs_synced_at.max(sent);
+                        self.kill_cancelled(now, out);
                     }
                     Ok(KvReply::Compacted) => return false,
-                    _ => self.follow_due = now + PAUSE,
+                    _ => self.next_watch_at = now + PAUSE,
                 }
             }
             LeaderCall::Commit(batch) => return self.written(times, batch, reply, requests, out),
             LeaderCall::ReadChunk(id, number) => {
-                self.reading.remove(&self.chunk_key(&id, number));
+                self.keys_being_read.remove(&self.chunk_key(&id, number));
                 if let Ok(KvReply::Value(row)) = reply {
-                    self.ledger.restamp(&id, number, row.map_or(0, |r| r.mod_revision));
+                    self.job_table.set_chunk_revision(&id, number, row.map_or(0, |r| r.mod_revision));
                 } else {
-                    self.hold_until = now + PAUSE;
+                    self.writes_paused_until = now + PAUSE;
                 }
             }
             LeaderCall::ReadJob(id) => {
-                self.reading.remove(&id.key());
+                self.keys_being_read.remove(&id.key());
                 match reply {
-                    Ok(KvReply::Value(Some(row))) => self.job_row(times, &row, requests),
+                    Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
                     Ok(KvReply::Value(None)) => {
                         out.log(LogLevel::Error, format!("the record of {id} is missing"));
-                        self.hold_until = now + PAUSE;
+                        self.writes_paused_until = now + PAUSE;
                     }
-                    _ => self.hold_until = now + PAUSE,
+                    _ => self.writes_paused_until = now + PAUSE,
                 }
             }
             LeaderCall::DeleteGarbage(keys) => {
-                self.sweeping = false;
+                self.garbage_write_in_flight = false;
                 match reply {
                     Ok(KvReply::Committed { .. }) => {}
                     Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
@@ -73,7 +73,7 @@
             }
             LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
             LeaderCall::ArchiveJobs(finals) => {
-                self.sweeping = false;
+                self.garbage_write_in_flight = false;
                 match reply {
                     Ok(KvReply::Committed { .. }) => {}
                     Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
@@ -81,14 +81,14 @@
                     }
                     // Moved already, by a transaction whose reply was lost.
                     Ok(KvReply::Conflict { failed }) => {
-                        self.archive
+                        self.to_archive
                             .extend(finals.into_iter().filter(|(id, ..)| !failed.contains(&id.key())));
                     }
-                    _ => self.archive.extend(finals),
+                    _ => self.to_archive.extend(finals),
                 }
             }
             LeaderCall::WriteTarget => {
-                self.target_writing = false;
+                self.target_write_in_flight = false;
                 match reply {
                     Ok(KvReply::Committed { .. }) => {}
                     Ok(KvReply::Conflict { .. }) => return false,
@@ -109,54 +109,54 @@
         out: &mut EffectSink,
     ) -> bool {
         let now = times.now;
-        self.txns -= 1;
+        self.txns_in_flight -= 1;
         let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
                 let mut hosts = BTreeSet::new();
                 for (id, number, version) in &batch.chunks {
-                    hosts.extend(self.ledger.committed(id, *number, *version, epoch));
+                    hosts.extend(self.job_table.chunk_committed(id, *number, *version, epoch));
                 }
                 for id in &batch.finals {
-                    let tasks = self.ledger.jobs.get(id).map_or(0, |e| e.spec.tasks);
+                    let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
                     // Only now: chunks that went before a final record that was lost
                     // would have the next leader begin the job anew.
-                    let stored = self.ledger.jobs.get(id).map(|e| e.stored(id)).unwrap_or_default();
-                    if self.ledger.finished(id) {
+                    let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
+                    if self.job_table.job_finished(id) {
                         self.garbage.extend(stored);
                         requests.over(id, Status::Done, tasks);
                         let record = JobRecord::finished(Phase::Done, tasks);
-                        self.archive.push_back((id.clone(), epoch, record));
+                        self.to_archive.push_back((id.clone(), epoch, record));
                     }
                 }
                 for host in hosts {
-                    self.tell(now, &host, out);
+                    self.send_commands(now, &host, out);
                 }
                 return true;
             }
             Ok(KvReply::Conflict { failed: keys }) => failed = keys,
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
-                self.hold_until = now + PAUSE;
+                self.writes_paused_until = now + PAUSE;
             }
             _ => lost = true,
         }
         if failed.iter().any(|k| k == election::KEY) {
             return false;
         }
-        self.doubts = true;
+        self.has_uncertain_revisions = true;
         // A transaction whose reply was lost may still be applied: before the
         // next write, the stamps are read again.
         for (id, number, _) in &batch.chunks {
             let stale = lost || failed.contains(&self.chunk_key(id, *number));
-            self.ledger.write_failed(id, *number, stale);
+            self.job_table.chunk_write_failed(id, *number, stale);
         }
         let jobs = batch.chunks.iter().map(|(id, ..)| id).chain(&batch.finals);
         for id in jobs {
-            if let Some(entry) = self.ledger.jobs.get_mut(id) {
-                entry.stale |= failed.contains(&id.key());
+            if let Some(entry) = self.job_table.jobs.get_mut(id) {
+                entry.revision_uncertain |= failed.contains(&id.key());
                 if batch.finals.contains(id) {
-                    entry.finishing = false;
-                    entry.stale |= lost;
+                    entry.final_write_in_flight = false;
+                    entry.revision_uncertain |= lost;
                 }
             }
         }
@@ -172,33 +172,33 @@
     ) {
         let now = times.now;
         if reply.is_ok() {
-            self.cloud_heard = Some(now);
+            self.cloud_replied_at = Some(now);
         }
         match (leader_call, reply) {
             (LeaderCall::ListInstances, Ok(CloudReply::Instances { instances: hosts, truncated })) => {
-                self.listing = false;
-                self.list.extend(hosts);
+                self.inventory_in_flight = false;
+                self.inventory_pages.extend(hosts);
                 if truncated {
-                    self.hosts_due = now;
+                    self.next_inventory_at = now;
                 } else {
-                    let list = std::mem::take(&mut self.list);
-                    self.fleet.listed(&list, now);
-                    self.surveyed = true;
+                    let list = std::mem::take(&mut self.inventory_pages);
+                    self.fleet.observe_inventory(&list, now);
+                    self.inventory_complete = true;
                 }
             }
             (LeaderCall::ListInstances, _) => {
-                self.listing = false;
-                self.list.clear();
+                self.inventory_in_flight = false;
+                self.inventory_pages.clear();
             }
             (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Rented(hosts))) => {
-                self.rentals.retain(|rental| rental.name != name);
-                self.fleet.hired(&hosts, &pool, count, now);
-                self.confirm_duty(&IdempotencyKey::new(&name), out);
+                self.rentals_in_flight.retain(|rental| rental.name != name);
+                self.fleet.rented(&hosts, &pool, count, now);
+                self.confirm_intent(&IdempotencyKey::new(&name), out);
             }
             (LeaderCall::Rent(rental), Ok(CloudReply::NoCapacity)) => {
-                self.rentals.retain(|other| other.name != rental.name);
+                self.rentals_in_flight.retain(|other| other.name != rental.name);
                 let pool = &rental.pool;
-                self.fleet.refused(pool, now);
+                self.fleet.capacity_refused(pool, now);
                 out.log(LogLevel::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
                 self.rental_refused(now, rental, out);
             }
@@ -207,27 +207,27 @@
                 self.rental_retries.push(renting::RentalRetry { due: now + PAUSE * 4, rental });
             }
             (LeaderCall::Release { hosts, duty }, Ok(CloudReply::Released)) => {
-                self.confirm_duty(&duty, out);
+                self.confirm_intent(&duty, out);
                 for host in hosts {
                     self.releasing.remove(&host);
-                    self.fleet.released(&host);
+                    self.fleet.instance_released(&host);
                     self.machine_gone(&host);
-                    let freed = self.ledger.host_gone(&host, now);
+                    let freed = self.job_table.machine_gone(&host, now);
                     if freed > 0 {
                         out.log(LogLevel::Debug, format!("{host} is gone with {freed} tasks"));
                     }
                 }
-                self.tell_urgent(now, out);
-                self.dirty = true;
+                self.stop_broken_gangs(now, out);
+                self.pass_needed = true;
             }
-            (LeaderCall::Release { duty, .. }, _) if self.duties.fenced() => {
+            (LeaderCall::Release { duty, .. }, _) if self.intents.is_fenced() => {
                 self.return_failed(now, duty);
             }
             (LeaderCall::Release { hosts, .. }, _) => {
                 for host in hosts {
                     self.releasing.remove(&host);
                 }
-                self.release_due = now + PAUSE * 2;
+                self.next_release_at = now + PAUSE * 2;
             }
             _ => {}
         }
@@ -245,9 +245,9 @@
         machine.end_command(shift, &runs, &reply);
         if let CommandReply::Answered(report) = reply {
             if report.machine == host {
-                self.hear(times, &report, true, out);
+                self.observe_machine(times, &report, true, out);
             }
         }
-        self.tell(times.now, &host, out);
+        self.send_commands(times.now, &host, out);
     }
 }
--- a/crates/plankhead-core/src/leader/rounds.rs
+++ b/crates/plankhead-core/src/leader/rounds.rs
@@ -106,35 +106,35 @@
 impl Leader {
     /// U for a type: set, or learned, or what the guarantees would fill; and how
     /// far it goes under overload.
-    fn capacity(&self, rig: &str, now: Duration) -> (u32, u32) {
+    fn max_fleet_size(&self, rig: &str, now: Duration) -> (u32, u32) {
         let cpus = self.fleet.resources(rig).map_or(1.0, |r| r.cpus.max(1.0));
         let guaranteed: f64 = self.settings.teams.values().map(|t| t.guaranteed_cpus).sum();
         let fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
         let set = self.settings.sizing.max_machines;
-        let known = self.fleet.learned(rig, now).unwrap_or(u32::MAX);
+        let known = self.fleet.known_capacity(rig, now).unwrap_or(u32::MAX);
         let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
         (bound(1.0), bound(BORROWED))
     }
 
     /// The time between rounds: longer than a boot, so that each sees what the one
     /// before brought.
-    pub(super) fn interval(&self) -> Duration {
-        let boot = self.fleet.rigs.values().map(|r| r.boot_time).max().unwrap_or_default();
+    pub(super) fn round_interval(&self) -> Duration {
+        let boot = self.fleet.machine_types.values().map(|r| r.boot_time).max().unwrap_or_default();
         self.settings.sizing.interval.unwrap_or(LEAST_ROUND.max(boot.mul_f64(ROUND_BOOTS)))
     }
 
     /// Begins rounds, carries the one under way on by a portion, and ends it.
-    pub(super) fn size(&mut self, times: StepTime, out: &mut EffectSink) {
+    pub(super) fn advance_sizing(&mut self, times: StepTime, out: &mut EffectSink) {
         let now = times.now;
-        if self.fleet.rigs.is_empty() {
+        if self.fleet.machine_types.is_empty() {
             return;
         }
         if self.round.is_none() {
             self.begin_round(times);
         }
-        let Some(round) = self.round.as_mut().filter(|_| now >= self.portion_due) else { return };
-        let over = round.advance(self.portions);
-        self.portion_due = now + self.portions.replay_pause(round.machines(), self.behind);
+        let Some(round) = self.round.as_mut().filter(|_| now >= self.next_replay_slice_at) else { return };
+        let over = round.advance(self.cpu_budget);
+        self.next_replay_slice_at = now + self.cpu_budget.replay_pause(round.machines(), self.cpu_starved);
         if !over {
             return;
         }
@@ -160,31 +160,31 @@
         let now = times.now;
         // Before any machine is up, whichever job came first would size the fleet
         // for a whole interval: rounds follow quickly and only raise.
-        let none_up = self.fleet.machines.values().all(|m| m.newest.is_none() && !m.was_up);
-        if now < self.round_due && !(none_up && now + COLD_ROUND < self.round_due) {
+        let none_up = self.fleet.machines.values().all(|m| m.last_heartbeat_id.is_none() && !m.known_up);
+        if now < self.next_round_at && !(none_up && now + COLD_ROUND < self.next_round_at) {
             return;
         }
-        let teams = self.teams();
-        let (_, work) = self.work(now, &teams);
+        let teams = self.team_usage();
+        let (_, work) = self.pending_work(now, &teams);
         let cold = none_up && !work.is_empty();
         if cold {
-            self.round_due = self.round_due.min(now + COLD_ROUND);
+            self.next_round_at = self.next_round_at.min(now + COLD_ROUND);
         }
         // The first round waits for something to replay.
-        if now < self.round_due || (self.target.round == 0 && work.is_empty()) {
+        if now < self.next_round_at || (self.target.round == 0 && work.is_empty()) {
             return;
         }
-        self.round_due = now + self.interval();
+        self.next_round_at = now + self.round_interval();
         // Nor does the rush of the first seconds tell what comes later.
-        let expected = if cold { Vec::new() } else { self.expected(now) };
-        let slots: Vec<Slot> = self.slots(now).into_iter().map(|(_, slot)| slot).collect();
+        let expected = if cold { Vec::new() } else { self.expected_arrivals(now) };
+        let slots: Vec<Slot> = self.available_slots(now).into_iter().map(|(_, slot)| slot).collect();
         let running = |e: &&JobEntry| e.phase == Phase::Active && e.placed > 0 && e.pending() == 0;
-        let running = self.ledger.jobs.values().filter(running).count();
+        let running = self.job_table.jobs.values().filter(running).count();
         let mut trials = Vec::new();
-        for rig in self.fleet.rigs.keys().cloned().collect::<Vec<_>>() {
+        for rig in self.fleet.machine_types.keys().cloned().collect::<Vec<_>>() {
             for strict in [true, false] {
                 let input = (&*work, &*expected, &*slots);
-                trials.extend(self.trial(now, &rig, strict, input, &teams, running));
+                trials.extend(self.build_trial(now, &rig, strict, input, &teams, running));
             }
         }
         self.round = Some(Round { began: now, cold, trials, replay: None, trace: Vec::new() });
@@ -192,7 +192,7 @@
 
     /// The climb for one type, over the jobs that can use it; `strict`: only
     /// those that must not run on spot machines, and only ordinary ones.
-    fn trial(
+    fn build_trial(
         &mut self,
         now: Duration,
         rig: &str,
@@ -201,11 +201,14 @@
         teams: &[TeamUsage],
         running: usize,
     ) -> Option<SizeTrial> {
-        let kind = self.fleet.rigs.get(rig)?.clone();
-        let pool = |zone: &String, spot| Pool { rig: rig.into(), zone: zone.clone(), spot };
-        let ordinary: Vec<(usize, usize)> =
-            kind.zones.iter().map(|z| (self.places.pool(&pool(z, false)), self.places.zone(z))).collect();
-        let spot: Vec<usize> = kind.zones.iter().map(|z| self.places.pool(&pool(z, true))).collect();
+        let kind = self.fleet.machine_types.get(rig)?.clone();
+        let pool = |zone: &String, spot| Pool { machine_type: rig.into(), zone: zone.clone(), spot };
+        let ordinary: Vec<(usize, usize)> = kind
+            .zones
+            .iter()
+            .map(|z| (self.placement_index.pool(&pool(z, false)), self.placement_index.zone(z)))
+            .collect();
+        let spot: Vec<usize> = kind.zones.iter().map(|z| self.placement_index.pool(&pool(z, true))).collect();
         let suits = |w: &Work| {
             let bound = !spot.iter().any(|p| w.allows(*p));
             ordinary.iter().any(|(p, _)| w.allows(*p)) && (!strict || bound)
@@ -223,7 +226,7 @@
         let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram_gb: kind.ram };
         let widest = work.iter().map(|w| width(w, &total, kind.zones.len())).max();
         let least = busy.max(widest.unwrap_or(0));
-        let (most, beyond) = self.capacity(rig, now);
+        let (most, beyond) = self.max_fleet_size(rig, now);
         let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.max_slowdown);
         let fresh = ordinary
             .into_iter()
@@ -248,8 +251,8 @@
     /// A job wider than the fleet raises it at once. An array's width is one
     /// task, so this is a job that no machine we have can hold; a gang's is all of
     /// it, in one zone where asked.
-    pub(super) fn raise(&mut self, work: &[Work]) {
-        let staying = |m: &&Machine| m.leaving.is_none() && !m.notice;
+    pub(super) fn raise_for_wide_jobs(&mut self, work: &[Work]) {
+        let staying = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut held: BTreeMap<Pool, u32> = BTreeMap::new();
         for machine in self.fleet.machines.values().filter(staying) {
             *held.entry(machine.pool.clone()).or_default() += 1;
@@ -257,8 +260,8 @@
         // Pool, zone, machines, and what one of them holds.
         let mut pools = Vec::new();
         for (pool, machines) in &held {
-            let room = self.fleet.resources(&pool.rig).unwrap_or_default();
-            pools.push((self.places.pool(pool), pool.zone.clone(), *machines, room));
+            let room = self.fleet.resources(&pool.machine_type).unwrap_or_default();
+            pools.push((self.placement_index.pool(pool), pool.zone.clone(), *machines, room));
         }
         self.wanted_zone = None;
         for w in work {
@@ -278,27 +281,33 @@
                 self.wanted_zone = Some(zone.into());
             }
             let mut fits = Vec::new();
-            for (name, rig) in &self.fleet.rigs {
+            for (name, rig) in &self.fleet.machine_types {
                 let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram };
-                let pool = |zone: &String, spot| Pool { rig: name.clone(), zone: zone.clone(), spot };
-                let ordinary = rig.zones.iter().any(|z| w.allows(self.places.pool(&pool(z, false))));
-                let spot = rig.zones.iter().any(|z| w.allows(self.places.pool(&pool(z, true))));
+                let pool =
+                    |zone: &String, spot| Pool { machine_type: name.clone(), zone: zone.clone(), spot };
+                let ordinary = rig.zones.iter().any(|z| w.allows(self.placement_index.pool(&pool(z, false))));
+                let spot = rig.zones.iter().any(|z| w.allows(self.placement_index.pool(&pool(z, true))));
                 if ordinary && w.each.fits(&room) {
                     fits.push((rig.price, name.clone(), !spot));
                 }
             }
             fits.sort_by(|a, b| a.0.total_cmp(&b.0));
             let Some((_, rig, strict)) = fits.into_iter().next() else { continue };
-            let count = self.fleet.count(&rig);
+            let count = self.fleet.machines_of_type(&rig);
             let more = lacking.div_ceil(most_on(w, &self.fleet.resources(&rig).unwrap_or_default()).max(1));
-            let ordinary: u32 =
-                self.fleet.pools(&rig).iter().filter(|p| !p.spot).map(|p| self.fleet.staying(p)).sum();
+            let ordinary: u32 = self
+                .fleet
+                .pools(&rig)
+                .iter()
+                .filter(|p| !p.spot)
+                .map(|p| self.fleet.machines_staying(p))
+                .sum();
             let size = self.target.sizes.entry(rig).or_default();
-            if size.machines <= count && self.rentals.is_empty() {
+            if size.machines <= count && self.rentals_in_flight.is_empty() {
                 size.machines = count + more;
                 self.target_dirty = true;
             }
-            if strict && size.ordinary < ordinary + more && self.rentals.is_empty() {
+            if strict && size.ordinary < ordinary + more && self.rentals_in_flight.is_empty() {
                 size.ordinary = ordinary + more;
                 self.target_dirty = true;
             }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -161,21 +161,21 @@
 
     /// What this node knew of a machine as its shard's holder, before it led.
     pub fn inherit(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
-        let Some(report) = &machine.report else { return };
-        self.hear(times, report, false, out);
-        self.vouch(&report.machine, machine.proven, machine.heard);
+        let Some(report) = &machine.last_heartbeat else { return };
+        self.observe_machine(times, report, false, out);
+        self.vouch(&report.machine, machine.confirmed, machine.last_heard_at);
         if let Some(own) = self.fleet.machines.get_mut(&report.machine) {
-            own.relayed = machine.relayed;
+            own.is_relayed = machine.is_relayed;
         }
     }
 
     /// A holder of the machine's shard has seen whether it is there, and when it heard it.
     fn vouch(&mut self, host: &MachineName, proven: bool, at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
-        self.dirty |= !std::mem::replace(&mut machine.proven, true);
-        machine.heard = machine.heard.max(at);
-        machine.direct = machine.direct.max(at);
-        machine.relayed = false;
+        self.pass_needed |= !std::mem::replace(&mut machine.confirmed, true);
+        machine.last_heard_at = machine.last_heard_at.max(at);
+        machine.last_direct_at = machine.last_direct_at.max(at);
+        machine.is_relayed = false;
     }
 
     /// For the operators: shards, holders, epochs, and why a move waits.
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -19,10 +19,10 @@
         let Some(shards) = self.shards.as_mut().filter(|shards| now >= shards.refresh_due) else { return };
         shards.refresh_due = now + REFRESH;
         let waits = |machine: &&Machine| {
-            let report = machine.report.as_ref();
+            let report = machine.last_heartbeat.as_ref();
             let ended =
                 report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.status, TaskStatus::Exited(_))));
-            ended || self.ledger.on_host(&machine.name).next().is_some()
+            ended || self.job_table.by_machine(&machine.name).next().is_some()
         };
         let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(waits).map(|machine| machine.name.clone()).collect();
@@ -72,8 +72,8 @@
             taken += 1;
             // Those of a shard that is not renewed yet wait for its record.
             let Some(shard) = place(host) else { continue };
-            let Some(shift) = self.fleet.machines.get(host).and_then(Machine::shift) else { continue };
-            let orders = self.orders(now, host, requests);
+            let Some(shift) = self.fleet.machines.get(host).and_then(Machine::incarnation) else { continue };
+            let orders = self.commands_for(now, host, requests);
             let last = peer.sent.get(host);
             let same = last.map_or(orders.is_empty(), |(of, sent)| *of == shift && *sent == orders);
             commands += orders.len();
@@ -87,7 +87,7 @@
         let snapshot = self.snapshot(&fresh);
         let latest_epoch = shards.registry.highest_epoch();
         for MachineCommands { orders, shard, .. } in &machines {
-            self.note_offers(orders, held[*shard].1);
+            self.record_offered_starts(orders, held[*shard].1);
         }
         self.note_first_starts(now, &machines, out);
         let Some(shards) = &mut self.shards else { return };
@@ -131,8 +131,8 @@
     ) {
         let run =
             |machine: &MachineCommands| machine.orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-        if machines.iter().any(run) && !std::mem::replace(&mut self.started, true) {
-            let after = now.saturating_sub(self.began).as_millis();
+        if machines.iter().any(run) && !std::mem::replace(&mut self.first_start_sent, true) {
+            let after = now.saturating_sub(self.started_at).as_millis();
             out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
     }
@@ -149,7 +149,7 @@
             tasks += report.tasks.len();
             tasks <= MAX_TASKS
         };
-        let reports = machines.filter_map(|machine| machine.report.clone());
+        let reports = machines.filter_map(|machine| machine.last_heartbeat.clone());
         reports.take(MAX_MACHINES).take_while(few).collect()
     }
 
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -25,7 +25,7 @@
                 *around.machines.entry(shard).or_default() += 1;
             }
         }
-        around.zones = self.fleet.rigs.values().flat_map(|rig| rig.zones.iter().cloned()).collect();
+        around.zones = self.fleet.machine_types.values().flat_map(|rig| rig.zones.iter().cloned()).collect();
         around
     }
 
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn write_records(&mut self, now: Duration, out: &mut EffectSink) {
-        let most = self.settings.max_txn_changes.min(self.writes.available(now));
+        let most = self.settings.max_txn_changes.min(self.write_budget.available(now));
         let around = self.surroundings(now);
         let Some(shards) = &mut self.shards else { return };
         shards.write_due = shards.registry.next_due(now);
@@ -57,10 +57,10 @@
         if writes.is_empty() {
             return;
         }
-        self.writes.take(now, writes.len());
+        self.write_budget.take(now, writes.len());
         let condition =
             |write: &RecordWrite| Condition { key: write.shard.key(), mod_revision: write.revision };
-        let conditions = [self.lead()].into_iter().chain(writes.iter().map(condition)).collect();
+        let conditions = [self.leader_condition()].into_iter().chain(writes.iter().map(condition)).collect();
         let change = |write: &RecordWrite| {
             let key = write.shard.key();
             let value = write.record.as_ref().and_then(|record| serde_json::to_string(record).ok());
@@ -71,7 +71,7 @@
         };
         let changes = writes.iter().map(change).collect();
         let call = LeaderCall::WriteShards { writes, sent: now };
-        self.state(call, KvRequest::Txn { conditions, changes }, out);
+        self.call_kv(call, KvRequest::Txn { conditions, changes }, out);
     }
 
     /// What became of a write of records; false: somebody else leads.
@@ -135,10 +135,10 @@
         }
         for host in hosts {
             if moved {
-                self.fleet.excuse(&host, now);
+                self.fleet.extend_for_reroute(&host, now);
             }
             if own {
-                self.tell(now, &host, out);
+                self.send_commands(now, &host, out);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/shards/reports.rs
+++ b/crates/plankhead-core/src/leader/shards/reports.rs
@@ -42,7 +42,7 @@
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
-        self.reached |= !message.news.is_empty() || !alive.is_empty();
+        self.direct_heartbeat_arrived |= !message.news.is_empty() || !alive.is_empty();
         let mut taken = true;
         for news in message.news {
             taken &= self.machine_news(times, &message.host, news, out);
@@ -50,7 +50,7 @@
         let heard = now.saturating_sub(message.alive_age);
         for host in alive {
             if self.is_held_by(&host, &message.host) {
-                self.fleet.heard_by_holder(&host, heard);
+                self.fleet.observe_alive(&host, heard);
             }
         }
         match (taken, other_stream && !message.first) {
@@ -86,12 +86,12 @@
             }
             return false;
         }
-        self.hear(times, report, false, out);
+        self.observe_machine(times, report, false, out);
         self.vouch(&report.machine, news.proven, times.now.saturating_sub(news.age));
         if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-            machine.unanswered = news.unanswered;
+            machine.unanswered_commands = news.unanswered;
             if news.deaf {
-                machine.leaving.get_or_insert(RemovalReason::IgnoresCommands);
+                machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
         self.order_due(&report.machine);
--- a/crates/plankhead-core/src/leader/takeover.rs
+++ b/crates/plankhead-core/src/leader/takeover.rs
@@ -3,30 +3,30 @@
 use super::*;
 
 impl Leader {
-    pub fn load(&mut self, now: Duration, out: &mut EffectSink) {
-        if self.epoch.is_none() {
-            self.fresh = now;
+    pub fn begin_loading(&mut self, now: Duration, out: &mut EffectSink) {
+        if self.jobs_revision.is_none() {
+            self.jobs_synced_at = now;
         }
-        let after = self.page_after.clone();
-        self.state(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, out);
+        let after = self.load_after_key.clone();
+        self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, out);
     }
 
     /// Whether it still reads what is known, and nothing says that it can't.
-    pub fn reads(&self) -> bool {
-        self.stage == Stage::Loading && !self.load_failed
+    pub fn is_loading(&self) -> bool {
+        self.stage == Stage::Loading && !self.loading_failed
     }
 
-    pub(super) fn load_failed(&mut self, now: Duration) {
-        self.load_due = Some(now + PAUSE);
-        self.load_failed = true;
+    pub(super) fn retry_loading(&mut self, now: Duration) {
+        self.load_retry_at = Some(now + PAUSE);
+        self.loading_failed = true;
     }
 
     pub(super) fn list_chunks(&mut self, out: &mut EffectSink) {
-        let after = self.page_after.clone();
-        self.state(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, out);
+        let after = self.load_after_key.clone();
+        self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, out);
     }
 
-    pub(super) fn loaded_jobs(
+    pub(super) fn jobs_page_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
@@ -34,30 +34,30 @@
         out: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, revision: epoch }) = reply else {
-            return self.load_failed(times.now);
+            return self.retry_loading(times.now);
         };
-        self.epoch.get_or_insert(epoch);
-        self.page_after = rows.last().map(|r| r.key.clone());
+        self.jobs_revision.get_or_insert(epoch);
+        self.load_after_key = rows.last().map(|r| r.key.clone());
         for row in &rows {
-            self.job_row(times, row, requests);
+            self.job_record_changed(times, row, requests);
         }
         if truncated {
-            return self.load(times.now, out);
+            return self.begin_loading(times.now, out);
         }
-        self.page_after = None;
+        self.load_after_key = None;
         self.list_chunks(out);
     }
 
-    pub(super) fn loaded_chunks(
+    pub(super) fn chunks_page_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
-            return self.load_failed(times.now);
+            return self.retry_loading(times.now);
         };
-        self.page_after = rows.last().map(|r| r.key.clone());
+        self.load_after_key = rows.last().map(|r| r.key.clone());
         for row in rows {
             let mut parts = row.key.splitn(3, '/').skip(1);
             let id = parts.next().and_then(|id| JobId::parse(id).ok());
@@ -66,113 +66,116 @@
                 None => Some((false, n.parse::<u32>().ok()?)),
             });
             match (id, number) {
-                (Some(id), Some(_)) if !self.ledger.jobs.contains_key(&id) => {
+                (Some(id), Some(_)) if !self.job_table.jobs.contains_key(&id) => {
                     self.garbage.push(StoredKey { key: row.key, revision: Some(row.mod_revision) });
                 }
-                (Some(id), Some(number)) => self.rows.push((id, number, row.value, row.mod_revision)),
+                (Some(id), Some(number)) => {
+                    self.loaded_chunks.push((id, number, row.value, row.mod_revision))
+                }
                 _ => out.log(LogLevel::Error, format!("strange key {}", row.key)),
             }
         }
         if truncated {
             return self.list_chunks(out);
         }
-        self.page_after = None;
-        if self.duties.fenced() {
-            return self.list_duties(out);
+        self.load_after_key = None;
+        if self.intents.is_fenced() {
+            return self.list_intents(out);
         }
         self.read_target(out);
     }
 
     pub(super) fn read_target(&self, out: &mut EffectSink) {
-        self.state(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, out);
+        self.call_kv(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, out);
     }
 
-    pub(super) fn loaded_target(
+    pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) {
         let Ok(KvReply::Value(row)) = reply else {
-            return self.load_failed(times.now);
+            return self.retry_loading(times.now);
         };
         let now = times.now;
-        let rows = std::mem::take(&mut self.rows);
+        let rows = std::mem::take(&mut self.loaded_chunks);
         // Smaller chunks exist only where no version is left that doesn't know them.
         let (small, rows): (Vec<_>, Vec<_>) = rows.into_iter().partition(|(_, (small, _), ..)| *small);
-        self.all_new |= !small.is_empty();
+        self.all_nodes_upgraded |= !small.is_empty();
         self.load_chunks(rows, now, out);
-        if self.all_new {
-            self.ledger.lay_anew(tasks_per_chunk(self.settings.max_value_bytes));
+        if self.all_nodes_upgraded {
+            self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
         self.load_chunks(small, now, out);
-        self.ledger.loaded();
-        self.tell_urgent(now, out);
+        self.job_table.finish_loading();
+        self.stop_broken_gangs(now, out);
         // Not a new service: the jobs that are there came one after the other.
         if row.is_some() {
-            self.opened = Some(Duration::ZERO);
+            self.first_job_at = Some(Duration::ZERO);
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
             let at = times.at_wall(target.at_ms);
-            self.round_due = (at + self.interval()).min(now + self.interval());
+            self.next_round_at = (at + self.round_interval()).min(now + self.round_interval());
             self.target = target;
         }
         for machine in self.fleet.machines.values_mut() {
-            machine.heard = machine.heard.max(now);
-            machine.direct = machine.heard;
+            machine.last_heard_at = machine.last_heard_at.max(now);
+            machine.last_direct_at = machine.last_heard_at;
         }
-        for host in self.ledger_hosts() {
+        for host in self.placed_machines() {
             // Given back while this leader could not read: nobody would ever prove it
             // gone again.
-            if self.fleet.is_gone(&host) {
-                self.ledger.host_gone(&host, now);
+            if self.fleet.is_removed(&host) {
+                self.job_table.machine_gone(&host, now);
             } else {
-                self.fleet.expect(&host, now);
+                self.fleet.expect_machine(&host, now);
             }
         }
-        self.adopt_duties(now, out);
+        self.adopt_intents(now, out);
         self.stage = Stage::Ready;
-        let reports: Vec<Heartbeat> = self.fleet.machines.values().filter_map(|m| m.report.clone()).collect();
+        let reports: Vec<Heartbeat> =
+            self.fleet.machines.values().filter_map(|m| m.last_heartbeat.clone()).collect();
         for report in reports {
-            self.observe(times, &report, HeartbeatNews::Changed, out);
+            self.observe_tasks(times, &report, HeartbeatNews::Changed, out);
         }
         out.log(
             LogLevel::Info,
             format!(
                 "took over {} jobs and {} machines in {} ms",
-                self.ledger.jobs.len(),
+                self.job_table.jobs.len(),
                 self.fleet.machines.len(),
-                now.saturating_sub(self.began).as_millis()
+                now.saturating_sub(self.started_at).as_millis()
             ),
         );
-        self.dirty = true;
+        self.pass_needed = true;
     }
 
     fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, out: &mut EffectSink) {
         for (id, (_, number), value, stamp) in rows {
-            if let Err(error) = self.ledger.load_chunk(&id, number, &value, stamp, now) {
+            if let Err(error) = self.job_table.load_chunk(&id, number, &value, stamp, now) {
                 // Nothing may be started for a job whose attempts are unknown.
                 out.log(LogLevel::Error, format!("placements of {id} can't be read: {error}"));
-                self.ledger.remove(&id);
+                self.job_table.remove(&id);
             }
         }
     }
 
-    pub(super) fn ledger_hosts(&self) -> Vec<MachineName> {
-        self.ledger.hosts().cloned().collect()
+    pub(super) fn placed_machines(&self) -> Vec<MachineName> {
+        self.job_table.machines().cloned().collect()
     }
 
     /// Takes in a job's row from the state service.
-    pub fn job_row(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
+    pub fn job_record_changed(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
             Phase::Done => {
                 requests.over(&id, Status::Done, record.tasks);
-                let stored = self.ledger.jobs.get(&id).map(|e| e.stored(&id)).unwrap_or_default();
-                let news = self.ledger.finished(&id);
+                let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
+                let news = self.job_table.job_finished(&id);
                 if self.stage == Stage::Loading || news {
-                    self.archive.push_back((id.clone(), row.mod_revision, record));
+                    self.to_archive.push_back((id.clone(), row.mod_revision, record));
                 }
                 if news {
                     self.garbage.extend(stored);
@@ -191,22 +194,22 @@
         let accepted = times.at_wall(record.accepted_ms);
         let cancelled = record.cancelled_ms.map(|ms| times.at_wall(ms));
         let per_chunk = record.per_chunk.max(1);
-        if record.phase == Phase::Active && !self.ledger.jobs.contains_key(&id) {
+        if record.phase == Phase::Active && !self.job_table.jobs.contains_key(&id) {
             // What waits when a service opens is a backlog and tells no rate.
-            let opened = *self.opened.get_or_insert(accepted);
+            let opened = *self.first_job_at.get_or_insert(accepted);
             let rush = accepted < opened + RUSH;
             if let Some(spec) = record.spec.as_ref().filter(|_| !rush) {
-                self.arrivals.push_back((accepted, Arc::new(spec.clone())));
-                if self.arrivals.len() > MOST_ARRIVALS {
-                    self.arrivals.pop_front();
+                self.recent_arrivals.push_back((accepted, Arc::new(spec.clone())));
+                if self.recent_arrivals.len() > MOST_ARRIVALS {
+                    self.recent_arrivals.pop_front();
                 }
             }
         }
-        self.ledger.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
-        self.dirty = true;
+        self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
+        self.pass_needed = true;
     }
 
-    pub(super) fn discard(&mut self, id: &JobId, entry: &JobEntry) {
-        self.garbage.extend(entry.stored(id));
+    pub(super) fn delete_chunks_of(&mut self, id: &JobId, entry: &JobEntry) {
+        self.garbage.extend(entry.stored_keys(id));
     }
 }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -10,19 +10,19 @@
     /// answered without any until just now, and so may others before that. A few such
     /// takeovers in a row, each of which kept the leases for some seconds of its own,
     /// would keep a cancelled task for longer than `cancel_s`.
-    pub(super) fn may_answer(&self, now: Duration) -> bool {
+    pub(super) fn may_renew_leases(&self, now: Duration) -> bool {
         self.stage == Stage::Ready && self.permits(Action::KeepLeases, now)
     }
 
     /// Whether starts may be sent: no cancellation is likely to have been confirmed
     /// unseen. Where the state service has just failed this node, another may have.
-    pub(super) fn sighted(&self, now: Duration) -> bool {
-        self.permits(Action::Start, now) && self.shaken.is_none_or(|at| at < self.fresh)
+    pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
+        self.permits(Action::Start, now) && self.lease_doubted_at.is_none_or(|at| at < self.jobs_synced_at)
     }
 
     /// Answers a report. `adrift`: neither the state service nor any sibling is
     /// heard, so that somebody else may lead by now.
-    pub fn beat(
+    pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
         report: Heartbeat,
@@ -31,70 +31,70 @@
         out: &mut EffectSink,
     ) -> Response {
         let now = times.now;
-        self.reached |= !relayed;
+        self.direct_heartbeat_arrived |= !relayed;
         if !self.permits(Action::AnswerReports, now) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        if !self.may_answer(now) || self.fleet.is_gone(&report.machine) {
+        if !self.may_renew_leases(now) || self.fleet.is_removed(&report.machine) {
             // What it tells counts all the same, and that it is there.
-            self.hear(times, &report, false, out);
+            self.observe_machine(times, &report, false, out);
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
         let host = report.machine.clone();
-        let heard = self.hear(times, &report, false, out);
+        let heard = self.observe_machine(times, &report, false, out);
         let token = self.token_for(&host);
-        let orders = self.orders(now, &host, requests);
+        let orders = self.commands_for(now, &host, requests);
         let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
             return Response::Commands { token, commands: Vec::new() };
         };
-        machine.relayed = relayed;
+        machine.is_relayed = relayed;
         if !relayed {
-            machine.direct = now;
+            machine.last_direct_at = now;
         }
-        if machine.is_sent_off(adrift, self.settings.worker_lease, now) {
+        if machine.take_redirect(adrift, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
         }
-        machine.note_answer(&orders, now);
-        self.note_offers(&orders, token);
+        machine.record_response(&orders, now);
+        self.record_offered_starts(&orders, token);
         Response::Commands { token, commands: orders }
     }
 
     /// Notes which attempts a worker may be told to run from now on, and under which token.
-    pub(super) fn note_offers(&mut self, orders: &[WorkerCommand], token: u64) {
+    pub(super) fn record_offered_starts(&mut self, orders: &[WorkerCommand], token: u64) {
         for order in orders {
             if let WorkerCommand::Run { task, .. } = order {
-                if let Some(attempt) = self.ledger.attempt_mut(task) {
-                    attempt.offered = attempt.offered.max(Some(token));
+                if let Some(attempt) = self.job_table.attempt_mut(task) {
+                    attempt.offered_under_token = attempt.offered_under_token.max(Some(token));
                 }
             }
         }
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
-    pub(super) fn hear(
+    pub(super) fn observe_machine(
         &mut self,
         times: StepTime,
         report: &Heartbeat,
         ours: bool,
         out: &mut EffectSink,
     ) -> HeartbeatNews {
-        let up = |fleet: &Fleet| fleet.machines.get(&report.machine).is_some_and(Machine::up);
+        let up = |fleet: &Fleet| fleet.machines.get(&report.machine).is_some_and(Machine::is_up);
         let before = up(&self.fleet);
         let heard = match ours {
-            true => self.fleet.answered(report, self.token, times.now),
-            false => self.fleet.observe(report, self.token, times.now),
+            true => self.fleet.observe_command_reply(report, self.token, times.now),
+            false => self.fleet.observe_heartbeat(report, self.token, times.now),
         };
-        self.dirty |= up(&self.fleet) != before;
+        self.pass_needed |= up(&self.fleet) != before;
         if heard != HeartbeatNews::Stale && self.stage == Stage::Ready {
-            self.observe(times, report, heard, out);
+            self.observe_tasks(times, report, heard, out);
         }
         heard
     }
 
     /// Draws the conclusions from a new report.
-    pub(super) fn observe(
+    pub(super) fn observe_tasks(
         &mut self,
         times: StepTime,
         report: &Heartbeat,
@@ -103,13 +103,15 @@
     ) {
         let now = times.now;
         let (ended, lost) = match heard {
-            HeartbeatNews::Changed => self.ledger.observe(report, report.token >= self.token, now),
+            HeartbeatNews::Changed => {
+                self.job_table.observe_heartbeat(report, report.token >= self.token, now)
+            }
             _ => Default::default(),
         };
         if lost > 0 {
             // Such an attempt is neither there nor proven gone.
             if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-                machine.leaving.get_or_insert(RemovalReason::LostAttempts);
+                machine.removal.get_or_insert(RemovalReason::LostAttempts);
             }
         }
         for listed in report.tasks.iter().filter(|_| heard == HeartbeatNews::Changed) {
@@ -117,25 +119,25 @@
             if !matches!(listed.status, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
             }
-            if let Some(spec) = self.ledger.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
-                let image = self.image(&spec);
-                self.fleet.imaged(&report.machine, image, &self.places);
+            if let Some(spec) = self.job_table.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
+                let image = self.image_number(&spec);
+                self.fleet.record_image(&report.machine, image, &self.placement_index);
             }
         }
         for end in ended {
-            self.ended(now, &report.machine, &end, out);
-            self.dirty = true;
+            self.attempt_ended(now, &report.machine, &end, out);
+            self.pass_needed = true;
         }
         if let Some(left) = report.preemption_notice {
-            self.leave_in_time(now, &report.machine, left, out);
+            self.evacuate(now, &report.machine, left, out);
         }
-        self.tell_urgent(now, out);
+        self.stop_broken_gangs(now, out);
         if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
             let idle = report.tasks.iter().all(|t| matches!(t.status, TaskStatus::Exited(_)));
-            match (idle && self.ledger.on_host(&report.machine).next().is_none(), machine.idle_since) {
+            match (idle && self.job_table.by_machine(&report.machine).next().is_none(), machine.idle_since) {
                 (true, None) => {
                     machine.idle_since = Some(now);
-                    self.dirty = true;
+                    self.pass_needed = true;
                 }
                 (false, Some(_)) => machine.idle_since = None,
                 _ => {}
@@ -145,60 +147,67 @@
 
     /// A machine is about to be taken: what can't end before goes elsewhere at
     /// once instead of being lost.
-    pub(super) fn leave_in_time(
+    pub(super) fn evacuate(
         &mut self,
         now: Duration,
         host: &MachineName,
         left: Duration,
         out: &mut EffectSink,
     ) {
-        let here: Vec<TaskId> = self.ledger.on_host(host).cloned().collect();
+        let here: Vec<TaskId> = self.job_table.by_machine(host).cloned().collect();
         for task in here {
-            let (Some(entry), Some(attempt)) = (self.ledger.jobs.get(&task.job), self.ledger.attempt(&task))
+            let (Some(entry), Some(attempt)) =
+                (self.job_table.jobs.get(&task.job), self.job_table.attempt(&task))
             else {
                 continue;
             };
-            let begun = attempt.running.unwrap_or(now);
-            let ends = begun + self.estimate(&entry.spec);
-            let lost = attempt.running.is_none() || ends > now + left;
-            if attempt.seen.is_some() && lost {
-                self.ledger.stop(&task);
+            let begun = attempt.running_since.unwrap_or(now);
+            let ends = begun + self.estimated_runtime(&entry.spec);
+            let lost = attempt.running_since.is_none() || ends > now + left;
+            if attempt.reported_status.is_some() && lost {
+                self.job_table.stop(&task);
             }
         }
-        self.tell(now, host, out);
+        self.send_commands(now, host, out);
     }
 
-    pub(super) fn ended(&mut self, now: Duration, host: &MachineName, end: &Ended, out: &mut EffectSink) {
-        let Some(entry) = self.ledger.jobs.get_mut(&end.task.job) else { return };
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Duration,
+        host: &MachineName,
+        end: &Ended,
+        out: &mut EffectSink,
+    ) {
+        let Some(entry) = self.job_table.jobs.get_mut(&end.task.job) else { return };
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
-        match end.cause {
+        match end.reason {
             Some(ExitReason::Completed) => {
-                machine.errors = 0;
-                entry.errors = 0;
-                entry.error_hosts.clear();
+                machine.consecutive_errors = 0;
+                entry.consecutive_errors = 0;
+                entry.failed_machines.clear();
                 if let Some(ran) = end.ran.filter(|_| entry.spec.estimated_runtime_s > 0.5) {
                     let ratio = (ran.as_secs_f64() / entry.spec.estimated_runtime_s).clamp(0.2, 5.0);
-                    let mean = self.ratios.entry(entry.spec.class.clone()).or_insert(1.0);
+                    let mean = self.runtime_ratios.entry(entry.spec.class.clone()).or_insert(1.0);
                     *mean += 0.1 * (ratio - *mean);
                 }
             }
             Some(ExitReason::Failed) => {
-                entry.errors += 1;
-                entry.error_hosts.insert(host.clone());
+                entry.consecutive_errors += 1;
+                entry.failed_machines.insert(host.clone());
                 // A job that fails on every machine is the job's fault.
-                if entry.error_hosts.len() < 3 {
-                    machine.errors += 1;
+                if entry.failed_machines.len() < 3 {
+                    machine.consecutive_errors += 1;
                 }
-                let wait = Duration::from_secs(1 << entry.errors.min(6));
-                if entry.error_hosts.len() > 1 {
-                    entry.not_before = now + wait;
+                let wait = Duration::from_secs(1 << entry.consecutive_errors.min(6));
+                if entry.failed_machines.len() > 1 {
+                    entry.backoff_until = now + wait;
                 }
                 out.log(LogLevel::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
             }
             Some(ExitReason::InsufficientResources | ExitReason::AttemptConflict) => {
-                machine.full_until = now + FULL_PAUSE
+                machine.no_starts_until = now + FULL_PAUSE
             }
-            Some(ExitReason::UnknownJob) => entry.not_before = now + Duration::from_secs(1),
+            Some(ExitReason::UnknownJob) => entry.backoff_until = now + Duration::from_secs(1),
             // Another task's fault, or nobody's.
             Some(
                 ExitReason::Stopped
@@ -211,59 +220,62 @@
     }
 
     /// Orders for a machine, by its newest report.
-    pub(super) fn orders(
+    pub(super) fn commands_for(
         &self,
         now: Duration,
         host: &MachineName,
         requests: &RequestHandler,
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
-        let Some(report) = &machine.report else { return Vec::new() };
+        let Some(report) = &machine.last_heartbeat else { return Vec::new() };
         let mut orders = Vec::new();
         let (reaps, kills) = (self.permits(Action::AcknowledgeEnds, now), self.permits(Action::Kill, now));
         for ReportedTask { task, attempt, status: seen } in report.tasks.iter() {
             let attempt = *attempt;
             if matches!(seen, TaskStatus::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
-                let unconfirmed = machine.has_unconfirmed_run(task, attempt);
-                let over = !self.ledger.jobs.contains_key(&task.job) && requests.is_over(&task.job);
-                if reaps && !unconfirmed && (over || self.ledger.may_reap(task, attempt)) {
+                let unconfirmed = machine.has_unconfirmed_start(task, attempt);
+                let over = !self.job_table.jobs.contains_key(&task.job) && requests.is_over(&task.job);
+                if reaps && !unconfirmed && (over || self.job_table.may_acknowledge(task, attempt)) {
                     orders.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
-            } else if let Some(leeway) = self.unwanted(host, task, attempt, requests).filter(|_| kills) {
+            } else if let Some(leeway) = self.kill_grace(host, task, attempt, requests).filter(|_| kills) {
                 orders.push(WorkerCommand::Kill { task: task.clone(), attempt, grace: leeway });
             }
         }
-        orders.extend(self.unheard(now, machine, report));
-        orders.extend(self.runs(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }));
+        orders.extend(self.unreported_gang_tasks(now, machine, report));
+        orders.extend(
+            self.due_starts(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }),
+        );
         orders.truncate(MOST_ORDERS);
         orders
     }
 
     /// Whether a listed attempt must go, and how much time it has to save.
-    pub(super) fn unwanted(
+    pub(super) fn kill_grace(
         &self,
         host: &MachineName,
         task: &TaskId,
         attempt: u64,
         requests: &RequestHandler,
     ) -> Option<Duration> {
-        let Some(entry) = self.ledger.jobs.get(&task.job) else {
+        let Some(entry) = self.job_table.jobs.get(&task.job) else {
             return requests.is_over(&task.job).then_some(Duration::ZERO);
         };
-        match self.ledger.attempt(task) {
-            Some(a) if a.number == attempt && a.host == *host => {
-                (a.stop || entry.phase != Phase::Active).then(|| self.leeway(task))
+        match self.job_table.attempt(task) {
+            Some(a) if a.number == attempt && a.machine == *host => {
+                (a.stop_requested || entry.phase != Phase::Active).then(|| self.checkpoint_grace(task))
             }
             _ => Some(Duration::ZERO),
         }
     }
 
     /// The time that a stopped task has to save, if that is of use.
-    pub(super) fn leeway(&self, task: &TaskId) -> Duration {
-        let Some(entry) = self.ledger.jobs.get(&task.job) else { return Duration::ZERO };
+    pub(super) fn checkpoint_grace(&self, task: &TaskId) -> Duration {
+        let Some(entry) = self.job_table.jobs.get(&task.job) else { return Duration::ZERO };
         // A gang that lost a task saves nothing any more.
-        let saves = entry.phase == Phase::Active && entry.spec.checkpoint_interval_s > 0.0 && !entry.broken();
+        let saves =
+            entry.phase == Phase::Active && entry.spec.checkpoint_interval_s > 0.0 && !entry.is_gang_broken();
         let save = Duration::from_secs_f64(entry.spec.checkpoint_duration_s.min(3600.0));
         if saves && save <= MOST_LEEWAY {
             MOST_LEEWAY
@@ -275,15 +287,21 @@
     /// Tasks of a gang that is to end which the worker was told of and has not
     /// listed: the command may be lost, or come yet. Told to run and to stop at
     /// once, the worker lists them as ended, and a late command has no effect.
-    fn unheard(&self, now: Duration, machine: &Machine, report: &Heartbeat) -> Vec<WorkerCommand> {
+    fn unreported_gang_tasks(
+        &self,
+        now: Duration,
+        machine: &Machine,
+        report: &Heartbeat,
+    ) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
-        let sighted = self.sighted(now);
-        for task in self.ledger.on_host(&machine.name).filter(|_| sighted) {
-            let ending = |e: &&JobEntry| e.phase == Phase::Active && e.ending();
-            let found = self.ledger.jobs.get(&task.job).filter(ending).and(self.ledger.attempt(task));
+        let sighted = self.may_start_tasks(now);
+        for task in self.job_table.by_machine(&machine.name).filter(|_| sighted) {
+            let ending = |e: &&JobEntry| e.phase == Phase::Active && e.is_gang_ending();
+            let found = self.job_table.jobs.get(&task.job).filter(ending).and(self.job_table.attempt(task));
             let Some(attempt) = found else { continue };
-            let told =
-                attempt.offered.is_some() && attempt.seen.is_none() && attempt.shift == report.incarnation;
+            let told = attempt.offered_under_token.is_some()
+                && attempt.reported_status.is_none()
+                && attempt.incarnation == report.incarnation;
             let listed = report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt.number);
             if told && !listed {
                 let number = attempt.number;
@@ -296,53 +314,53 @@
     }
 
     /// Durable placements that the worker has not listed yet.
-    pub(super) fn runs<'a>(
+    pub(super) fn due_starts<'a>(
         &'a self,
         now: Duration,
         machine: &'a Machine,
     ) -> impl Iterator<Item = (TaskId, u64)> + 'a {
-        let sighted = self.sighted(now);
-        let shift = machine.shift();
-        self.ledger.on_host(&machine.name).filter_map(move |task| {
-            let attempt = self.ledger.attempt(task)?;
-            let live = self.ledger.jobs.get(&task.job)?.phase == Phase::Active;
+        let sighted = self.may_start_tasks(now);
+        let shift = machine.incarnation();
+        self.job_table.by_machine(&machine.name).filter_map(move |task| {
+            let attempt = self.job_table.attempt(task)?;
+            let live = self.job_table.jobs.get(&task.job)?.phase == Phase::Active;
             let due = live
                 && sighted
-                && Some(attempt.shift) == shift
-                && attempt.seen.is_none()
-                && !attempt.stop
-                && self.ledger.written(task);
+                && Some(attempt.incarnation) == shift
+                && attempt.reported_status.is_none()
+                && !attempt.stop_requested
+                && self.job_table.may_start(task);
             due.then(|| (task.clone(), attempt.number))
         })
     }
 
     /// Sends a machine what it should hear at once: starts, each once, and
     /// kills, each once. The answers to reports repeat what got lost.
-    pub(super) fn tell(&mut self, now: Duration, host: &MachineName, out: &mut EffectSink) {
+    pub(super) fn send_commands(&mut self, now: Duration, host: &MachineName, out: &mut EffectSink) {
         let Some(machine) = self.fleet.machines.get(host) else { return };
         if !self.commands(machine) {
             return self.order_due(host);
         }
-        let Some(shift) = machine.shift() else { return };
+        let Some(shift) = machine.incarnation() else { return };
         if !machine.takes_commands() {
             return;
         }
-        let told = |t: &TaskId| self.ledger.attempt(t).is_some_and(|a| a.told);
+        let told = |t: &TaskId| self.job_table.attempt(t).is_some_and(|a| a.start_sent);
         // A command of its own costs several times an answer, and the answer to the next
         // report carries the same: what can wait for that gives way first.
-        let runs: Vec<(TaskId, u64)> = match self.behind {
+        let runs: Vec<(TaskId, u64)> = match self.cpu_starved {
             true => Vec::new(),
-            false => self.runs(now, machine).filter(|(t, _)| !told(t)).collect(),
+            false => self.due_starts(now, machine).filter(|(t, _)| !told(t)).collect(),
         };
         let may_kill = self.permits(Action::Kill, now);
         let kills: Vec<(TaskId, u64)> = self
-            .ledger
-            .on_host(host)
+            .job_table
+            .by_machine(host)
             .filter(|_| may_kill)
             .filter_map(|t| {
-                let a = self.ledger.attempt(t)?;
-                let cancelled = self.ledger.jobs.get(&t.job)?.phase == Phase::Cancelled;
-                let due = (cancelled || a.stop) && !a.kill_told && a.shift == shift;
+                let a = self.job_table.attempt(t)?;
+                let cancelled = self.job_table.jobs.get(&t.job)?.phase == Phase::Cancelled;
+                let due = (cancelled || a.stop_requested) && !a.kill_sent && a.incarnation == shift;
                 due.then(|| (t.clone(), a.number))
             })
             .collect();
@@ -351,21 +369,21 @@
         }
         let mut orders: Vec<WorkerCommand> = Vec::new();
         for (task, attempt) in &kills {
-            let leeway = self.leeway(task);
-            if let Some(a) = self.ledger.attempt_mut(task) {
-                a.kill_told = true;
+            let leeway = self.checkpoint_grace(task);
+            if let Some(a) = self.job_table.attempt_mut(task) {
+                a.kill_sent = true;
             }
             orders.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, grace: leeway });
         }
         let token = self.token_for(host);
         for (task, attempt) in &runs {
-            if let Some(a) = self.ledger.attempt_mut(task) {
-                (a.told, a.offered) = (true, a.offered.max(Some(token)));
+            if let Some(a) = self.job_table.attempt_mut(task) {
+                (a.start_sent, a.offered_under_token) = (true, a.offered_under_token.max(Some(token)));
             }
             orders.push(WorkerCommand::Run { task: task.clone(), attempt: *attempt });
         }
-        if !runs.is_empty() && !std::mem::replace(&mut self.started, true) {
-            let after = now.saturating_sub(self.began).as_millis();
+        if !runs.is_empty() && !std::mem::replace(&mut self.first_start_sent, true) {
+            let after = now.saturating_sub(self.started_at).as_millis();
             out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
@@ -375,25 +393,25 @@
     }
 
     /// Tells the machines of gangs that are to end, all at once.
-    pub(super) fn tell_urgent(&mut self, now: Duration, out: &mut EffectSink) {
-        for host in std::mem::take(&mut self.ledger.urgent) {
-            self.tell(now, &host, out);
+    pub(super) fn stop_broken_gangs(&mut self, now: Duration, out: &mut EffectSink) {
+        for host in std::mem::take(&mut self.job_table.machines_to_stop) {
+            self.send_commands(now, &host, out);
         }
     }
 
     /// Kills what was cancelled, without waiting for the workers' reports.
-    pub(super) fn tell_kills(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn kill_cancelled(&mut self, now: Duration, out: &mut EffectSink) {
         let hosts: BTreeSet<MachineName> = self
-            .ledger
+            .job_table
             .jobs
             .iter()
             .filter(|(_, e)| e.phase == Phase::Cancelled && e.placed > 0)
-            .flat_map(|(_, e)| self.ledger.placements(e))
-            .filter(|a| !a.kill_told)
-            .map(|a| a.host.clone())
+            .flat_map(|(_, e)| self.job_table.attempts_of(e))
+            .filter(|a| !a.kill_sent)
+            .map(|a| a.machine.clone())
             .collect();
         for host in hosts {
-            self.tell(now, &host, out);
+            self.send_commands(now, &host, out);
         }
     }
 }
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::election::{Election, LeadershipChange};
 use crate::job::JobId;
-use crate::leader::{Leader, LeaderCall, Sight};
+use crate::leader::{Leader, LeaderCall, LeaderEvidence};
 use crate::portions::CpuBudget;
 use crate::protocol::{
     CallError, CallId, CloudReply, CloudRequest, Effect, Event, Heartbeat, JobProgress, KvReply, LogLevel,
@@ -165,11 +165,11 @@
         reach.judge(machines, now, &mut self.out);
         self.requests.permit(reach.users());
         let holds_back = reach.holds_back(now);
-        self.election.hold_back(holds_back);
+        self.election.set_defers_to_peers(holds_back);
     }
 
     fn leader_facts(&self, now: Duration) -> Option<LeaderFacts> {
-        let steady = self.election.steady(now);
+        let steady = self.election.is_lease_undisputed(now);
         self.leader.as_ref().map(|leader| leader.facts(now, steady))
     }
 
@@ -192,14 +192,14 @@
         leader.note_heard_elsewhere(now, |host| reach.heard_by_a_peer(host, now));
         if let Some(successor) = reach.successor(&facts, now, &mut self.out) {
             self.out.log(LogLevel::Info, format!("hands the lease over to {successor}, which sees more"));
-            let verdict = self.election.abdicate(now, &mut self.out);
+            let verdict = self.election.step_down_for_peers(now, &mut self.out);
             self.verdict(times, verdict);
         }
     }
 
     /// A peer's coverage came, or was refused on the way.
     fn coverage(&mut self, now: Duration, coverage: Result<Box<Coverage>, CoverageError>) {
-        let holder = match (&self.leader, &self.election.foreman) {
+        let holder = match (&self.leader, &self.election.known_leader) {
             (Some(leader), _) => Some(KnownLeader { host: &self.settings.host, token: leader.token }),
             (None, Some((host, token))) => Some(KnownLeader { host, token: *token }),
             (None, None) => None,
@@ -290,7 +290,7 @@
                                 &mut self.requests,
                                 &mut self.out,
                             ) {
-                                let verdict = self.election.resign(&mut self.out);
+                                let verdict = self.election.release_lease(&mut self.out);
                                 self.verdict(times, verdict);
                             }
                         }
@@ -351,7 +351,7 @@
         let news = self.requests.reply(times, request, reply, &progress, &mut self.out);
         if let Some(leader) = &mut self.leader {
             for row in news {
-                leader.job_row(times, &row, &mut self.requests);
+                leader.job_record_changed(times, &row, &mut self.requests);
             }
         }
     }
@@ -360,7 +360,7 @@
         if news {
             self.requests.all_new();
             if let Some(leader) = &mut self.leader {
-                leader.all_new();
+                leader.set_all_nodes_upgraded();
             }
         }
     }
@@ -372,11 +372,11 @@
                 self.tokens.learn(token);
                 self.out.log(LogLevel::Info, format!("leads under token {token}"));
                 let mut leader = Leader::new(self.settings.clone(), token, times.now);
-                leader.catalog(self.rigs.clone());
+                leader.set_machine_types(self.rigs.clone());
                 if self.version_barrier.open() {
-                    leader.all_new();
+                    leader.set_all_nodes_upgraded();
                 }
-                leader.load(times.now, &mut self.out);
+                leader.begin_loading(times.now, &mut self.out);
                 self.leader = Some(leader);
                 self.holder_leads(times);
             }
@@ -410,7 +410,7 @@
     fn foreman(&self, now: Duration, least: u64) -> Option<(u64, String)> {
         let heard = self.siblings.values().filter(|(at, _)| now.saturating_sub(*at) < PULSE_LIFE);
         let told = heard.map(|(_, pulse)| (pulse.token, &pulse.host));
-        let read = self.election.foreman.iter().map(|(host, token)| (*token, host));
+        let read = self.election.known_leader.iter().map(|(host, token)| (*token, host));
         let latest = told.chain(read).filter(|(token, _)| *token > 0 && *token >= least).max();
         latest.map(|(token, host)| (token, host.clone()))
     }
@@ -422,7 +422,7 @@
                 self.rigs = rigs.into_iter().map(|r| (r.name.clone(), r)).collect();
                 self.catalog_due = now + CATALOG_AGE;
                 if let Some(leader) = &mut self.leader {
-                    leader.catalog(self.rigs.clone());
+                    leader.set_machine_types(self.rigs.clone());
                 }
             }
             _ => self.catalog_due = now + CATALOG_RETRY,
@@ -462,7 +462,7 @@
         // The state service may not serve us, who then would not learn from it
         // that the key is somebody else's, and would hold the workers.
         if self.leader.as_ref().is_some_and(|l| l.token < pulse.token) {
-            let verdict = self.election.lost();
+            let verdict = self.election.lease_lost();
             self.verdict(times, verdict);
         }
         let now = times.now;
@@ -485,11 +485,11 @@
         }
         self.requests.tick(times, &mut self.out);
         self.tick_sharding(times);
-        let sight = Sight {
-            firm: self.election.firm(now),
-            steady: self.election.steady(now),
-            among_all: self.among_all(now),
-            behind: self.lag > BEHIND,
+        let sight = LeaderEvidence {
+            lease_valid: self.election.is_lease_valid(now),
+            kv_undisputed: self.election.is_lease_undisputed(now),
+            no_peer_leads: self.among_all(now),
+            cpu_starved: self.lag > BEHIND,
             mode: self.reach.as_ref().map_or(Mode::Whole, Reachability::mode),
             peers_agree: self.reach.as_ref().is_some_and(|reach| reach.peers_agree(now)),
         };
@@ -503,10 +503,10 @@
         // cancellations would be lost: it runs out of its key by itself.
         // Where all nodes tell what they hear, that decides who should lead.
         let coverage = self.reach.as_ref().is_some_and(|reach| reach.is_complete(now));
-        let other = sight.firm && self.company(now) && !coverage;
-        if other && self.leader.as_ref().is_some_and(|l| l.isolated(now)) {
+        let other = sight.lease_valid && self.company(now) && !coverage;
+        if other && self.leader.as_ref().is_some_and(|l| l.is_isolated(now)) {
             self.out.log(LogLevel::Info, "hears no worker and steps down".into());
-            let verdict = self.election.abdicate(now, &mut self.out);
+            let verdict = self.election.step_down_for_peers(now, &mut self.out);
             self.verdict(times, verdict);
         }
         if now >= self.pulse_due {
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -95,7 +95,7 @@
     /// Whether a report should wait: whoever is to answer it here still reads.
     pub(super) fn must_wait(&self, report: &Heartbeat, now: Duration) -> bool {
         if let Some(leader) = &self.leader {
-            return leader.reads() && matches!(leader.route(report), LeaderRoute::Own);
+            return leader.is_loading() && matches!(leader.route(report), LeaderRoute::Own);
         }
         let reads = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.reads());
         reads && matches!(self.holder_route(report, now), HolderRoute::Own { .. })
--- a/crates/plankhead-core/src/node/workers.rs
+++ b/crates/plankhead-core/src/node/workers.rs
@@ -52,11 +52,17 @@
             self.tokens.learn(report.token);
         }
         self.note_report(&report, relayed, now);
-        let adrift = !self.election.firm(now) && !self.company(now);
+        let adrift = !self.election.is_lease_valid(now) && !self.company(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&report) {
                 LeaderRoute::Own => {
-                    return leader.beat(times, report, (relayed, adrift), &self.requests, &mut self.out);
+                    return leader.handle_heartbeat(
+                        times,
+                        report,
+                        (relayed, adrift),
+                        &self.requests,
+                        &mut self.out,
+                    );
                 }
                 LeaderRoute::Holder { host, epoch } => {
                     return self.redirect(now, report, (epoch, host), relayed)
@@ -67,7 +73,7 @@
                 LeaderRoute::Superseded => {}
             }
             // A worker has seen a later token than ours.
-            let verdict = self.election.lost();
+            let verdict = self.election.lease_lost();
             self.verdict(times, verdict);
         }
         match self.holder_route(&report, now) {
--- a/crates/plankhead-core/src/places.rs
+++ b/crates/plankhead-core/src/places.rs
@@ -63,7 +63,7 @@
     pub fn allowed(&self, spec: &JobSpec) -> Vec<bool> {
         let allows = |pool: &Pool| {
             (spec.allows_spot || !pool.spot)
-                && spec.machine_types.as_ref().is_none_or(|rigs| rigs.contains(&pool.rig))
+                && spec.machine_types.as_ref().is_none_or(|rigs| rigs.contains(&pool.machine_type))
                 && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
         };
         self.pools.iter().map(allows).collect()
