--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -54,9 +54,9 @@
 }
 
 fn commit(ledger: &mut JobTable) {
-    for (id, chunk) in ledger.dirty.clone() {
-        let (_, version) = ledger.encode(&id, chunk).unwrap();
-        ledger.committed(&id, chunk, version, 7);
+    for (id, chunk) in ledger.dirty_chunks.clone() {
+        let (_, version) = ledger.encode_chunk(&id, chunk).unwrap();
+        ledger.chunk_committed(&id, chunk, version, 7);
     }
 }
 
@@ -118,24 +118,27 @@
 #[test]
 fn absence_from_a_report_is_no_evidence() {
     let mut ledger = ledger(2);
-    assert_eq!(ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW), (vec![], 0));
+    assert_eq!(
+        ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
+        (vec![], 0)
+    );
     // What was there and is missing is neither running nor proven gone.
-    assert_eq!(ledger.observe(&report(3, 2, &[]), false, NOW), (vec![], 1));
+    assert_eq!(ledger.observe_heartbeat(&report(3, 2, &[]), false, NOW), (vec![], 1));
     assert_eq!(placed(&ledger), 2);
 }
 
 #[test]
 fn a_later_shift_an_end_and_a_release_are_evidence() {
     let mut ledger = ledger(3);
-    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
+    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
     assert_eq!((placed(&ledger), ledger.jobs[&id()].done), (2, 1));
     // The end of another attempt of the same task says nothing of this one.
-    ledger.observe(&report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
+    ledger.observe_heartbeat(&report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
     assert_eq!(placed(&ledger), 2);
-    ledger.observe(&report(4, 3, &[]), false, NOW);
-    assert_eq!((placed(&ledger), ledger.jobs[&id()].again.len()), (0, 2));
+    ledger.observe_heartbeat(&report(4, 3, &[]), false, NOW);
+    assert_eq!((placed(&ledger), ledger.jobs[&id()].to_restart.len()), (0, 2));
     ledger.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
-    assert_eq!(ledger.host_gone("i-2", NOW), 1);
+    assert_eq!(ledger.machine_gone("i-2", NOW), 1);
     assert_eq!(placed(&ledger), 0);
 }
 
@@ -145,10 +148,10 @@
 fn reap_waits_for_the_write() {
     let mut ledger = ledger(1);
     let task = TaskId { job: id(), index: 0 };
-    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
-    assert!(!ledger.may_reap(&task, 1));
+    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
+    assert!(!ledger.may_acknowledge(&task, 1));
     commit(&mut ledger);
-    assert!(ledger.may_reap(&task, 1));
+    assert!(ledger.may_acknowledge(&task, 1));
 }
 
 /// A placement that no worker was told of goes with the cancellation; a durable
@@ -159,9 +162,9 @@
     ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     assert_eq!(placed(&ledger), 1);
-    assert!(ledger.closing.is_empty());
-    ledger.observe(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
-    assert!(ledger.closing.contains(&id()));
+    assert!(ledger.ended_jobs.is_empty());
+    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
+    assert!(ledger.ended_jobs.contains(&id()));
 }
 
 /// After a takeover, attempts of a job cancelled long ago stood in its chunks;
@@ -174,17 +177,20 @@
         ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     };
     let mut live = ledger(2);
-    assert!(live.observe(&report(3, 1, &[]), true, NOW).0.is_empty(), "a live job's attempt may come");
+    assert!(
+        live.observe_heartbeat(&report(3, 1, &[]), true, NOW).0.is_empty(),
+        "a live job's attempt may come"
+    );
     let mut old = ledger(2);
     cancel(&mut old);
-    assert!(old.observe(&report(3, 1, &[]), false, NOW).0.is_empty(), "no token, no proof");
-    assert!(old.observe(&report(2, 2, &[]), true, NOW).0.is_empty(), "of an earlier shift");
-    assert_eq!(old.observe(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).0.len(), 1);
+    assert!(old.observe_heartbeat(&report(3, 1, &[]), false, NOW).0.is_empty(), "no token, no proof");
+    assert!(old.observe_heartbeat(&report(2, 2, &[]), true, NOW).0.is_empty(), "of an earlier shift");
+    assert_eq!(old.observe_heartbeat(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).0.len(), 1);
     assert_eq!(placed(&old), 1);
     let mut sent = ledger(2);
-    sent.attempt_mut(&TaskId { job: id(), index: 1 }).unwrap().offered = Some(0);
+    sent.attempt_mut(&TaskId { job: id(), index: 1 }).unwrap().offered_under_token = Some(0);
     cancel(&mut sent);
-    assert_eq!(sent.observe(&report(3, 1, &[]), true, NOW).0.len(), 1);
+    assert_eq!(sent.observe_heartbeat(&report(3, 1, &[]), true, NOW).0.len(), 1);
 }
 
 /// What the leader had a holder tell is refused once the worker knows the next holder's
@@ -194,22 +200,29 @@
     let under = |token, tick| Heartbeat { token, ..report(3, tick, &[]) };
     let mut offered = ledger(2);
     for index in 0..2 {
-        offered.attempt_mut(&TaskId { job: id(), index }).unwrap().offered = Some(40 + u64::from(index));
+        offered.attempt_mut(&TaskId { job: id(), index }).unwrap().offered_under_token =
+            Some(40 + u64::from(index));
     }
-    assert!(offered.observe(&under(50, 1), true, NOW).0.is_empty(), "a live job's attempt may come");
+    assert!(
+        offered.observe_heartbeat(&under(50, 1), true, NOW).0.is_empty(),
+        "a live job's attempt may come"
+    );
     offered.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
-    assert!(offered.observe(&under(40, 2), true, NOW).0.is_empty(), "its own holder may tell it yet");
-    assert_eq!(offered.observe(&under(41, 3), true, NOW).0.len(), 1, "of a former holder's epoch");
+    assert!(
+        offered.observe_heartbeat(&under(40, 2), true, NOW).0.is_empty(),
+        "its own holder may tell it yet"
+    );
+    assert_eq!(offered.observe_heartbeat(&under(41, 3), true, NOW).0.len(), 1, "of a former holder's epoch");
     assert_eq!(placed(&offered), 1);
-    assert!(offered.observe(&under(42, 4), false, NOW).0.is_empty(), "not of this term");
-    assert_eq!(offered.observe(&under(42, 5), true, NOW).0.len(), 1);
+    assert!(offered.observe_heartbeat(&under(42, 4), false, NOW).0.is_empty(), "not of this term");
+    assert_eq!(offered.observe_heartbeat(&under(42, 5), true, NOW).0.len(), 1);
 }
 
 /// What one leader writes, the next one reads: placements, ends and gaps.
 #[test]
 fn chunks_survive_a_takeover() {
     let mut old = ledger(6);
-    old.observe(
+    old.observe_heartbeat(
         &report(
             3,
             1,
@@ -224,13 +237,16 @@
     let mut new = JobTable::default();
     new.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
     for chunk in 0..2 {
-        let (text, _) = old.encode(&id(), chunk).unwrap();
+        let (text, _) = old.encode_chunk(&id(), chunk).unwrap();
         new.load_chunk(&id(), chunk, &text, 7, NOW).unwrap();
     }
-    new.loaded();
+    new.finish_loading();
     let (a, b) = (&old.jobs[&id()], &new.jobs[&id()]);
-    assert_eq!((b.done, b.placed, b.fresh, b.pending()), (a.done, a.placed, a.fresh, a.pending()));
-    assert_eq!(new.on_host("i-1").count(), 4);
+    assert_eq!(
+        (b.done, b.placed, b.first_unplaced, b.pending()),
+        (a.done, a.placed, a.first_unplaced, a.pending())
+    );
+    assert_eq!(new.by_machine("i-1").count(), 4);
     let again = new.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
     assert_eq!((again.index, new.attempt(&again).unwrap().number), (2, 2));
     for bad in [r#"{"h":[],"t":[[0,1,0]],"d":[]}"#, r#"{"h":[],"t":[],"d":[[0,99]]}"#, "[]"] {
@@ -249,7 +265,7 @@
         let host: MachineName = format!("i-{n:012}").into();
         ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
     }
-    let (text, _) = ledger.encode(&id(), 0).unwrap();
+    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
     assert!(text.len() <= 8 * 1024, "{}", text.len());
 }
 
@@ -257,14 +273,14 @@
 #[test]
 fn late_reports_are_ignored() {
     let mut fleet = Fleet::default();
-    let mut heard = |shift, tick| fleet.observe(&report(shift, tick, &[]), 0, NOW);
+    let mut heard = |shift, tick| fleet.observe_heartbeat(&report(shift, tick, &[]), 0, NOW);
     assert_eq!(heard(3, 5), HeartbeatNews::Changed);
     assert_eq!(heard(3, 6), HeartbeatNews::Unchanged);
     assert_eq!(heard(3, 4), HeartbeatNews::Stale);
     assert_eq!(heard(2, 9), HeartbeatNews::Stale);
     assert_eq!(heard(4, 1), HeartbeatNews::Changed);
-    fleet.released(&"i-1".into());
-    assert_eq!(fleet.observe(&report(5, 1, &[]), 0, NOW), HeartbeatNews::Stale);
+    fleet.instance_released(&"i-1".into());
+    assert_eq!(fleet.observe_heartbeat(&report(5, 1, &[]), 0, NOW), HeartbeatNews::Stale);
     assert!(fleet.machines.is_empty());
 }
 
@@ -274,13 +290,16 @@
 fn machines_known_from_placements_are_judged_by_silence() {
     let settings = settings(1, 11);
     let mut fleet = Fleet::default();
-    fleet.expect(&"i-1".into(), NOW);
-    assert_eq!(fleet.judge(NOW + settings.failover_heartbeat_timeout(), &settings), 0);
+    fleet.expect_machine(&"i-1".into(), NOW);
+    assert_eq!(fleet.mark_for_removal(NOW + settings.failover_heartbeat_timeout(), &settings), 0);
     assert_eq!(
-        fleet.judge(NOW + settings.failover_heartbeat_timeout() + Duration::from_millis(1), &settings),
+        fleet.mark_for_removal(
+            NOW + settings.failover_heartbeat_timeout() + Duration::from_millis(1),
+            &settings
+        ),
         1
     );
-    assert_eq!(fleet.machines["i-1"].leaving, Some(RemovalReason::HeartbeatTimeout));
+    assert_eq!(fleet.machines["i-1"].removal, Some(RemovalReason::HeartbeatTimeout));
 }
 
 /// With a report every 5 s, a worker that got no answer to one is back after 11.8 s
@@ -298,19 +317,19 @@
         let mut fleet = Fleet::default();
         let mut up = report(1, 1, &[]);
         up.token = 7;
-        fleet.observe(&up, 7, NOW);
+        fleet.observe_heartbeat(&up, 7, NOW);
         // One of many: more at once may be out of reach only.
         for n in 2..=50 {
             up.machine = format!("i-{n}").into();
-            fleet.observe(&up, 7, NOW + quiet);
+            fleet.observe_heartbeat(&up, 7, NOW + quiet);
         }
-        fleet.machines.get_mut("i-1").unwrap().unanswered = unanswered;
+        fleet.machines.get_mut("i-1").unwrap().unanswered_commands = unanswered;
         // What went unanswered while the leader itself was cut off says nothing.
         let mut forgiven = fleet.clone();
-        forgiven.forgive(NOW);
-        assert_eq!(forgiven.judge(NOW + quiet, &settings), 0);
-        let late = !fleet.to_inquire(NOW + quiet, settings.heartbeat_timeout(), |_| true).is_empty();
-        (late, fleet.judge(NOW + quiet, &settings))
+        forgiven.reset_silence(NOW);
+        assert_eq!(forgiven.mark_for_removal(NOW + quiet, &settings), 0);
+        let late = !fleet.machines_to_probe(NOW + quiet, settings.heartbeat_timeout(), |_| true).is_empty();
+        (late, fleet.mark_for_removal(NOW + quiet, &settings))
     };
     assert_eq!(heard(0, well), (true, 0));
     assert_eq!(heard(1, well), (true, 0));
@@ -329,16 +348,16 @@
         up.machine = format!("i-{n}").into();
         up.zone = if n < 4 { "x".into() } else { "y".into() };
         up.token = 7;
-        fleet.observe(&up, 7, NOW);
+        fleet.observe_heartbeat(&up, 7, NOW);
     }
     let later = NOW + second * 8;
     // One of two in `y` is lost; all of `x` are, which is the network's doing.
     let well = fleet.machines.get_mut("i-4").unwrap();
-    (well.heard, well.direct) = (later, later);
-    assert_eq!(fleet.judge(later, &settings), 1);
-    assert_eq!(fleet.machines["i-5"].leaving, Some(RemovalReason::HeartbeatTimeout));
-    fleet.machines.get_mut("i-4").unwrap().heard = NOW + second * 60;
-    assert_eq!(fleet.judge(NOW + second * 60, &settings), 4);
+    (well.last_heard_at, well.last_direct_at) = (later, later);
+    assert_eq!(fleet.mark_for_removal(later, &settings), 1);
+    assert_eq!(fleet.machines["i-5"].removal, Some(RemovalReason::HeartbeatTimeout));
+    fleet.machines.get_mut("i-4").unwrap().last_heard_at = NOW + second * 60;
+    assert_eq!(fleet.mark_for_removal(NOW + second * 60, &settings), 4);
 }
 
 /// A machine whose reports arrive while it hears nothing looked alive as its lease
@@ -348,10 +367,10 @@
     let second = Duration::from_secs(1);
     let heard = |shift, answered: u64| {
         let mut fleet = Fleet::default();
-        fleet.observe(&report(3, 1, &[]), 0, NOW);
-        fleet.machines.get_mut("i-1").unwrap().answered = Some(NOW + second * answered as u32);
-        fleet.observe(&report(shift, 2, &[]), 0, NOW + second * 11);
-        fleet.machines["i-1"].leaving
+        fleet.observe_heartbeat(&report(3, 1, &[]), 0, NOW);
+        fleet.machines.get_mut("i-1").unwrap().answered_at = Some(NOW + second * answered as u32);
+        fleet.observe_heartbeat(&report(shift, 2, &[]), 0, NOW + second * 11);
+        fleet.machines["i-1"].removal
     };
     assert_eq!(heard(4, 9), Some(RemovalReason::IgnoresCommands));
     assert_eq!(heard(4, 0), None, "it was silent, or hung");
@@ -360,12 +379,12 @@
     let asked = |shown: &[(u32, u64, TaskStatus)]| {
         let mut fleet = Fleet::default();
         for tick in 1..=5 {
-            fleet.observe(&report(3, tick, shown), 0, NOW);
+            fleet.observe_heartbeat(&report(3, tick, shown), 0, NOW);
             let machine = fleet.machines.get_mut("i-1").unwrap();
-            machine.asked = vec![(TaskId { job: id(), index: 0 }, 1, true)];
+            machine.expected_effects = vec![(TaskId { job: id(), index: 0 }, 1, true)];
         }
         let machine = &fleet.machines["i-1"];
-        (machine.leaving, machine.doubtful(NOW, second))
+        (machine.removal, machine.is_start_doubtful(NOW, second))
     };
     assert_eq!(asked(&[]), (Some(RemovalReason::IgnoresCommands), true));
     assert_eq!(asked(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
@@ -375,7 +394,7 @@
 #[test]
 fn refusals_teach_capacity() {
     let mut fleet = Fleet::default();
-    fleet.rigs.insert(
+    fleet.machine_types.insert(
         "r".into(),
         MachineType {
             name: "r".into(),
@@ -390,12 +409,12 @@
             zones: vec!["z".into()],
         },
     );
-    let pool = |spot| Pool { rig: "r".into(), zone: "z".into(), spot };
-    fleet.hired(&["i-1".into(), "i-2".into()], &pool(true), 5, NOW);
-    assert_eq!(fleet.learned("r", NOW), None);
-    assert!(!fleet.open(&pool(true), NOW) && fleet.open(&pool(false), NOW));
-    fleet.refused(&pool(false), NOW);
-    assert_eq!(fleet.learned("r", NOW), Some(2));
+    let pool = |spot| Pool { machine_type: "r".into(), zone: "z".into(), spot };
+    fleet.rented(&["i-1".into(), "i-2".into()], &pool(true), 5, NOW);
+    assert_eq!(fleet.known_capacity("r", NOW), None);
+    assert!(!fleet.may_rent_from(&pool(true), NOW) && fleet.may_rent_from(&pool(false), NOW));
+    fleet.capacity_refused(&pool(false), NOW);
+    assert_eq!(fleet.known_capacity("r", NOW), Some(2));
 }
 
 /// A gang of three on machines i-1, i-2 and i-3, durable and offered.
@@ -413,13 +432,13 @@
 fn place_gang(ledger: &mut JobTable) {
     for host in ["i-1", "i-2", "i-3"] {
         let task = ledger.place(&id(), &host.into(), 3, &"z".into(), NOW).unwrap();
-        assert!(!ledger.written(&task), "not all are placed and durable");
+        assert!(!ledger.may_start(&task), "not all are placed and durable");
     }
     commit(ledger);
     for index in 0..3 {
         let task = TaskId { job: id(), index };
-        assert!(ledger.written(&task));
-        ledger.attempt_mut(&task).unwrap().offered = Some(0);
+        assert!(ledger.may_start(&task));
+        ledger.attempt_mut(&task).unwrap().offered_under_token = Some(0);
     }
 }
 
@@ -433,23 +452,27 @@
 fn a_gang_that_lost_a_task_ends_as_a_whole() {
     let mut ledger = gang();
     for (index, host) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
-        ledger.observe(&from(host, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]), true, NOW);
+        ledger.observe_heartbeat(&from(host, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]), true, NOW);
     }
-    assert!(ledger.urgent.is_empty());
-    ledger.host_gone("i-2", NOW);
-    let told: Vec<&str> = ledger.urgent.iter().map(|h| h.as_ref()).collect();
+    assert!(ledger.machines_to_stop.is_empty());
+    ledger.machine_gone("i-2", NOW);
+    let told: Vec<&str> = ledger.machines_to_stop.iter().map(|h| h.as_ref()).collect();
     assert_eq!(told, ["i-1", "i-3"]);
-    let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop);
+    let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop_requested);
     assert_eq!(
         (stopped(&ledger, 0), stopped(&ledger, 1), stopped(&ledger, 2)),
         (Some(true), None, Some(true))
     );
-    ledger.observe(&from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
-    assert!(!ledger.jobs[&id()].placeable());
+    ledger.observe_heartbeat(&from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
+    assert!(!ledger.jobs[&id()].is_placeable());
     assert_eq!(ledger.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
     // What the task says by itself is no worse than what it was told.
-    ledger.observe(&from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]), true, NOW);
-    assert!(ledger.jobs[&id()].placeable());
+    ledger.observe_heartbeat(
+        &from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
+        true,
+        NOW,
+    );
+    assert!(ledger.jobs[&id()].is_placeable());
     place_gang(&mut ledger);
     let number = |index| ledger.attempt(&TaskId { job: id(), index }).unwrap().number;
     assert_eq!([number(0), number(1), number(2)], [2, 2, 2]);
@@ -459,13 +482,21 @@
 #[test]
 fn one_done_task_of_a_gang_is_all() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]), true, NOW);
-    assert!(ledger.closing.contains(&id()));
+    ledger.observe_heartbeat(
+        &from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        true,
+        NOW,
+    );
+    assert!(ledger.ended_jobs.contains(&id()));
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 2));
-    assert!(ledger.finished(&id()) && !ledger.finished(&id()));
+    assert!(ledger.job_finished(&id()) && !ledger.job_finished(&id()));
     assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (Phase::Done, 2));
-    ledger.host_gone("i-1", NOW);
-    ledger.observe(&from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]), true, NOW);
+    ledger.machine_gone("i-1", NOW);
+    ledger.observe_heartbeat(
+        &from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        true,
+        NOW,
+    );
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 0));
 }
 
@@ -474,8 +505,8 @@
 #[test]
 fn a_new_leader_ends_a_torn_gang() {
     let mut ledger = gang();
-    ledger.observe(&from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]), true, NOW);
-    let (text, _) = ledger.encode(&id(), 0).unwrap();
+    ledger.observe_heartbeat(&from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]), true, NOW);
+    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
     let mut next = gang();
     next.remove(&id());
     let mut record = record(Phase::Active, 3);
@@ -484,22 +515,26 @@
     }
     next.upsert(&id(), record, 5, NOW, None, 4);
     next.load_chunk(&id(), 0, &text, 7, NOW).unwrap();
-    next.loaded();
-    assert!(next.jobs[&id()].broken());
-    next.observe(&from("i-2", 2, &[]), false, NOW);
+    next.finish_loading();
+    assert!(next.jobs[&id()].is_gang_broken());
+    next.observe_heartbeat(&from("i-2", 2, &[]), false, NOW);
     assert_eq!(placed(&next), 2, "without the own token it may come yet");
-    next.observe(&from("i-2", 3, &[]), true, NOW);
-    next.observe(&from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]), true, NOW);
-    assert!(next.jobs[&id()].placeable());
+    next.observe_heartbeat(&from("i-2", 3, &[]), true, NOW);
+    next.observe_heartbeat(
+        &from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
+        true,
+        NOW,
+    );
+    assert!(next.jobs[&id()].is_placeable());
 }
 
 /// Whoever saves under a new leader has the others told with time to save, too.
 #[test]
 fn a_new_leader_finishes_an_orderly_stop() {
     let mut ledger = gang();
-    ledger.observe(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
-    assert!(ledger.jobs[&id()].ending() && !ledger.jobs[&id()].broken());
-    assert_eq!(ledger.urgent.len(), 3);
-    ledger.observe(&from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
-    assert!(!ledger.jobs[&id()].broken(), "the others keep their time to save");
+    ledger.observe_heartbeat(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
+    assert!(ledger.jobs[&id()].is_gang_ending() && !ledger.jobs[&id()].is_gang_broken());
+    assert_eq!(ledger.machines_to_stop.len(), 3);
+    ledger.observe_heartbeat(&from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
+    assert!(!ledger.jobs[&id()].is_gang_broken(), "the others keep their time to save");
 }
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -99,14 +99,14 @@
         let per_chunk = record.per_chunk;
         ledger.upsert(&id, record, 5, NOW, None, per_chunk);
         if number.starts_with('s') {
-            ledger.lay_anew(tasks_per_chunk(LOWERED_VALUE_BYTES));
+            ledger.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
             small += 1;
         } else {
             plain += 1;
         }
         let number = number.trim_start_matches('s').parse().unwrap();
         ledger.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
-        assert_eq!(ledger.encode(&id, number).unwrap().0, row.value, "{}", row.key);
+        assert_eq!(ledger.encode_chunk(&id, number).unwrap().0, row.value, "{}", row.key);
     }
     assert!(plain > 0 && small > 0, "{plain} as accepted, {small} laid out anew");
 }
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -67,10 +67,10 @@
 fn placements_of_the_version_before() {
     let mut ledger = loaded(&live());
     ledger.load_chunk(&id(), 0, RUN, 7, NOW).unwrap();
-    ledger.loaded();
+    ledger.finish_loading();
     let entry = &ledger.jobs[&id()];
-    assert_eq!((entry.placed, entry.pending(), entry.fresh), (3, 9, 3));
-    let (text, _) = ledger.encode(&id(), 0).unwrap();
+    assert_eq!((entry.placed, entry.pending(), entry.first_unplaced), (3, 9, 3));
+    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
     assert_eq!(text, RUN);
     let read: before::ChunkText = serde_json::from_str(&text).unwrap();
     assert_eq!((read.h.len(), read.t.len()), (2, 3));
@@ -111,19 +111,19 @@
 
     let mut ledger = loaded(&record);
     ledger.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
-    ledger.loaded();
+    ledger.finish_loading();
     // One more placement is on its way and must be waited for.
     let placed = ledger.place(&id(), &"i-000099".into(), 1, &"z".into(), NOW).unwrap();
-    ledger.jobs.get_mut(&id()).unwrap().chunks.get_mut(&0).unwrap().writing = true;
-    assert!(ledger.lay_anew(small));
-    ledger.write_failed(&id(), 0, false);
-    assert!(!ledger.lay_anew(small));
-    assert!(!ledger.written(&placed), "a placement that no value holds counts as written");
+    ledger.jobs.get_mut(&id()).unwrap().chunks.get_mut(&0).unwrap().write_in_flight = true;
+    assert!(ledger.rechunk(small));
+    ledger.chunk_write_failed(&id(), 0, false);
+    assert!(!ledger.rechunk(small));
+    assert!(!ledger.may_start(&placed), "a placement that no value holds counts as written");
     let all = |l: &JobTable| {
         let entry = &l.jobs[&id()];
         let tasks = entry.chunks.values().flat_map(|c| &c.tasks).map(|(i, t)| {
             let place = match &t.state {
-                TaskState::Placed(a) => Some((a.host.clone(), a.shift, a.number)),
+                TaskState::Placed(a) => Some((a.machine.clone(), a.incarnation, a.number)),
                 _ => None,
             };
             (*i, place)
@@ -133,30 +133,30 @@
     // Step by step: one more end, one more chunk written.
     let mut stored: BTreeMap<u32, String> = BTreeMap::new();
     for round in 0..6 {
-        for (job, number) in ledger.dirty.clone() {
-            let (text, version) = ledger.encode(&job, number).unwrap();
+        for (job, number) in ledger.dirty_chunks.clone() {
+            let (text, version) = ledger.encode_chunk(&job, number).unwrap();
             assert!(text.len() <= most, "{} bytes", text.len());
             assert!(!before::reads(&job.chunk_key(number, true), &text));
             stored.insert(number, text);
-            ledger.committed(&job, number, version, 20 + round);
+            ledger.chunk_committed(&job, number, version, 20 + round);
             let mut next = loaded(&record);
             next.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
-            next.lay_anew(small);
+            next.rechunk(small);
             for (number, text) in &stored {
                 next.load_chunk(&id(), *number, text, 9, NOW).unwrap();
             }
-            next.loaded();
+            next.finish_loading();
             let (mut known, read) = (all(&ledger), all(&next));
             // What is not written yet is not known to the next one.
-            if !ledger.dirty.is_empty() {
+            if !ledger.dirty_chunks.is_empty() {
                 known.1 = read.1;
             }
             assert_eq!(known.1, read.1);
             assert_eq!(known.3.len(), read.3.len());
-            assert_eq!(next.jobs[&id()].zones.values().sum::<u32>(), read.1);
+            assert_eq!(next.jobs[&id()].attempts_by_zone.values().sum::<u32>(), read.1);
         }
         let task = TaskId { job: id(), index: 41 + round as u32 };
-        let host = ledger.attempt(&task).unwrap().host.clone();
+        let host = ledger.attempt(&task).unwrap().machine.clone();
         let seen = TaskStatus::Exited(ExitReason::Completed);
         let report = Heartbeat {
             machine: host,
@@ -170,11 +170,12 @@
             preemption_notice: None,
             tasks: [ReportedTask { task, attempt: 2, status: seen }].into(),
         };
-        let (ended, _) = ledger.observe(&report, true, NOW);
+        let (ended, _) = ledger.observe_heartbeat(&report, true, NOW);
         assert_eq!(ended.len(), 1);
     }
-    assert!(ledger.written(&placed));
-    let keys: Vec<String> = ledger.jobs[&id()].stored(&id()).into_iter().map(|stored| stored.key).collect();
+    assert!(ledger.may_start(&placed));
+    let keys: Vec<String> =
+        ledger.jobs[&id()].stored_keys(&id()).into_iter().map(|stored| stored.key).collect();
     assert!(
         keys.contains(&"run/job-000412/0".to_string()),
         "the old chunk is dropped with the job: {keys:?}"
