--- a/crates/plankhead-core/src/easy.rs
+++ b/crates/plankhead-core/src/easy.rs
@@ -18,32 +18,32 @@
     pub price: f64,
     pub free: Resources,
     /// From when on it takes tasks.
-    pub ready: Duration,
+    pub ready_at: Duration,
     /// In the order of their ends.
     pub running: Vec<Running>,
     pub images: Vec<u32>,
     /// Images being fetched at present.
-    pub fetching: u32,
-    pub pull_gb_per_s: f64,
+    pub fetches_in_progress: u32,
+    pub image_fetch_gb_per_s: f64,
 }
 
 /// A task on a machine, with its estimated end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Running {
-    pub end: Duration,
+    pub ends_at: Duration,
     /// Once it is overdue, it is taken to need this much more.
     pub grace: Duration,
-    pub each: Resources,
+    pub demand: Resources,
     pub team: usize,
     /// Only room held for a task that waits for the machine's image.
-    pub booked: bool,
+    pub is_reservation: bool,
 }
 
 /// A decision: one task of `work` on `slot`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Start {
-    pub work: usize,
-    pub slot: usize,
+    pub work_index: usize,
+    pub slot_index: usize,
     /// Later than the pass: the task waits for the machine, which has its image.
     pub at: Duration,
 }
@@ -62,57 +62,57 @@
 #[derive(Debug, Clone)]
 struct Reservation {
     /// What is kept, by slot.
-    holds: Vec<(usize, Resources)>,
+    kept: Vec<(usize, Resources)>,
     at: Duration,
     /// More urgent work may break it if it finds no room elsewhere.
-    yields: Option<Priority>,
+    yields_to: Option<Priority>,
     /// The work that it is for, if that may still start in this pass.
-    by: Option<usize>,
+    for_work: Option<usize>,
 }
 
 impl Reservation {
     fn on(&self, slot: usize) -> Option<&Resources> {
-        self.holds.iter().find(|(s, _)| *s == slot).map(|(_, kept)| kept)
+        self.kept.iter().find(|(s, _)| *s == slot).map(|(_, kept)| kept)
     }
 }
 
 impl Slot {
     /// Adds a task in the order of ends.
-    pub fn run(&mut self, task: Running) {
-        let at = self.running.partition_point(|t| t.end <= task.end);
+    pub fn add_running(&mut self, task: Running) {
+        let at = self.running.partition_point(|t| t.ends_at <= task.ends_at);
         self.running.insert(at, task);
-        self.free.sub(&task.each);
+        self.free.sub(&task.demand);
     }
 
     /// The machine at a later time, if nothing has ended since.
-    pub fn overdue(&mut self, now: Duration) {
-        if self.running.first().is_some_and(|t| t.end < now + t.grace) {
+    pub fn extend_overdue(&mut self, now: Duration) {
+        if self.running.first().is_some_and(|t| t.ends_at < now + t.grace) {
             for task in &mut self.running {
-                task.end = task.end.max(now + task.grace);
+                task.ends_at = task.ends_at.max(now + task.grace);
             }
-            self.running.sort_by_key(|t| t.end);
+            self.running.sort_by_key(|t| t.ends_at);
         }
     }
 
     /// What is free at a later time if nothing more starts.
     fn free_at(&self, at: Duration) -> Resources {
         let mut free = self.free;
-        for task in self.running.iter().take_while(|t| t.end <= at) {
-            free.add(&task.each);
+        for task in self.running.iter().take_while(|t| t.ends_at <= at) {
+            free.add(&task.demand);
         }
         free
     }
 
     /// The earliest time, before `until`, at which the task would find room.
-    fn opens(&self, each: &Resources, now: Duration, until: Duration) -> Option<Duration> {
-        let from = self.ready.max(now);
+    fn earliest_fit(&self, each: &Resources, now: Duration, until: Duration) -> Option<Duration> {
+        let from = self.ready_at.max(now);
         let mut free = self.free;
         let mut at = from;
         let mut coming = self.running.iter();
         while !each.fits(&free) {
             let task = coming.next()?;
-            free.add(&task.each);
-            at = task.end.max(from);
+            free.add(&task.demand);
+            at = task.ends_at.max(from);
             if at >= until {
                 return None;
             }
@@ -121,8 +121,8 @@
     }
 
     /// How many such tasks, `most` at the most, will find room by then.
-    pub fn holds_by(&self, each: &Resources, due: Duration, most: u32) -> u32 {
-        if self.ready > due {
+    pub fn fits_by(&self, each: &Resources, due: Duration, most: u32) -> u32 {
+        if self.ready_at > due {
             return 0;
         }
         let mut free = self.free_at(due);
@@ -134,41 +134,47 @@
         count
     }
 
-    fn fetch(&self, work: &Work) -> Duration {
+    fn fetch_time(&self, work: &Work) -> Duration {
         if self.has_image(work) {
             return Duration::ZERO;
         }
-        self.fetch_behind(self.fetching, work)
+        self.fetch_time_behind(self.fetches_in_progress, work)
     }
 
     fn has_image(&self, work: &Work) -> bool {
-        self.pull_gb_per_s <= 0.0 || self.images.contains(&work.image)
+        self.image_fetch_gb_per_s <= 0.0 || self.images.contains(&work.image)
     }
 
     /// How long a fetch takes while so many others are under way.
-    fn fetch_behind(&self, others: u32, work: &Work) -> Duration {
+    fn fetch_time_behind(&self, others: u32, work: &Work) -> Duration {
         let queue = f64::from(others + 1);
-        Duration::from_secs_f64((work.image_gb * queue / self.pull_gb_per_s).min(3600.0))
+        Duration::from_secs_f64((work.image_gb * queue / self.image_fetch_gb_per_s).min(3600.0))
     }
 
-    fn take(&mut self, now: Duration, work: &Work) {
-        let end = now + self.fetch(work) + work.estimate;
+    fn start_task(&mut self, now: Duration, work: &Work) {
+        let end = now + self.fetch_time(work) + work.estimated_runtime;
         if !self.images.contains(&work.image) {
             self.images.push(work.image);
-            self.fetching += 1;
+            self.fetches_in_progress += 1;
         }
-        self.run(Running::of(work, end, false));
+        self.add_running(Running::of(work, end, false));
     }
 }
 
 impl Running {
     fn of(work: &Work, end: Duration, booked: bool) -> Self {
-        Self { end, grace: work.estimate / 5, each: work.each, team: work.team, booked }
+        Self {
+            ends_at: end,
+            grace: work.estimated_runtime / 5,
+            demand: work.demand,
+            team: work.team,
+            is_reservation: booked,
+        }
     }
 }
 
 fn suits(slot: &Slot, work: &Work) -> bool {
-    work.allows(slot.pool) && work.zone_admits(slot.zone)
+    work.allows(slot.pool) && work.admits_zone(slot.zone)
 }
 
 /// How many such tasks, `most` at the most, may start on the slot without delaying
@@ -183,15 +189,15 @@
 ) -> u32 {
     let room = |mut free: Resources| {
         let mut count = 0;
-        while count < most && work.each.fits(&free) {
-            free.sub(&work.each);
+        while count < most && work.demand.fits(&free) {
+            free.sub(&work.demand);
             count += 1;
         }
         count
     };
     let here = room(slot.free);
     let Some((held, kept)) = held.and_then(|r| Some((r, r.on(index)?))) else { return here };
-    if here == 0 || now + slot.fetch(work) + work.estimate <= held.at {
+    if here == 0 || now + slot.fetch_time(work) + work.estimated_runtime <= held.at {
         return here;
     }
     let mut left = slot.free_at(held.at);
@@ -212,10 +218,14 @@
             return Duration::ZERO;
         }
         match self.last {
-            Some((others, rate, time)) if others == slot.fetching && rate == slot.pull_gb_per_s => time,
+            Some((others, rate, time))
+                if others == slot.fetches_in_progress && rate == slot.image_fetch_gb_per_s =>
+            {
+                time
+            }
             _ => {
-                let time = slot.fetch_behind(slot.fetching, work);
-                self.last = Some((slot.fetching, slot.pull_gb_per_s, time));
+                let time = slot.fetch_time_behind(slot.fetches_in_progress, work);
+                self.last = Some((slot.fetches_in_progress, slot.image_fetch_gb_per_s, time));
                 time
             }
         }
@@ -240,10 +250,10 @@
         // Most slots have nothing kept on them: arrays don't pay for what gangs need.
         let kept = held.filter(|r| r.on(*i).is_some());
         let hinders = || kept.is_some() && spares(slot, *i, work, now, kept, 1) == 0;
-        if !work.each.fits(&slot.free) || !suits(slot, work) || hinders() {
+        if !work.demand.fits(&slot.free) || !suits(slot, work) || hinders() {
             continue;
         }
-        let score = (fetches.on(slot, work), work.cost(slot.price, now), slot.free.cpus);
+        let score = (fetches.on(slot, work), work.effective_price(slot.price, now), slot.free.cpus);
         if best.as_ref().is_none_or(|(_, b)| score < *b) {
             best = Some((*i, score));
         }
@@ -269,7 +279,7 @@
         }
         let count = spares(slot, *i, work, now, held, work.pending);
         if count > 0 {
-            let score = (slot.fetch(work), work.cost(slot.price, now), slot.free.cpus);
+            let score = (slot.fetch_time(work), work.effective_price(slot.price, now), slot.free.cpus);
             fits.push((*i, count, score));
         }
     }
@@ -289,9 +299,9 @@
             }
             let before = left.pending;
             for _ in 0..*count {
-                if left.pending > 0 && left.zone_admits(slot.zone) {
+                if left.pending > 0 && left.admits_zone(slot.zone) {
                     left.pending -= 1;
-                    left.joined(slot.zone);
+                    left.add_to_zone(slot.zone);
                     chosen.push(*i);
                 }
             }
@@ -308,7 +318,7 @@
 
 /// The zones to try a gang in, one by one, or all at once.
 fn zones(slots: &[Slot], of: impl Iterator<Item = usize>, work: &Work) -> Vec<Option<usize>> {
-    if !work.one_zone {
+    if !work.single_zone {
         return vec![None];
     }
     let zones: std::collections::BTreeSet<usize> = of.map(|i| slots[i].zone).collect();
@@ -326,7 +336,7 @@
     slot: usize,
     held: Option<&Reservation>,
 ) -> Option<(Duration, usize)> {
-    let fetch = slots[slot].fetch(work);
+    let fetch = slots[slot].fetch_time(work);
     let mut best: Option<(Duration, usize)> = None;
     if fetch.is_zero() {
         return best;
@@ -336,7 +346,7 @@
             continue;
         }
         let until = best.map_or(now + fetch, |(at, _)| at);
-        if let Some(at) = s.opens(&work.each, now, until) {
+        if let Some(at) = s.earliest_fit(&work.demand, now, until) {
             best = Some((at, i));
         }
     }
@@ -354,12 +364,12 @@
     all: &[usize],
     held: Option<&Reservation>,
 ) -> Option<(Duration, Vec<(usize, u32)>)> {
-    let fetch = all.iter().map(|s| slots[*s].fetch(work)).max()?;
-    if now + fetch <= work.due {
+    let fetch = all.iter().map(|s| slots[*s].fetch_time(work)).max()?;
+    if now + fetch <= work.latest_start {
         return None;
     }
     let such = |i: usize| slots[i].images.contains(&work.image) && !is_kept(held, i);
-    opens_all(slots, work, now, such).filter(|(at, _)| *at <= work.due)
+    opens_all(slots, work, now, such).filter(|(at, _)| *at <= work.latest_start)
 }
 
 /// Whether room on the machine is kept for others.
@@ -371,9 +381,9 @@
 fn least(work: &[Work]) -> Resources {
     let all = Resources { cpus: f64::MAX, gpus: f64::MAX, ram_gb: f64::MAX };
     work.iter().filter(|w| w.pending > 0).fold(all, |least, w| Resources {
-        cpus: least.cpus.min(w.each.cpus),
-        gpus: least.gpus.min(w.each.gpus),
-        ram_gb: least.ram_gb.min(w.each.ram_gb),
+        cpus: least.cpus.min(w.demand.cpus),
+        gpus: least.gpus.min(w.demand.gpus),
+        ram_gb: least.ram_gb.min(w.demand.ram_gb),
     })
 }
 
@@ -405,7 +415,7 @@
     let mut begun = 0;
     let mut turns = FairShareQueue::new(work, teams.len());
     let least = least(work);
-    let takes = |slot: &Slot| slot.ready <= now && least.fits(&slot.free);
+    let takes = |slot: &Slot| slot.ready_at <= now && least.fits(&slot.free);
     let mut room: Vec<usize> = (0..slots.len()).filter(|i| takes(&slots[*i])).collect();
     let widest = widest(slots, &room);
     let mut held = starved(slots, work, teams, now);
@@ -417,14 +427,14 @@
             if work[i].pending == 0 {
                 break;
             }
-            let many = work[i].together();
-            if !teams[work[i].team].admits_all(&work[i].each, many) {
-                turns.close(work, i);
+            let many = work[i].min_simultaneous();
+            if !teams[work[i].team].admits_all(&work[i].demand, many) {
+                turns.skip(work, i);
                 break;
             }
-            let fitting: &[usize] = if work[i].each.fits(&widest) { &room } else { &[] };
-            let binding = held.as_ref().filter(|h| h.by != Some(i));
-            let breaks = binding.is_some_and(|h| h.yields.is_some_and(|u| work[i].urgency > u));
+            let fitting: &[usize] = if work[i].demand.fits(&widest) { &room } else { &[] };
+            let binding = held.as_ref().filter(|h| h.for_work != Some(i));
+            let breaks = binding.is_some_and(|h| h.yields_to.is_some_and(|u| work[i].priority > u));
             if work[i].gang {
                 let all = choose_all(slots, fitting, &work[i], now, binding);
                 let all = match all {
@@ -432,7 +442,7 @@
                     all => all,
                 };
                 let Some(all) = all else {
-                    turns.close(work, i);
+                    turns.skip(work, i);
                     if held.is_none() {
                         held = reserve(slots, &work[i], now);
                     }
@@ -445,15 +455,15 @@
                     Some((at, holds)) => {
                         let at = at.max(now + SOON);
                         for s in holds.into_iter().flat_map(|(s, many)| (0..many).map(move |_| s)) {
-                            starts.push(Start { work: i, slot: s, at });
-                            slots[s].run(Running::of(&work[i], at + work[i].estimate, true));
+                            starts.push(Start { work_index: i, slot_index: s, at });
+                            slots[s].add_running(Running::of(&work[i], at + work[i].estimated_runtime, true));
                         }
                         work[i].pending = 0;
                     }
                     None => {
                         for s in &all {
                             start(now, slots, &mut work[i], teams, *s);
-                            starts.push(Start { work: i, slot: *s, at: now });
+                            starts.push(Start { work_index: i, slot_index: *s, at: now });
                         }
                         begun += all.len();
                     }
@@ -465,7 +475,7 @@
             let found =
                 elsewhere.or_else(|| if breaks { choose(slots, fitting, &work[i], now, None) } else { None });
             let Some(s) = found else {
-                turns.close(work, i);
+                turns.skip(work, i);
                 if held.is_none() {
                     held = reserve(slots, &work[i], now);
                 }
@@ -477,15 +487,15 @@
                 // nothing smaller slips in meanwhile.
                 Some((at, w)) => {
                     let at = at.max(now + SOON);
-                    starts.push(Start { work: i, slot: w, at });
-                    let end = at + work[i].estimate;
-                    slots[w].run(Running::of(&work[i], end, true));
+                    starts.push(Start { work_index: i, slot_index: w, at });
+                    let end = at + work[i].estimated_runtime;
+                    slots[w].add_running(Running::of(&work[i], end, true));
                     work[i].pending -= 1;
                     w
                 }
                 None => {
                     start(now, slots, &mut work[i], teams, s);
-                    starts.push(Start { work: i, slot: s, at: now });
+                    starts.push(Start { work_index: i, slot_index: s, at: now });
                     begun += 1;
                     s
                 }
@@ -499,9 +509,9 @@
 }
 
 fn start(now: Duration, slots: &mut [Slot], work: &mut Work, teams: &mut [TeamUsage], slot: usize) {
-    slots[slot].take(now, work);
-    work.joined(slots[slot].zone);
-    teams[work.team].used.add(&work.each);
+    slots[slot].start_task(now, work);
+    work.add_to_zone(slots[slot].zone);
+    teams[work.team].used.add(&work.demand);
     work.pending -= 1;
 }
 
@@ -510,15 +520,15 @@
 /// burst), before anything else starts: small tasks that keep coming would fill every gap before it is
 /// wide enough, the more urgent ones for ever.
 fn starved(slots: &[Slot], work: &[Work], teams: &[TeamUsage], now: Duration) -> Option<Reservation> {
-    let old = |w: &Work| now.saturating_sub(w.accepted) > STRICT;
-    let order = |w: &Work| (w.begun || !old(w), w.accepted);
+    let old = |w: &Work| now.saturating_sub(w.accepted_at) > STRICT;
+    let order = |w: &Work| (w.has_started || !old(w), w.accepted_at);
     let waits = |w: &Work| {
-        let aged = w.pending > 0 && now.saturating_sub(w.accepted) > AGED;
-        aged && teams[w.team].admits_all(&w.each, w.together())
+        let aged = w.pending > 0 && now.saturating_sub(w.accepted_at) > AGED;
+        aged && teams[w.team].admits_all(&w.demand, w.min_simultaneous())
     };
     let (i, first) = work.iter().enumerate().filter(|(_, w)| waits(w)).min_by_key(|(_, w)| order(w))?;
-    let yields = if old(first) { None } else { Some(first.urgency) };
-    reserve(slots, first, now).map(|held| Reservation { yields, by: Some(i), ..held })
+    let yields = if old(first) { None } else { Some(first.priority) };
+    reserve(slots, first, now).map(|held| Reservation { yields_to: yields, for_work: Some(i), ..held })
 }
 
 fn reserve(slots: &[Slot], work: &Work, now: Duration) -> Option<Reservation> {
@@ -528,19 +538,24 @@
     let mut best: Option<(Duration, usize)> = None;
     for (i, slot) in slots.iter().enumerate().filter(|(_, s)| suits(s, work)) {
         let until = best.map_or(Duration::MAX, |(at, _)| at);
-        if let Some(at) = slot.opens(&work.each, now, until) {
+        if let Some(at) = slot.earliest_fit(&work.demand, now, until) {
             best = Some((at, i));
         }
     }
-    best.map(|(at, slot)| Reservation { holds: vec![(slot, work.each)], at, yields: None, by: None })
+    best.map(|(at, slot)| Reservation {
+        kept: vec![(slot, work.demand)],
+        at,
+        yields_to: None,
+        for_work: None,
+    })
 }
 
 /// Room for a whole gang from the first moment at which there is enough, in one zone
 /// where asked: neither small tasks nor other gangs keep it out for ever.
 fn reserve_all(slots: &[Slot], work: &Work, now: Duration) -> Option<Reservation> {
     let (at, holds) = opens_all(slots, work, now, |_| true)?;
-    let holds = holds.into_iter().map(|(i, many)| (i, work.each.times(many))).collect();
-    Some(Reservation { holds, at, yields: None, by: None })
+    let holds = holds.into_iter().map(|(i, many)| (i, work.demand.times(many))).collect();
+    Some(Reservation { kept: holds, at, yields_to: None, for_work: None })
 }
 
 /// The first moment at which there is room for a whole gang on such machines, and
@@ -556,8 +571,8 @@
     for zone in zones(slots, (0..slots.len()).filter(fit), work) {
         let here: Vec<usize> =
             (0..slots.len()).filter(fit).filter(|i| zone.is_none_or(|z| slots[*i].zone == z)).collect();
-        let ends = here.iter().flat_map(|i| slots[*i].running.iter().map(|t| t.end));
-        let ready = here.iter().map(|i| slots[*i].ready);
+        let ends = here.iter().flat_map(|i| slots[*i].running.iter().map(|t| t.ends_at));
+        let ready = here.iter().map(|i| slots[*i].ready_at);
         let mut moments: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
         moments.sort();
         moments.dedup();
@@ -576,15 +591,18 @@
 fn holds_all(slots: &[Slot], here: &[usize], work: &Work, at: Duration) -> Option<Vec<(usize, u32)>> {
     let mut left = work.clone();
     let most = left.pending;
-    let mut order: Vec<(u32, usize)> =
-        here.iter().map(|i| (slots[*i].holds_by(&work.each, at, most), *i)).filter(|(n, _)| *n > 0).collect();
+    let mut order: Vec<(u32, usize)> = here
+        .iter()
+        .map(|i| (slots[*i].fits_by(&work.demand, at, most), *i))
+        .filter(|(n, _)| *n > 0)
+        .collect();
     order.sort_by_key(|(n, i)| (std::cmp::Reverse(*n), *i));
     let mut holds = Vec::new();
     for (many, i) in order {
         let mut count = 0;
-        while count < many && left.pending > 0 && left.zone_admits(slots[i].zone) {
+        while count < many && left.pending > 0 && left.admits_zone(slots[i].zone) {
             left.pending -= 1;
-            left.joined(slots[i].zone);
+            left.add_to_zone(slots[i].zone);
             count += 1;
         }
         if count > 0 {
--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/election.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum ElectionCall {
     Read,
     Watch,
     GrantLease,
@@ -151,8 +151,8 @@
         if let Stage::Leading { hold, .. } = self.stage {
             if !self.renewal_in_flight && now >= self.next_renewal_at {
                 self.renewal_in_flight = true;
-                out.state(
-                    CallPurpose::Election(Step::RenewLease { hold, sent: now }),
+                out.call_kv(
+                    CallPurpose::Election(ElectionCall::RenewLease { hold, sent: now }),
                     KvRequest::RenewLease { lease: hold },
                 );
             }
@@ -166,32 +166,32 @@
         }
         self.call_in_flight = true;
         let (step, op) = match self.stage {
-            Stage::Unknown => (Step::Read, KvRequest::Get { key: KEY.into() }),
+            Stage::Unknown => (ElectionCall::Read, KvRequest::Get { key: KEY.into() }),
             Stage::Watching { after } => {
-                (Step::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
+                (ElectionCall::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
             }
-            _ => (Step::GrantLease, KvRequest::GrantLease { ttl: self.lease }),
+            _ => (ElectionCall::GrantLease, KvRequest::GrantLease { ttl: self.lease }),
         };
-        out.state(CallPurpose::Election(step), op);
+        out.call_kv(CallPurpose::Election(step), op);
     }
 
     pub fn reply(
         &mut self,
         now: Duration,
-        step: Step,
+        step: ElectionCall,
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) -> LeadershipChange {
-        if let Step::RenewLease { hold, sent } = step {
+        if let ElectionCall::RenewLease { hold, sent } = step {
             return self.lease_renewal_reply(now, hold, sent, reply);
         }
-        if step == Step::RevokeLease {
+        if step == ElectionCall::RevokeLease {
             return LeadershipChange::Unchanged;
         }
         self.call_in_flight = false;
         match (step, reply) {
-            (Step::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, out),
-            (Step::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
+            (ElectionCall::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, out),
+            (ElectionCall::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
                 let mut verdict = LeadershipChange::Unchanged;
                 for event in events {
                     match event {
@@ -209,20 +209,23 @@
                 }
                 return verdict;
             }
-            (Step::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
-            (Step::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
+            (ElectionCall::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
+            (ElectionCall::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
                 return self.won(now, epoch, hold);
             }
-            (Step::Claim { hold }, Ok(_))
+            (ElectionCall::Claim { hold }, Ok(_))
             | (
-                Step::Claim { hold },
+                ElectionCall::Claim { hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
-                out.state(CallPurpose::Election(Step::RevokeLease), KvRequest::RevokeLease { lease: hold });
+                out.call_kv(
+                    CallPurpose::Election(ElectionCall::RevokeLease),
+                    KvRequest::RevokeLease { lease: hold },
+                );
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
-            (Step::Claim { hold }, Err(CallError::OutcomeUnknown)) => {
+            (ElectionCall::Claim { hold }, Err(CallError::OutcomeUnknown)) => {
                 self.uncertain_claim = Some(hold);
                 self.stage = Stage::Unknown;
                 self.retry_at = now + PAUSE;
@@ -239,8 +242,8 @@
         let holder = Holder { host: self.host.clone(), boot: self.boot_id, hold };
         let Ok(value) = serde_json::to_string(&holder) else { return };
         self.call_in_flight = true;
-        out.state(
-            CallPurpose::Election(Step::Claim { hold }),
+        out.call_kv(
+            CallPurpose::Election(ElectionCall::Claim { hold }),
             KvRequest::Txn {
                 conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
                 changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(hold) }],
@@ -265,8 +268,8 @@
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.state(
-                CallPurpose::Election(Step::RevokeLease),
+            out.call_kv(
+                CallPurpose::Election(ElectionCall::RevokeLease),
                 KvRequest::RevokeLease { lease: holder.hold },
             );
         } else {
@@ -322,7 +325,10 @@
     /// Gives the key up, if it is still there.
     pub fn release_lease(&mut self, out: &mut EffectSink) -> LeadershipChange {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.state(CallPurpose::Election(Step::RevokeLease), KvRequest::RevokeLease { lease: hold });
+            out.call_kv(
+                CallPurpose::Election(ElectionCall::RevokeLease),
+                KvRequest::RevokeLease { lease: hold },
+            );
         }
         self.lease_lost()
     }
--- a/crates/plankhead-core/src/fleet.rs
+++ b/crates/plankhead-core/src/fleet.rs
@@ -20,26 +20,26 @@
 const BOOT_PATIENCE: f64 = 2.6;
 /// Names of machines that are gone are remembered up to this number: a fleet of
 /// two thousand that loses some to the spot market for hours.
-const MOST_GONE: usize = 16_384;
+const MAX_GONE: usize = 16_384;
 /// A lease that runs out this soon after an answer was not renewed by it.
 const DEAF: Duration = Duration::from_millis(4500);
 /// Reports in a row that may show nothing of what they were told.
-const MOST_UNHEEDED: u32 = 3;
+const MAX_UNHEEDED: u32 = 3;
 /// Commands in a row without an answer after which a machine whose report is late
 /// is lost.
-const MOST_UNANSWERED: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 /// Machines asked at a time why their reports are late.
-const MOST_INQUIRIES: usize = 64;
+const MAX_INQUIRIES: usize = 64;
 /// The share of a lease in which a worker is sent to look for another node once.
 const SENT_OFF: f64 = 0.6;
 /// Lists in a row that lack a machine that is there after all.
-const MOST_UNLISTED: u32 = 2;
+const MAX_UNLISTED: u32 = 2;
 /// One machine in so many is few.
 const FEW: usize = 50;
 /// What a peer tells of a machine is believed for so long.
 const ELSEWHERE: Duration = Duration::from_secs(6);
 /// Errors in a row after which a machine is retired.
-const MOST_ERRORS: u32 = 3;
+const MAX_ERRORS: u32 = 3;
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Pool {
@@ -166,7 +166,7 @@
 
     /// Whether the cloud has left it out of its list long enough to be gone.
     pub fn is_unlisted(&self) -> bool {
-        self.missed_inventories >= MOST_UNLISTED
+        self.missed_inventories >= MAX_UNLISTED
     }
 
     /// Whether a task placed there now might wait: its report is late, or what it
@@ -369,7 +369,7 @@
             machine.ignored_responses = 0;
         } else {
             machine.ignored_responses += 1;
-            if machine.ignored_responses >= MOST_UNHEEDED {
+            if machine.ignored_responses >= MAX_UNHEEDED {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
@@ -535,7 +535,7 @@
         // Many at once may be out of this node's reach only, and come through a
         // sibling.
         let mute = |m: &Machine| {
-            m.unanswered_commands >= MOST_UNANSWERED && now.saturating_sub(m.last_heard_at) > missed
+            m.unanswered_commands >= MAX_UNANSWERED && now.saturating_sub(m.last_heard_at) > missed
         };
         let up = self.machines.values().filter(was_up).count();
         let few = self.machines.values().filter(was_up).filter(|m| mute(m)).count() * FEW <= up;
@@ -562,7 +562,7 @@
                 Some(RemovalReason::HeartbeatTimeout)
             } else if machine.is_unlisted() && quiet > missed.max(silent / 2) {
                 Some(RemovalReason::NotInInventory)
-            } else if machine.consecutive_errors >= MOST_ERRORS {
+            } else if machine.consecutive_errors >= MAX_ERRORS {
                 Some(RemovalReason::Faulty)
             } else {
                 None
@@ -600,10 +600,10 @@
         own: impl Fn(&Machine) -> bool,
     ) -> Vec<MachineName> {
         let asked = self.machines.values().filter(|m| m.command_in_flight).count();
-        let asks = |m: &&Machine| m.is_up() && m.takes_commands() && m.unanswered_commands < MOST_UNANSWERED;
+        let asks = |m: &&Machine| m.is_up() && m.takes_commands() && m.unanswered_commands < MAX_UNANSWERED;
         let late = |m: &&Machine| now.saturating_sub(m.last_heard_at) > gap && own(m);
         let names = self.machines.values().filter(asks).filter(late).map(|m| m.name.clone());
-        names.take(MOST_INQUIRIES.saturating_sub(asked)).collect()
+        names.take(MAX_INQUIRIES.saturating_sub(asked)).collect()
     }
 
     /// The machine's worker has to find another node through no fault of its own: it is given
@@ -636,7 +636,7 @@
         if self.removed.insert(name.clone()) {
             self.removed_order.push_back(name.clone());
         }
-        while self.removed_order.len() > MOST_GONE {
+        while self.removed_order.len() > MAX_GONE {
             if let Some(oldest) = self.removed_order.pop_front() {
                 self.removed.remove(&oldest);
             }
@@ -653,9 +653,9 @@
         let (known, before) = (machine.cached_images.contains(&image), machine.cached_images.len());
         machine.cached_images.retain(|i| *i != image);
         machine.cached_images.push_front(image);
-        let mut sum = places.size(image);
+        let mut sum = places.image_size_gb(image);
         let more = machine.cached_images.iter().skip(1).take_while(|other| {
-            sum += places.size(**other);
+            sum += places.image_size_gb(**other);
             sum <= cache
         });
         let kept = 1 + more.count();
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -5,7 +5,7 @@
 
 impl Holder {
     /// Takes in what the leader orders; false: it is not meant for this node, or over.
-    pub fn leader_orders(
+    pub fn handle_leader_commands(
         &mut self,
         now: Duration,
         message: LeaderCommands,
@@ -13,15 +13,15 @@
         out: &mut EffectSink,
     ) -> bool {
         let known = self.leader.as_ref().map_or(0, |leader| leader.token);
-        let sent = self.sent.iter().find(|(sequence, _)| *sequence == message.answers);
+        let sent = self.sent_messages.iter().find(|(sequence, _)| *sequence == message.acknowledged);
         let late = sent.is_none_or(|(_, at)| now.saturating_sub(*at) > ORDERS_LIFE);
         let number = (message.token, message.stamp.sequence);
-        if late || message.token < known || number <= self.latest_orders {
+        if late || message.token < known || number <= self.latest_leader_message {
             self.refused += 1;
             return false;
         }
-        self.note_leader(Some((message.host.clone(), message.token)), now);
-        self.void_replaced(&message, out);
+        self.set_leader(Some((message.host.clone(), message.token)), now);
+        self.drop_superseded_shards(&message, out);
         for (shard, epoch) in &message.shards {
             // A record that this node has not read yet, or that another has replaced.
             let held = self.shards.get(shard);
@@ -30,32 +30,33 @@
                 return false;
             }
         }
-        self.latest_orders = number;
-        message.gone.iter().for_each(|host| self.forget(host));
+        self.latest_leader_message = number;
+        message.removed.iter().for_each(|host| self.forget(host));
         let named: BTreeSet<&ShardId> = message.shards.iter().map(|(shard, _)| shard).collect();
         let snapshot: Vec<&Heartbeat> = message.snapshot.iter().collect();
         for report in snapshot {
-            self.take_snapshot(now, report, &named);
+            self.observe_snapshot(now, report, &named);
         }
-        for MachineCommands { host, shard, shift, orders } in message.machines {
+        for MachineCommands { machine: host, shard, incarnation: shift, commands: orders } in message.machines
+        {
             // A machine may not have been heard here yet: its commands wait for its report.
             let Some((shard, _)) = message.shards.get(shard) else {
                 self.refused += 1;
                 continue;
             };
             let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(shard, shift));
-            if commands.shift != shift || commands.shard != *shard {
+            if commands.incarnation != shift || commands.shard != *shard {
                 *commands = Commands::new(shard, shift);
             }
-            commands.orders = orders;
-            self.tell(now, &host, standing, out);
+            commands.pending = orders;
+            self.send_commands(now, &host, standing, out);
         }
         true
     }
 
     /// Shards that the leader takes others to hold. Their records say so, too; who can't read
     /// them acts no more all the same.
-    fn void_replaced(&mut self, message: &LeaderCommands, out: &mut EffectSink) {
+    fn drop_superseded_shards(&mut self, message: &LeaderCommands, out: &mut EffectSink) {
         let listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let replaced = |(shard, held): &(&ShardId, &Held)| {
             held.epoch < message.latest_epoch && !listed(shard, held.epoch)
@@ -63,7 +64,7 @@
         let replaced: Vec<(ShardId, u64)> =
             self.shards.iter().filter(replaced).map(|(shard, held)| (shard.clone(), held.epoch)).collect();
         for (shard, epoch) in replaced {
-            if self.void.insert(shard.clone(), epoch) != Some(epoch) {
+            if self.superseded.insert(shard.clone(), epoch) != Some(epoch) {
                 out.log(
                     LogLevel::Info,
                     format!("shard {shard} is somebody else's: {} says so", message.host),
@@ -74,7 +75,7 @@
 
     /// What the leader knows of a machine in a shard that came to this node: enough to send
     /// commands, and no sign of life.
-    fn take_snapshot(&mut self, now: Duration, report: &Heartbeat, named: &BTreeSet<&ShardId>) {
+    fn observe_snapshot(&mut self, now: Duration, report: &Heartbeat, named: &BTreeSet<&ShardId>) {
         let known = self.fleet.machines.contains_key(&report.machine);
         let shard = named.iter().find(|shard| {
             let of = self.shards.contains_key(**shard) && *shard.zone == *report.zone;
@@ -82,25 +83,25 @@
         });
         if let Some(shard) = shard.filter(|_| !known) {
             let epoch = self.shards.get(*shard).map_or(0, |held| held.epoch);
-            self.hear(now, report, ((*shard).clone(), epoch), false);
-            self.news.remove(&report.machine);
+            self.observe_machine(now, report, ((*shard).clone(), epoch), false);
+            self.unreported.remove(&report.machine);
         }
     }
 
     /// Sends a machine what it should hear at once: each start and each kill once. The
     /// answers to reports repeat what got lost.
-    pub(super) fn tell(
+    pub(super) fn send_commands(
         &mut self,
         now: Duration,
         host: &MachineName,
         standing: HolderEvidence,
         out: &mut EffectSink,
     ) {
-        let sight = self.sight(standing);
+        let sight = self.freshness(standing);
         let Some(epoch) = self.shard_of.get(host).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(host) else { return };
         let Some(shift) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
-        let orders: Vec<WorkerCommand> = self.direct_orders(machine, sight, now);
+        let orders: Vec<WorkerCommand> = self.unsent_commands(machine, sight, now);
         if orders.is_empty() {
             return;
         }
@@ -111,35 +112,40 @@
         let runs: Vec<(TaskId, u64)> = orders.iter().filter_map(run).collect();
         let Some(shard) = self.shard_of.get(host).cloned() else { return };
         let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(&shard, shift));
-        commands.told.extend(orders.iter().filter_map(WorkerCommand::expected_effect));
+        commands.sent.extend(orders.iter().filter_map(WorkerCommand::expected_effect));
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
-        let call = HolderCall::SendCommands { host: host.clone(), shift, runs };
-        out.orders(CallPurpose::Holder(call), address, epoch, shift, orders);
+        let call = HolderCall::SendCommands { machine: host.clone(), incarnation: shift, starts: runs };
+        out.send_commands(CallPurpose::Holder(call), address, epoch, shift, orders);
     }
 
     /// Starts and kills that were not sent straight to the worker yet. A start with a kill
     /// of the same attempt goes with the answer to a report only.
-    fn direct_orders(&self, machine: &Machine, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
-        let orders = self.orders(&machine.name, sight, now);
-        let told = self.commands.get(&machine.name).map(|commands| &commands.told);
+    fn unsent_commands(&self, machine: &Machine, sight: Freshness, now: Duration) -> Vec<WorkerCommand> {
+        let orders = self.commands_for(&machine.name, sight, now);
+        let told = self.commands.get(&machine.name).map(|commands| &commands.sent);
         let asked: Vec<(TaskId, u64, bool)> =
             orders.iter().filter_map(WorkerCommand::expected_effect).collect();
         let direct = |order: &WorkerCommand| {
             let Some(key) = order.expected_effect() else { return false };
             let both = key.2 && asked.contains(&(key.0.clone(), key.1, false));
             let listed = machine.lists(&key.0, key.1);
-            let due = if key.2 { !self.behind && !both } else { listed };
+            let due = if key.2 { !self.cpu_starved && !both } else { listed };
             due && told.is_none_or(|told| !told.contains(&key))
         };
         orders.into_iter().filter(direct).collect()
     }
 
     /// Commands for a machine, by its newest report.
-    pub(super) fn orders(&self, host: &MachineName, sight: Sight, now: Duration) -> Vec<WorkerCommand> {
+    pub(super) fn commands_for(
+        &self,
+        host: &MachineName,
+        sight: Freshness,
+        now: Duration,
+    ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
         let Some(report) = &machine.last_heartbeat else { return Vec::new() };
-        let ordered = self.commands.get(host).filter(|commands| commands.shift == report.incarnation);
+        let ordered = self.commands.get(host).filter(|commands| commands.incarnation == report.incarnation);
         let due = |order: &&WorkerCommand| match order {
             WorkerCommand::Run { task, attempt } => {
                 sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
@@ -148,7 +154,7 @@
             WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_start(task, *attempt),
         };
         let mut orders: Vec<WorkerCommand> =
-            ordered.into_iter().flat_map(|commands| &commands.orders).filter(due).cloned().collect();
+            ordered.into_iter().flat_map(|commands| &commands.pending).filter(due).cloned().collect();
         for listed in report.tasks.iter().filter(|listed| !matches!(listed.status, TaskStatus::Exited(_))) {
             let (task, attempt) = (&listed.task, listed.attempt);
             let killed = |order: &WorkerCommand| {
@@ -163,9 +169,9 @@
     }
 
     /// Drops commands that the report shows carried out.
-    pub(super) fn settle_commands(&mut self, report: &Heartbeat) {
+    pub(super) fn drop_carried_out(&mut self, report: &Heartbeat) {
         let Some(commands) = self.commands.get_mut(&report.machine) else { return };
-        if commands.shift != report.incarnation {
+        if commands.incarnation != report.incarnation {
             self.commands.remove(&report.machine);
             return;
         }
@@ -173,7 +179,7 @@
             let listed = report.tasks.iter().find(|listed| listed.task == *task && listed.attempt == attempt);
             listed.map(|listed| listed.status)
         };
-        commands.orders.retain(|order| match order {
+        commands.pending.retain(|order| match order {
             WorkerCommand::Run { task, attempt } => seen(task, *attempt).is_none(),
             WorkerCommand::Kill { task, attempt, .. } => {
                 !matches!(seen(task, *attempt), Some(TaskStatus::Exited(_)))
@@ -182,7 +188,7 @@
         });
     }
 
-    pub fn orders_reply(
+    pub fn command_reply(
         &mut self,
         now: Duration,
         (host, shift, runs): (MachineName, u64, Vec<(TaskId, u64)>),
@@ -193,20 +199,20 @@
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
         if !matches!(reply, CommandReply::Answered(_)) {
-            self.news.insert(host.clone());
+            self.unreported.insert(host.clone());
         }
         let of = self.shard_of.get(&host).and_then(|shard| Some((shard.clone(), self.epoch(shard, now)?)));
         if let (CommandReply::Answered(report), Some(of)) = (reply, of) {
             // A later token: somebody else holds the shard, and the record will say so.
             if report.machine == host && report.token <= of.1 {
-                self.hear(now, &report, of, true);
+                self.observe_machine(now, &report, of, true);
             }
         }
-        self.tell(now, &host, standing, out);
+        self.send_commands(now, &host, standing, out);
     }
 
     /// Ends tasks of cancelled jobs, without waiting for the workers' reports.
-    pub(super) fn tell_kills(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
+    pub(super) fn kill_cancelled(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
         let holds = |machine: &&Machine| {
             let tasks = machine.last_heartbeat.as_ref().map(|report| &report.tasks);
             tasks.is_some_and(|tasks| tasks.iter().any(|listed| self.jobs.is_cancelled(&listed.task.job)))
@@ -214,13 +220,13 @@
         let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(holds).map(|machine| machine.name.clone()).collect();
         for host in hosts {
-            self.tell(now, &host, standing, out);
+            self.send_commands(now, &host, standing, out);
         }
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    pub(super) fn inquire(&mut self, now: Duration, out: &mut EffectSink) {
-        if self.behind {
+    pub(super) fn probe_late_machines(&mut self, now: Duration, out: &mut EffectSink) {
+        if self.cpu_starved {
             return;
         }
         for host in self.fleet.machines_to_probe(now, self.settings.heartbeat_timeout(), |_| true) {
@@ -230,8 +236,8 @@
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
-            let call = HolderCall::SendCommands { host, shift, runs: Vec::new() };
-            out.orders(CallPurpose::Holder(call), address, epoch, shift, Vec::new());
+            let call = HolderCall::SendCommands { machine: host, incarnation: shift, starts: Vec::new() };
+            out.send_commands(CallPurpose::Holder(call), address, epoch, shift, Vec::new());
         }
     }
 }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -1,7 +1,7 @@
 //! A holder's own sight of the jobs: which of them were cancelled, and as of when it knows.
 
 use crate::job::{JobId, JobRecord, Phase};
-use crate::key_watch::{KeyWatch, Read, Step};
+use crate::key_watch::{KeyWatch, KeyWatchCall, Read};
 use crate::node::{CallPurpose, EffectSink};
 use crate::protocol::{CallError, KeyValue, KvReply, Status, WatchEvent};
 use crate::requests::RequestHandler;
@@ -26,7 +26,7 @@
     /// Jobs were cancelled.
     pub cancelled: bool,
     /// Jobs of which nothing is to be started any more, whatever was ordered.
-    pub over: BTreeSet<JobId>,
+    pub ended: BTreeSet<JobId>,
 }
 
 impl Default for JobWatch {
@@ -41,13 +41,13 @@
     }
 
     /// When the latest complete read was asked for.
-    pub fn seen(&self) -> Option<Duration> {
-        self.watch.seen
+    pub fn synced_at(&self) -> Option<Duration> {
+        self.watch.synced_at
     }
 
     /// Whether the jobs are being read for the first time, and nothing says that they can't.
-    pub fn reads(&self) -> bool {
-        self.watch.reads()
+    pub fn is_loading(&self) -> bool {
+        self.watch.is_loading()
     }
 
     pub fn next_due(&self) -> Option<Duration> {
@@ -56,7 +56,7 @@
 
     pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
+            out.call_kv(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn reply(
         &mut self,
         now: Duration,
-        step: Step,
+        step: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
     ) -> JobUpdate {
@@ -86,7 +86,7 @@
             WatchEvent::Delete { key, .. } => {
                 if let Some(id) = job_of(&key) {
                     self.cancelled.remove(&id);
-                    news.over.insert(id);
+                    news.ended.insert(id);
                 }
             }
         }
@@ -98,11 +98,11 @@
         match record.phase {
             Phase::Active => {}
             Phase::Done => {
-                requests.over(&id, Status::Done, record.tasks);
-                news.over.insert(id);
+                requests.record_ended(&id, Status::Done, record.tasks);
+                news.ended.insert(id);
             }
             Phase::Cancelled => {
-                requests.over(&id, Status::Cancelled, 0);
+                requests.record_ended(&id, Status::Cancelled, 0);
                 news.cancelled |= self.cancelled.insert(id);
             }
         }
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -20,9 +20,9 @@
 use crate::settings::Settings;
 use jobs::JobWatch;
 use plankhead_sharding::alive::Numbers;
+use plankhead_sharding::freshness::Freshness;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
-use plankhead_sharding::sight::Sight;
 use plankhead_sharding::table::ShardTable;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -46,8 +46,8 @@
 /// What a holder's call is for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderCall {
-    WatchJobs(key_watch::Step),
-    SendCommands { host: MachineName, shift: u64, runs: Vec<(TaskId, u64)> },
+    WatchJobs(key_watch::KeyWatchCall),
+    SendCommands { machine: MachineName, incarnation: u64, starts: Vec<(TaskId, u64)> },
     ReportStatus { leader: u64, machines: Vec<MachineName> },
 }
 
@@ -65,15 +65,15 @@
 #[derive(Debug)]
 struct Commands {
     shard: ShardId,
-    shift: u64,
-    orders: Vec<WorkerCommand>,
+    incarnation: u64,
+    pending: Vec<WorkerCommand>,
     /// What was sent straight to the worker, once.
-    told: BTreeSet<(TaskId, u64, bool)>,
+    sent: BTreeSet<(TaskId, u64, bool)>,
 }
 
 impl Commands {
     fn new(shard: &ShardId, shift: u64) -> Self {
-        Self { shard: shard.clone(), shift, orders: Vec::new(), told: BTreeSet::new() }
+        Self { shard: shard.clone(), incarnation: shift, pending: Vec::new(), sent: BTreeSet::new() }
     }
 }
 
@@ -82,7 +82,7 @@
 struct KnownLeader {
     host: String,
     token: u64,
-    since: Duration,
+    known_since: Duration,
     /// It does not divide machines.
     unsupported: bool,
 }
@@ -95,7 +95,7 @@
     shards: BTreeMap<ShardId, Held>,
     /// Epochs of shards that the leader has given to others since, although this node can't
     /// read their records.
-    void: BTreeMap<ShardId, u64>,
+    superseded: BTreeMap<ShardId, u64>,
     /// Into how many shards the zones of those are divided.
     shards_per_zone: HashMap<String, u32>,
     /// Under which shard each machine was taken in.
@@ -104,11 +104,11 @@
     leader: Option<KnownLeader>,
     /// The latest message of a leader: its token, which one start of one process has, and
     /// its number.
-    latest_orders: (u64, u64),
+    latest_leader_message: (u64, u64),
     /// Messages that were refused, and commands that were under a token that is over.
     refused: u64,
     /// Machines whose latest report the leader has not been told.
-    news: BTreeSet<MachineName>,
+    unreported: BTreeSet<MachineName>,
     /// Machines heard with nothing new since the last message, and since when.
     alive: BTreeSet<MachineName>,
     alive_since: Duration,
@@ -118,23 +118,23 @@
     stream_begun: bool,
     sequence: u64,
     /// When the latest messages were sent, by their numbers.
-    sent: VecDeque<(u64, Duration)>,
-    reporting: bool,
-    report_sent: Duration,
-    report_due: Duration,
-    look_due: Duration,
+    sent_messages: VecDeque<(u64, Duration)>,
+    status_in_flight: bool,
+    status_sent_at: Duration,
+    next_status_at: Duration,
+    next_machine_scan_at: Duration,
     /// The process is behind: starts go with the answers to reports only.
-    behind: bool,
+    cpu_starved: bool,
 }
 
 /// What a holder's decisions of one step stand on.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderEvidence {
     /// When the records of shards were last seen.
-    pub records: Option<Duration>,
+    pub records_synced_at: Option<Duration>,
     /// The state service has failed this node for some time.
-    pub failing: bool,
-    pub behind: bool,
+    pub kv_failing: bool,
+    pub cpu_starved: bool,
 }
 
 impl Holder {
@@ -144,31 +144,31 @@
             jobs: JobWatch::default(),
             fleet: Fleet::default(),
             shards: BTreeMap::new(),
-            void: BTreeMap::new(),
+            superseded: BTreeMap::new(),
             shards_per_zone: HashMap::new(),
             shard_of: HashMap::new(),
             commands: HashMap::new(),
             leader: None,
-            latest_orders: (0, 0),
+            latest_leader_message: (0, 0),
             refused: 0,
-            news: BTreeSet::new(),
+            unreported: BTreeSet::new(),
             alive: BTreeSet::new(),
             alive_since: Duration::ZERO,
             numbers: Numbers::default(),
             stream: 0,
             stream_begun: false,
             sequence: 0,
-            sent: VecDeque::new(),
-            reporting: false,
-            report_sent: Duration::ZERO,
-            report_due: Duration::ZERO,
-            look_due: Duration::ZERO,
-            behind: false,
+            sent_messages: VecDeque::new(),
+            status_in_flight: false,
+            status_sent_at: Duration::ZERO,
+            next_status_at: Duration::ZERO,
+            next_machine_scan_at: Duration::ZERO,
+            cpu_starved: false,
         }
     }
 
     /// Takes in the records: which shards this node holds, and under which epoch.
-    pub fn adopt(&mut self, table: &ShardTable, out: &mut EffectSink) {
+    pub fn apply_records(&mut self, table: &ShardTable, out: &mut EffectSink) {
         let (host, boot) = (&self.settings.host, self.settings.boot_id);
         let own = |known: &plankhead_sharding::table::KnownRecord| known.record.is_held_by(host, boot);
         let held = table.iter().filter(|(_, known)| own(known)).map(|(shard, known)| {
@@ -207,7 +207,7 @@
     /// Drops commands for a shard's machines; `starts`: only starts.
     fn drop_commands(&mut self, shard: &ShardId, starts: bool) {
         for commands in self.commands.values_mut().filter(|commands| commands.shard == *shard) {
-            commands.orders.retain(|order| starts && !matches!(order, WorkerCommand::Run { .. }));
+            commands.pending.retain(|order| starts && !matches!(order, WorkerCommand::Run { .. }));
         }
     }
 
@@ -215,22 +215,22 @@
         self.fleet.machines.remove(host);
         self.shard_of.remove(host);
         self.commands.remove(host);
-        self.news.remove(host);
+        self.unreported.remove(host);
         self.alive.remove(host);
     }
 
     /// Notes who leads. A new leader is told of all machines at once.
-    pub fn note_leader(&mut self, leader: Option<(String, u64)>, now: Duration) {
+    pub fn set_leader(&mut self, leader: Option<(String, u64)>, now: Duration) {
         let Some((host, token)) = leader else { return };
         if self.leader.as_ref().is_some_and(|known| known.token >= token) {
             return;
         }
-        self.leader = Some(KnownLeader { host, token, since: now, unsupported: false });
+        self.leader = Some(KnownLeader { host, token, known_since: now, unsupported: false });
         self.restart_stream();
-        self.report_due = now;
+        self.next_status_at = now;
         // Orders of a former leader are void from here on, whoever renews the records.
         for commands in self.commands.values_mut() {
-            commands.orders.clear();
+            commands.pending.clear();
         }
     }
 
@@ -240,34 +240,34 @@
         self.stream_begun = false;
         self.numbers = Numbers::default();
         self.alive.clear();
-        self.news = self.fleet.machines.keys().cloned().collect();
+        self.unreported = self.fleet.machines.keys().cloned().collect();
     }
 
     /// The epoch under which this node acts for a shard.
     pub fn epoch(&self, shard: &ShardId, now: Duration) -> Option<u64> {
         let held = self.shards.get(shard)?;
-        if self.void.get(shard).is_some_and(|epoch| held.epoch <= *epoch) {
+        if self.superseded.get(shard).is_some_and(|epoch| held.epoch <= *epoch) {
             return None;
         }
         let current = self.leader.as_ref().is_none_or(|leader| {
             let renewed = held.term >= leader.token;
-            renewed || !leader.unsupported && now.saturating_sub(leader.since) < FORMER_TERM
+            renewed || !leader.unsupported && now.saturating_sub(leader.known_since) < FORMER_TERM
         });
         current.then_some(held.epoch)
     }
 
     /// Whether a report should wait until the jobs are read.
-    pub fn reads(&self) -> bool {
-        self.jobs.reads()
+    pub fn is_loading(&self) -> bool {
+        self.jobs.is_loading()
     }
 
-    fn sight(&self, standing: HolderEvidence) -> Sight {
-        Sight { jobs: self.jobs.seen(), records: standing.records }
+    fn freshness(&self, standing: HolderEvidence) -> Freshness {
+        Freshness { jobs: self.jobs.synced_at(), records: standing.records_synced_at }
     }
 
     /// Answers a report of a machine in one of the shards. `adrift`: neither the state
     /// service nor another controller is heard.
-    pub fn beat(
+    pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
         report: &Heartbeat,
@@ -276,13 +276,13 @@
         standing: HolderEvidence,
     ) -> Response {
         let now = times.now;
-        let sight = self.sight(standing);
-        let heard = self.hear(now, report, (shard, epoch), false);
+        let sight = self.freshness(standing);
+        let heard = self.observe_machine(now, report, (shard, epoch), false);
         let settings = &self.settings;
         if !sight.may_renew(now, settings.worker_lease, settings.cancel_within) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        let orders = self.orders(&report.machine, sight, now);
+        let orders = self.commands_for(&report.machine, sight, now);
         let Some(machine) =
             self.fleet.machines.get_mut(&report.machine).filter(|_| heard != HeartbeatNews::Stale)
         else {
@@ -298,7 +298,7 @@
     }
 
     /// Takes in a report; `ours`: it answers a command of ours.
-    fn hear(
+    fn observe_machine(
         &mut self,
         now: Duration,
         report: &Heartbeat,
@@ -319,53 +319,53 @@
                 self.alive.insert(host.clone());
             }
             HeartbeatNews::Changed => {
-                self.news.insert(host.clone());
+                self.unreported.insert(host.clone());
             }
         }
         self.shard_of.insert(host.clone(), shard);
-        self.settle_commands(report);
+        self.drop_carried_out(report);
         heard
     }
 
     pub fn tick(&mut self, times: StepTime, standing: HolderEvidence, out: &mut EffectSink) {
         let now = times.now;
-        self.behind = standing.behind;
+        self.cpu_starved = standing.cpu_starved;
         self.jobs.tick(now, out);
-        if now >= self.look_due {
-            self.look_due = now + LOOK;
+        if now >= self.next_machine_scan_at {
+            self.next_machine_scan_at = now + LOOK;
             let silent = |machine: &&Machine| now.saturating_sub(machine.last_heard_at) > FORGET;
             let silent: Vec<MachineName> =
                 self.fleet.machines.values().filter(silent).map(|machine| machine.name.clone()).collect();
             silent.iter().for_each(|host| self.forget(host));
-            self.inquire(now, out);
+            self.probe_late_machines(now, out);
         }
-        self.hasten(now);
-        self.report(now, standing, out);
+        self.send_news_soon(now);
+        self.send_status(now, standing, out);
     }
 
     pub fn next_due(&self) -> Duration {
         let jobs = self.jobs.next_due().unwrap_or(Duration::MAX);
-        let report = if self.reporting { Duration::MAX } else { self.report_due };
-        let look = if self.fleet.machines.is_empty() { Duration::MAX } else { self.look_due };
+        let report = if self.status_in_flight { Duration::MAX } else { self.next_status_at };
+        let look = if self.fleet.machines.is_empty() { Duration::MAX } else { self.next_machine_scan_at };
         jobs.min(report).min(look)
     }
 
-    pub fn state_reply(
+    pub fn kv_reply(
         &mut self,
         now: Duration,
-        step: key_watch::Step,
+        step: key_watch::KeyWatchCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         standing: HolderEvidence,
         out: &mut EffectSink,
     ) {
         let news = self.jobs.reply(now, step, reply, requests);
-        if !news.over.is_empty() {
-            let over = |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if news.over.contains(&task.job));
-            self.commands.values_mut().for_each(|commands| commands.orders.retain(|order| !over(order)));
+        if !news.ended.is_empty() {
+            let over = |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if news.ended.contains(&task.job));
+            self.commands.values_mut().for_each(|commands| commands.pending.retain(|order| !over(order)));
         }
         if news.cancelled {
-            self.tell_kills(now, standing, out);
+            self.kill_cancelled(now, standing, out);
         }
     }
 
@@ -386,6 +386,6 @@
             })
             .collect();
         serde_json::json!({"shards": shards, "refused": self.refused,
-            "jobsSeenS": self.jobs.seen().map(|at| now.saturating_sub(at).as_secs_f64())})
+            "jobsSeenS": self.jobs.synced_at().map(|at| now.saturating_sub(at).as_secs_f64())})
     }
 }
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -16,45 +16,50 @@
 
 impl Holder {
     /// Sends the next message, if one is due and none is under way.
-    pub(super) fn report(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
-        if self.reporting || now < self.report_due {
+    pub(super) fn send_status(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
+        if self.status_in_flight || now < self.next_status_at {
             return;
         }
         let Some(KnownLeader { host: leader, token, .. }) = self.leader.clone() else {
-            self.report_due = now + HEARTBEAT;
+            self.next_status_at = now + HEARTBEAT;
             return;
         };
-        let news = self.take_news(now);
-        let machines: Vec<MachineName> = news.iter().map(|news| news.report.machine.clone()).collect();
+        let news = self.take_unreported(now);
+        let machines: Vec<MachineName> = news.iter().map(|news| news.heartbeat.machine.clone()).collect();
         let alive = std::mem::take(&mut self.alive);
         let numbers: RoaringBitmap = alive.iter().filter_map(|host| self.numbers.get(host)).collect();
         self.sequence += 1;
-        self.reporting = true;
-        self.sent.push_back((self.sequence, now));
-        if self.sent.len() > MAX_SENT {
-            self.sent.pop_front();
+        self.status_in_flight = true;
+        self.sent_messages.push_back((self.sequence, now));
+        if self.sent_messages.len() > MAX_SENT {
+            self.sent_messages.pop_front();
         }
-        self.report_sent = now;
+        self.status_sent_at = now;
         let report = HolderStatus {
             host: self.settings.host.clone(),
             stamp: MessageStamp { boot: self.settings.boot_id, sequence: self.sequence },
             zone: self.settings.zone.clone(),
             term: token,
-            sees_records: !standing.failing
-                && standing.records.is_some_and(|at| now.saturating_sub(at) < RECORDS_SEEN),
-            shards: self.held_shards(now),
+            sees_records: !standing.kv_failing
+                && standing.records_synced_at.is_some_and(|at| now.saturating_sub(at) < RECORDS_SEEN),
+            shards: self.shard_holdings(now),
             stream: self.stream,
             first: !self.stream_begun,
-            news,
+            updates: news,
             alive: numbers,
             alive_age: now.saturating_sub(self.alive_since),
         };
         let call = HolderCall::ReportStatus { leader: token, machines };
-        out.shard_message(CallPurpose::Holder(call), leader, ShardMessage::HolderStatus(Box::new(report)));
+        out.send_shard_message(
+            CallPurpose::Holder(call),
+            leader,
+            ShardMessage::HolderStatus(Box::new(report)),
+        );
     }
 
-    fn held_shards(&self, now: Duration) -> Vec<ShardHolding> {
-        let untold = |shard: &ShardId| self.news.iter().any(|host| self.shard_of.get(host) == Some(shard));
+    fn shard_holdings(&self, now: Duration) -> Vec<ShardHolding> {
+        let untold =
+            |shard: &ShardId| self.unreported.iter().any(|host| self.shard_of.get(host) == Some(shard));
         let held = self.shards.iter().filter(|(shard, _)| self.epoch(shard, now).is_some());
         let told = held.map(|(shard, held)| ShardHolding {
             shard: shard.clone(),
@@ -64,15 +69,15 @@
         told.collect()
     }
 
-    fn take_news(&mut self, now: Duration) -> Vec<MachineUpdate> {
-        let hosts: Vec<MachineName> = self.news.iter().take(MAX_MACHINES).cloned().collect();
+    fn take_unreported(&mut self, now: Duration) -> Vec<MachineUpdate> {
+        let hosts: Vec<MachineName> = self.unreported.iter().take(MAX_MACHINES).cloned().collect();
         let mut told: Vec<MachineUpdate> = Vec::with_capacity(hosts.len());
         let mut tasks = 0;
         for host in hosts {
             if tasks > MAX_TASKS {
                 break;
             }
-            self.news.remove(&host);
+            self.unreported.remove(&host);
             self.alive.remove(&host);
             let Some(number) = self.numbers.assign(&host) else {
                 self.restart_stream();
@@ -83,10 +88,10 @@
             tasks += report.tasks.len();
             told.push(MachineUpdate {
                 number,
-                report: report.clone(),
-                proven: machine.confirmed,
-                deaf: machine.removal == Some(RemovalReason::IgnoresCommands),
-                unanswered: machine.unanswered_commands,
+                heartbeat: report.clone(),
+                confirmed: machine.confirmed,
+                ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
+                unanswered_commands: machine.unanswered_commands,
                 age: now.saturating_sub(machine.last_heard_at),
             });
         }
@@ -94,33 +99,40 @@
     }
 
     /// What became of a message.
-    pub fn reported(&mut self, now: Duration, leader: u64, machines: Vec<MachineName>, delivery: Delivery) {
-        self.reporting = false;
+    pub fn status_delivered(
+        &mut self,
+        now: Duration,
+        leader: u64,
+        machines: Vec<MachineName>,
+        delivery: Delivery,
+    ) {
+        self.status_in_flight = false;
         let known = self.leader.as_mut().filter(|known| known.token == leader);
         // Of an earlier leader, which all machines are told of anew since.
         let Some(known) = known else { return };
         known.unsupported = delivery == Delivery::Unsupported;
         if delivery == Delivery::FullSyncNeeded {
             self.restart_stream();
-            self.report_due = now;
+            self.next_status_at = now;
             return;
         }
         if delivery == Delivery::Accepted {
             self.stream_begun = true;
-            self.report_due = now + HEARTBEAT;
-            self.hasten(now);
+            self.next_status_at = now + HEARTBEAT;
+            self.send_news_soon(now);
             return;
         }
         let there = machines.into_iter().filter(|host| self.fleet.machines.contains_key(host));
-        self.news.extend(there);
-        self.report_due = now + RETRY;
+        self.unreported.extend(there);
+        self.next_status_at = now + RETRY;
     }
 
     /// News has come: the next message need not wait for the heartbeat.
-    pub fn hasten(&mut self, now: Duration) {
-        if !self.news.is_empty() && !self.reporting {
-            self.report_due =
-                self.report_due.min(now.max(self.report_sent + self.settings.shard_message_interval()));
+    pub fn send_news_soon(&mut self, now: Duration) {
+        if !self.unreported.is_empty() && !self.status_in_flight {
+            self.next_status_at = self
+                .next_status_at
+                .min(now.max(self.status_sent_at + self.settings.shard_message_interval()));
         }
     }
 
--- a/crates/plankhead-core/src/job.rs
+++ b/crates/plankhead-core/src/job.rs
@@ -6,11 +6,11 @@
 use thiserror::Error;
 
 /// The largest number of tasks in one job.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 /// The longest text that a field of a job may hold.
-const MOST_TEXT: usize = 200;
+const MAX_TEXT: usize = 200;
 /// The largest amount of anything that a field may name.
-const MOST_AMOUNT: f64 = 1e9;
+const MAX_AMOUNT: f64 = 1e9;
 
 /// A job's id, `job-` and something, fit to be part of a key.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -171,10 +171,10 @@
 impl JobSpec {
     /// Checks ranges; types are checked where the job is parsed.
     pub fn check(&self) -> Result<(), InvalidSpec> {
-        let amount = |x: f64| x.is_finite() && (0.0..=MOST_AMOUNT).contains(&x);
-        let text = |s: &str| !s.is_empty() && s.len() <= MOST_TEXT;
+        let amount = |x: f64| x.is_finite() && (0.0..=MAX_AMOUNT).contains(&x);
+        let text = |s: &str| !s.is_empty() && s.len() <= MAX_TEXT;
         let e = &self.demand;
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(InvalidSpec("pieces must be from 1 to 100000"));
         }
         if ![
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -8,7 +8,7 @@
 
 /// What a call to the state service is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum KeyWatchCall {
     List { sent: Duration },
     Watch { sent: Duration },
 }
@@ -34,16 +34,16 @@
     /// its start is unseen.
     wait: Duration,
     /// When the latest complete read was asked for.
-    pub seen: Option<Duration>,
+    pub synced_at: Option<Duration>,
     /// The revision up to which the keys are known.
     revision: Option<u64>,
-    page_after: Option<String>,
+    after_key: Option<String>,
     list_sent: Option<Duration>,
     list_revision: Option<u64>,
     /// Reading failed since it last succeeded.
-    failed: bool,
-    pending: bool,
-    due: Duration,
+    last_read_failed: bool,
+    call_in_flight: bool,
+    next_call_at: Duration,
 }
 
 impl KeyWatch {
@@ -51,80 +51,83 @@
         Self {
             prefix,
             wait,
-            seen: None,
+            synced_at: None,
             revision: None,
-            page_after: None,
+            after_key: None,
             list_sent: None,
             list_revision: None,
-            failed: false,
-            pending: false,
-            due: Duration::ZERO,
+            last_read_failed: false,
+            call_in_flight: false,
+            next_call_at: Duration::ZERO,
         }
     }
 
     /// Whether the keys are being read for the first time, and nothing says that they can't.
-    pub fn reads(&self) -> bool {
-        self.seen.is_none() && !self.failed
+    pub fn is_loading(&self) -> bool {
+        self.synced_at.is_none() && !self.last_read_failed
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.pending).then_some(self.due)
+        (!self.call_in_flight).then_some(self.next_call_at)
     }
 
     /// The next call, if one is due.
-    pub fn tick(&mut self, now: Duration) -> Option<(Step, KvRequest)> {
-        if self.pending || now < self.due {
+    pub fn tick(&mut self, now: Duration) -> Option<(KeyWatchCall, KvRequest)> {
+        if self.call_in_flight || now < self.next_call_at {
             return None;
         }
-        self.pending = true;
+        self.call_in_flight = true;
         let prefix = self.prefix.into();
         if let Some(after) = self.revision {
-            return Some((Step::Watch { sent: now }, KvRequest::Watch { prefix, after, wait: self.wait }));
+            return Some((
+                KeyWatchCall::Watch { sent: now },
+                KvRequest::Watch { prefix, after, wait: self.wait },
+            ));
         }
         let sent = *self.list_sent.get_or_insert(now);
-        let after = self.page_after.clone();
-        Some((Step::List { sent }, KvRequest::List { prefix, after }))
+        let after = self.after_key.clone();
+        Some((KeyWatchCall::List { sent }, KvRequest::List { prefix, after }))
     }
 
-    pub fn reply(&mut self, now: Duration, step: Step, reply: Result<KvReply, CallError>) -> Read {
-        self.pending = false;
+    pub fn reply(&mut self, now: Duration, step: KeyWatchCall, reply: Result<KvReply, CallError>) -> Read {
+        self.call_in_flight = false;
         match (step, reply) {
-            (Step::List { sent }, Ok(KvReply::Page { rows, truncated, revision: epoch })) => {
-                self.page_after = rows.last().map(|row| row.key.clone());
+            (KeyWatchCall::List { sent }, Ok(KvReply::Page { rows, truncated, revision: epoch })) => {
+                self.after_key = rows.last().map(|row| row.key.clone());
                 let revision = *self.list_revision.get_or_insert(epoch);
                 if !truncated {
                     self.restart();
                     self.revision = Some(revision);
-                    self.saw(sent);
+                    self.mark_synced(sent);
                 }
                 Read::Page { rows, complete: !truncated }
             }
-            (Step::Watch { sent }, Ok(KvReply::Events { revision: epoch, events })) => {
+            (KeyWatchCall::Watch { sent }, Ok(KvReply::Events { revision: epoch, events })) => {
                 self.revision = self.revision.max(Some(epoch));
-                self.saw(sent);
+                self.mark_synced(sent);
                 Read::Events(events)
             }
-            (Step::Watch { .. }, Ok(KvReply::Compacted)) => {
+            (KeyWatchCall::Watch { .. }, Ok(KvReply::Compacted)) => {
                 self.revision = None;
                 self.restart();
                 Read::Failed
             }
             _ => {
-                self.failed = true;
-                self.due = now + PAUSE;
+                self.last_read_failed = true;
+                self.next_call_at = now + PAUSE;
                 self.restart();
                 Read::Failed
             }
         }
     }
 
-    fn saw(&mut self, sent: Duration) {
-        self.failed = false;
-        self.seen = self.seen.max(Some(sent));
+    fn mark_synced(&mut self, sent: Duration) {
+        self.last_read_failed = false;
+        self.synced_at = self.synced_at.max(Some(sent));
     }
 
     fn restart(&mut self) {
-        self.page_after = None;
+        self.after_key = None;
         self.list_sent = None;
         self.list_revision = None;
     }
--- a/crates/plankhead-core/src/leader/clock.rs
+++ b/crates/plankhead-core/src/leader/clock.rs
@@ -59,7 +59,7 @@
         let due = if written { self.next_pass_at } else { self.next_pass_at + PASS_PATIENCE };
         if places && self.pass_needed && now >= due {
             self.pass_needed = false;
-            self.next_pass_at = now + self.cpu_budget.pass_pause();
+            self.next_pass_at = now + self.cpu_budget.pass_interval();
             self.run_placement_pass(now, out);
         }
         // A new leader that had not seen the machines yet took the fleet for none: it
@@ -137,7 +137,7 @@
             self.inventory_in_flight = true;
             self.next_inventory_at = now + self.settings.inventory_lag.max(Duration::from_secs(3));
             let after = self.inventory_pages.last().map(|h| h.name.clone());
-            out.cloud(
+            out.call_cloud(
                 CallPurpose::Leader(self.token, LeaderCall::ListInstances),
                 CloudRequest::ListInstances { after },
             );
@@ -253,15 +253,17 @@
     fn probe_late_machines(&mut self, now: Duration, out: &mut EffectSink) {
         for host in self
             .fleet
-            .machines_to_probe(now, self.settings.heartbeat_timeout(), |machine| self.commands(machine))
+            .machines_to_probe(now, self.settings.heartbeat_timeout(), |machine| self.is_own_machine(machine))
         {
             let token = self.token_for(&host);
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
             let Some(shift) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
-            let call =
-                CallPurpose::Leader(self.token, LeaderCall::SendCommands { host, shift, runs: Vec::new() });
-            out.orders(call, address, token, shift, Vec::new());
+            let call = CallPurpose::Leader(
+                self.token,
+                LeaderCall::SendCommands { machine: host, incarnation: shift, starts: Vec::new() },
+            );
+            out.send_commands(call, address, token, shift, Vec::new());
         }
     }
 }
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/duties.rs
@@ -16,7 +16,7 @@
 /// The pause before a return that failed is asked for again.
 const RETURN_RETRY: Duration = Duration::from_millis(500);
 /// Open duties that the operators' view lists.
-const MOST_SHOWN: usize = 100;
+const MAX_SHOWN: usize = 100;
 
 /// A rental that the cloud refused, while an earlier copy of the request may still come.
 #[derive(Debug)]
@@ -75,13 +75,13 @@
 
     /// Whether something waits for the state service or for the cloud's rate.
     pub(super) fn has_pending_work(&self) -> bool {
-        !self.ready.is_empty() || !self.log.doubtful().is_empty() || self.log.lacks_records()
+        !self.ready.is_empty() || !self.log.uncertain_pages().is_empty() || self.log.has_unrecorded()
     }
 
     /// How many machines one return names.
     pub(super) fn machines_per_return(&self, hosts: &[MachineName], cause: ReturnReason) -> Return {
         if self.is_fenced() {
-            return self.log.returnable(hosts, cause);
+            return self.log.machines_per_return(hosts, cause);
         }
         Return { hosts: hosts.iter().take(MAX_RETURN_HOSTS).cloned().collect(), cause }
     }
@@ -95,7 +95,7 @@
                 "subject": duty.action.subject(), "holder": duty.holder, "state": duty.state().name(),
                 "attempts": duty.attempts, "ageS": self.wall_ms.saturating_sub(duty.intended_ms) as f64 / 1e3})
         };
-        let open: Vec<_> = self.log.open_duties().take(MOST_SHOWN).map(shown).collect();
+        let open: Vec<_> = self.log.open_intents().take(MAX_SHOWN).map(shown).collect();
         serde_json::json!({
             "enabled": self.is_fenced(),
             "passed": {"recorded": counts.recorded, "compelled": counts.compelled,
@@ -151,9 +151,9 @@
     fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, out: &mut EffectSink) {
         let leader_call = match permitted.action() {
             Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
-            Action::Return(back) => LeaderCall::Release { hosts: back.hosts.clone(), duty: key.clone() },
+            Action::Return(back) => LeaderCall::Release { machines: back.hosts.clone(), intent: key.clone() },
         };
-        out.cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
+        out.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
     }
 
     /// Sends the duties that may go now.
@@ -187,13 +187,13 @@
         let forced: Vec<(IdempotencyKey, bool)> =
             self.intents.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
-            let state = self.intents.log.duty(&key).map(Intent::state);
+            let state = self.intents.log.intent(&key).map(Intent::state);
             if state != Some(State::Intended) {
                 self.intents.forced.remove(&key);
                 continue;
             }
             let allowed = (!blind || sight.no_peer_leads) && self.is_cloud_reachable(now);
-            if allowed && self.intents.log.compel(&key) {
+            if allowed && self.intents.log.force_issue(&key) {
                 out.log(
                     LogLevel::Info,
                     format!("duty {key} goes without its record: the state service fails"),
@@ -240,7 +240,7 @@
         if now < self.writes_paused_until {
             return;
         }
-        for page in self.intents.log.doubtful() {
+        for page in self.intents.log.uncertain_pages() {
             if self.intents.reading.insert(page) {
                 self.call_kv(
                     LeaderCall::ReadDuties { page, sent: now },
@@ -258,9 +258,9 @@
             return;
         }
         let tidy = sight.lease_valid && now >= self.intents.tidy_due;
-        let lacks = self.intents.log.lacks_records();
+        let lacks = self.intents.log.has_unrecorded();
         let due = lacks && (urgent || now >= self.intents.write_due);
-        if !(due || tidy && self.intents.log.is_untidy()) {
+        if !(due || tidy && self.intents.log.needs_compaction()) {
             return;
         }
         let most = self.write_budget.available(now).min(self.settings.max_txn_changes);
@@ -421,7 +421,7 @@
     /// under way, it stays open.
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
-        let Some(duty) = self.intents.log.duty(&key) else { return };
+        let Some(duty) = self.intents.log.intent(&key) else { return };
         if duty.holder == self.token && duty.attempts <= 1 {
             return self.confirm_intent(&key, out);
         }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -53,14 +53,14 @@
 /// Ends that need no hurry are written together after this time.
 const ENDS_WAIT: Duration = Duration::from_secs(4);
 /// Transactions under way at most.
-const MOST_TXNS: usize = 4;
+const MAX_TXNS: usize = 4;
 const TXN_BYTES: usize = 56 * 1024;
 /// Jobs that one pass looks at.
-const MOST_WORK: usize = 400;
+const MAX_WORK: usize = 400;
 /// Orders in one answer to a worker: its lines must stay below 64 KiB.
-const MOST_ORDERS: usize = 300;
+const MAX_ORDERS: usize = 300;
 /// Time a saving task is given at the most.
-const MOST_LEEWAY: Duration = Duration::from_secs(10);
+const MAX_LEEWAY: Duration = Duration::from_secs(10);
 /// What answers of a leader without sight end sooner than leases and cancellations
 /// ask for: for the drift of clocks and for what is under way.
 const BLIND_MARGIN: Duration = Duration::from_secs(2);
@@ -76,7 +76,7 @@
 /// How long a stopped task takes to be gone, usually.
 const STOPPING: Duration = Duration::from_millis(300);
 /// Tasks stopped for others in one pass at most.
-const MOST_STOPS: usize = 64;
+const MAX_STOPS: usize = 64;
 /// How much longer a pass waits for earlier placements to be written.
 const PASS_PATIENCE: Duration = Duration::from_secs(1);
 /// How often machines are judged, rented and given back.
@@ -84,13 +84,13 @@
 /// How often ends are looked through for ones to write.
 const ENDS_LOOK: Duration = Duration::from_millis(250);
 /// A task that needed more attempts than this is not stopped again.
-const MOST_PREEMPTED: u64 = 2;
+const MAX_PREEMPTED: u64 = 2;
 /// Time between rounds while no machine is up yet.
 const COLD_ROUND: Duration = Duration::from_secs(5);
 /// Arrivals remembered for the replay, and the shortest time that they are
 /// taken to tell a rate.
-const MOST_ARRIVALS: usize = 1_000;
-const LEAST_WINDOW: Duration = Duration::from_secs(20);
+const MAX_ARRIVALS: usize = 1_000;
+const MIN_WINDOW: Duration = Duration::from_secs(20);
 const RUSH: Duration = Duration::from_secs(5);
 
 /// What a leader's call is for.
@@ -113,8 +113,8 @@
     ListInstances,
     Rent(PendingRental),
     Release {
-        hosts: Vec<MachineName>,
-        duty: IdempotencyKey,
+        machines: Vec<MachineName>,
+        intent: IdempotencyKey,
     },
     /// Duties of former leaders.
     ListDuties,
@@ -126,9 +126,9 @@
         sent: Duration,
     },
     SendCommands {
-        host: MachineName,
-        shift: u64,
-        runs: Vec<(TaskId, u64)>,
+        machine: MachineName,
+        incarnation: u64,
+        starts: Vec<(TaskId, u64)>,
     },
     WriteShards {
         writes: Vec<RecordWrite>,
@@ -137,7 +137,7 @@
     /// Commands for machines of shards that another node holds.
     SendShardCommands {
         to: String,
-        told: SentShardCommands,
+        sent: SentShardCommands,
     },
 }
 
@@ -368,8 +368,8 @@
         self.fleet.machine_types = rigs;
         for rig in self.fleet.machine_types.keys() {
             for pool in self.fleet.pools(rig) {
-                self.placement_index.pool(&pool);
-                self.placement_index.zone(&pool.zone);
+                self.placement_index.pool_index(&pool);
+                self.placement_index.zone_index(&pool.zone);
             }
         }
         for machine in self.fleet.machines.values_mut() {
@@ -391,7 +391,7 @@
     }
 
     fn call_kv(&self, leader_call: LeaderCall, op: KvRequest, out: &mut EffectSink) {
-        out.state(CallPurpose::Leader(self.token, leader_call), op);
+        out.call_kv(CallPurpose::Leader(self.token, leader_call), op);
     }
 
     /// The condition under which alone the leader writes.
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -29,7 +29,7 @@
 
     /// What the node's reachability needs to know of this leader. `steady`: its grant is
     /// good, and nothing says that the state service fails it.
-    pub fn facts(&self, now: Duration, steady: bool) -> LeaderFacts {
+    pub fn reachability_facts(&self, now: Duration, steady: bool) -> LeaderFacts {
         let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < lately;
         let up = || self.fleet.machines.values().filter(|machine| machine.is_up());
@@ -37,11 +37,11 @@
         let reached = up().filter(|machine| machine.answered_at.is_some() && recent(machine.last_heard_at));
         LeaderFacts {
             token: self.token,
-            since: self.started_at,
-            steady: steady && self.stage == Stage::Ready,
-            up: up().count(),
-            direct: direct.map(|machine| machine.name.clone()).collect(),
-            reached: reached.map(|machine| machine.name.clone()).collect(),
+            leading_since: self.started_at,
+            lease_undisputed: steady && self.stage == Stage::Ready,
+            machines_up: up().count(),
+            heard_directly: direct.map(|machine| machine.name.clone()).collect(),
+            confirmed_commands: reached.map(|machine| machine.name.clone()).collect(),
         }
     }
 
@@ -55,9 +55,13 @@
     }
 
     /// Machines that should report to this leader.
-    pub fn machines_up(&self) -> usize {
+    pub fn machines_expected(&self) -> usize {
         if self.stage == Stage::Ready {
-            self.fleet.machines.values().filter(|machine| machine.is_up() && self.commands(machine)).count()
+            self.fleet
+                .machines
+                .values()
+                .filter(|machine| machine.is_up() && self.is_own_machine(machine))
+                .count()
         } else {
             0
         }
@@ -70,7 +74,7 @@
 
     /// Notes which machines with late reports are heard by some peer: their silence is
     /// our link's.
-    pub fn note_heard_elsewhere(&mut self, now: Duration, heard_by_a_peer: impl Fn(&str) -> bool) {
+    pub fn record_heard_by_peers(&mut self, now: Duration, heard_by_a_peer: impl Fn(&str) -> bool) {
         let gap = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
             if now.saturating_sub(machine.last_heard_at) > gap && heard_by_a_peer(&machine.name) {
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placing.rs
@@ -37,8 +37,8 @@
 
     pub(super) fn team_usage(&self) -> Vec<TeamUsage> {
         let room = |team: &Team| TeamUsage {
-            guarantee: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
-            cap: Resources { cpus: team.max_cpus, gpus: team.max_gpus, ram_gb: 0.0 },
+            guaranteed: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
+            limit: Resources { cpus: team.max_cpus, gpus: team.max_gpus, ram_gb: 0.0 },
             used: Resources::default(),
         };
         let mut rooms: Vec<TeamUsage> = self.settings.teams.values().map(room).collect();
@@ -65,29 +65,29 @@
     pub(super) fn whole_job_as_work(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
         Work {
             team,
-            urgency: spec.priority,
+            priority: spec.priority,
             guaranteed: false,
-            accepted,
-            due: self.latest_start(spec, accepted),
-            again_by: self.latest_restart(spec, accepted),
-            each: spec.demand,
+            accepted_at: accepted,
+            latest_start: self.latest_start(spec, accepted),
+            latest_restart: self.latest_restart(spec, accepted),
+            demand: spec.demand,
             image: self.image_number(spec),
             image_gb: spec.image_gb,
-            pools: self.placement_index.allowed(spec),
-            one_zone: spec.single_zone,
-            zone_most: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
-            estimate: self.estimated_runtime(spec),
+            allowed_pools: self.placement_index.allowed_pools(spec),
+            single_zone: spec.single_zone,
+            max_per_zone: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
+            estimated_runtime: self.estimated_runtime(spec),
             pending: spec.tasks,
             gang: spec.gang,
-            begun: false,
-            zones: Vec::new(),
+            has_started: false,
+            attempts_by_zone: Vec::new(),
         }
     }
 
     /// The number of the job's image. When there are too many, what machines
     /// hold is learned anew.
     pub(super) fn image_number(&mut self, spec: &JobSpec) -> u32 {
-        if let Some(image) = self.placement_index.image(&spec.image, spec.image_gb) {
+        if let Some(image) = self.placement_index.image_index(&spec.image, spec.image_gb) {
             return image;
         }
         self.placement_index.forget_images();
@@ -95,13 +95,13 @@
             machine.cached_images.clear();
             machine.cached_slot = None;
         }
-        self.placement_index.image(&spec.image, spec.image_gb).unwrap_or(0)
+        self.placement_index.image_index(&spec.image, spec.image_gb).unwrap_or(0)
     }
 
     /// The jobs of the last interval, as if they came again in the next and on.
     pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
         let interval = self.round_interval();
-        let window = interval.min(now.saturating_sub(self.started_at).max(LEAST_WINDOW));
+        let window = interval.min(now.saturating_sub(self.started_at).max(MIN_WINDOW));
         let from = now.saturating_sub(window);
         self.recent_arrivals.retain(|(at, _)| *at >= from);
         let mut expected = Vec::new();
@@ -114,7 +114,7 @@
             for (at, spec) in &seen {
                 let at = *at + shift;
                 if let Some(team) = self.team_index(spec).filter(|_| at < now + horizon) {
-                    expected.push(Arrival { at, work: self.whole_job_as_work(spec, team, at) });
+                    expected.push(Arrival { arrives_at: at, work: self.whole_job_as_work(spec, team, at) });
                 }
             }
             shift += window;
@@ -134,7 +134,7 @@
             if !entry.revision_uncertain && entry.backoff_until <= now && entry.is_placeable() {
                 waiting.push((id.clone(), entry.spec.clone(), team, needs.len()));
             }
-            needs.push(QuotaDemand { team, accepted: entry.accepted_at, amount: need });
+            needs.push(QuotaDemand { team, accepted_at: entry.accepted_at, resources: need });
         }
         if waiting.is_empty() {
             return Default::default();
@@ -142,22 +142,26 @@
         let guaranteed = guaranteed(&needs, teams);
         let mut both: Vec<(JobId, Work)> = Vec::with_capacity(waiting.len());
         for (id, spec, team, need) in waiting {
-            let mut work = self.whole_job_as_work(&spec, team, needs[need].accepted);
+            let mut work = self.whole_job_as_work(&spec, team, needs[need].accepted_at);
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             work.guaranteed = guaranteed[need];
             work.pending = entry.pending();
-            work.begun = entry.first_unplaced > 0;
-            work.zones =
-                entry.attempts_by_zone.iter().map(|(z, n)| (self.placement_index.zone(z), *n)).collect();
+            work.has_started = entry.first_unplaced > 0;
+            work.attempts_by_zone = entry
+                .attempts_by_zone
+                .iter()
+                .map(|(z, n)| (self.placement_index.zone_index(z), *n))
+                .collect();
             both.push((id, work));
         }
-        if both.len() > MOST_WORK {
-            both.sort_by_key(|(_, w)| (std::cmp::Reverse(w.urgency), !w.guaranteed, w.due));
+        if both.len() > MAX_WORK {
+            both.sort_by_key(|(_, w)| (std::cmp::Reverse(w.priority), !w.guaranteed, w.latest_start));
             // Whoever has waited longest has a machine kept, however much urgent
             // work stands before it.
-            let oldest = (0..both.len()).min_by_key(|i| (both[*i].1.begun, both[*i].1.accepted)).unwrap_or(0);
-            both.swap(oldest.max(MOST_WORK - 1), MOST_WORK - 1);
-            both.truncate(MOST_WORK);
+            let oldest =
+                (0..both.len()).min_by_key(|i| (both[*i].1.has_started, both[*i].1.accepted_at)).unwrap_or(0);
+            both.swap(oldest.max(MAX_WORK - 1), MAX_WORK - 1);
+            both.truncate(MAX_WORK);
         }
         both.into_iter().unzip()
     }
@@ -168,15 +172,15 @@
         let total = self.fleet.resources(&machine.pool.machine_type)?;
         let rig = self.fleet.machine_types.get(&machine.pool.machine_type)?;
         let mut slot = Slot {
-            pool: self.placement_index.pool(&machine.pool),
-            zone: self.placement_index.zone(&machine.pool.zone),
+            pool: self.placement_index.pool_index(&machine.pool),
+            zone: self.placement_index.zone_index(&machine.pool.zone),
             price: if machine.pool.spot { rig.spot_price } else { rig.price },
             free: total,
-            ready: Duration::ZERO,
+            ready_at: Duration::ZERO,
             running: Vec::new(),
             images: machine.cached_images.iter().copied().collect(),
-            fetching: 0,
-            pull_gb_per_s: rig.image_fetch_gb_per_s,
+            fetches_in_progress: 0,
+            image_fetch_gb_per_s: rig.image_fetch_gb_per_s,
         };
         for task in self.job_table.by_machine(host) {
             let (Some(entry), Some(attempt)) =
@@ -188,12 +192,12 @@
             let estimate = self.estimated_runtime(spec);
             let mut end = attempt.running_since.unwrap_or(attempt.placed_at) + estimate;
             let mut grace = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
-            let image = self.placement_index.image(&spec.image, spec.image_gb);
+            let image = self.placement_index.image_index(&spec.image, spec.image_gb);
             if let Some(image) = image.filter(|i| !slot.images.contains(i)) {
-                slot.fetching += 1;
+                slot.fetches_in_progress += 1;
                 slot.images.push(image);
-                if slot.pull_gb_per_s > 0.0 {
-                    let fetch = (spec.image_gb / slot.pull_gb_per_s).min(3600.0);
+                if slot.image_fetch_gb_per_s > 0.0 {
+                    let fetch = (spec.image_gb / slot.image_fetch_gb_per_s).min(3600.0);
                     end += Duration::from_secs_f64(fetch);
                 }
             }
@@ -201,7 +205,13 @@
                 (end, grace) = (Duration::ZERO, STOPPING);
             }
             let team = self.team_index(spec).unwrap_or(0);
-            slot.run(Running { end, grace, each: spec.demand, team, booked: false });
+            slot.add_running(Running {
+                ends_at: end,
+                grace,
+                demand: spec.demand,
+                team,
+                is_reservation: false,
+            });
         }
         Some(slot)
     }
@@ -236,8 +246,8 @@
                 continue;
             };
             let mut slot = sketch.clone();
-            slot.overdue(now);
-            slot.ready = if !machine.confirmed {
+            slot.extend_overdue(now);
+            slot.ready_at = if !machine.confirmed {
                 (machine.rented_at + rig.boot_time).max(now + Duration::from_secs(3))
             } else if machine.is_start_doubtful(now, self.settings.heartbeat_timeout()) {
                 now + self.settings.heartbeat_interval
@@ -260,25 +270,25 @@
             self.raise_for_wide_jobs(&work);
         }
         let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.available_slots(now).into_iter().unzip();
-        let most = self.cpu_budget.starts();
+        let most = self.cpu_budget.max_starts_per_pass();
         let starts = easy::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
         // The rest has its turn after what else there is to do.
         let cut = starts.iter().filter(|s| s.at <= now).count() >= most;
         self.pass_needed |= cut;
         for start in starts.into_iter().filter(|s| s.at <= now) {
-            let host = &hosts[start.slot];
-            let zone = self.placement_index.zone_name(slots[start.slot].zone);
+            let host = &hosts[start.slot_index];
+            let zone = self.placement_index.zone_name(slots[start.slot_index].zone);
             if let Some(machine) = self.fleet.machines.get_mut(host) {
                 let Some(shift) = machine.incarnation() else { continue };
                 machine.idle_since = None;
-                self.job_table.place(&ids[start.work], host, shift, &zone, now);
+                self.job_table.place(&ids[start.work_index], host, shift, &zone, now);
             }
         }
         for (id, _) in ids.iter().zip(&work).filter(|(_, w)| w.gang) {
             self.job_table.break_incomplete_gang(id);
         }
         if !cut && now >= self.next_preemption_at {
-            self.next_preemption_at = now + self.cpu_budget.preemption_pause();
+            self.next_preemption_at = now + self.cpu_budget.preemption_interval();
             self.preempt(now, &slots, &hosts, &mut work, &mut teams, out);
         }
     }
@@ -298,17 +308,17 @@
         // in one zone, in the zone that lacks least.
         let late = |w: &Work| {
             let lacking = |zone: Option<usize>| {
-                let mut left = if w.urgency >= Priority::Urgent { w.pending } else { 0 };
+                let mut left = if w.priority >= Priority::Urgent { w.pending } else { 0 };
                 let here = |s: &&Slot| w.allows(s.pool) && zone.is_none_or(|z| z == s.zone);
                 for slot in slots.iter().filter(here) {
                     if left == 0 {
                         break;
                     }
-                    left -= slot.holds_by(&w.each, w.due.max(now), left);
+                    left -= slot.fits_by(&w.demand, w.latest_start.max(now), left);
                 }
                 left
             };
-            if !w.gang || !w.one_zone {
+            if !w.gang || !w.single_zone {
                 return (lacking(None), None);
             }
             let zones: BTreeSet<usize> = slots.iter().filter(|s| w.allows(s.pool)).map(|s| s.zone).collect();
@@ -321,14 +331,16 @@
         }
         for (w, (_, zone)) in work.iter_mut().zip(&late) {
             if let Some(zone) = zone {
-                w.joined(*zone);
+                w.add_to_zone(*zone);
             }
         }
-        order.sort_by_key(|i| (std::cmp::Reverse(work[*i].urgency), !work[*i].guaranteed, work[*i].due));
+        order.sort_by_key(|i| {
+            (std::cmp::Reverse(work[*i].priority), !work[*i].guaranteed, work[*i].latest_start)
+        });
         let mut lesser: Vec<PreemptionCandidates> = hosts
             .iter()
             .zip(slots)
-            .map(|(host, slot)| match slot.ready <= now {
+            .map(|(host, slot)| match slot.ready_at <= now {
                 true => self.preemption_candidates(now, host, slot.free),
                 false => PreemptionCandidates::default(),
             })
@@ -336,12 +348,12 @@
         let mut told: BTreeSet<MachineName> = BTreeSet::new();
         let mut stops = 0;
         for i in order {
-            let (each, urgency) = (work[i].each, work[i].urgency);
+            let (each, urgency) = (work[i].demand, work[i].priority);
             let mut left = late[i].0;
             let (mut chosen, before) = (Vec::new(), work[i].gang.then(|| lesser.clone()));
-            while left > 0 && teams[work[i].team].admits(&each) && stops + chosen.len() < MOST_STOPS {
+            while left > 0 && teams[work[i].team].admits(&each) && stops + chosen.len() < MAX_STOPS {
                 let fit = |(place, slot): (usize, &Slot)| {
-                    let suits = work[i].allows(slot.pool) && work[i].zone_admits(slot.zone);
+                    let suits = work[i].allows(slot.pool) && work[i].admits_zone(slot.zone);
                     let found = suits.then(|| lesser[place].victims_needed(&each, urgency)).flatten();
                     found.map(|(gang, loss, count)| (gang, loss, place, count))
                 };
@@ -350,7 +362,7 @@
                 };
                 let victims: Vec<Victim> = lesser[place].tasks.drain(..count).collect();
                 for victim in victims {
-                    lesser[place].room.add(&victim.each);
+                    lesser[place].room.add(&victim.demand);
                     if victim.gang {
                         // The others end with it and make room where they are.
                         lesser.iter_mut().for_each(|l| l.remove_job(&victim.task.job));
@@ -359,7 +371,7 @@
                 }
                 lesser[place].room.sub(&each);
                 teams[work[i].team].used.add(&each);
-                work[i].joined(slots[place].zone);
+                work[i].add_to_zone(slots[place].zone);
                 left -= 1;
             }
             // Room for some of a gang is of no use: nothing is stopped for it then.
@@ -401,16 +413,22 @@
             }
             let ran = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             let young = ran < self.estimated_runtime(&entry.spec) / 2;
-            let often = attempt.number > MOST_PREEMPTED;
+            let often = attempt.number > MAX_PREEMPTED;
             // To stop one task of a gang costs the progress of all, or the time they
             // need to save: they come last.
             let gang = entry.gang.is_some();
             let ran = if gang { ran * entry.spec.tasks } else { ran };
             if attempt.reported_status.is_some() && young && !often && urgency < Priority::Critical {
-                found.tasks.push(Victim { ran, task: task.clone(), each, urgency, gang });
+                found.tasks.push(Victim {
+                    ran_for: ran,
+                    task: task.clone(),
+                    demand: each,
+                    priority: urgency,
+                    gang,
+                });
             }
         }
-        found.tasks.sort_by_key(|v| (v.urgency, v.gang, v.ran));
+        found.tasks.sort_by_key(|v| (v.priority, v.gang, v.ran_for));
         found
     }
 }
@@ -418,10 +436,10 @@
 /// A task that may be stopped for a more urgent one.
 #[derive(Debug, Clone)]
 struct Victim {
-    ran: Duration,
+    ran_for: Duration,
     task: TaskId,
-    each: Resources,
-    urgency: Priority,
+    demand: Resources,
+    priority: Priority,
     gang: bool,
 }
 
@@ -440,7 +458,7 @@
         self.tasks.retain(|v| {
             let ends = v.task.job == *job;
             if ends {
-                room.add(&v.each);
+                room.add(&v.demand);
             }
             !ends
         });
@@ -452,12 +470,12 @@
         let mut room = self.room;
         let (mut gang, mut loss) = (false, Duration::ZERO);
         let mut count = 0;
-        let mut tasks = self.tasks.iter().take_while(|v| v.urgency < urgency);
+        let mut tasks = self.tasks.iter().take_while(|v| v.priority < urgency);
         while !each.fits(&room) {
             let victim = tasks.next()?;
-            room.add(&victim.each);
+            room.add(&victim.demand);
             gang |= victim.gang;
-            loss += victim.ran;
+            loss += victim.ran_for;
             count += 1;
         }
         Some((gang, loss, count))
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     /// Handles a reply of the state service; false: somebody else leads.
-    pub fn state_reply(
+    pub fn kv_reply(
         &mut self,
         times: StepTime,
         leader_call: LeaderCall,
@@ -40,7 +40,7 @@
                     _ => self.next_watch_at = now + PAUSE,
                 }
             }
-            LeaderCall::Commit(batch) => return self.written(times, batch, reply, requests, out),
+            LeaderCall::Commit(batch) => return self.batch_written(times, batch, reply, requests, out),
             LeaderCall::ReadChunk(id, number) => {
                 self.keys_being_read.remove(&self.chunk_key(&id, number));
                 if let Ok(KvReply::Value(row)) = reply {
@@ -100,7 +100,7 @@
         true
     }
 
-    pub(super) fn written(
+    pub(super) fn batch_written(
         &mut self,
         times: StepTime,
         batch: WriteBatch,
@@ -124,7 +124,7 @@
                     let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
                     if self.job_table.job_finished(id) {
                         self.garbage.extend(stored);
-                        requests.over(id, Status::Done, tasks);
+                        requests.record_ended(id, Status::Done, tasks);
                         let record = JobRecord::finished(Phase::Done, tasks);
                         self.to_archive.push_back((id.clone(), epoch, record));
                     }
@@ -206,7 +206,7 @@
             (LeaderCall::Rent(rental), _) => {
                 self.rental_retries.push(renting::RentalRetry { due: now + PAUSE * 4, rental });
             }
-            (LeaderCall::Release { hosts, duty }, Ok(CloudReply::Released)) => {
+            (LeaderCall::Release { machines: hosts, intent: duty }, Ok(CloudReply::Released)) => {
                 self.confirm_intent(&duty, out);
                 for host in hosts {
                     self.releasing.remove(&host);
@@ -220,10 +220,10 @@
                 self.stop_broken_gangs(now, out);
                 self.pass_needed = true;
             }
-            (LeaderCall::Release { duty, .. }, _) if self.intents.is_fenced() => {
+            (LeaderCall::Release { intent: duty, .. }, _) if self.intents.is_fenced() => {
                 self.return_failed(now, duty);
             }
-            (LeaderCall::Release { hosts, .. }, _) => {
+            (LeaderCall::Release { machines: hosts, .. }, _) => {
                 for host in hosts {
                     self.releasing.remove(&host);
                 }
@@ -233,14 +233,16 @@
         }
     }
 
-    pub fn orders_reply(
+    pub fn command_reply(
         &mut self,
         times: StepTime,
         leader_call: LeaderCall,
         reply: CommandReply,
         out: &mut EffectSink,
     ) {
-        let LeaderCall::SendCommands { host, shift, runs } = leader_call else { return };
+        let LeaderCall::SendCommands { machine: host, incarnation: shift, starts: runs } = leader_call else {
+            return;
+        };
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
         machine.end_command(shift, &runs, &reply);
         if let CommandReply::Answered(report) = reply {
--- a/crates/plankhead-core/src/leader/rounds.rs
+++ b/crates/plankhead-core/src/leader/rounds.rs
@@ -8,16 +8,16 @@
 /// Without an interval of the operators, rounds come as often as the slower of
 /// the usual boots allows, in boot times.
 const ROUND_BOOTS: f64 = 1.5;
-const LEAST_ROUND: Duration = Duration::from_secs(20);
+const MIN_ROUND: Duration = Duration::from_secs(20);
 /// What a climb replays.
 #[derive(Debug)]
 struct ReplayInput {
     now: Duration,
     held: Vec<Slot>,
     /// A machine of the type in each zone, as if it were up.
-    fresh: Vec<Slot>,
+    new_machines: Vec<Slot>,
     work: Vec<Work>,
-    expected: Vec<Arrival>,
+    expected_arrivals: Vec<Arrival>,
     teams: Vec<TeamUsage>,
     running: usize,
 }
@@ -26,19 +26,19 @@
     fn replay(&self, machines: u32) -> Replay {
         let machines = machines as usize;
         let mut slots: Vec<Slot> = self.held.iter().take(machines).cloned().collect();
-        let more = self.fresh.iter().cycle().take(machines.saturating_sub(slots.len()));
+        let more = self.new_machines.iter().cycle().take(machines.saturating_sub(slots.len()));
         slots.extend(more.cloned());
-        let (work, expected, teams) = (self.work.clone(), self.expected.clone(), self.teams.clone());
+        let (work, expected, teams) = (self.work.clone(), self.expected_arrivals.clone(), self.teams.clone());
         Replay::new(self.now, slots, work, expected, teams, self.running)
     }
 }
 
 #[derive(Debug)]
 struct SizeTrial {
-    rig: String,
-    strict: bool,
-    climb: FleetSizeSearch,
-    backlog: ReplayInput,
+    machine_type: String,
+    ordinary_only: bool,
+    search: FleetSizeSearch,
+    input: ReplayInput,
 }
 
 /// A round under way: the climbs one after the other, in portions, since the
@@ -56,11 +56,11 @@
 impl Round {
     /// Goes on by a portion; true once all climbs are over.
     fn advance(&mut self, portions: CpuBudget) -> bool {
-        let Some(trial) = self.trials.iter_mut().find(|t| t.climb.size().is_none()) else { return true };
-        let replay = self.replay.get_or_insert_with(|| trial.backlog.replay(trial.climb.trial()));
-        if let Some(slowdown) = replay.advance(portions.replayed_passes(replay.machines())) {
-            self.trace.push(format!("{}:{slowdown:.2}", trial.climb.trial()));
-            trial.climb.measured(slowdown);
+        let Some(trial) = self.trials.iter_mut().find(|t| t.search.size().is_none()) else { return true };
+        let replay = self.replay.get_or_insert_with(|| trial.input.replay(trial.search.trial()));
+        if let Some(slowdown) = replay.advance(portions.passes_per_slice(replay.machines())) {
+            self.trace.push(format!("{}:{slowdown:.2}", trial.search.trial()));
+            trial.search.record_slowdown(slowdown);
             self.replay = None;
         }
         false
@@ -74,9 +74,9 @@
     fn sizes(&self) -> BTreeMap<String, Size> {
         let mut sizes: BTreeMap<String, Size> = BTreeMap::new();
         for trial in &self.trials {
-            let size = sizes.entry(trial.rig.clone()).or_default();
-            let found = trial.climb.size().unwrap_or(0);
-            if trial.strict {
+            let size = sizes.entry(trial.machine_type.clone()).or_default();
+            let found = trial.search.size().unwrap_or(0);
+            if trial.ordinary_only {
                 size.ordinary = found;
             }
             size.machines = size.machines.max(found);
@@ -88,15 +88,15 @@
 /// How many such tasks an empty machine holds.
 fn most_on(work: &Work, room: &Resources) -> u32 {
     let of = |have: f64, need: f64| if need > 0.0 { (have / need + 1e-6).floor() } else { f64::MAX };
-    let Resources { cpus, gpus, ram_gb: ram } = work.each;
+    let Resources { cpus, gpus, ram_gb: ram } = work.demand;
     of(room.cpus, cpus).min(of(room.gpus, gpus)).min(of(room.ram_gb, ram)).min(1e6) as u32
 }
 
 /// Machines that a job takes at least at a time: a gang all of it, and so many in
 /// each zone if it must be in one.
 fn width(work: &Work, room: &Resources, zones: usize) -> u32 {
-    let machines = work.together().div_ceil(most_on(work, room).max(1));
-    if work.gang && work.one_zone && machines > 1 {
+    let machines = work.min_simultaneous().div_ceil(most_on(work, room).max(1));
+    if work.gang && work.single_zone && machines > 1 {
         machines.saturating_mul(zones as u32)
     } else {
         machines
@@ -120,7 +120,7 @@
     /// before brought.
     pub(super) fn round_interval(&self) -> Duration {
         let boot = self.fleet.machine_types.values().map(|r| r.boot_time).max().unwrap_or_default();
-        self.settings.sizing.interval.unwrap_or(LEAST_ROUND.max(boot.mul_f64(ROUND_BOOTS)))
+        self.settings.sizing.interval.unwrap_or(MIN_ROUND.max(boot.mul_f64(ROUND_BOOTS)))
     }
 
     /// Begins rounds, carries the one under way on by a portion, and ends it.
@@ -134,7 +134,7 @@
         }
         let Some(round) = self.round.as_mut().filter(|_| now >= self.next_replay_slice_at) else { return };
         let over = round.advance(self.cpu_budget);
-        self.next_replay_slice_at = now + self.cpu_budget.replay_pause(round.machines(), self.cpu_starved);
+        self.next_replay_slice_at = now + self.cpu_budget.slice_interval(round.machines(), self.cpu_starved);
         if !over {
             return;
         }
@@ -206,9 +206,10 @@
         let ordinary: Vec<(usize, usize)> = kind
             .zones
             .iter()
-            .map(|z| (self.placement_index.pool(&pool(z, false)), self.placement_index.zone(z)))
+            .map(|z| (self.placement_index.pool_index(&pool(z, false)), self.placement_index.zone_index(z)))
             .collect();
-        let spot: Vec<usize> = kind.zones.iter().map(|z| self.placement_index.pool(&pool(z, true))).collect();
+        let spot: Vec<usize> =
+            kind.zones.iter().map(|z| self.placement_index.pool_index(&pool(z, true))).collect();
         let suits = |w: &Work| {
             let bound = !spot.iter().any(|p| w.allows(*p));
             ordinary.iter().any(|(p, _)| w.allows(*p)) && (!strict || bound)
@@ -220,7 +221,7 @@
         let mut held: Vec<Slot> = slots.iter().filter(ours).cloned().collect();
         held.sort_by_key(|s| std::cmp::Reverse(s.running.len()));
         for slot in &mut held {
-            slot.ready = now;
+            slot.ready_at = now;
         }
         let busy = if strict { 0 } else { held.iter().filter(|s| !s.running.is_empty()).count() as u32 };
         let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram_gb: kind.ram };
@@ -235,17 +236,18 @@
                 zone,
                 price: kind.price,
                 free: total,
-                ready: now,
+                ready_at: now,
                 running: Vec::new(),
                 images: Vec::new(),
-                fetching: 0,
-                pull_gb_per_s: 0.0,
+                fetches_in_progress: 0,
+                image_fetch_gb_per_s: 0.0,
             })
             .collect();
         let running = if strict { 0 } else { running };
         let teams = teams.to_vec();
-        let backlog = ReplayInput { now, held, fresh, work, expected, teams, running };
-        Some(SizeTrial { rig: rig.into(), strict, climb, backlog })
+        let backlog =
+            ReplayInput { now, held, new_machines: fresh, work, expected_arrivals: expected, teams, running };
+        Some(SizeTrial { machine_type: rig.into(), ordinary_only: strict, search: climb, input: backlog })
     }
 
     /// A job wider than the fleet raises it at once. An array's width is one
@@ -261,22 +263,22 @@
         let mut pools = Vec::new();
         for (pool, machines) in &held {
             let room = self.fleet.resources(&pool.machine_type).unwrap_or_default();
-            pools.push((self.placement_index.pool(pool), pool.zone.clone(), *machines, room));
+            pools.push((self.placement_index.pool_index(pool), pool.zone.clone(), *machines, room));
         }
         self.wanted_zone = None;
         for w in work {
             let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
             for (_, zone, machines, room) in pools.iter().filter(|(p, ..)| w.allows(*p)) {
-                let zone = if w.gang && w.one_zone { zone.as_str() } else { "" };
+                let zone = if w.gang && w.single_zone { zone.as_str() } else { "" };
                 let held = zones.entry(zone).or_default();
                 *held = held.saturating_add(machines.saturating_mul(most_on(w, room)));
             }
             let widest = zones.into_iter().map(|(zone, n)| (n, zone)).max();
             let (room, zone) = widest.unwrap_or_default();
-            if room >= w.together() {
+            if room >= w.min_simultaneous() {
                 continue;
             }
-            let lacking = w.together() - room;
+            let lacking = w.min_simultaneous() - room;
             if !zone.is_empty() {
                 self.wanted_zone = Some(zone.into());
             }
@@ -285,9 +287,11 @@
                 let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram };
                 let pool =
                     |zone: &String, spot| Pool { machine_type: name.clone(), zone: zone.clone(), spot };
-                let ordinary = rig.zones.iter().any(|z| w.allows(self.placement_index.pool(&pool(z, false))));
-                let spot = rig.zones.iter().any(|z| w.allows(self.placement_index.pool(&pool(z, true))));
-                if ordinary && w.each.fits(&room) {
+                let ordinary =
+                    rig.zones.iter().any(|z| w.allows(self.placement_index.pool_index(&pool(z, false))));
+                let spot =
+                    rig.zones.iter().any(|z| w.allows(self.placement_index.pool_index(&pool(z, true))));
+                if ordinary && w.demand.fits(&room) {
                     fits.push((rig.price, name.clone(), !spot));
                 }
             }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -41,9 +41,9 @@
 /// A controller that may hold shards, as its messages tell.
 #[derive(Debug, Default)]
 struct Peer {
-    heard: Duration,
+    last_heard_at: Duration,
     /// Which start of its process it is.
-    boot: u64,
+    boot_id: u64,
     zone: String,
     sees_records: bool,
     stream: u64,
@@ -53,24 +53,24 @@
     /// What it has been told last of each machine: in which session, and which commands.
     sent: HashMap<MachineName, (u64, Vec<WorkerCommand>)>,
     /// Shards that it holds only now: it is told what is known of their machines.
-    fresh: BTreeSet<ShardId>,
+    newly_held: BTreeSet<ShardId>,
     /// A shard was taken from it, and it may not have read so.
-    replaced: bool,
+    shard_taken: bool,
     /// Machines that were given back since.
-    gone: BTreeSet<MachineName>,
+    removed: BTreeSet<MachineName>,
     /// The number of its latest message.
-    latest: u64,
-    sending: bool,
-    retry: Duration,
+    latest_sequence: u64,
+    send_in_flight: bool,
+    retry_at: Duration,
 }
 
 /// What a message told a holder, to be told again if it did not arrive.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SentShardCommands {
     machines: Vec<MachineName>,
-    fresh: BTreeSet<ShardId>,
-    gone: Vec<MachineName>,
-    replaced: bool,
+    newly_held: BTreeSet<ShardId>,
+    removed: Vec<MachineName>,
+    shard_taken: bool,
 }
 
 /// What a leader that divides machines has beside the rest.
@@ -78,11 +78,11 @@
 pub struct LeaderShards {
     registry: ShardRegistry,
     peers: BTreeMap<String, Peer>,
-    guard: SequenceGuard,
+    sequence_guard: SequenceGuard,
     sequence: u64,
     refused: u64,
-    write_due: Duration,
-    refresh_due: Duration,
+    next_write_at: Duration,
+    next_refresh_at: Duration,
 }
 
 impl LeaderShards {
@@ -90,12 +90,12 @@
         Self {
             registry: ShardRegistry::new(token, &settings.host, settings.sharding.clone()),
             peers: BTreeMap::new(),
-            guard: SequenceGuard::default(),
+            sequence_guard: SequenceGuard::default(),
             // Above what this process has sent in a former term.
             sequence: now.as_micros() as u64,
             refused: 0,
-            write_due: now,
-            refresh_due: now,
+            next_write_at: now,
+            next_refresh_at: now,
         }
     }
 }
@@ -107,7 +107,7 @@
     }
 
     /// Whether this leader tells the machine's worker itself.
-    pub(in crate::leader) fn commands(&self, machine: &Machine) -> bool {
+    pub(in crate::leader) fn is_own_machine(&self, machine: &Machine) -> bool {
         self.holder_of(machine).is_none()
     }
 
@@ -142,7 +142,7 @@
             return if report.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
         };
         if report.token > shards.registry.highest_epoch() {
-            let doubt = shards.registry.is_in_doubt();
+            let doubt = shards.registry.has_uncertain_writes();
             return if doubt { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
         }
         let shard = shards.registry.shard_of(&report.zone, &report.machine);
@@ -153,24 +153,24 @@
     }
 
     /// Takes in the records as this node has read them.
-    pub fn learn_records(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
+    pub fn apply_shard_records(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
         if let Some(shards) = &mut self.shards {
-            shards.registry.learn(table, seen, now);
+            shards.registry.apply_records(table, seen, now);
         }
     }
 
     /// What this node knew of a machine as its shard's holder, before it led.
-    pub fn inherit(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
+    pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
         let Some(report) = &machine.last_heartbeat else { return };
         self.observe_machine(times, report, false, out);
-        self.vouch(&report.machine, machine.confirmed, machine.last_heard_at);
+        self.confirm_by_holder(&report.machine, machine.confirmed, machine.last_heard_at);
         if let Some(own) = self.fleet.machines.get_mut(&report.machine) {
             own.is_relayed = machine.is_relayed;
         }
     }
 
     /// A holder of the machine's shard has seen whether it is there, and when it heard it.
-    fn vouch(&mut self, host: &MachineName, proven: bool, at: Duration) {
+    fn confirm_by_holder(&mut self, host: &MachineName, proven: bool, at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
         self.pass_needed |= !std::mem::replace(&mut machine.confirmed, true);
         machine.last_heard_at = machine.last_heard_at.max(at);
@@ -181,7 +181,7 @@
     /// For the operators: shards, holders, epochs, and why a move waits.
     pub(in crate::leader) fn shards_view(&self, now: Duration) -> serde_json::Value {
         let Some(shards) = &self.shards else { return serde_json::Value::Null };
-        let around = self.surroundings(now);
+        let around = self.registry_input(now);
         let rows: Vec<serde_json::Value> = shards
             .registry
             .current()
@@ -197,7 +197,7 @@
             .iter()
             .map(|(host, peer)| {
                 serde_json::json!({"host": host, "zone": peer.zone, "seesRecords": peer.sees_records,
-                    "heardS": now.saturating_sub(peer.heard).as_secs_f64(), "commandsDue": peer.due.len()})
+                    "heardS": now.saturating_sub(peer.last_heard_at).as_secs_f64(), "commandsDue": peer.due.len()})
             })
             .collect();
         serde_json::json!({"shards": rows, "controllers": peers, "moves": shards.registry.moves(),
--- a/crates/plankhead-core/src/leader/shards/orders.rs
+++ b/crates/plankhead-core/src/leader/shards/orders.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     /// The commands for a machine may have changed: its holder is told.
-    pub(in crate::leader) fn order_due(&mut self, host: &MachineName) {
+    pub(in crate::leader) fn mark_commands_due(&mut self, host: &MachineName) {
         let machine = self.fleet.machines.get(host);
         let holder = machine.and_then(|machine| self.holder_of(machine));
         let Some((holder, _)) = holder else { return };
@@ -15,9 +15,11 @@
 
     /// Machines that list ended attempts, or were placed on and do not list it, have commands
     /// that nothing else may bring up.
-    pub(super) fn refresh_orders(&mut self, now: Duration) {
-        let Some(shards) = self.shards.as_mut().filter(|shards| now >= shards.refresh_due) else { return };
-        shards.refresh_due = now + REFRESH;
+    pub(super) fn refresh_due_commands(&mut self, now: Duration) {
+        let Some(shards) = self.shards.as_mut().filter(|shards| now >= shards.next_refresh_at) else {
+            return;
+        };
+        shards.next_refresh_at = now + REFRESH;
         let waits = |machine: &&Machine| {
             let report = machine.last_heartbeat.as_ref();
             let ended =
@@ -26,24 +28,31 @@
         };
         let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(waits).map(|machine| machine.name.clone()).collect();
-        hosts.iter().for_each(|host| self.order_due(host));
+        hosts.iter().for_each(|host| self.mark_commands_due(host));
     }
 
     /// Sends each holder what has changed for its machines.
-    pub(super) fn flush_orders(&mut self, now: Duration, requests: &RequestHandler, out: &mut EffectSink) {
+    pub(super) fn flush_shard_commands(
+        &mut self,
+        now: Duration,
+        requests: &RequestHandler,
+        out: &mut EffectSink,
+    ) {
         let Some(shards) = &self.shards else { return };
         let ready = |(_, peer): &(&String, &Peer)| {
-            let due =
-                !(peer.due.is_empty() && peer.fresh.is_empty() && peer.gone.is_empty() && !peer.replaced);
-            due && !peer.sending && now >= peer.retry
+            let due = !(peer.due.is_empty()
+                && peer.newly_held.is_empty()
+                && peer.removed.is_empty()
+                && !peer.shard_taken);
+            due && !peer.send_in_flight && now >= peer.retry_at
         };
         let ready: Vec<String> = shards.peers.iter().filter(ready).map(|(host, _)| host.clone()).collect();
         for host in ready {
-            self.send_orders(now, &host, requests, out);
+            self.send_shard_commands(now, &host, requests, out);
         }
     }
 
-    pub(super) fn send_orders(
+    pub(super) fn send_shard_commands(
         &mut self,
         now: Duration,
         to: &str,
@@ -78,59 +87,66 @@
             let same = last.map_or(orders.is_empty(), |(of, sent)| *of == shift && *sent == orders);
             commands += orders.len();
             if !same {
-                machines.push(MachineCommands { host: host.clone(), shard, shift, orders });
+                machines.push(MachineCommands {
+                    machine: host.clone(),
+                    shard,
+                    incarnation: shift,
+                    commands: orders,
+                });
             }
         }
         let due = &due[..taken];
         let fresh: BTreeSet<ShardId> =
-            peer.fresh.iter().filter(|shard| held.iter().any(|(of, _)| of == *shard)).cloned().collect();
+            peer.newly_held.iter().filter(|shard| held.iter().any(|(of, _)| of == *shard)).cloned().collect();
         let snapshot = self.snapshot(&fresh);
         let latest_epoch = shards.registry.highest_epoch();
-        for MachineCommands { orders, shard, .. } in &machines {
+        for MachineCommands { commands: orders, shard, .. } in &machines {
             self.record_offered_starts(orders, held[*shard].1);
         }
-        self.note_first_starts(now, &machines, out);
+        self.log_first_start(now, &machines, out);
         let Some(shards) = &mut self.shards else { return };
         shards.sequence += 1;
         let sequence = shards.sequence;
         let Some(peer) = shards.peers.get_mut(to) else { return };
         peer.due.retain(|host| !due.contains(host));
-        peer.fresh.retain(|shard| !fresh.contains(shard));
-        let gone: Vec<MachineName> = std::mem::take(&mut peer.gone).into_iter().collect();
-        let replaced = std::mem::take(&mut peer.replaced);
+        peer.newly_held.retain(|shard| !fresh.contains(shard));
+        let gone: Vec<MachineName> = std::mem::take(&mut peer.removed).into_iter().collect();
+        let replaced = std::mem::take(&mut peer.shard_taken);
         if machines.is_empty() && snapshot.is_empty() && gone.is_empty() && !replaced {
             return;
         }
-        peer.sending = true;
-        for MachineCommands { host, shift, orders, .. } in &machines {
+        peer.send_in_flight = true;
+        for MachineCommands { machine: host, incarnation: shift, commands: orders, .. } in &machines {
             peer.sent.insert(host.clone(), (*shift, orders.clone()));
         }
-        let told = machines.iter().map(|machine| machine.host.clone()).collect();
+        let told = machines.iter().map(|machine| machine.machine.clone()).collect();
         let message = LeaderCommands {
             host: self.settings.host.clone(),
             stamp: MessageStamp { boot: self.settings.boot_id, sequence },
-            answers: peer.latest,
+            acknowledged: peer.latest_sequence,
             latest_epoch,
             token: self.token,
             shards: held,
             machines,
-            gone: gone.clone(),
+            removed: gone.clone(),
             snapshot,
         };
-        let told = SentShardCommands { machines: told, fresh, gone, replaced };
-        let call = LeaderCall::SendShardCommands { to: to.to_owned(), told };
+        let told =
+            SentShardCommands { machines: told, newly_held: fresh, removed: gone, shard_taken: replaced };
+        let call = LeaderCall::SendShardCommands { to: to.to_owned(), sent: told };
         let message = ShardMessage::LeaderCommands(Box::new(message));
-        out.shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
+        out.send_shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
     }
 
-    pub(super) fn note_first_starts(
+    pub(super) fn log_first_start(
         &mut self,
         now: Duration,
         machines: &[MachineCommands],
         out: &mut EffectSink,
     ) {
-        let run =
-            |machine: &MachineCommands| machine.orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
+        let run = |machine: &MachineCommands| {
+            machine.commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }))
+        };
         if machines.iter().any(run) && !std::mem::replace(&mut self.first_start_sent, true) {
             let after = now.saturating_sub(self.started_at).as_millis();
             out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
@@ -154,19 +170,25 @@
     }
 
     /// What became of a message to a holder.
-    pub fn orders_told(&mut self, now: Duration, to: &str, told: SentShardCommands, delivery: Delivery) {
+    pub fn shard_commands_delivered(
+        &mut self,
+        now: Duration,
+        to: &str,
+        told: SentShardCommands,
+        delivery: Delivery,
+    ) {
         let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(to)) else { return };
-        peer.sending = false;
-        peer.retry = now + self.settings.shard_message_interval();
+        peer.send_in_flight = false;
+        peer.retry_at = now + self.settings.shard_message_interval();
         if delivery != Delivery::Accepted {
-            peer.retry = now + RETRY;
+            peer.retry_at = now + RETRY;
             for host in told.machines {
                 peer.sent.remove(&host);
                 peer.due.insert(host);
             }
-            peer.fresh.extend(told.fresh);
-            peer.gone.extend(told.gone);
-            peer.replaced |= told.replaced;
+            peer.newly_held.extend(told.newly_held);
+            peer.removed.extend(told.removed);
+            peer.shard_taken |= told.shard_taken;
         }
     }
 
@@ -175,7 +197,7 @@
         for peer in self.shards.iter_mut().flat_map(|shards| shards.peers.values_mut()) {
             peer.due.remove(host);
             if peer.sent.remove(host).is_some() {
-                peer.gone.insert(host.clone());
+                peer.removed.insert(host.clone());
             }
         }
     }
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -4,15 +4,16 @@
 
 impl Leader {
     /// What the registry decides by.
-    pub(super) fn surroundings(&self, now: Duration) -> RegistryInput {
+    pub(super) fn registry_input(&self, now: Duration) -> RegistryInput {
         let settings = &self.settings.sharding;
         let mut around = RegistryInput::default();
         let Some(shards) = &self.shards else { return around };
-        let there =
-            |peer: &&Peer| peer.sees_records && now.saturating_sub(peer.heard) < settings.holder_timeout;
+        let there = |peer: &&Peer| {
+            peer.sees_records && now.saturating_sub(peer.last_heard_at) < settings.holder_timeout
+        };
         let own = (&self.settings.host, &self.settings.zone, settings.leader_capacity, self.settings.boot_id);
         let peers = shards.peers.iter().filter(|(_, peer)| there(peer));
-        let peers = peers.map(|(host, peer)| (host, &peer.zone, 1.0, peer.boot));
+        let peers = peers.map(|(host, peer)| (host, &peer.zone, 1.0, peer.boot_id));
         for (host, zone, capacity, boot) in peers.chain([own]) {
             around.alive.insert(host.clone(), boot);
             if !settings.drained.contains(host) {
@@ -38,18 +39,18 @@
         out: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
-        if firm && now >= shards.write_due {
+        if firm && now >= shards.next_write_at {
             self.write_records(now, out);
         }
-        self.refresh_orders(now);
-        self.flush_orders(now, requests, out);
+        self.refresh_due_commands(now);
+        self.flush_shard_commands(now, requests, out);
     }
 
     pub(super) fn write_records(&mut self, now: Duration, out: &mut EffectSink) {
         let most = self.settings.max_txn_changes.min(self.write_budget.available(now));
-        let around = self.surroundings(now);
+        let around = self.registry_input(now);
         let Some(shards) = &mut self.shards else { return };
-        shards.write_due = shards.registry.next_due(now);
+        shards.next_write_at = shards.registry.next_due(now);
         if most == 0 {
             return;
         }
@@ -94,17 +95,19 @@
         };
         let Some(shards) = &mut self.shards else { return true };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
-        shards.write_due = if committed { now } else { now + WRITE_PAUSE };
-        let named: Vec<Named> =
-            writes.iter().filter_map(|write| shards.registry.written(write, outcome, sent, now)).collect();
+        shards.next_write_at = if committed { now } else { now + WRITE_PAUSE };
+        let named: Vec<Named> = writes
+            .iter()
+            .filter_map(|write| shards.registry.write_completed(write, outcome, sent, now))
+            .collect();
         for named in named {
-            self.named(now, named, out);
+            self.holder_named(now, named, out);
         }
         true
     }
 
     /// A shard has a holder from now on.
-    pub(super) fn named(&mut self, now: Duration, named: Named, out: &mut EffectSink) {
+    pub(super) fn holder_named(&mut self, now: Duration, named: Named, out: &mut EffectSink) {
         let Named { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
         if moved {
@@ -122,15 +125,15 @@
                 peer.sent.remove(host);
                 peer.due.remove(host);
             }
-            peer.fresh.remove(&shard);
+            peer.newly_held.remove(&shard);
         }
         if let Some(peer) = from.as_ref().filter(|_| moved).and_then(|from| shards.peers.get_mut(from)) {
-            peer.replaced = true;
+            peer.shard_taken = true;
         }
         if let Some(peer) = shards.peers.get_mut(&to).filter(|_| !own) {
             peer.due.extend(hosts.iter().cloned());
             if reason != Reason::Renewed {
-                peer.fresh.insert(shard);
+                peer.newly_held.insert(shard);
             }
         }
         for host in hosts {
--- a/crates/plankhead-core/src/leader/shards/reports.rs
+++ b/crates/plankhead-core/src/leader/shards/reports.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     /// Takes in a holder's message, or refuses it.
-    pub fn holder_report(
+    pub fn handle_holder_status(
         &mut self,
         times: StepTime,
         message: HolderStatus,
@@ -14,15 +14,16 @@
         let sibling = self.settings.peers.contains(&message.host);
         let Some(shards) = self.shards.as_mut() else { return Delivery::Unsupported };
         let meant = sibling && message.term == self.token;
-        let admitted = if meant { shards.guard.admit(&message.host, message.stamp).ok() } else { None };
+        let admitted =
+            if meant { shards.sequence_guard.admit(&message.host, message.stamp).ok() } else { None };
         let Some(admission) = admitted else {
             shards.refused += 1;
             return Delivery::Rejected;
         };
         let peer = shards.peers.entry(message.host.clone()).or_default();
-        peer.heard = now;
-        peer.boot = message.stamp.boot;
-        peer.latest = message.stamp.sequence;
+        peer.last_heard_at = now;
+        peer.boot_id = message.stamp.boot;
+        peer.latest_sequence = message.stamp.sequence;
         peer.zone = message.zone;
         peer.sees_records = message.sees_records;
         let restarted = admission == Admission::OtherStart;
@@ -35,17 +36,17 @@
             // A process that has begun anew knows nothing of what it was told.
             peer.due.extend(std::mem::take(&mut peer.sent).into_keys());
         }
-        for news in &message.news {
-            peer.names.learn(news.number, news.report.machine.clone());
+        for news in &message.updates {
+            peer.names.assign(news.number, news.heartbeat.machine.clone());
         }
         let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
-        self.direct_heartbeat_arrived |= !message.news.is_empty() || !alive.is_empty();
+        self.direct_heartbeat_arrived |= !message.updates.is_empty() || !alive.is_empty();
         let mut taken = true;
-        for news in message.news {
-            taken &= self.machine_news(times, &message.host, news, out);
+        for news in message.updates {
+            taken &= self.apply_machine_update(times, &message.host, news, out);
         }
         let heard = now.saturating_sub(message.alive_age);
         for host in alive {
@@ -68,14 +69,14 @@
     /// What a holder tells of one of its machines. False: it is somebody else's machine by
     /// now, or this leader does not know yet that the record was written, in which case it
     /// wants to be told again.
-    pub(super) fn machine_news(
+    pub(super) fn apply_machine_update(
         &mut self,
         times: StepTime,
         holder: &str,
         news: MachineUpdate,
         out: &mut EffectSink,
     ) -> bool {
-        let report = &news.report;
+        let report = &news.heartbeat;
         let shards = self.shards.as_mut();
         let Some(shard) = shards.map(|shards| shards.registry.shard_of(&report.zone, &report.machine)) else {
             return false;
@@ -87,14 +88,14 @@
             return false;
         }
         self.observe_machine(times, report, false, out);
-        self.vouch(&report.machine, news.proven, times.now.saturating_sub(news.age));
+        self.confirm_by_holder(&report.machine, news.confirmed, times.now.saturating_sub(news.age));
         if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-            machine.unanswered_commands = news.unanswered;
-            if news.deaf {
+            machine.unanswered_commands = news.unanswered_commands;
+            if news.ignores_commands {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
-        self.order_due(&report.machine);
+        self.mark_commands_due(&report.machine);
         true
     }
 }
--- a/crates/plankhead-core/src/leader/takeover.rs
+++ b/crates/plankhead-core/src/leader/takeover.rs
@@ -115,7 +115,7 @@
             self.first_job_at = Some(Duration::ZERO);
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
-            let at = times.at_wall(target.at_ms);
+            let at = times.monotonic_of(target.at_ms);
             self.next_round_at = (at + self.round_interval()).min(now + self.round_interval());
             self.target = target;
         }
@@ -171,7 +171,7 @@
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
             Phase::Done => {
-                requests.over(&id, Status::Done, record.tasks);
+                requests.record_ended(&id, Status::Done, record.tasks);
                 let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
                 let news = self.job_table.job_finished(&id);
                 if self.stage == Stage::Loading || news {
@@ -182,17 +182,17 @@
                 }
                 return;
             }
-            Phase::Cancelled => requests.over(&id, Status::Cancelled, 0),
+            Phase::Cancelled => requests.record_ended(&id, Status::Cancelled, 0),
             // An old event of a job that is over by now. While reading, it is taken in
             // all the same: a row that is older than a cancellation which this node
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
             // comes with the first events.
-            Phase::Active if self.stage == Stage::Ready && requests.is_over(&id) => return,
+            Phase::Active if self.stage == Stage::Ready && requests.is_ended(&id) => return,
             Phase::Active => {}
         }
-        let accepted = times.at_wall(record.accepted_ms);
-        let cancelled = record.cancelled_ms.map(|ms| times.at_wall(ms));
+        let accepted = times.monotonic_of(record.accepted_ms);
+        let cancelled = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
         let per_chunk = record.per_chunk.max(1);
         if record.phase == Phase::Active && !self.job_table.jobs.contains_key(&id) {
             // What waits when a service opens is a backlog and tells no rate.
@@ -200,7 +200,7 @@
             let rush = accepted < opened + RUSH;
             if let Some(spec) = record.spec.as_ref().filter(|_| !rush) {
                 self.recent_arrivals.push_back((accepted, Arc::new(spec.clone())));
-                if self.recent_arrivals.len() > MOST_ARRIVALS {
+                if self.recent_arrivals.len() > MAX_ARRIVALS {
                     self.recent_arrivals.pop_front();
                 }
             }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -235,7 +235,7 @@
             if matches!(seen, TaskStatus::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
                 let unconfirmed = machine.has_unconfirmed_start(task, attempt);
-                let over = !self.job_table.jobs.contains_key(&task.job) && requests.is_over(&task.job);
+                let over = !self.job_table.jobs.contains_key(&task.job) && requests.is_ended(&task.job);
                 if reaps && !unconfirmed && (over || self.job_table.may_acknowledge(task, attempt)) {
                     orders.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
@@ -247,7 +247,7 @@
         orders.extend(
             self.due_starts(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }),
         );
-        orders.truncate(MOST_ORDERS);
+        orders.truncate(MAX_ORDERS);
         orders
     }
 
@@ -260,7 +260,7 @@
         requests: &RequestHandler,
     ) -> Option<Duration> {
         let Some(entry) = self.job_table.jobs.get(&task.job) else {
-            return requests.is_over(&task.job).then_some(Duration::ZERO);
+            return requests.is_ended(&task.job).then_some(Duration::ZERO);
         };
         match self.job_table.attempt(task) {
             Some(a) if a.number == attempt && a.machine == *host => {
@@ -277,8 +277,8 @@
         let saves =
             entry.phase == Phase::Active && entry.spec.checkpoint_interval_s > 0.0 && !entry.is_gang_broken();
         let save = Duration::from_secs_f64(entry.spec.checkpoint_duration_s.min(3600.0));
-        if saves && save <= MOST_LEEWAY {
-            MOST_LEEWAY
+        if saves && save <= MAX_LEEWAY {
+            MAX_LEEWAY
         } else {
             Duration::ZERO
         }
@@ -338,8 +338,8 @@
     /// kills, each once. The answers to reports repeat what got lost.
     pub(super) fn send_commands(&mut self, now: Duration, host: &MachineName, out: &mut EffectSink) {
         let Some(machine) = self.fleet.machines.get(host) else { return };
-        if !self.commands(machine) {
-            return self.order_due(host);
+        if !self.is_own_machine(machine) {
+            return self.mark_commands_due(host);
         }
         let Some(shift) = machine.incarnation() else { return };
         if !machine.takes_commands() {
@@ -388,8 +388,9 @@
         }
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
         let address = machine.begin_command(&runs);
-        let leader_call = LeaderCall::SendCommands { host: host.clone(), shift, runs };
-        out.orders(CallPurpose::Leader(self.token, leader_call), address, token, shift, orders);
+        let leader_call =
+            LeaderCall::SendCommands { machine: host.clone(), incarnation: shift, starts: runs };
+        out.send_commands(CallPurpose::Leader(self.token, leader_call), address, token, shift, orders);
     }
 
     /// Tells the machines of gangs that are to end, all at once.
--- a/crates/plankhead-core/src/leader/writing.rs
+++ b/crates/plankhead-core/src/leader/writing.rs
@@ -17,7 +17,7 @@
         if ends {
             self.next_end_flush_at = now + ENDS_LOOK;
         }
-        while self.txns_in_flight < MOST_TXNS {
+        while self.txns_in_flight < MAX_TXNS {
             let available = self.write_budget.available(now);
             let most = self.settings.max_txn_changes.min(available);
             if most == 0 {
@@ -147,7 +147,7 @@
                 self.job_table.remove(&id);
                 continue;
             }
-            requests.over(&id, Status::Cancelled, 0);
+            requests.record_ended(&id, Status::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
                 // The next leader would wait for proof of all that is left here.
                 let before = self.garbage.len();
--- a/crates/plankhead-core/src/node/out.rs
+++ b/crates/plankhead-core/src/node/out.rs
@@ -16,14 +16,14 @@
 /// What a call was for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallPurpose {
-    Election(election::Step),
-    VersionBarrier(version_barrier::Step),
+    Election(election::ElectionCall),
+    VersionBarrier(version_barrier::VersionBarrierCall),
     UserRequest(PendingRequest),
     /// Under a token, so that replies to an earlier term are ignored.
     Leader(u64, LeaderCall),
     Reachability(ReachabilityCall),
     /// The records of shards.
-    ShardRecords(key_watch::Step),
+    ShardRecords(key_watch::KeyWatchCall),
     Holder(HolderCall),
     MachineTypes,
 }
@@ -31,29 +31,29 @@
 /// Collects effects and remembers what replies are for.
 #[derive(Debug, Default)]
 pub struct EffectSink {
-    pub effects: Vec<Effect>,
-    pub(super) calls: HashMap<CallId, CallPurpose>,
-    last: CallId,
+    pub queued: Vec<Effect>,
+    pub(super) calls_in_flight: HashMap<CallId, CallPurpose>,
+    last_call: CallId,
 }
 
 impl EffectSink {
     fn call(&mut self, purpose: CallPurpose) -> CallId {
-        self.last += 1;
-        self.calls.insert(self.last, purpose);
-        self.last
+        self.last_call += 1;
+        self.calls_in_flight.insert(self.last_call, purpose);
+        self.last_call
     }
 
-    pub fn state(&mut self, purpose: CallPurpose, op: KvRequest) {
+    pub fn call_kv(&mut self, purpose: CallPurpose, op: KvRequest) {
         let call = self.call(purpose);
-        self.effects.push(Effect::CallKv { call, request: op });
+        self.queued.push(Effect::CallKv { call, request: op });
     }
 
-    pub fn cloud(&mut self, purpose: CallPurpose, op: CloudRequest) {
+    pub fn call_cloud(&mut self, purpose: CallPurpose, op: CloudRequest) {
         let call = self.call(purpose);
-        self.effects.push(Effect::CallCloud { call, request: op });
+        self.queued.push(Effect::CallCloud { call, request: op });
     }
 
-    pub fn orders(
+    pub fn send_commands(
         &mut self,
         purpose: CallPurpose,
         address: Arc<str>,
@@ -62,26 +62,20 @@
         orders: Vec<WorkerCommand>,
     ) {
         let call = self.call(purpose);
-        self.effects.push(Effect::SendCommands {
-            call,
-            address,
-            token,
-            incarnation: shift,
-            commands: orders,
-        });
+        self.queued.push(Effect::SendCommands { call, address, token, incarnation: shift, commands: orders });
     }
 
-    pub fn shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
+    pub fn send_shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
         let call = self.call(purpose);
-        self.effects.push(Effect::SendShardMessage { call, to, message });
+        self.queued.push(Effect::SendShardMessage { call, to, message });
     }
 
-    pub fn answer(&mut self, ask: RequestId, answer: Response) {
-        self.effects.push(Effect::Respond { request: ask, response: answer });
+    pub fn respond(&mut self, ask: RequestId, answer: Response) {
+        self.queued.push(Effect::Respond { request: ask, response: answer });
     }
 
     pub fn log(&mut self, level: LogLevel, text: String) {
-        self.effects.push(Effect::Log(level, text));
+        self.queued.push(Effect::Log(level, text));
     }
 }
 
@@ -100,7 +94,7 @@
     }
 
     /// When that time of day was, on the steady clock.
-    pub fn at_wall(&self, ms: u64) -> Duration {
+    pub fn monotonic_of(&self, ms: u64) -> Duration {
         let wall = self.wall_ms();
         if ms >= wall {
             self.now
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -34,7 +34,7 @@
     pub records: RecordWatch,
     pub holder: Holder,
     /// Messages that could not be read.
-    malformed: u64,
+    malformed_messages: u64,
     /// The latest leader's token that this node knows, and since when.
     term: (u64, Duration),
 }
@@ -42,15 +42,19 @@
 impl Sharding {
     pub fn new(settings: Arc<Settings>) -> Self {
         let holder = Holder::new(settings);
-        Self { records: RecordWatch::default(), holder, malformed: 0, term: (0, Duration::ZERO) }
+        Self { records: RecordWatch::default(), holder, malformed_messages: 0, term: (0, Duration::ZERO) }
     }
 }
 
 impl Node {
-    fn standing(&self, now: Duration) -> HolderEvidence {
-        let records = self.sharding.as_ref().and_then(|sharding| sharding.records.seen());
-        let failing = self.state_bad.is_some_and(|since| now.saturating_sub(since) > FAILING);
-        HolderEvidence { records, failing, behind: self.lag > BEHIND }
+    fn holder_evidence(&self, now: Duration) -> HolderEvidence {
+        let records = self.sharding.as_ref().and_then(|sharding| sharding.records.synced_at());
+        let failing = self.kv_failing_since.is_some_and(|since| now.saturating_sub(since) > FAILING);
+        HolderEvidence {
+            records_synced_at: records,
+            kv_failing: failing,
+            cpu_starved: self.timer_lag > BEHIND,
+        }
     }
 
     /// Where the table sends a report of this machine.
@@ -69,7 +73,7 @@
         }
         let (term, since) = sharding.term;
         let current = known.record.term >= term || now.saturating_sub(since) < FORMER_TERM;
-        let adrift = sharding.records.seen().is_none_or(|at| now.saturating_sub(at) > ADRIFT);
+        let adrift = sharding.records.synced_at().is_none_or(|at| now.saturating_sub(at) > ADRIFT);
         if !current || adrift {
             return HolderRoute::Leader;
         }
@@ -77,7 +81,7 @@
     }
 
     /// Answers a report as the holder of its shard.
-    pub(super) fn beat_as_holder(
+    pub(super) fn handle_heartbeat_as_holder(
         &mut self,
         times: StepTime,
         report: &Heartbeat,
@@ -85,106 +89,108 @@
         relayed: bool,
     ) -> Response {
         let now = times.now;
-        let standing = self.standing(now);
-        let blind = standing.records.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
-        let adrift = (blind || standing.failing) && !self.company(now);
+        let standing = self.holder_evidence(now);
+        let blind = standing.records_synced_at.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
+        let adrift = (blind || standing.kv_failing) && !self.hears_a_peer(now);
         let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
-        sharding.holder.beat(times, report, of, (relayed, adrift), standing)
+        sharding.holder.handle_heartbeat(times, report, of, (relayed, adrift), standing)
     }
 
     /// Whether a report should wait: whoever is to answer it here still reads.
-    pub(super) fn must_wait(&self, report: &Heartbeat, now: Duration) -> bool {
+    pub(super) fn must_defer(&self, report: &Heartbeat, now: Duration) -> bool {
         if let Some(leader) = &self.leader {
             return leader.is_loading() && matches!(leader.route(report), LeaderRoute::Own);
         }
-        let reads = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.reads());
+        let reads = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.is_loading());
         reads && matches!(self.holder_route(report, now), HolderRoute::Own { .. })
     }
 
     pub(super) fn tick_sharding(&mut self, times: StepTime) {
         let now = times.now;
-        let standing = self.standing(now);
+        let standing = self.holder_evidence(now);
         let leader = match &self.leader {
             Some(leader) => Some((self.settings.host.clone(), leader.token)),
-            None => self.foreman(now, 0).map(|(token, host)| (host, token)),
+            None => self.known_leader(now, 0).map(|(token, host)| (host, token)),
         };
         let Some(sharding) = &mut self.sharding else { return };
-        sharding.records.tick(now, &mut self.out);
+        sharding.records.tick(now, &mut self.effects);
         if let Some((_, token)) = leader.as_ref().filter(|(_, token)| *token > sharding.term.0) {
             sharding.term = (*token, now);
         }
-        sharding.holder.note_leader(leader, now);
+        sharding.holder.set_leader(leader, now);
         if self.leader.is_none() {
-            sharding.holder.tick(times, standing, &mut self.out);
+            sharding.holder.tick(times, standing, &mut self.effects);
         }
     }
 
-    pub(super) fn sharding_due(&self) -> Option<Duration> {
+    pub(super) fn next_sharding_due(&self) -> Option<Duration> {
         let sharding = self.sharding.as_ref()?;
         let holder = self.leader.is_none().then(|| sharding.holder.next_due());
         sharding.records.next_due().into_iter().chain(holder).min()
     }
 
-    pub(super) fn records_reply(
+    pub(super) fn shard_records_reply(
         &mut self,
         now: Duration,
-        step: key_watch::Step,
+        step: key_watch::KeyWatchCall,
         reply: Result<KvReply, CallError>,
     ) {
         let Some(sharding) = &mut self.sharding else { return };
-        let changed = sharding.records.reply(now, step, reply, &mut self.out);
+        let changed = sharding.records.reply(now, step, reply, &mut self.effects);
         let records = &sharding.records;
         if let Some(leader) = &mut self.leader {
-            return leader.learn_records(&records.table, records.seen(), now);
+            return leader.apply_shard_records(&records.table, records.synced_at(), now);
         }
         if changed {
-            sharding.holder.adopt(&records.table, &mut self.out);
+            sharding.holder.apply_records(&records.table, &mut self.effects);
         }
     }
 
-    pub(super) fn holder_state_reply(
+    pub(super) fn holder_kv_reply(
         &mut self,
         now: Duration,
         call: HolderCall,
         reply: Result<KvReply, CallError>,
     ) {
-        let standing = self.standing(now);
+        let standing = self.holder_evidence(now);
         let (Some(sharding), HolderCall::WatchJobs(step)) = (&mut self.sharding, call) else { return };
-        sharding.holder.state_reply(now, step, reply, &mut self.requests, standing, &mut self.out);
+        sharding.holder.kv_reply(now, step, reply, &mut self.requests, standing, &mut self.effects);
     }
 
-    pub(super) fn holder_orders_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
-        let standing = self.standing(now);
-        let (Some(sharding), HolderCall::SendCommands { host, shift, runs }) = (&mut self.sharding, call)
+    pub(super) fn holder_command_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
+        let standing = self.holder_evidence(now);
+        let (Some(sharding), HolderCall::SendCommands { machine: host, incarnation: shift, starts: runs }) =
+            (&mut self.sharding, call)
         else {
             return;
         };
         if self.leader.is_none() {
-            sharding.holder.orders_reply(now, (host, shift, runs), reply, standing, &mut self.out);
+            sharding.holder.command_reply(now, (host, shift, runs), reply, standing, &mut self.effects);
         }
     }
 
     /// A peer's message about shards.
-    pub(super) fn shard_message(
+    pub(super) fn handle_shard_message(
         &mut self,
         times: StepTime,
         message: Result<ShardMessage, ShardMessageError>,
     ) -> Delivery {
-        let standing = self.standing(times.now);
+        let standing = self.holder_evidence(times.now);
         let Some(sharding) = &mut self.sharding else { return Delivery::Unsupported };
         match (message, &mut self.leader) {
             (Err(fault), _) => {
-                sharding.malformed += 1;
-                self.out.log(LogLevel::Info, format!("a message about shards was refused: {fault}"));
+                sharding.malformed_messages += 1;
+                self.effects.log(LogLevel::Info, format!("a message about shards was refused: {fault}"));
                 Delivery::Rejected
             }
             (Ok(ShardMessage::HolderStatus(report)), Some(leader)) => {
-                leader.holder_report(times, *report, &mut self.out)
+                leader.handle_holder_status(times, *report, &mut self.effects)
             }
             (Ok(ShardMessage::LeaderCommands(orders)), None)
                 if self.settings.peers.contains(&orders.host) =>
             {
-                let taken = sharding.holder.leader_orders(times.now, *orders, standing, &mut self.out);
+                let taken =
+                    sharding.holder.handle_leader_commands(times.now, *orders, standing, &mut self.effects);
                 if taken {
                     Delivery::Accepted
                 } else {
@@ -195,16 +201,16 @@
         }
     }
 
-    pub(super) fn shard_told(&mut self, now: Duration, call: CallId, delivery: Delivery) {
-        match self.out.calls.remove(&call) {
+    pub(super) fn shard_message_delivered(&mut self, now: Duration, call: CallId, delivery: Delivery) {
+        match self.effects.calls_in_flight.remove(&call) {
             Some(CallPurpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
                 if let Some(sharding) = &mut self.sharding {
-                    sharding.holder.reported(now, leader, machines, delivery);
+                    sharding.holder.status_delivered(now, leader, machines, delivery);
                 }
             }
-            Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, told })) => {
+            Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, sent: told })) => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
-                    leader.orders_told(now, &to, told, delivery);
+                    leader.shard_commands_delivered(now, &to, told, delivery);
                 }
             }
             _ => {}
@@ -212,19 +218,19 @@
     }
 
     /// This node leads from now on: what it knew as a holder is the leader's.
-    pub(super) fn holder_leads(&mut self, times: StepTime) {
+    pub(super) fn start_leading_shards(&mut self, times: StepTime) {
         let (Some(sharding), Some(leader)) = (&mut self.sharding, &mut self.leader) else { return };
         let records = &sharding.records;
-        leader.learn_records(&records.table, records.seen(), times.now);
+        leader.apply_shard_records(&records.table, records.synced_at(), times.now);
         for machine in sharding.holder.machines() {
-            leader.inherit(times, machine, &mut self.out);
+            leader.take_over_machine(times, machine, &mut self.effects);
         }
     }
 
     /// This node leads no more: it holds what the records say.
-    pub(super) fn holder_resumes(&mut self) {
+    pub(super) fn resume_holding(&mut self) {
         if let Some(sharding) = &mut self.sharding {
-            sharding.holder.adopt(&sharding.records.table, &mut self.out);
+            sharding.holder.apply_records(&sharding.records.table, &mut self.effects);
         }
     }
 
@@ -240,8 +246,8 @@
                     "next": known.record.moving.as_ref().map(|moving| &moving.to)})
             })
             .collect();
-        serde_json::json!({"records": records, "malformed": sharding.malformed,
-            "recordsSeenS": sharding.records.seen().map(|at| now.saturating_sub(at).as_secs_f64()),
+        serde_json::json!({"records": records, "malformed": sharding.malformed_messages,
+            "recordsSeenS": sharding.records.synced_at().map(|at| now.saturating_sub(at).as_secs_f64()),
             "holder": sharding.holder.view(now)})
     }
 }
--- a/crates/plankhead-core/src/node/workers.rs
+++ b/crates/plankhead-core/src/node/workers.rs
@@ -8,19 +8,19 @@
 /// reached it; after the longer time it says nothing.
 const SENT: Duration = Duration::from_secs(1);
 const SENT_LIFE: Duration = Duration::from_secs(15);
-const MOST_SENT: usize = 10_000;
+const MAX_SENT: usize = 10_000;
 
 /// How long a report waits for a leader that still reads, its worker waiting for 4 s
 /// and a sibling that passed it on for 1.5 s; and how many do.
 const HOLD: Duration = Duration::from_millis(2500);
 const HOLD_RELAYED: Duration = Duration::from_secs(1);
-const MOST_HELD: usize = 16_384;
+const MAX_HELD: usize = 16_384;
 
 /// A report that waits until a new leader has read what is known.
 #[derive(Debug)]
 pub(super) struct Held {
-    ask: RequestId,
-    report: Heartbeat,
+    request: RequestId,
+    heartbeat: Heartbeat,
     relayed: bool,
     pub until: Duration,
 }
@@ -28,31 +28,31 @@
 impl Node {
     /// Has a report wait for whoever is to answer it here to read; gives it back where that
     /// is not needed.
-    pub(super) fn hold(
+    pub(super) fn defer_heartbeat(
         &mut self,
         now: Duration,
         ask: RequestId,
         report: Heartbeat,
         relayed: bool,
     ) -> Option<Heartbeat> {
-        if self.held.len() >= MOST_HELD || !self.must_wait(&report, now) {
+        if self.deferred_heartbeats.len() >= MAX_HELD || !self.must_defer(&report, now) {
             return Some(report);
         }
         let until = now + if relayed { HOLD_RELAYED } else { HOLD };
-        self.held.push(Held { ask, report, relayed, until });
+        self.deferred_heartbeats.push(Held { request: ask, heartbeat: report, relayed, until });
         None
     }
 }
 
 impl Node {
-    pub(super) fn beat(&mut self, times: StepTime, report: Heartbeat, relayed: bool) -> Response {
+    pub(super) fn handle_heartbeat(&mut self, times: StepTime, report: Heartbeat, relayed: bool) -> Response {
         let now = times.now;
         // A shard's epoch is above its leader's token and says nothing of other shards.
         if self.sharding.is_none() {
-            self.tokens.learn(report.token);
+            self.token_guard.observe(report.token);
         }
-        self.note_report(&report, relayed, now);
-        let adrift = !self.election.is_lease_valid(now) && !self.company(now);
+        self.record_link_evidence(&report, relayed, now);
+        let adrift = !self.election.is_lease_valid(now) && !self.hears_a_peer(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&report) {
                 LeaderRoute::Own => {
@@ -61,7 +61,7 @@
                         report,
                         (relayed, adrift),
                         &self.requests,
-                        &mut self.out,
+                        &mut self.effects,
                     );
                 }
                 LeaderRoute::Holder { host, epoch } => {
@@ -74,17 +74,17 @@
             }
             // A worker has seen a later token than ours.
             let verdict = self.election.lease_lost();
-            self.verdict(times, verdict);
+            self.apply_leadership(times, verdict);
         }
         match self.holder_route(&report, now) {
             HolderRoute::Own { shard, epoch } => {
-                return self.beat_as_holder(times, &report, (shard, epoch), relayed);
+                return self.handle_heartbeat_as_holder(times, &report, (shard, epoch), relayed);
             }
             HolderRoute::Other { host, epoch } => return self.redirect(now, report, (epoch, host), relayed),
             HolderRoute::Leader => {}
         }
         let least = report.token.max(self.highest_token());
-        match self.foreman(now, least) {
+        match self.known_leader(now, least) {
             Some(leader) => self.redirect(now, report, leader, relayed),
             None => Response::Redirect { leader: None },
         }
@@ -103,38 +103,38 @@
             let since = now.saturating_sub(*at);
             *to == token && since > SENT && since < SENT_LIFE
         };
-        let known = token == report.token || self.sent.get(&report.machine).is_some_and(back);
+        let known = token == report.token || self.redirected_workers.get(&report.machine).is_some_and(back);
         if known && !relayed {
             return Response::Relay { leader: foreman };
         }
-        if self.sent.len() >= MOST_SENT {
-            self.sent.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
+        if self.redirected_workers.len() >= MAX_SENT {
+            self.redirected_workers.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
         }
-        if self.sent.len() < MOST_SENT {
-            self.sent.insert(report.machine, (token, now));
+        if self.redirected_workers.len() < MAX_SENT {
+            self.redirected_workers.insert(report.machine, (token, now));
         }
         Response::Redirect { leader: Some(foreman) }
     }
 
     /// What a report tells of the links to workers.
-    fn note_report(&mut self, report: &Heartbeat, relayed: bool, now: Duration) {
-        let Some(reach) = &mut self.reach else { return };
-        reach.report(&report.machine, relayed, now);
+    fn record_link_evidence(&mut self, report: &Heartbeat, relayed: bool, now: Duration) {
+        let Some(reach) = &mut self.reachability else { return };
+        reach.heartbeat_arrived(&report.machine, relayed, now);
         if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(report)) {
-            reach.answer_shown(shown, now);
+            reach.answer_confirmed(shown, now);
         }
     }
 
     /// Answers the reports that waited for the leader to read, once it has or has
     /// failed to.
-    pub(super) fn release_held(&mut self, times: StepTime) {
-        let (held, due): (Vec<Held>, Vec<Held>) = std::mem::take(&mut self.held)
+    pub(super) fn answer_deferred(&mut self, times: StepTime) {
+        let (held, due): (Vec<Held>, Vec<Held>) = std::mem::take(&mut self.deferred_heartbeats)
             .into_iter()
-            .partition(|held| times.now < held.until && self.must_wait(&held.report, times.now));
-        self.held = held;
-        for Held { ask, report, relayed, .. } in due {
-            let answer = self.beat(times, report, relayed);
-            self.out.answer(ask, answer);
+            .partition(|held| times.now < held.until && self.must_defer(&held.heartbeat, times.now));
+        self.deferred_heartbeats = held;
+        for Held { request: ask, heartbeat: report, relayed, .. } in due {
+            let answer = self.handle_heartbeat(times, report, relayed);
+            self.effects.respond(ask, answer);
         }
     }
 }
--- a/crates/plankhead-core/src/places.rs
+++ b/crates/plankhead-core/src/places.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Images told apart at most; past that, all are numbered anew.
-const MOST_IMAGES: usize = 10_000;
+const MAX_IMAGES: usize = 10_000;
 
 /// Pools, zones and images by number.
 #[derive(Debug, Default)]
@@ -19,14 +19,14 @@
 }
 
 impl PlacementIndex {
-    pub fn pool(&mut self, pool: &Pool) -> usize {
+    pub fn pool_index(&mut self, pool: &Pool) -> usize {
         self.pools.iter().position(|p| p == pool).unwrap_or_else(|| {
             self.pools.push(pool.clone());
             self.pools.len() - 1
         })
     }
 
-    pub fn zone(&mut self, zone: &str) -> usize {
+    pub fn zone_index(&mut self, zone: &str) -> usize {
         self.zones.iter().position(|z| **z == *zone).unwrap_or_else(|| {
             self.zones.push(zone.into());
             self.zones.len() - 1
@@ -38,11 +38,11 @@
     }
 
     /// The image's number, or None if it is new and there is no room.
-    pub fn image(&mut self, name: &str, gb: f64) -> Option<u32> {
+    pub fn image_index(&mut self, name: &str, gb: f64) -> Option<u32> {
         if let Some(number) = self.images.get(name) {
             return Some(*number);
         }
-        if self.sizes.len() >= MOST_IMAGES {
+        if self.sizes.len() >= MAX_IMAGES {
             return None;
         }
         self.images.insert(name.into(), self.sizes.len() as u32);
@@ -55,12 +55,12 @@
         self.sizes.clear();
     }
 
-    pub fn size(&self, image: u32) -> f64 {
+    pub fn image_size_gb(&self, image: u32) -> f64 {
         self.sizes.get(image as usize).copied().unwrap_or(0.0)
     }
 
     /// By pool: whether the job may use it.
-    pub fn allowed(&self, spec: &JobSpec) -> Vec<bool> {
+    pub fn allowed_pools(&self, spec: &JobSpec) -> Vec<bool> {
         let allows = |pool: &Pool| {
             (spec.allows_spot || !pool.spot)
                 && spec.machine_types.as_ref().is_none_or(|rigs| rigs.contains(&pool.machine_type))
--- a/crates/plankhead-core/src/portions.rs
+++ b/crates/plankhead-core/src/portions.rs
@@ -16,11 +16,11 @@
 const START: Duration = Duration::from_micros(30);
 /// Replayed passes in one portion, and machines looked at in all of them: 40 passes on
 /// 1,940 machines took up to 28 ms of a whole core.
-const MOST_PASSES: usize = 40;
-const MOST_REPLAYED: usize = 14_000;
+const MAX_PASSES: usize = 40;
+const MAX_REPLAYED: usize = 14_000;
 /// Starts of one pass: 5,000 at once on 1,940 machines took 0.13 s of a whole core.
-const MOST_STARTS: usize = 1_000;
-const LEAST_STARTS: usize = 16;
+const MAX_STARTS: usize = 1_000;
+const MIN_STARTS: usize = 16;
 /// Time between passes: what changes meanwhile shares one.
 const PASS_PAUSE: Duration = Duration::from_millis(50);
 /// Time between looks for tasks to stop.
@@ -43,22 +43,22 @@
     }
 
     /// How often work that takes so long on a whole core fits into `time`.
-    fn times(&self, time: Duration, each: Duration) -> usize {
+    fn operations_in(&self, time: Duration, each: Duration) -> usize {
         (time.as_secs_f64() * self.share / each.as_secs_f64()) as usize
     }
 
     /// Tasks that one pass starts at the most.
-    pub fn starts(&self) -> usize {
-        self.times(PASS, START).clamp(LEAST_STARTS, MOST_STARTS)
+    pub fn max_starts_per_pass(&self) -> usize {
+        self.operations_in(PASS, START).clamp(MIN_STARTS, MAX_STARTS)
     }
 
     /// Time between two passes.
-    pub fn pass_pause(&self) -> Duration {
+    pub fn pass_interval(&self) -> Duration {
         PASS_PAUSE
     }
 
     /// Time between two looks for tasks to stop for more urgent ones.
-    pub fn preemption_pause(&self) -> Duration {
+    pub fn preemption_interval(&self) -> Duration {
         PREEMPTION_PAUSE
     }
 
@@ -72,16 +72,16 @@
     }
 
     /// Passes of one portion of a replay on so many machines.
-    pub fn replayed_passes(&self, machines: usize) -> usize {
-        let most = self.times(PORTION, REPLAYED_MACHINE).min(MOST_REPLAYED);
-        (most / machines.max(1)).clamp(1, MOST_PASSES)
+    pub fn passes_per_slice(&self, machines: usize) -> usize {
+        let most = self.operations_in(PORTION, REPLAYED_MACHINE).min(MAX_REPLAYED);
+        (most / machines.max(1)).clamp(1, MAX_PASSES)
     }
 
     /// Time between the starts of two portions of a replay: a fifth of the time is left
     /// for the rest, and half in a process that is behind. No more, since the fleet follows
     /// the backlog by rounds: with two thirds, rounds of 8 s took 47.
-    pub fn replay_pause(&self, machines: usize, behind: bool) -> Duration {
-        let looks = (self.replayed_passes(machines) * machines) as f64;
+    pub fn slice_interval(&self, machines: usize, behind: bool) -> Duration {
+        let looks = (self.passes_per_slice(machines) * machines) as f64;
         let portion = Duration::from_secs_f64(looks * REPLAYED_MACHINE.as_secs_f64() / self.share);
         portion.mul_f64(if behind { 2.0 } else { 1.25 })
     }
--- a/crates/plankhead-core/src/queue.rs
+++ b/crates/plankhead-core/src/queue.rs
@@ -8,16 +8,16 @@
 /// A team as the queue sees it during one pass.
 #[derive(Debug, Clone, Default)]
 pub struct TeamUsage {
-    pub guarantee: Resources,
-    pub cap: Resources,
+    pub guaranteed: Resources,
+    pub limit: Resources,
     pub used: Resources,
 }
 
 impl TeamUsage {
     /// How much of its share a team holds; the least comes next.
-    fn ratio(&self) -> f64 {
+    fn share_ratio(&self) -> f64 {
         let of = |used: f64, share: f64| if used <= 0.0 { 0.0 } else { used / share.max(1e-3) };
-        of(self.used.cpus, self.guarantee.cpus).max(of(self.used.gpus, self.guarantee.gpus))
+        of(self.used.cpus, self.guaranteed.cpus).max(of(self.used.gpus, self.guaranteed.gpus))
     }
 
     pub fn admits(&self, each: &Resources) -> bool {
@@ -28,7 +28,7 @@
     pub fn admits_all(&self, each: &Resources, tasks: u32) -> bool {
         let mut used = self.used;
         used.add(&each.times(tasks));
-        used.cpus <= self.cap.cpus + 1e-6 && used.gpus <= self.cap.gpus + 1e-6
+        used.cpus <= self.limit.cpus + 1e-6 && used.gpus <= self.limit.gpus + 1e-6
     }
 }
 
@@ -37,47 +37,47 @@
 #[derive(Debug, Clone)]
 pub struct Work {
     pub team: usize,
-    pub urgency: Priority,
+    pub priority: Priority,
     pub guaranteed: bool,
-    pub accepted: Duration,
+    pub accepted_at: Duration,
     /// When it should start or be done at the latest.
-    pub due: Duration,
+    pub latest_start: Duration,
     /// A task that starts by then may be lost and run again in time.
-    pub again_by: Duration,
-    pub each: Resources,
+    pub latest_restart: Duration,
+    pub demand: Resources,
     pub image: u32,
     pub image_gb: f64,
     /// By pool: whether its machines may run the tasks.
-    pub pools: Vec<bool>,
-    pub one_zone: bool,
+    pub allowed_pools: Vec<bool>,
+    pub single_zone: bool,
     /// Tasks of the job allowed in one zone at a time.
-    pub zone_most: u32,
-    pub estimate: Duration,
+    pub max_per_zone: u32,
+    pub estimated_runtime: Duration,
     pub pending: u32,
     /// All pending tasks start at once, or none.
     pub gang: bool,
     /// Some task of the job was placed already.
-    pub begun: bool,
+    pub has_started: bool,
     /// Attempts not proven gone, by zone.
-    pub zones: Vec<(usize, u32)>,
+    pub attempts_by_zone: Vec<(usize, u32)>,
 }
 
 impl Work {
     pub fn allows(&self, pool: usize) -> bool {
-        self.pools.get(pool).copied().unwrap_or(false)
+        self.allowed_pools.get(pool).copied().unwrap_or(false)
     }
 
     /// Whether one more task may join the job's tasks in this zone.
-    pub fn zone_admits(&self, zone: usize) -> bool {
-        if self.one_zone && self.zones.iter().any(|(z, n)| *n > 0 && *z != zone) {
+    pub fn admits_zone(&self, zone: usize) -> bool {
+        if self.single_zone && self.attempts_by_zone.iter().any(|(z, n)| *n > 0 && *z != zone) {
             return false;
         }
-        let here = self.zones.iter().find(|(z, _)| *z == zone).map_or(0, |(_, n)| *n);
-        here < self.zone_most
+        let here = self.attempts_by_zone.iter().find(|(z, _)| *z == zone).map_or(0, |(_, n)| *n);
+        here < self.max_per_zone
     }
 
     /// How many of the pending tasks must start together.
-    pub fn together(&self) -> u32 {
+    pub fn min_simultaneous(&self) -> u32 {
         if self.gang {
             self.pending
         } else {
@@ -87,23 +87,23 @@
 
     /// A machine's price as this work sees it: cheap ones may be taken away, so that
     /// a task without time for a second run takes the dearest.
-    pub fn cost(&self, price: f64, now: Duration) -> f64 {
-        if now > self.again_by {
+    pub fn effective_price(&self, price: f64, now: Duration) -> f64 {
+        if now > self.latest_restart {
             -price
         } else {
             price
         }
     }
 
-    pub fn joined(&mut self, zone: usize) {
-        match self.zones.iter_mut().find(|(z, _)| *z == zone) {
+    pub fn add_to_zone(&mut self, zone: usize) {
+        match self.attempts_by_zone.iter_mut().find(|(z, _)| *z == zone) {
             Some((_, n)) => *n += 1,
-            None => self.zones.push((zone, 1)),
+            None => self.attempts_by_zone.push((zone, 1)),
         }
     }
 
     fn tier(&self) -> (std::cmp::Reverse<Priority>, bool) {
-        (std::cmp::Reverse(self.urgency), !self.guaranteed)
+        (std::cmp::Reverse(self.priority), !self.guaranteed)
     }
 }
 
@@ -111,21 +111,21 @@
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaDemand {
     pub team: usize,
-    pub accepted: Duration,
-    pub amount: Resources,
+    pub accepted_at: Duration,
+    pub resources: Resources,
 }
 
 /// Which jobs fit into their team's guarantee together with the team's earlier
 /// unfinished ones.
 pub fn guaranteed(needs: &[QuotaDemand], teams: &[TeamUsage]) -> Vec<bool> {
     let mut order: Vec<usize> = (0..needs.len()).collect();
-    order.sort_by_key(|i| needs[*i].accepted);
+    order.sort_by_key(|i| needs[*i].accepted_at);
     let mut sums = vec![Resources::default(); teams.len()];
     let mut fit = vec![false; needs.len()];
     for i in order {
         let team = needs[i].team;
-        sums[team].add(&needs[i].amount);
-        let room = Resources { ram_gb: f64::INFINITY, ..teams[team].guarantee };
+        sums[team].add(&needs[i].resources);
+        let room = Resources { ram_gb: f64::INFINITY, ..teams[team].guaranteed };
         fit[i] = sums[team].fits(&room);
     }
     fit
@@ -141,7 +141,7 @@
     pub fn new(work: &[Work], teams: usize) -> Self {
         let mut queues = vec![VecDeque::new(); teams];
         let mut order: Vec<usize> = (0..work.len()).filter(|i| work[*i].pending > 0).collect();
-        order.sort_by_key(|i| (work[*i].tier(), work[*i].due, work[*i].accepted, *i));
+        order.sort_by_key(|i| (work[*i].tier(), work[*i].latest_start, work[*i].accepted_at, *i));
         for i in order {
             queues[work[i].team].push_back(i);
         }
@@ -158,11 +158,13 @@
                 queue.pop_front();
             }
             let Some(i) = queue.front().copied() else { continue };
-            let ratio = teams[team].ratio();
+            let ratio = teams[team].share_ratio();
             let better = best.is_none_or(|(b, least)| {
                 let (x, y) = (&work[i], &work[b]);
                 let by_share = x.tier().cmp(&y.tier()).then(ratio.total_cmp(&least));
-                by_share.then((x.due, x.accepted, i).cmp(&(y.due, y.accepted, b))).is_lt()
+                by_share
+                    .then((x.latest_start, x.accepted_at, i).cmp(&(y.latest_start, y.accepted_at, b)))
+                    .is_lt()
             });
             if better {
                 best = Some((i, ratio));
@@ -172,7 +174,7 @@
     }
 
     /// Nothing more of this work, which was next, can start in the pass.
-    pub fn close(&mut self, work: &[Work], i: usize) {
+    pub fn skip(&mut self, work: &[Work], i: usize) {
         self.queues[work[i].team].pop_front();
     }
 }
