--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reach.rs
@@ -49,15 +49,15 @@
 #[derive(Debug, Clone, Default)]
 pub struct LeaderFacts {
     pub token: u64,
-    pub since: Duration,
+    pub leading_since: Duration,
     /// Its grant is good, and nothing says that the state service fails it.
-    pub steady: bool,
+    pub lease_undisputed: bool,
     /// Machines that should report to it.
-    pub up: usize,
+    pub machines_up: usize,
     /// Machines whose reports came lately without a detour.
-    pub direct: Vec<MachineName>,
+    pub heard_directly: Vec<MachineName>,
     /// Machines that confirmed an answer or a command lately.
-    pub reached: Vec<MachineName>,
+    pub confirmed_commands: Vec<MachineName>,
 }
 
 /// What users' requests may lead to.
@@ -76,24 +76,24 @@
 pub struct Reachability {
     settings: Arc<Settings>,
     monitor: Monitor,
-    table: CoverageTable,
+    coverage_table: CoverageTable,
     numbering: MachineNumbering,
     handover: Handover,
     /// Which link a call under way tells of.
-    calls: HashMap<CallId, LinkId>,
+    links_of_calls: HashMap<CallId, LinkId>,
     /// Machines whose reports reached this node itself, and when.
-    heard: HashMap<MachineName, Duration>,
+    heard_machines: HashMap<MachineName, Duration>,
     sequence: u64,
-    coverage_due: Duration,
-    listing: bool,
-    list_after: Option<String>,
-    list_due: Duration,
+    next_coverage_at: Duration,
+    list_in_flight: bool,
+    list_after_key: Option<String>,
+    next_list_at: Duration,
     /// All pages were read once.
-    read: bool,
-    writing: bool,
-    write_due: Duration,
-    probe_due: Duration,
-    fault_due: Duration,
+    numbering_loaded: bool,
+    write_in_flight: bool,
+    next_write_at: Duration,
+    next_probe_at: Duration,
+    next_fault_log_at: Duration,
 }
 
 fn state_link(op: &KvRequest) -> LinkId {
@@ -113,26 +113,26 @@
         let silence = settings.heartbeat_timeout() + Duration::from_secs(1);
         Self {
             monitor: Monitor::new(reachability, settings.peers.len(), silence, now),
-            table: CoverageTable::new(&settings.host, &settings.peers),
+            coverage_table: CoverageTable::new(&settings.host, &settings.peers),
             numbering: MachineNumbering::default(),
             handover: Handover::new(reachability),
             settings,
-            calls: HashMap::new(),
-            heard: HashMap::new(),
+            links_of_calls: HashMap::new(),
+            heard_machines: HashMap::new(),
             sequence: 0,
-            coverage_due: now,
-            listing: false,
-            list_after: None,
-            list_due: now,
-            read: false,
-            writing: false,
-            write_due: now,
-            probe_due: now,
-            fault_due: now,
+            next_coverage_at: now,
+            list_in_flight: false,
+            list_after_key: None,
+            next_list_at: now,
+            numbering_loaded: false,
+            write_in_flight: false,
+            next_write_at: now,
+            next_probe_at: now,
+            next_fault_log_at: now,
         }
     }
 
-    pub fn enabled(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.settings.reachability.enabled
     }
 
@@ -147,7 +147,7 @@
 
     /// What users may have now. Their requests carry their own evidence, so that a state
     /// service which answers is enough, even where it is not trusted to last.
-    pub fn users(&self) -> UserPermissions {
+    pub fn user_permissions(&self) -> UserPermissions {
         let mode = match (self.monitor.mode(), self.monitor.state_good()) {
             (Mode::WorkersOnly, true) => Mode::Whole,
             (Mode::Isolated, true) => Mode::StateOnly,
@@ -161,16 +161,16 @@
     }
 
     /// Whether this node should leave the lease to others that see more, for a moment.
-    pub fn holds_back(&self, now: Duration) -> bool {
+    pub fn defers_to_peers(&self, now: Duration) -> bool {
         let half_blind = !self.allows(self.mode(), Action::Lead);
         let successor = |c: &Coverage| c.successor.as_ref().is_some_and(|host| *host != self.settings.host);
-        self.table.fresh(now).any(|c| successor(c) || half_blind && c.mode == Mode::Whole)
+        self.coverage_table.fresh(now).any(|c| successor(c) || half_blind && c.mode == Mode::Whole)
     }
 
     // ----- evidence -----
 
     /// Notes the calls that go out.
-    pub fn sent(&mut self, effects: &[Effect], now: Duration) {
+    pub fn calls_sent(&mut self, effects: &[Effect], now: Duration) {
         for effect in effects {
             let (call, link) = match effect {
                 Effect::CallKv { call, request: op } => (*call, state_link(op)),
@@ -178,7 +178,7 @@
                 Effect::SendCommands { call, .. } => (*call, LinkId::Commands),
                 _ => continue,
             };
-            self.calls.insert(call, link);
+            self.links_of_calls.insert(call, link);
             // A watch waits by its nature, and a machine that hangs is no link's fault.
             if !matches!(link, LinkId::StateWatch | LinkId::Commands) {
                 self.monitor.sent(link, call, now);
@@ -186,8 +186,8 @@
         }
     }
 
-    pub fn state_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
-        let Some(link) = self.calls.remove(&call) else { return };
+    pub fn kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
             // It is there, and has too much to do.
@@ -197,15 +197,15 @@
     }
 
     pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
-        let Some(link) = self.calls.remove(&call) else { return };
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
         match reply {
             Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
             _ => self.monitor.answered(link, call, now),
         }
     }
 
-    pub fn orders_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
-        let Some(link) = self.calls.remove(&call) else { return };
+    pub fn command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
         match reply {
             CommandReply::Answered(_) => self.monitor.confirmed(link, now),
             CommandReply::NotSent | CommandReply::Unanswered => self.monitor.failed(link, now),
@@ -213,44 +213,44 @@
     }
 
     /// A worker's report came; `relayed`: through a peer.
-    pub fn report(&mut self, host: &MachineName, relayed: bool, now: Duration) {
+    pub fn heartbeat_arrived(&mut self, host: &MachineName, relayed: bool, now: Duration) {
         self.monitor.report_arrived(now);
         if relayed {
             return;
         }
-        if self.heard.is_empty() {
+        if self.heard_machines.is_empty() {
             // Workers begin to come here: their leader may not hear them.
-            self.coverage_due = now;
+            self.next_coverage_at = now;
         }
-        let remembered = self.heard.len() < MAX_HEARD;
-        if let Some(at) = self.heard.get_mut(host) {
+        let remembered = self.heard_machines.len() < MAX_HEARD;
+        if let Some(at) = self.heard_machines.get_mut(host) {
             *at = now;
         } else if remembered {
-            self.heard.insert(host.clone(), now);
+            self.heard_machines.insert(host.clone(), now);
         }
     }
 
     /// A worker that was answered before reported again, and does or does not show it.
-    pub fn answer_shown(&mut self, shown: bool, now: Duration) {
+    pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
         match shown {
             true => self.monitor.confirmed(LinkId::Answers, now),
             false => self.monitor.failed(LinkId::Answers, now),
         }
     }
 
-    fn peer(&self, host: &str) -> Option<usize> {
+    fn peer_index(&self, host: &str) -> Option<usize> {
         self.settings.peers.iter().position(|sibling| sibling == host)
     }
 
     pub fn peer_heard(&mut self, host: &str, now: Duration) {
-        if let Some(peer) = self.peer(host) {
+        if let Some(peer) = self.peer_index(host) {
             self.monitor.peer_heard(peer, now);
         }
     }
 
     /// What came of telling a peer something.
-    pub fn peer_told(&mut self, host: &str, confirmed: bool, now: Duration) {
-        let Some(peer) = self.peer(host) else { return };
+    pub fn peer_delivery(&mut self, host: &str, confirmed: bool, now: Duration) {
+        let Some(peer) = self.peer_index(host) else { return };
         match confirmed {
             true => self.monitor.confirmed(LinkId::PeerOut(peer), now),
             false => self.monitor.failed(LinkId::PeerOut(peer), now),
@@ -258,7 +258,7 @@
     }
 
     /// The lease is over: nothing renews it, so that nothing tells of that link.
-    pub fn leads_no_more(&mut self) {
+    pub fn leadership_lost(&mut self) {
         self.monitor.forget_link(LinkId::StateRenewal);
         self.monitor.forget_link(LinkId::Answers);
     }
@@ -266,7 +266,7 @@
     // ----- coverage -----
 
     /// Takes in what a peer tells, or says why not.
-    pub fn coverage(
+    pub fn coverage_received(
         &mut self,
         coverage: Result<Coverage, CoverageError>,
         holder: Option<KnownLeader<'_>>,
@@ -274,17 +274,17 @@
         out: &mut EffectSink,
     ) -> bool {
         let received = match coverage {
-            Ok(coverage) => self.table.receive(coverage, now, &self.numbering, holder).map(|_| ()),
+            Ok(coverage) => self.coverage_table.receive(coverage, now, &self.numbering, holder).map(|_| ()),
             Err(fault) => {
-                self.table.count_refused();
+                self.coverage_table.count_refused();
                 Err(fault)
             }
         };
         let Err(fault) = received else { return true };
         if fault == CoverageError::NumberingAhead {
-            self.list_due = self.list_due.min(now);
-        } else if now >= self.fault_due {
-            self.fault_due = now + FAULT_PAUSE;
+            self.next_list_at = self.next_list_at.min(now);
+        } else if now >= self.next_fault_log_at {
+            self.next_fault_log_at = now + FAULT_PAUSE;
             out.log(LogLevel::Info, format!("a peer's coverage was refused: {fault}"));
         }
         false
@@ -292,24 +292,24 @@
 
     /// Whether some peer hears the machine.
     pub fn heard_by_a_peer(&self, host: &str, now: Duration) -> bool {
-        self.table.heard_by_a_peer(host, &self.numbering, now)
+        self.coverage_table.heard_by_a_peer(host, &self.numbering, now)
     }
 
     /// Whether every peer says that it hears no machine either.
     pub fn peers_agree(&self, now: Duration) -> bool {
-        self.table.nobody_hears(now)
+        self.coverage_table.nobody_hears(now)
     }
 
     /// Whether all peers exchange coverage, so that it decides who should lead.
     pub fn is_complete(&self, now: Duration) -> bool {
-        self.enabled() && !self.settings.peers.is_empty() && self.table.complete(now)
+        self.is_enabled() && !self.settings.peers.is_empty() && self.coverage_table.complete(now)
     }
 
-    fn numbers<'a>(&self, hosts: impl Iterator<Item = &'a MachineName>) -> RoaringBitmap {
+    fn numbers_of<'a>(&self, hosts: impl Iterator<Item = &'a MachineName>) -> RoaringBitmap {
         hosts.filter_map(|host| self.numbering.number(host)).collect()
     }
 
-    fn tell(
+    fn send_coverage(
         &mut self,
         facts: Option<&LeaderFacts>,
         successor: Option<String>,
@@ -317,7 +317,7 @@
         out: &mut EffectSink,
     ) {
         let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
-        self.heard.retain(|_, at| now.saturating_sub(*at) < lately);
+        self.heard_machines.retain(|_, at| now.saturating_sub(*at) < lately);
         self.sequence += 1;
         let siblings = self.settings.peers.iter().enumerate();
         let peers = siblings.filter(|(peer, _)| self.monitor.hears_peer(*peer));
@@ -329,25 +329,25 @@
             token: facts.map_or(0, |facts| facts.token),
             mode: self.mode(),
             numbering: self.numbering.revision(),
-            heard: self.numbers(self.heard.keys()),
-            reached: facts.map(|facts| self.numbers(facts.reached.iter())).unwrap_or_default(),
-            expected: facts.map_or(0, |facts| u32::try_from(facts.up).unwrap_or(u32::MAX)),
+            heard: self.numbers_of(self.heard_machines.keys()),
+            reached: facts.map(|facts| self.numbers_of(facts.confirmed_commands.iter())).unwrap_or_default(),
+            expected: facts.map_or(0, |facts| u32::try_from(facts.machines_up).unwrap_or(u32::MAX)),
             peers,
             successor,
         };
-        out.effects.push(Effect::SendCoverage(Box::new(coverage)));
+        out.queued.push(Effect::SendCoverage(Box::new(coverage)));
     }
 
     /// The node that this leader should hand over to now; the others are told.
     pub fn successor(&mut self, facts: &LeaderFacts, now: Duration, out: &mut EffectSink) -> Option<String> {
-        if !facts.steady {
+        if !facts.lease_undisputed {
             // What can't be given up runs out by itself.
             return None;
         }
         let own = LeaderView {
             mode: self.mode(),
-            heard: facts.direct.len() as u64,
-            expected: facts.up as u64,
+            heard: facts.heard_directly.len() as u64,
+            expected: facts.machines_up as u64,
             state_suppressed: self.monitor.state_suppressed(now),
         };
         let candidate = |coverage: &Coverage| Candidate {
@@ -355,9 +355,9 @@
             mode: coverage.mode,
             heard: coverage.heard.len(),
         };
-        let candidates: Vec<Candidate> = self.table.fresh(now).map(candidate).collect();
-        let successor = self.handover.decide(&own, &candidates, facts.since, now)?;
-        self.tell(Some(facts), Some(successor.clone()), now, out);
+        let candidates: Vec<Candidate> = self.coverage_table.fresh(now).map(candidate).collect();
+        let successor = self.handover.decide(&own, &candidates, facts.leading_since, now)?;
+        self.send_coverage(Some(facts), Some(successor.clone()), now, out);
         Some(successor)
     }
 
@@ -369,8 +369,8 @@
     }
 
     /// When the others are told next of this node's reach.
-    pub fn tells_at(&self) -> Duration {
-        self.coverage_due
+    pub fn next_coverage_due(&self) -> Duration {
+        self.next_coverage_at
     }
 
     /// Judges the links; a change of mode is logged, in one line.
@@ -381,55 +381,58 @@
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
         out.log(LogLevel::Info, format!("sees {to} after {lasted:.1} s of {from} ({causes})"));
         // The others should know at once.
-        self.coverage_due = now;
+        self.next_coverage_at = now;
         Some(change)
     }
 
     pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, out: &mut EffectSink) {
-        if now >= self.coverage_due {
-            self.coverage_due = now + self.settings.reachability.coverage_interval;
-            self.tell(facts, None, now, out);
+        if now >= self.next_coverage_at {
+            self.next_coverage_at = now + self.settings.reachability.coverage_interval;
+            self.send_coverage(facts, None, now, out);
         }
-        if !self.listing && now >= self.list_due {
-            self.listing = true;
-            self.list(out);
+        if !self.list_in_flight && now >= self.next_list_at {
+            self.list_in_flight = true;
+            self.list_numbering(out);
         }
-        if now >= self.probe_due {
-            self.probe_due = now + PROBE;
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + PROBE;
             self.probe(now, out);
         }
     }
 
     /// Whether the leader should look for machines without a number.
-    pub fn wants_numbers(&mut self, now: Duration) -> bool {
-        let due = self.read && !self.writing && now >= self.write_due;
+    pub fn take_numbering_check(&mut self, now: Duration) -> bool {
+        let due = self.numbering_loaded && !self.write_in_flight && now >= self.next_write_at;
         if due {
-            self.write_due = now + NUMBERING_LOOK;
+            self.next_write_at = now + NUMBERING_LOOK;
         }
         due
     }
 
     /// Writes one page of the numbering, as the leader.
-    pub fn write_numbers(&mut self, machines: &BTreeSet<MachineName>, token: u64, out: &mut EffectSink) {
+    pub fn write_numbering(&mut self, machines: &BTreeSet<MachineName>, token: u64, out: &mut EffectSink) {
         let Some(write) = self.numbering.next_write(machines, self.settings.max_value_bytes) else { return };
-        self.writing = true;
+        self.write_in_flight = true;
         let lead = Condition { key: election::KEY.into(), mod_revision: token };
         let page = Condition { key: write.key.clone(), mod_revision: write.revision };
         let (key, value) = (write.key, write.value);
         let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), lease: None }];
         let call = ReachabilityCall::WritePage { key, value };
-        out.state(CallPurpose::Reachability(call), KvRequest::Txn { conditions: vec![lead, page], changes });
+        out.call_kv(
+            CallPurpose::Reachability(call),
+            KvRequest::Txn { conditions: vec![lead, page], changes },
+        );
     }
 
-    fn list(&self, out: &mut EffectSink) {
-        let op = KvRequest::List { prefix: numbering::PREFIX.into(), after: self.list_after.clone() };
-        out.state(CallPurpose::Reachability(ReachabilityCall::ListPages), op);
+    fn list_numbering(&self, out: &mut EffectSink) {
+        let op = KvRequest::List { prefix: numbering::PREFIX.into(), after: self.list_after_key.clone() };
+        out.call_kv(CallPurpose::Reachability(ReachabilityCall::ListPages), op);
     }
 
     /// Tries links that fail and that nothing else uses.
     fn probe(&mut self, now: Duration, out: &mut EffectSink) {
         if self.monitor.wants_probe(LinkId::StateReads, now) {
-            out.state(
+            out.call_kv(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
                 KvRequest::Get { key: election::KEY.into() },
             );
@@ -437,7 +440,7 @@
         if self.monitor.wants_probe(LinkId::StateWrites, now) {
             let conditions = vec![Condition { key: election::KEY.into(), mod_revision: NO_REVISION }];
             let changes = vec![KvChange::Delete { key: election::KEY.into() }];
-            out.state(
+            out.call_kv(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
                 KvRequest::Txn { conditions, changes },
             );
@@ -453,42 +456,42 @@
     ) {
         match call {
             ReachabilityCall::Probe => {}
-            ReachabilityCall::ListPages => self.listed(reply, now, out),
+            ReachabilityCall::ListPages => self.numbering_listed(reply, now, out),
             ReachabilityCall::WritePage { key, value } => {
-                self.writing = false;
+                self.write_in_flight = false;
                 match reply {
                     Ok(KvReply::Committed { revision: epoch }) => {
-                        self.take_in(&KeyValue { key, value, mod_revision: epoch }, out);
+                        self.apply_numbering_page(&KeyValue { key, value, mod_revision: epoch }, out);
                         // More may be left to write.
-                        self.write_due = now;
+                        self.next_write_at = now;
                     }
                     // The page is another than was thought, or may be.
-                    _ => self.list_due = now,
+                    _ => self.next_list_at = now,
                 }
             }
         }
     }
 
-    fn listed(&mut self, reply: Result<KvReply, CallError>, now: Duration, out: &mut EffectSink) {
+    fn numbering_listed(&mut self, reply: Result<KvReply, CallError>, now: Duration, out: &mut EffectSink) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
-            self.listing = false;
-            self.list_after = None;
-            self.list_due = now + NUMBERING_RETRY;
+            self.list_in_flight = false;
+            self.list_after_key = None;
+            self.next_list_at = now + NUMBERING_RETRY;
             return;
         };
         for row in &rows {
-            self.take_in(row, out);
+            self.apply_numbering_page(row, out);
         }
-        self.list_after = rows.last().map(|row| row.key.clone()).filter(|_| truncated);
+        self.list_after_key = rows.last().map(|row| row.key.clone()).filter(|_| truncated);
         if truncated {
-            return self.list(out);
+            return self.list_numbering(out);
         }
-        self.read = true;
-        self.listing = false;
-        self.list_due = now + NUMBERING_AGE;
+        self.numbering_loaded = true;
+        self.list_in_flight = false;
+        self.next_list_at = now + NUMBERING_AGE;
     }
 
-    fn take_in(&mut self, row: &KeyValue, out: &mut EffectSink) {
+    fn apply_numbering_page(&mut self, row: &KeyValue, out: &mut EffectSink) {
         if let Err(fault) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
             out.log(LogLevel::Debug, format!("left alone: {fault}"));
         }
@@ -496,9 +499,9 @@
 
     /// When something is to be done next unless something comes before.
     pub fn next_due(&self, now: Duration) -> Duration {
-        let list = (!self.listing).then_some(self.list_due);
+        let list = (!self.list_in_flight).then_some(self.next_list_at);
         let dues = [list, self.monitor.next_due(now)];
-        dues.into_iter().flatten().fold(self.coverage_due, Duration::min)
+        dues.into_iter().flatten().fold(self.next_coverage_at, Duration::min)
     }
 
     pub fn view(&self, now: Duration) -> serde_json::Value {
@@ -519,17 +522,17 @@
                 "hears": coverage.peers, "leads": coverage.token > 0})
         };
         serde_json::json!({
-            "enabled": self.enabled(),
+            "enabled": self.is_enabled(),
             "mode": self.mode(),
             "sinceS": age(self.monitor.mode_since()),
             "changes": self.monitor.changes(),
             "freezes": self.monitor.freezes(),
             "handovers": self.handover.recent(),
             "links": self.monitor.links().into_iter().map(link).collect::<Vec<_>>(),
-            "heard": self.heard.len(),
+            "heard": self.heard_machines.len(),
             "numbered": self.numbering.len(),
-            "refusedCoverage": self.table.refused(),
-            "peers": self.table.fresh(now).map(told).collect::<Vec<_>>(),
+            "refusedCoverage": self.coverage_table.refused(),
+            "peers": self.coverage_table.fresh(now).map(told).collect::<Vec<_>>(),
         })
     }
 }
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -16,17 +16,17 @@
 use std::time::Duration;
 
 /// Requests under way at most; more are refused at once.
-const MOST_PENDING: usize = 250;
+const MAX_PENDING: usize = 250;
 /// Final states kept in memory; others are read again.
-const MOST_FINALS: usize = 50_000;
+const MAX_FINALS: usize = 50_000;
 /// Transactions with new jobs under way at most.
-const MOST_BATCHES: usize = 4;
+const MAX_BATCHES: usize = 4;
 /// How long a new job may wait for the write budget.
 const PATIENCE: Duration = Duration::from_millis(700);
 /// While the state service fails, one request in this time tries it.
 const PROBE: Duration = Duration::from_millis(200);
 /// Attempts to cancel against a job that changes meanwhile.
-const MOST_ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// Room left below the limit of 64 KiB for a transaction.
 const TXN_BYTES: usize = 56 * 1024;
 const RETRY: Duration = Duration::from_secs(1);
@@ -39,13 +39,13 @@
     Create(Vec<Create>),
     /// `over`: in the place of jobs that are over, since the first one is empty.
     Lookup {
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
-        why: LookupReason,
-        over: bool,
+        reason: LookupReason,
+        archived: bool,
     },
     Cancel {
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
         record: Box<JobRecord>,
         attempts: u32,
@@ -66,26 +66,26 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Create {
-    asks: Vec<RequestId>,
+    requests: Vec<RequestId>,
     id: JobId,
     value: String,
-    since: Duration,
+    queued_at: Duration,
 }
 
 #[derive(Debug)]
 pub struct RequestHandler {
     settings: Arc<Settings>,
-    waiting: VecDeque<Create>,
-    batches: usize,
-    pending: usize,
-    reads: TokenBucket,
-    writes: TokenBucket,
-    finals: HashMap<JobId, (Status, u32)>,
-    finals_order: VecDeque<JobId>,
-    seen: HashMap<JobId, (u32, u32)>,
-    failing: bool,
-    probed: Duration,
-    held: Duration,
+    queued: VecDeque<Create>,
+    batches_in_flight: usize,
+    requests_in_flight: usize,
+    read_budget: TokenBucket,
+    write_budget: TokenBucket,
+    ended_jobs: HashMap<JobId, (Status, u32)>,
+    ended_order: VecDeque<JobId>,
+    set_progress: HashMap<JobId, (u32, u32)>,
+    kv_failing: bool,
+    last_probe_at: Duration,
+    writes_paused_until: Duration,
     permissions: UserPermissions,
 }
 
@@ -99,111 +99,116 @@
     pub fn new(settings: Arc<Settings>) -> Self {
         let nodes = settings.nodes.max(1) as f64;
         Self {
-            waiting: VecDeque::new(),
-            batches: 0,
-            pending: 0,
+            queued: VecDeque::new(),
+            batches_in_flight: 0,
+            requests_in_flight: 0,
             // The leader's own calls need the rest.
-            reads: TokenBucket::new(
+            read_budget: TokenBucket::new(
                 settings.kv_requests_per_s * 0.7 / nodes,
                 settings.kv_requests_per_s * 0.5 / nodes,
             ),
-            writes: write_budget(settings.kv_changes_per_s, settings.nodes),
+            write_budget: write_budget(settings.kv_changes_per_s, settings.nodes),
             settings,
-            finals: HashMap::new(),
-            finals_order: VecDeque::new(),
-            seen: HashMap::new(),
-            failing: false,
-            probed: Duration::ZERO,
-            held: Duration::ZERO,
+            ended_jobs: HashMap::new(),
+            ended_order: VecDeque::new(),
+            set_progress: HashMap::new(),
+            kv_failing: false,
+            last_probe_at: Duration::ZERO,
+            writes_paused_until: Duration::ZERO,
             permissions: UserPermissions::ALL,
         }
     }
 
     /// What this node may do for users at present.
-    pub fn permit(&mut self, permissions: UserPermissions) {
+    pub fn set_permissions(&mut self, permissions: UserPermissions) {
         self.permissions = permissions;
     }
 
     /// The state service may take less from now on.
-    pub fn all_new(&mut self) {
+    pub fn set_all_nodes_upgraded(&mut self) {
         let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
         if next < now {
-            self.writes = write_budget(next, self.settings.nodes);
+            self.write_budget = write_budget(next, self.settings.nodes);
         }
     }
 
     /// Remembers that a job is over; this never changes.
-    pub fn over(&mut self, id: &JobId, status: Status, done: u32) {
-        self.seen.remove(id);
-        if self.finals.insert(id.clone(), (status, done)).is_none() {
-            self.finals_order.push_back(id.clone());
-        }
-        while self.finals_order.len() > MOST_FINALS {
-            if let Some(oldest) = self.finals_order.pop_front() {
-                self.finals.remove(&oldest);
+    pub fn record_ended(&mut self, id: &JobId, status: Status, done: u32) {
+        self.set_progress.remove(id);
+        if self.ended_jobs.insert(id.clone(), (status, done)).is_none() {
+            self.ended_order.push_back(id.clone());
+        }
+        while self.ended_order.len() > MAX_FINALS {
+            if let Some(oldest) = self.ended_order.pop_front() {
+                self.ended_jobs.remove(&oldest);
             }
         }
     }
 
-    pub fn is_over(&self, id: &JobId) -> bool {
-        self.finals.contains_key(id)
+    pub fn is_ended(&self, id: &JobId) -> bool {
+        self.ended_jobs.contains_key(id)
     }
 
     pub fn progress(&mut self, progress: &[JobProgress]) {
-        self.seen.clear();
+        self.set_progress.clear();
         for p in progress {
             if let Ok(id) = JobId::parse(&p.id) {
-                self.seen.insert(id, (p.done, p.running));
+                self.set_progress.insert(id, (p.done, p.running));
             }
         }
     }
 
     fn unavailable(ask: RequestId, out: &mut EffectSink) {
-        out.answer(ask, Response::Unavailable { retry_after: RETRY });
+        out.respond(ask, Response::Unavailable { retry_after: RETRY });
     }
 
     /// Whether one more request may go to the state service; if not, it has
     /// been refused at once.
     fn admit(&mut self, now: Duration, ask: RequestId, out: &mut EffectSink) -> bool {
-        let probe = !self.failing || now.saturating_sub(self.probed) >= PROBE;
-        if !probe || self.pending >= MOST_PENDING {
+        let probe = !self.kv_failing || now.saturating_sub(self.last_probe_at) >= PROBE;
+        if !probe || self.requests_in_flight >= MAX_PENDING {
             Self::unavailable(ask, out);
             return false;
         }
-        self.probed = now;
+        self.last_probe_at = now;
         true
     }
 
-    fn look(&mut self, now: Duration, ask: RequestId, id: JobId, why: LookupReason, out: &mut EffectSink) {
-        self.look_at(now, (ask, id, why), false, out);
+    fn lookup(&mut self, now: Duration, ask: RequestId, id: JobId, why: LookupReason, out: &mut EffectSink) {
+        self.lookup_in(now, (ask, id, why), false, out);
     }
 
-    fn look_at(
+    fn lookup_in(
         &mut self,
         now: Duration,
         (ask, id, why): (RequestId, JobId, LookupReason),
         over: bool,
         out: &mut EffectSink,
     ) {
-        if !self.reads.take(now, 1) {
+        if !self.read_budget.take(now, 1) {
             return Self::unavailable(ask, out);
         }
-        self.pending += 1;
+        self.requests_in_flight += 1;
         let key = if over { id.archive_key() } else { id.key() };
-        out.state(
-            CallPurpose::UserRequest(PendingRequest::Lookup { ask, id, why, over }),
+        out.call_kv(
+            CallPurpose::UserRequest(PendingRequest::Lookup {
+                request: ask,
+                id,
+                reason: why,
+                archived: over,
+            }),
             KvRequest::Get { key },
         );
     }
 
-    fn known(&self, ask: RequestId, id: &JobId, out: &mut EffectSink) -> bool {
+    fn answer_if_ended(&self, ask: RequestId, id: &JobId, out: &mut EffectSink) -> bool {
         if !self.permissions.answer_from_memory {
             return false;
         }
-        let Some((status, done)) = self.finals.get(id) else { return false };
+        let Some((status, done)) = self.ended_jobs.get(id) else { return false };
         let answer =
             Response::Job { created: false, id: id.clone(), status: *status, done: *done, running: 0 };
-        out.answer(ask, answer);
+        out.respond(ask, answer);
         true
     }
 
@@ -216,7 +221,7 @@
         (rigs, takes_gangs): (&BTreeMap<String, MachineType>, bool),
         out: &mut EffectSink,
     ) {
-        if self.known(ask, &id, out) {
+        if self.answer_if_ended(ask, &id, out) {
             return;
         }
         if !self.permissions.accept {
@@ -229,7 +234,7 @@
         let spec = match job {
             Ok(spec) => spec,
             Err(reason) => {
-                return self.look(
+                return self.lookup(
                     times.now,
                     ask,
                     id,
@@ -240,10 +245,10 @@
         };
         if rigs.is_empty() {
             let later = Response::Unavailable { retry_after: RETRY };
-            return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
+            return self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
-        if let Some(reason) = self.impossible(&spec, rigs) {
-            return self.look(
+        if let Some(reason) = self.unsatisfiable(&spec, rigs) {
+            return self.lookup(
                 times.now,
                 ask,
                 id,
@@ -254,10 +259,10 @@
         // An older node would take it for an array.
         if spec.gang && !takes_gangs {
             let later = Response::Unavailable { retry_after: RETRY };
-            return self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
+            return self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
         }
-        if let Some(same) = self.waiting.iter_mut().find(|c| c.id == id) {
-            same.asks.push(ask);
+        if let Some(same) = self.queued.iter_mut().find(|c| c.id == id) {
+            same.requests.push(ask);
             return;
         }
         let record = JobRecord {
@@ -270,17 +275,17 @@
         };
         match serde_json::to_string(&record) {
             Ok(value) if value.len() + 200 <= self.settings.max_value_bytes => {
-                self.pending += 1;
-                self.waiting.push_back(Create { asks: vec![ask], id, value, since: times.now });
+                self.requests_in_flight += 1;
+                self.queued.push_back(Create { requests: vec![ask], id, value, queued_at: times.now });
             }
             _ => {
                 let answer = Response::BadRequest("the job's description is too long".into());
-                self.look(times.now, ask, id, LookupReason::RejectUnlessKnown(answer), out);
+                self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(answer), out);
             }
         }
     }
 
-    fn impossible(&self, spec: &JobSpec, rigs: &BTreeMap<String, MachineType>) -> Option<String> {
+    fn unsatisfiable(&self, spec: &JobSpec, rigs: &BTreeMap<String, MachineType>) -> Option<String> {
         let Some(team) = self.settings.teams.get(&spec.team) else {
             return Some("no such team".into());
         };
@@ -314,63 +319,66 @@
     }
 
     pub fn poll(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
-        if !self.known(ask, &id, out) && self.admit(now, ask, out) {
-            self.look(now, ask, id, LookupReason::Status, out);
+        if !self.answer_if_ended(ask, &id, out) && self.admit(now, ask, out) {
+            self.lookup(now, ask, id, LookupReason::Status, out);
         }
     }
 
-    pub fn abort(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
-        if self.known(ask, &id, out) {
+    pub fn cancel_requested(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
+        if self.answer_if_ended(ask, &id, out) {
             return;
         }
         if !self.permissions.cancel {
             return Self::unavailable(ask, out);
         }
         if self.admit(now, ask, out) {
-            self.look(now, ask, id, LookupReason::Cancel { attempts: 0 }, out);
+            self.lookup(now, ask, id, LookupReason::Cancel { attempts: 0 }, out);
         }
     }
 
     /// Whether new jobs wait for the write budget.
-    pub fn has_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+    pub fn has_queued(&self) -> bool {
+        !self.queued.is_empty()
     }
 
     /// Sends what waits, as far as the write budget goes, and refuses what has
     /// waited too long.
     pub fn tick(&mut self, times: StepTime, out: &mut EffectSink) {
         let now = times.now;
-        while self.waiting.front().is_some_and(|c| now.saturating_sub(c.since) > PATIENCE) {
-            if let Some(create) = self.waiting.pop_front() {
-                self.pending = self.pending.saturating_sub(1);
-                for ask in create.asks {
+        while self.queued.front().is_some_and(|c| now.saturating_sub(c.queued_at) > PATIENCE) {
+            if let Some(create) = self.queued.pop_front() {
+                self.requests_in_flight = self.requests_in_flight.saturating_sub(1);
+                for ask in create.requests {
                     Self::unavailable(ask, out);
                 }
             }
         }
-        while !self.waiting.is_empty() && self.batches < MOST_BATCHES && now >= self.held {
-            let most = self.settings.max_txn_changes.min(self.writes.available(now));
+        while !self.queued.is_empty()
+            && self.batches_in_flight < MAX_BATCHES
+            && now >= self.writes_paused_until
+        {
+            let most = self.settings.max_txn_changes.min(self.write_budget.available(now));
             let mut bytes = 0;
             let mut batch = Vec::new();
-            while let Some(create) = self.waiting.front() {
+            while let Some(create) = self.queued.front() {
                 bytes += create.value.len() + 300;
                 if batch.len() >= most || bytes > TXN_BYTES {
                     break;
                 }
-                batch.extend(self.waiting.pop_front());
+                batch.extend(self.queued.pop_front());
             }
-            if batch.is_empty() || !self.writes.take(now, batch.len()) {
-                self.waiting.extend(batch);
+            if batch.is_empty() || !self.write_budget.take(now, batch.len()) {
+                self.queued.extend(batch);
                 return;
             }
-            self.batches += 1;
+            self.batches_in_flight += 1;
             let keys = batch.iter().flat_map(|c| [c.id.key(), c.id.archive_key()]);
             let conditions = keys.map(|key| Condition { key, mod_revision: 0 }).collect();
             let changes = batch
                 .iter()
                 .map(|c| KvChange::Put { key: c.id.key(), value: c.value.clone(), lease: None })
                 .collect();
-            out.state(
+            out.call_kv(
                 CallPurpose::UserRequest(PendingRequest::Create(batch)),
                 KvRequest::Txn { conditions, changes },
             );
@@ -386,27 +394,27 @@
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
         out: &mut EffectSink,
     ) -> Vec<KeyValue> {
-        self.failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
+        self.kv_failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         let now = times.now;
         match request {
             PendingRequest::Create(batch) => {
-                self.batches -= 1;
-                self.pending = self.pending.saturating_sub(batch.len());
-                self.created(now, batch, reply, out)
+                self.batches_in_flight -= 1;
+                self.requests_in_flight = self.requests_in_flight.saturating_sub(batch.len());
+                self.creation_reply(now, batch, reply, out)
             }
-            PendingRequest::Lookup { ask, id, why, over } => {
-                self.pending -= 1;
-                self.looked(times, (ask, id, why), over, reply, progress, out);
+            PendingRequest::Lookup { request: ask, id, reason: why, archived: over } => {
+                self.requests_in_flight -= 1;
+                self.lookup_reply(times, (ask, id, why), over, reply, progress, out);
                 Vec::new()
             }
-            PendingRequest::Cancel { ask, id, record, attempts } => {
-                self.pending -= 1;
-                self.cancelled(now, ask, id, *record, attempts, reply, out)
+            PendingRequest::Cancel { request: ask, id, record, attempts } => {
+                self.requests_in_flight -= 1;
+                self.cancellation_reply(now, ask, id, *record, attempts, reply, out)
             }
         }
     }
 
-    fn created(
+    fn creation_reply(
         &mut self,
         now: Duration,
         batch: Vec<Create>,
@@ -417,12 +425,12 @@
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
                 for create in batch {
-                    for ask in create.asks {
+                    for ask in create.requests {
                         // It may have been cancelled while the answer was under way.
-                        if self.known(ask, &create.id, out) {
+                        if self.answer_if_ended(ask, &create.id, out) {
                             continue;
                         }
-                        out.answer(
+                        out.respond(
                             ask,
                             Response::Job {
                                 created: true,
@@ -439,33 +447,33 @@
             Ok(KvReply::Conflict { failed }) => {
                 for create in batch {
                     if failed.contains(&create.id.key()) || failed.contains(&create.id.archive_key()) {
-                        for ask in create.asks {
-                            self.look(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
+                        for ask in create.requests {
+                            self.lookup(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
                         }
                     } else {
-                        self.pending += 1;
-                        self.waiting.push_front(create);
+                        self.requests_in_flight += 1;
+                        self.queued.push_front(create);
                     }
                 }
             }
             Err(CallError::Refused | CallError::TooLarge) => {
-                for ask in batch.into_iter().flat_map(|c| c.asks) {
+                for ask in batch.into_iter().flat_map(|c| c.requests) {
                     Self::unavailable(ask, out);
                 }
             }
             // Others used the budget: it comes back within the patience.
             Err(CallError::RateLimited) => {
-                self.pending += batch.len();
-                self.held = now + BUSY;
+                self.requests_in_flight += batch.len();
+                self.writes_paused_until = now + BUSY;
                 for create in batch.into_iter().rev() {
-                    self.waiting.push_front(create);
+                    self.queued.push_front(create);
                 }
             }
             // The commit may have happened: only the key can tell.
             _ => {
                 for create in batch {
-                    for ask in create.asks {
-                        self.look(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
+                    for ask in create.requests {
+                        self.lookup(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
                     }
                 }
             }
@@ -473,7 +481,7 @@
         news
     }
 
-    fn looked(
+    fn lookup_reply(
         &mut self,
         times: StepTime,
         (ask, id, why): (RequestId, JobId, LookupReason),
@@ -487,41 +495,41 @@
             _ => return Self::unavailable(ask, out),
         };
         // The read may be older than what was told meanwhile.
-        if self.known(ask, &id, out) {
+        if self.answer_if_ended(ask, &id, out) {
             return;
         }
         let Some(row) = row else {
             // It may have been moved there just now, in one transaction.
             if !over {
-                return self.look_at(times.now, (ask, id, why), true, out);
+                return self.lookup_in(times.now, (ask, id, why), true, out);
             }
             return match why {
-                LookupReason::Status | LookupReason::Cancel { .. } => out.answer(ask, Response::NotFound),
+                LookupReason::Status | LookupReason::Cancel { .. } => out.respond(ask, Response::NotFound),
                 LookupReason::RepeatedSubmission => Self::unavailable(ask, out),
-                LookupReason::RejectUnlessKnown(answer) => out.answer(ask, answer),
+                LookupReason::RejectUnlessKnown(answer) => out.respond(ask, answer),
             };
         };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
             return Self::unavailable(ask, out);
         };
         match record.phase {
-            Phase::Done => self.over(&id, Status::Done, record.tasks),
-            Phase::Cancelled => self.over(&id, Status::Cancelled, 0),
+            Phase::Done => self.record_ended(&id, Status::Done, record.tasks),
+            Phase::Cancelled => self.record_ended(&id, Status::Cancelled, 0),
             Phase::Active => {
                 if let LookupReason::Cancel { attempts } = why {
-                    return self.cancel(times, ask, id, record, row.mod_revision, attempts, out);
+                    return self.write_cancellation(times, ask, id, record, row.mod_revision, attempts, out);
                 }
-                let known = progress(&id).or_else(|| self.seen.get(&id).copied());
+                let known = progress(&id).or_else(|| self.set_progress.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
                 let status = Status::of(Phase::Active, running);
-                return out.answer(ask, Response::Job { created: false, id, status, done, running });
+                return out.respond(ask, Response::Job { created: false, id, status, done, running });
             }
         }
-        self.known(ask, &id, out);
+        self.answer_if_ended(ask, &id, out);
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn cancel(
+    fn write_cancellation(
         &mut self,
         times: StepTime,
         ask: RequestId,
@@ -531,7 +539,7 @@
         attempts: u32,
         out: &mut EffectSink,
     ) {
-        if attempts >= MOST_ATTEMPTS || !self.writes.take(times.now, 1) {
+        if attempts >= MAX_ATTEMPTS || !self.write_budget.take(times.now, 1) {
             return Self::unavailable(ask, out);
         }
         record.phase = Phase::Cancelled;
@@ -539,10 +547,15 @@
         let Some(value) = record.encode(self.settings.max_value_bytes) else {
             return Self::unavailable(ask, out);
         };
-        self.pending += 1;
+        self.requests_in_flight += 1;
         let key = id.key();
-        out.state(
-            CallPurpose::UserRequest(PendingRequest::Cancel { ask, id, record: Box::new(record), attempts }),
+        out.call_kv(
+            CallPurpose::UserRequest(PendingRequest::Cancel {
+                request: ask,
+                id,
+                record: Box::new(record),
+                attempts,
+            }),
             KvRequest::Txn {
                 conditions: vec![Condition { key: key.clone(), mod_revision: stamp }],
                 changes: vec![KvChange::Put { key, value, lease: None }],
@@ -551,7 +564,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn cancelled(
+    fn cancellation_reply(
         &mut self,
         now: Duration,
         ask: RequestId,
@@ -563,8 +576,8 @@
     ) -> Vec<KeyValue> {
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
-                self.over(&id, Status::Cancelled, 0);
-                self.known(ask, &id, out);
+                self.record_ended(&id, Status::Cancelled, 0);
+                self.answer_if_ended(ask, &id, out);
                 let Some(value) = record.encode(self.settings.max_value_bytes) else { return Vec::new() };
                 return vec![KeyValue { key: id.key(), value, mod_revision: epoch }];
             }
@@ -572,7 +585,7 @@
                 Self::unavailable(ask, out)
             }
             // Changed meanwhile, or in doubt: look again and go on from there.
-            _ => self.look(now, ask, id, LookupReason::Cancel { attempts: attempts + 1 }, out),
+            _ => self.lookup(now, ask, id, LookupReason::Cancel { attempts: attempts + 1 }, out),
         }
         Vec::new()
     }
--- a/crates/plankhead-core/src/settings.rs
+++ b/crates/plankhead-core/src/settings.rs
@@ -106,8 +106,8 @@
 /// What a message may take of a core's time with all that it brings, and the bounds of the
 /// pause that follows from it.
 const MESSAGE_COST: Duration = Duration::from_millis(2);
-const LEAST_MESSAGE_PAUSE: Duration = Duration::from_millis(20);
-const MOST_MESSAGE_PAUSE: Duration = Duration::from_millis(150);
+const MIN_MESSAGE_PAUSE: Duration = Duration::from_millis(20);
+const MAX_MESSAGE_PAUSE: Duration = Duration::from_millis(150);
 
 impl Settings {
     /// The longest time between two reports that are answered: one may be a
@@ -119,7 +119,7 @@
     /// Between two messages with news between the leader and a holder: each costs both some
     /// hundred microseconds, so that a small share of a core sends fewer.
     pub fn shard_message_interval(&self) -> Duration {
-        MESSAGE_COST.div_f64(self.cpu_share.max(0.001)).clamp(LEAST_MESSAGE_PAUSE, MOST_MESSAGE_PAUSE)
+        MESSAGE_COST.div_f64(self.cpu_share.max(0.001)).clamp(MIN_MESSAGE_PAUSE, MAX_MESSAGE_PAUSE)
     }
 
     /// A worker that is there is heard within this time, also if one report of
--- a/crates/plankhead-core/src/shard_messages.rs
+++ b/crates/plankhead-core/src/shard_messages.rs
@@ -39,7 +39,7 @@
     /// The first message of its stream.
     pub first: bool,
     /// Machines of which something is new.
-    pub news: Vec<MachineUpdate>,
+    pub updates: Vec<MachineUpdate>,
     /// Numbers of machines that reported with nothing new.
     pub alive: RoaringBitmap,
     /// How long ago the first of these was heard.
@@ -60,13 +60,13 @@
 pub struct MachineUpdate {
     /// The machine's number in the stream.
     pub number: u32,
-    pub report: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// The machine is there for certain: it has shown a token of this holder.
-    pub proven: bool,
+    pub confirmed: bool,
     /// It does not hear what it is told.
-    pub deaf: bool,
+    pub ignores_commands: bool,
     /// Commands in a row that it did not answer.
-    pub unanswered: u32,
+    pub unanswered_commands: u32,
     /// How long ago it was heard.
     pub age: Duration,
 }
@@ -77,7 +77,7 @@
     pub host: String,
     pub stamp: MessageStamp,
     /// The number of the receiver's message that the leader took in last.
-    pub answers: u64,
+    pub acknowledged: u64,
     /// The leader's token.
     pub token: u64,
     /// The shards that the leader takes the receiver to hold, with their epochs.
@@ -87,7 +87,7 @@
     /// All that each of these machines is to be told; replaces what was said before.
     pub machines: Vec<MachineCommands>,
     /// Machines that the cloud has taken back.
-    pub gone: Vec<MachineName>,
+    pub removed: Vec<MachineName>,
     /// What is known of machines of shards that the receiver holds only now.
     pub snapshot: Vec<Heartbeat>,
 }
@@ -95,11 +95,11 @@
 /// All commands for a machine in one session of its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineCommands {
-    pub host: MachineName,
+    pub machine: MachineName,
     /// The place of the machine's shard among those that the message names.
     pub shard: usize,
-    pub shift: u64,
-    pub orders: Vec<WorkerCommand>,
+    pub incarnation: u64,
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// What became of a message.
--- a/crates/plankhead-core/src/shard_records.rs
+++ b/crates/plankhead-core/src/shard_records.rs
@@ -1,6 +1,6 @@
 //! The records of shards as this node has read them.
 
-use crate::key_watch::{KeyWatch, Read, Step};
+use crate::key_watch::{KeyWatch, KeyWatchCall, Read};
 use crate::node::{CallPurpose, EffectSink};
 use crate::protocol::{CallError, KeyValue, KvReply, LogLevel, WatchEvent};
 use plankhead_sharding::shard::PREFIX;
@@ -16,19 +16,19 @@
     pub table: ShardTable,
     watch: KeyWatch,
     /// Keys of a list that has more pages.
-    listed: Vec<String>,
+    listed_keys: Vec<String>,
 }
 
 impl Default for RecordWatch {
     fn default() -> Self {
-        Self { table: ShardTable::default(), watch: KeyWatch::new(PREFIX, WATCH), listed: Vec::new() }
+        Self { table: ShardTable::default(), watch: KeyWatch::new(PREFIX, WATCH), listed_keys: Vec::new() }
     }
 }
 
 impl RecordWatch {
     /// When the latest complete read was asked for.
-    pub fn seen(&self) -> Option<Duration> {
-        self.watch.seen
+    pub fn synced_at(&self) -> Option<Duration> {
+        self.watch.synced_at
     }
 
     pub fn next_due(&self) -> Option<Duration> {
@@ -37,7 +37,7 @@
 
     pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.state(CallPurpose::ShardRecords(step), op);
+            out.call_kv(CallPurpose::ShardRecords(step), op);
         }
     }
 
@@ -45,16 +45,16 @@
     pub fn reply(
         &mut self,
         now: Duration,
-        step: Step,
+        step: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         out: &mut EffectSink,
     ) -> bool {
         match self.watch.reply(now, step, reply) {
             Read::Page { rows, complete } => {
-                self.listed.extend(rows.iter().map(|row| row.key.clone()));
+                self.listed_keys.extend(rows.iter().map(|row| row.key.clone()));
                 rows.iter().for_each(|row| self.write(row, out));
                 if complete {
-                    self.table.retain_keys(&std::mem::take(&mut self.listed));
+                    self.table.retain_keys(&std::mem::take(&mut self.listed_keys));
                 }
                 complete
             }
@@ -64,7 +64,7 @@
                 news
             }
             Read::Failed => {
-                self.listed.clear();
+                self.listed_keys.clear();
                 false
             }
         }
--- a/crates/plankhead-core/src/version_barrier.rs
+++ b/crates/plankhead-core/src/version_barrier.rs
@@ -18,9 +18,9 @@
 const PAUSE: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    Mark,
-    Look,
+pub enum VersionBarrierCall {
+    WriteVersion,
+    ListVersions,
 }
 
 /// The value of a `node/<host>` key.
@@ -32,68 +32,80 @@
 #[derive(Debug)]
 pub struct VersionBarrier {
     host: String,
-    all: BTreeSet<String>,
-    marked: bool,
-    open: bool,
-    pending: bool,
-    due: Duration,
+    nodes: BTreeSet<String>,
+    version_written: bool,
+    is_open: bool,
+    call_in_flight: bool,
+    next_call_at: Duration,
 }
 
 impl VersionBarrier {
     pub fn new(settings: &Settings) -> Self {
         let all = settings.peers.iter().chain([&settings.host]).cloned().collect();
         let host = settings.host.clone();
-        Self { host, all, marked: false, open: false, pending: false, due: Duration::ZERO }
+        Self {
+            host,
+            nodes: all,
+            version_written: false,
+            is_open: false,
+            call_in_flight: false,
+            next_call_at: Duration::ZERO,
+        }
     }
 
     pub fn open(&self) -> bool {
-        self.open
+        self.is_open
     }
 
     /// When [`VersionBarrier::tick`] has something to do next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.open && !self.pending).then_some(self.due)
+        (!self.is_open && !self.call_in_flight).then_some(self.next_call_at)
     }
 
     pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
-        if self.open || self.pending || now < self.due {
+        if self.is_open || self.call_in_flight || now < self.next_call_at {
             return;
         }
-        self.pending = true;
-        self.due = now + PAUSE;
+        self.call_in_flight = true;
+        self.next_call_at = now + PAUSE;
         let key = format!("{PREFIX}{}", self.host);
-        let (step, op) = match (self.marked, serde_json::to_string(&Shown { format: FORMAT })) {
+        let (step, op) = match (self.version_written, serde_json::to_string(&Shown { format: FORMAT })) {
             (false, Ok(value)) => {
                 let conditions = vec![Condition { key: key.clone(), mod_revision: 0 }];
                 let changes = vec![KvChange::Put { key, value, lease: None }];
-                (Step::Mark, KvRequest::Txn { conditions, changes })
+                (VersionBarrierCall::WriteVersion, KvRequest::Txn { conditions, changes })
             }
-            _ => (Step::Look, KvRequest::List { prefix: PREFIX.into(), after: None }),
+            _ => (VersionBarrierCall::ListVersions, KvRequest::List { prefix: PREFIX.into(), after: None }),
         };
-        out.state(CallPurpose::VersionBarrier(step), op);
+        out.call_kv(CallPurpose::VersionBarrier(step), op);
     }
 
     /// Handles a reply; true if the barrier has opened by it.
-    pub fn reply(&mut self, step: Step, reply: Result<KvReply, CallError>, out: &mut EffectSink) -> bool {
-        self.pending = false;
+    pub fn reply(
+        &mut self,
+        step: VersionBarrierCall,
+        reply: Result<KvReply, CallError>,
+        out: &mut EffectSink,
+    ) -> bool {
+        self.call_in_flight = false;
         match (step, reply) {
             // A conflict: an earlier life of this node has written it.
-            (Step::Mark, Ok(KvReply::Committed { .. } | KvReply::Conflict { .. })) => {
-                self.marked = true;
-                self.due = Duration::ZERO;
+            (VersionBarrierCall::WriteVersion, Ok(KvReply::Committed { .. } | KvReply::Conflict { .. })) => {
+                self.version_written = true;
+                self.next_call_at = Duration::ZERO;
                 false
             }
-            (Step::Look, Ok(KvReply::Page { rows, .. })) => {
+            (VersionBarrierCall::ListVersions, Ok(KvReply::Page { rows, .. })) => {
                 let shown: BTreeSet<String> = rows.iter().filter_map(shown).collect();
-                self.all.is_subset(&shown) && self.pass(out)
+                self.nodes.is_subset(&shown) && self.open_barrier(out)
             }
             _ => false,
         }
     }
 
     /// The state service has lowered its limits, which it does after the upgrade only.
-    pub fn pass(&mut self, out: &mut EffectSink) -> bool {
-        if !std::mem::replace(&mut self.open, true) {
+    pub fn open_barrier(&mut self, out: &mut EffectSink) -> bool {
+        if !std::mem::replace(&mut self.is_open, true) {
             out.log(
                 LogLevel::Info,
                 "every node has this version: takes gangs, keeps to the later limits".into(),
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -18,29 +18,31 @@
 
 fn free_at(slot: &Slot, at: Duration) -> Resources {
     let mut free = slot.free;
-    for task in slot.running.iter().filter(|t| t.end <= at) {
-        free.add(&task.each);
+    for task in slot.running.iter().filter(|t| t.ends_at <= at) {
+        free.add(&task.demand);
     }
     free
 }
 
 fn opens(slot: &Slot, each: &Resources, now: Duration) -> Option<Duration> {
-    let ends = slot.running.iter().map(|t| t.end.max(now));
+    let ends = slot.running.iter().map(|t| t.ends_at.max(now));
     let mut moments: Vec<Duration> = ends.chain([now]).collect();
     moments.sort();
     let fits = |at: &Duration| each.fits(&free_at(slot, *at)) || each.fits(&slot.free);
-    moments.into_iter().find(fits).map(|at| at.max(slot.ready))
+    moments.into_iter().find(fits).map(|at| at.max(slot.ready_at))
 }
 
 fn fetch(slot: &Slot, work: &Work) -> Duration {
     if slot.images.contains(&work.image) {
         return Duration::ZERO;
     }
-    Duration::from_secs_f64(work.image_gb * f64::from(slot.fetching + 1) / slot.pull_gb_per_s)
+    Duration::from_secs_f64(
+        work.image_gb * f64::from(slot.fetches_in_progress + 1) / slot.image_fetch_gb_per_s,
+    )
 }
 
 fn suits(slot: &Slot, work: &Work) -> bool {
-    work.allows(slot.pool) && work.zone_admits(slot.zone)
+    work.allows(slot.pool) && work.admits_zone(slot.zone)
 }
 
 fn spares(slot: &Slot, index: usize, work: &Work, now: Duration, held: Option<&Held>) -> bool {
@@ -48,14 +50,14 @@
 }
 
 fn spares_many(slot: &Slot, index: usize, work: &Work, now: Duration, held: Option<&Held>, n: u32) -> bool {
-    if !work.each.times(n).fits(&slot.free) {
+    if !work.demand.times(n).fits(&slot.free) {
         return false;
     }
     let Some(held) = held else { return true };
     let Some((_, kept)) = held.holds.iter().find(|(s, _)| *s == index) else { return true };
     let mut left = free_at(slot, held.at);
-    left.sub(&work.each.times(n));
-    now + fetch(slot, work) + work.estimate <= held.at || kept.fits(&left)
+    left.sub(&work.demand.times(n));
+    now + fetch(slot, work) + work.estimated_runtime <= held.at || kept.fits(&left)
 }
 
 /// Every way to give a gang machines from a list, the first ones first, as many as
@@ -66,7 +68,7 @@
         let here = slots[*slot].zone;
         for _ in 0..*many {
             let in_zone = chosen.iter().filter(|s| slots[**s].zone == here).count() as u32;
-            let fits = zone.is_none_or(|z| z == here) && in_zone < work.zone_most;
+            let fits = zone.is_none_or(|z| z == here) && in_zone < work.max_per_zone;
             if fits && (chosen.len() as u32) < work.pending {
                 chosen.push(*slot);
             }
@@ -76,7 +78,7 @@
 }
 
 fn places(work: &Work) -> Vec<Option<usize>> {
-    if work.one_zone {
+    if work.single_zone {
         vec![Some(0), Some(1), Some(2)]
     } else {
         vec![None]
@@ -84,8 +86,8 @@
 }
 
 fn together(slots: &[Slot], work: &Work, now: Duration, held: Option<&Held>) -> Option<Vec<usize>> {
-    let price = |s: usize| if now > work.again_by { -slots[s].price } else { slots[s].price };
-    let usable = |s: &usize| slots[*s].ready <= now && suits(&slots[*s], work);
+    let price = |s: usize| if now > work.latest_restart { -slots[s].price } else { slots[s].price };
+    let usable = |s: &usize| slots[*s].ready_at <= now && suits(&slots[*s], work);
     let many = |s: usize| {
         let fits = |n: &u32| spares_many(&slots[s], s, work, now, held, *n);
         (1..=work.pending).filter(fits).max().unwrap_or(0)
@@ -106,16 +108,18 @@
 
 /// The first moment at which all of a gang finds room in some zone.
 fn keep_all(slots: &[Slot], work: &Work, now: Duration, warm: bool, held: Option<&Held>) -> Option<Held> {
-    let ends =
-        slots.iter().flat_map(|s| s.running.iter().map(|t| t.end)).chain(slots.iter().map(|s| s.ready));
+    let ends = slots
+        .iter()
+        .flat_map(|s| s.running.iter().map(|t| t.ends_at))
+        .chain(slots.iter().map(|s| s.ready_at));
     let mut moments: Vec<Duration> = ends.map(|at| at.max(now)).collect();
     moments.sort();
     for at in moments {
         for zone in places(work) {
             let image = |s: usize| !warm || slots[s].images.contains(&work.image) && !kept(held, s);
-            let suits = |s: &usize| slots[*s].ready <= at && suits(&slots[*s], work) && image(*s);
+            let suits = |s: &usize| slots[*s].ready_at <= at && suits(&slots[*s], work) && image(*s);
             let many = |s: usize| {
-                let fits = |n: &u32| work.each.times(*n).fits(&free_at(&slots[s], at));
+                let fits = |n: &u32| work.demand.times(*n).fits(&free_at(&slots[s], at));
                 (1..=work.pending).filter(fits).max().unwrap_or(0)
             };
             let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(suits).map(|s| (s, many(s))).collect();
@@ -124,8 +128,8 @@
             let mut holds: Vec<(usize, Resources)> = Vec::new();
             for s in chosen {
                 match holds.iter_mut().find(|(held, _)| *held == s) {
-                    Some((_, kept)) => kept.add(&work.each),
-                    None => holds.push((s, work.each)),
+                    Some((_, kept)) => kept.add(&work.demand),
+                    None => holds.push((s, work.demand)),
                 }
             }
             return Some(Held { holds, at, breakable: None, owner: None });
@@ -140,62 +144,74 @@
 }
 
 fn ratio(team: &TeamUsage) -> f64 {
-    team.used.cpus / team.guarantee.cpus
+    team.used.cpus / team.guaranteed.cpus
 }
 
 fn next(work: &[Work], teams: &[TeamUsage], open: &[bool]) -> Option<usize> {
     let order = |a: &usize, b: &usize| {
         let (x, y) = (&work[*a], &work[*b]);
-        let tier = |w: &Work| (Reverse(w.urgency), !w.guaranteed);
+        let tier = |w: &Work| (Reverse(w.priority), !w.guaranteed);
         let shares = ratio(&teams[x.team]).total_cmp(&ratio(&teams[y.team]));
-        tier(x).cmp(&tier(y)).then(shares).then((x.due, x.accepted, a).cmp(&(y.due, y.accepted, b)))
+        tier(x).cmp(&tier(y)).then(shares).then((x.latest_start, x.accepted_at, a).cmp(&(
+            y.latest_start,
+            y.accepted_at,
+            b,
+        )))
     };
     (0..work.len()).filter(|i| open[*i] && work[*i].pending > 0).min_by(order)
 }
 
 fn run(slot: &mut Slot, work: &Work, end: Duration, booked: bool) {
-    slot.free.sub(&work.each);
-    slot.running.push(Running { end, grace: work.estimate / 5, each: work.each, team: work.team, booked });
-    slot.running.sort_by_key(|t| t.end);
+    slot.free.sub(&work.demand);
+    slot.running.push(Running {
+        ends_at: end,
+        grace: work.estimated_runtime / 5,
+        demand: work.demand,
+        team: work.team,
+        is_reservation: booked,
+    });
+    slot.running.sort_by_key(|t| t.ends_at);
 }
 
 pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     let mut starts = Vec::new();
     let mut open = vec![true; work.len()];
-    let old = |(_, w): &(usize, &Work)| w.pending > 0 && now > w.accepted + Duration::from_secs(60);
+    let old = |(_, w): &(usize, &Work)| w.pending > 0 && now > w.accepted_at + Duration::from_secs(60);
     let whole = |w: &Work| if w.gang { w.pending } else { 1 };
-    let admitted = |(_, w): &(usize, &Work)| teams[w.team].admits_all(&w.each, whole(w));
+    let admitted = |(_, w): &(usize, &Work)| teams[w.team].admits_all(&w.demand, whole(w));
     let aged = work.iter().enumerate().filter(old).filter(admitted);
     let mut held = aged
-        .min_by_key(|(_, w)| (w.begun || now <= w.accepted + Duration::from_secs(150), w.accepted))
+        .min_by_key(|(_, w)| {
+            (w.has_started || now <= w.accepted_at + Duration::from_secs(150), w.accepted_at)
+        })
         .and_then(|(i, w)| {
-            let young = now <= w.accepted + Duration::from_secs(150);
-            let breakable = young.then_some(w.urgency);
+            let young = now <= w.accepted_at + Duration::from_secs(150);
+            let breakable = young.then_some(w.priority);
             if w.gang {
                 let held = keep_all(slots, w, now, false, None)?;
                 return Some(Held { breakable, owner: Some(i), ..held });
             }
             let all = slots.iter().enumerate().filter(|(_, s)| suits(s, w));
-            let (at, slot) = all.filter_map(|(i, s)| opens(s, &w.each, now).map(|at| (at, i))).min()?;
-            Some(Held { holds: vec![(slot, w.each)], at, breakable, owner: Some(i) })
+            let (at, slot) = all.filter_map(|(i, s)| opens(s, &w.demand, now).map(|at| (at, i))).min()?;
+            Some(Held { holds: vec![(slot, w.demand)], at, breakable, owner: Some(i) })
         });
     while let Some(i) = next(work, teams, &open) {
         for _ in 0..TURN {
             if work[i].pending == 0 {
                 break;
             }
-            if !teams[work[i].team].admits_all(&work[i].each, whole(&work[i])) {
+            if !teams[work[i].team].admits_all(&work[i].demand, whole(&work[i])) {
                 open[i] = false;
                 break;
             }
             let find = |held: Option<&Held>| {
                 let mut best: Option<(Duration, f64, f64, usize)> = None;
                 for (s, slot) in slots.iter().enumerate() {
-                    let room = slot.ready <= now && work[i].each.fits(&slot.free);
+                    let room = slot.ready_at <= now && work[i].demand.fits(&slot.free);
                     if !room || !suits(slot, &work[i]) || !spares(slot, s, &work[i], now, held) {
                         continue;
                     }
-                    let price = if now > work[i].again_by { -slot.price } else { slot.price };
+                    let price = if now > work[i].latest_restart { -slot.price } else { slot.price };
                     let score = (fetch(slot, &work[i]), price, slot.free.cpus, s);
                     if best.is_none_or(|b| score.partial_cmp(&b).unwrap().is_lt()) {
                         best = Some(score);
@@ -204,7 +220,7 @@
                 best
             };
             let binding = held.as_ref().filter(|h| h.owner != Some(i));
-            let may_break = binding.and_then(|h| h.breakable).is_some_and(|u| work[i].urgency > u);
+            let may_break = binding.and_then(|h| h.breakable).is_some_and(|u| work[i].priority > u);
             if work[i].gang {
                 let all = together(slots, &work[i], now, binding);
                 let all = all.or_else(|| may_break.then(|| together(slots, &work[i], now, None)).flatten());
@@ -214,31 +230,31 @@
                     break;
                 };
                 let cold = all.iter().map(|s| fetch(&slots[*s], &work[i])).max().unwrap();
-                let late = now + cold > work[i].due;
-                let warm =
-                    keep_all(slots, &work[i], now, true, binding).filter(|h| late && h.at <= work[i].due);
+                let late = now + cold > work[i].latest_start;
+                let warm = keep_all(slots, &work[i], now, true, binding)
+                    .filter(|h| late && h.at <= work[i].latest_start);
                 if let Some(warm) = warm {
                     let at = warm.at.max(now + Duration::from_millis(1));
                     for (s, kept) in warm.holds {
-                        for _ in 0..(kept.cpus / work[i].each.cpus).round() as u32 {
-                            starts.push(Start { work: i, slot: s, at });
-                            run(&mut slots[s], &work[i], at + work[i].estimate, true);
+                        for _ in 0..(kept.cpus / work[i].demand.cpus).round() as u32 {
+                            starts.push(Start { work_index: i, slot_index: s, at });
+                            run(&mut slots[s], &work[i], at + work[i].estimated_runtime, true);
                         }
                     }
                     work[i].pending = 0;
                     break;
                 }
                 for s in all {
-                    let end = now + fetch(&slots[s], &work[i]) + work[i].estimate;
+                    let end = now + fetch(&slots[s], &work[i]) + work[i].estimated_runtime;
                     run(&mut slots[s], &work[i], end, false);
                     if !slots[s].images.contains(&work[i].image) {
                         slots[s].images.push(work[i].image);
-                        slots[s].fetching += 1;
+                        slots[s].fetches_in_progress += 1;
                     }
-                    work[i].joined(slots[s].zone);
-                    let each = work[i].each;
+                    work[i].add_to_zone(slots[s].zone);
+                    let each = work[i].demand;
                     teams[work[i].team].used.add(&each);
-                    starts.push(Start { work: i, slot: s, at: now });
+                    starts.push(Start { work_index: i, slot_index: s, at: now });
                     work[i].pending -= 1;
                 }
                 break;
@@ -248,13 +264,13 @@
                 best => best,
             };
             let all = || slots.iter().enumerate().filter(|(_, s)| suits(s, &work[i]));
-            let opening = |(s, slot): (usize, &Slot)| opens(slot, &work[i].each, now).map(|at| (at, s));
+            let opening = |(s, slot): (usize, &Slot)| opens(slot, &work[i].demand, now).map(|at| (at, s));
             let Some((cold, _, _, s)) = best else {
                 open[i] = false;
                 if held.is_none() {
                     let first = all().filter_map(opening).min();
                     held = first.map(|(at, slot)| Held {
-                        holds: vec![(slot, work[i].each)],
+                        holds: vec![(slot, work[i].demand)],
                         at,
                         breakable: None,
                         owner: None,
@@ -269,20 +285,20 @@
             work[i].pending -= 1;
             if let Some((at, w)) = warm.filter(|(at, _)| *at < now + cold) {
                 let at = at.max(now + Duration::from_millis(1));
-                starts.push(Start { work: i, slot: w, at });
-                run(&mut slots[w], &work[i], at + work[i].estimate, true);
+                starts.push(Start { work_index: i, slot_index: w, at });
+                run(&mut slots[w], &work[i], at + work[i].estimated_runtime, true);
                 continue;
             }
-            let end = now + cold + work[i].estimate;
+            let end = now + cold + work[i].estimated_runtime;
             run(&mut slots[s], &work[i], end, false);
             if !slots[s].images.contains(&work[i].image) {
                 slots[s].images.push(work[i].image);
-                slots[s].fetching += 1;
+                slots[s].fetches_in_progress += 1;
             }
-            work[i].joined(slots[s].zone);
-            let each = work[i].each;
+            work[i].add_to_zone(slots[s].zone);
+            let each = work[i].demand;
             teams[work[i].team].used.add(&each);
-            starts.push(Start { work: i, slot: s, at: now });
+            starts.push(Start { work_index: i, slot_index: s, at: now });
         }
     }
     starts
--- a/crates/plankhead-core/tests/portions.rs
+++ b/crates/plankhead-core/tests/portions.rs
@@ -17,15 +17,15 @@
     let shares = [0.001, 0.01, 0.019, 0.029, 0.1, 0.33, 1.0, 8.0];
     for pair in shares.windows(2) {
         let (less, more) = (CpuBudget::new(pair[0]), CpuBudget::new(pair[1]));
-        assert!(less.starts() >= 1 && less.starts() <= more.starts());
+        assert!(less.max_starts_per_pass() >= 1 && less.max_starts_per_pass() <= more.max_starts_per_pass());
         for machines in [1, 20, 185, 355, 2_000] {
-            let (few, many) = (less.replayed_passes(machines), more.replayed_passes(machines));
+            let (few, many) = (less.passes_per_slice(machines), more.passes_per_slice(machines));
             assert!(few >= 1 && few <= many, "{machines} machines on {}", pair[0]);
             assert!(many * machines <= 14_000 || many == 1);
         }
     }
-    assert!(CpuBudget::new(8.0).starts() <= 1_000);
-    assert!(CpuBudget::new(0.019).starts() <= 100, "starts hold up the answers to reports");
+    assert!(CpuBudget::new(8.0).max_starts_per_pass() <= 1_000);
+    assert!(CpuBudget::new(0.019).max_starts_per_pass() <= 100, "starts hold up the answers to reports");
 }
 
 /// A process that is behind replays less of the time, but goes on.
@@ -33,7 +33,7 @@
 fn replays_give_way_when_the_process_is_behind() {
     for share in [0.019, 0.33] {
         let portions = CpuBudget::new(share);
-        let (usual, behind) = (portions.replay_pause(355, false), portions.replay_pause(355, true));
+        let (usual, behind) = (portions.slice_interval(355, false), portions.slice_interval(355, true));
         assert!(usual < behind && behind <= usual * 4, "{usual:?} {behind:?}");
     }
 }
@@ -50,22 +50,22 @@
     let cpus = (number % 4 + 1) as f64;
     Work {
         team: 0,
-        urgency: [Priority::Urgent, Priority::Standard, Priority::Standard][(number % 3) as usize],
+        priority: [Priority::Urgent, Priority::Standard, Priority::Standard][(number % 3) as usize],
         guaranteed: number & 1 == 0,
-        accepted: NOW - Duration::from_secs(number),
-        due: NOW + Duration::from_secs(number * 7 % 50),
-        again_by: NOW,
-        pools: vec![true],
-        zone_most: u32::MAX,
-        one_zone: false,
+        accepted_at: NOW - Duration::from_secs(number),
+        latest_start: NOW + Duration::from_secs(number * 7 % 50),
+        latest_restart: NOW,
+        allowed_pools: vec![true],
+        max_per_zone: u32::MAX,
+        single_zone: false,
         gang: false,
-        each: Resources { cpus, gpus: 0.0, ram_gb: cpus },
+        demand: Resources { cpus, gpus: 0.0, ram_gb: cpus },
         image: (number % 5) as u32,
         image_gb: 1.0,
-        estimate: Duration::from_secs(5 + number % 20),
+        estimated_runtime: Duration::from_secs(5 + number % 20),
         pending: (number % 9 + 1) as u32,
-        begun: false,
-        zones: Vec::new(),
+        has_started: false,
+        attempts_by_zone: Vec::new(),
     }
 }
 
@@ -75,11 +75,11 @@
         zone: 0,
         price: 1.0,
         free: Resources { cpus: 6.0, gpus: 0.0, ram_gb: 6.0 },
-        ready: NOW,
+        ready_at: NOW,
         running: Vec::new(),
         images: vec![number as u32 % 5],
-        fetching: 0,
-        pull_gb_per_s: 0.5,
+        fetches_in_progress: 0,
+        image_fetch_gb_per_s: 0.5,
     }
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn portions_change_nothing_of_a_replay() {
     let most = Resources { cpus: 60.0, gpus: 0.0, ram_gb: 1e9 };
-    let team = TeamUsage { guarantee: most, cap: most, used: Resources::default() };
+    let team = TeamUsage { guaranteed: most, limit: most, used: Resources::default() };
     let slowdown = |passes: usize| {
         let slots = (0..12).map(slot).collect();
         let mut replay =
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -26,11 +26,11 @@
 
 fn slot(free: f64, running: &[(u64, f64)]) -> Slot {
     let task = |(end, held): &(u64, f64)| Running {
-        end: NOW + secs(*end),
+        ends_at: NOW + secs(*end),
         grace: Duration::ZERO,
-        each: cpus(*held),
+        demand: cpus(*held),
         team: 0,
-        booked: false,
+        is_reservation: false,
     };
     let running = running.iter().map(task);
     Slot {
@@ -38,38 +38,38 @@
         zone: 0,
         price: 1.0,
         free: Resources { cpus: free, gpus: 0.0, ram_gb: 100.0 },
-        ready: NOW,
+        ready_at: NOW,
         running: running.collect(),
         images: vec![7],
-        fetching: 0,
-        pull_gb_per_s: 1.0,
+        fetches_in_progress: 0,
+        image_fetch_gb_per_s: 1.0,
     }
 }
 
 fn work(each: f64, pending: u32, estimate: u64) -> Work {
     Work {
         team: 0,
-        urgency: Priority::Standard,
+        priority: Priority::Standard,
         guaranteed: true,
-        accepted: NOW,
-        due: NOW,
-        again_by: Duration::MAX,
-        each: cpus(each),
+        accepted_at: NOW,
+        latest_start: NOW,
+        latest_restart: Duration::MAX,
+        demand: cpus(each),
         image: 7,
         image_gb: 10.0,
-        pools: vec![true; 6],
-        one_zone: false,
-        zone_most: u32::MAX,
-        estimate: secs(estimate),
+        allowed_pools: vec![true; 6],
+        single_zone: false,
+        max_per_zone: u32::MAX,
+        estimated_runtime: secs(estimate),
         pending,
         gang: false,
-        zones: Vec::new(),
-        begun: false,
+        attempts_by_zone: Vec::new(),
+        has_started: false,
     }
 }
 
 fn team(guarantee: f64, cap: f64) -> TeamUsage {
-    TeamUsage { guarantee: cpus(guarantee), cap: cpus(cap), used: Resources::default() }
+    TeamUsage { guaranteed: cpus(guarantee), limit: cpus(cap), used: Resources::default() }
 }
 
 /// The head needs 8 CPUs, free in 100 s on the first machine. A short task may
@@ -78,10 +78,10 @@
 fn backfill_does_not_delay_the_head() {
     let slots = || vec![slot(4.0, &[(100, 4.0)])];
     let mut head = work(8.0, 1, 50);
-    head.urgency = Priority::Urgent;
+    head.priority = Priority::Urgent;
     let mut both = [head.clone(), work(4.0, 1, 90)];
     let starts = pass(NOW, &mut slots(), &mut both, &mut [team(100.0, 100.0)]);
-    assert_eq!(starts, vec![Start { work: 1, slot: 0, at: NOW }]);
+    assert_eq!(starts, vec![Start { work_index: 1, slot_index: 0, at: NOW }]);
     let mut both = [head, work(4.0, 1, 110)];
     let starts = pass(NOW, &mut slots(), &mut both, &mut [team(100.0, 100.0)]);
     assert_eq!(starts, vec![]);
@@ -96,8 +96,8 @@
         let mut slots = vec![slot(0.0, &[(busy, 8.0)]), cold.clone()];
         pass(NOW, &mut slots, &mut [work(8.0, 1, 30)], &mut [team(100.0, 100.0)])
     };
-    assert_eq!(start(5), vec![Start { work: 0, slot: 0, at: NOW + secs(5) }]);
-    assert_eq!(start(15), vec![Start { work: 0, slot: 1, at: NOW }]);
+    assert_eq!(start(5), vec![Start { work_index: 0, slot_index: 0, at: NOW + secs(5) }]);
+    assert_eq!(start(15), vec![Start { work_index: 0, slot_index: 1, at: NOW }]);
 }
 
 /// A gang goes where it must fetch at once rather than wait for the machine with its
@@ -110,10 +110,10 @@
         cold.images.clear();
         let mut slots = vec![slot(0.0, &[(busy, 8.0)]), cold];
         let mut gang = work(4.0, 2, 30);
-        (gang.gang, gang.due) = (true, NOW + secs(due));
+        (gang.gang, gang.latest_start) = (true, NOW + secs(due));
         pass(NOW, &mut slots, &mut [gang], &mut [team(100.0, 100.0)])
     };
-    let both = |slot, at| vec![Start { work: 0, slot, at: NOW + secs(at) }; 2];
+    let both = |slot, at| vec![Start { work_index: 0, slot_index: slot, at: NOW + secs(at) }; 2];
     assert_eq!(start(12, 5), both(1, 0), "a fetch of 10 s is in time");
     assert_eq!(start(8, 5), both(0, 5));
     assert_eq!(start(8, 9), both(1, 0), "neither is in time");
@@ -129,21 +129,21 @@
         slots
     };
     let mut gang = work(8.0, 2, 30);
-    (gang.gang, gang.one_zone, gang.urgency) = (true, true, Priority::Urgent);
+    (gang.gang, gang.single_zone, gang.priority) = (true, true, Priority::Urgent);
     let pass = |gang: &Work, small: u64| {
         let mut all = [gang.clone(), work(4.0, 1, small)];
-        all[1].pools = vec![true; 6];
-        all[1].zone_most = 1;
+        all[1].allowed_pools = vec![true; 6];
+        all[1].max_per_zone = 1;
         let mut zoned = slots();
         zoned[2].free = cpus(0.0);
         plankhead_core::easy::pass(NOW, &mut zoned, &mut all, &mut [team(100.0, 100.0)])
     };
     assert_eq!(pass(&gang, 90), vec![], "it would hold up the gang, which has both machines after 50 s");
     assert_eq!(pass(&gang, 40).len(), 1, "it is gone by then");
-    gang.one_zone = false;
+    gang.single_zone = false;
     let mut whole = [gang];
     let starts = plankhead_core::easy::pass(NOW, &mut slots(), &mut whole, &mut [team(100.0, 100.0)]);
-    assert_eq!(starts.iter().map(|s| s.slot).collect::<Vec<_>>(), vec![0, 2]);
+    assert_eq!(starts.iter().map(|s| s.slot_index).collect::<Vec<_>>(), vec![0, 2]);
 }
 
 /// Six machines and eight jobs of every kind.
@@ -158,8 +158,8 @@
         s.pool = i;
         s.price = [0.4, 1.0][i % 2];
         s.images = (0..4).filter(|_| rng.random_range(0..3) == 0).collect();
-        s.fetching = rng.random_range(0..2);
-        s.ready = NOW + secs([0, 0, 0, 7][rng.random_range(0..4)]);
+        s.fetches_in_progress = rng.random_range(0..2);
+        s.ready_at = NOW + secs([0, 0, 0, 7][rng.random_range(0..4)]);
         s
     };
     let slots: Vec<Slot> = (0..6).map(&mut one).collect();
@@ -169,15 +169,15 @@
         w.team = i % 2;
         w.image = rng.random_range(0..4);
         w.guaranteed = rng.random_range(0..2) == 0;
-        w.urgency = if rng.random_range(0..3) == 0 { Priority::Urgent } else { Priority::Standard };
-        w.due = NOW + secs(rng.random_range(0..3) * [9, 1, 1][i % 3]);
-        w.accepted = NOW - secs(rng.random_range(0..200));
-        w.again_by = if rng.random_range(0..3) == 0 { NOW - secs(1) } else { NOW };
-        w.begun = rng.random_range(0..2) == 0;
-        w.one_zone = i % 4 == 1;
-        w.pools = (0..6).map(|p| ![0, 3, 6].contains(&i) || p % 2 == 1).collect();
+        w.priority = if rng.random_range(0..3) == 0 { Priority::Urgent } else { Priority::Standard };
+        w.latest_start = NOW + secs(rng.random_range(0..3) * [9, 1, 1][i % 3]);
+        w.accepted_at = NOW - secs(rng.random_range(0..200));
+        w.latest_restart = if rng.random_range(0..3) == 0 { NOW - secs(1) } else { NOW };
+        w.has_started = rng.random_range(0..2) == 0;
+        w.single_zone = i % 4 == 1;
+        w.allowed_pools = (0..6).map(|p| ![0, 3, 6].contains(&i) || p % 2 == 1).collect();
         w.gang = rng.random_range(0..3) == 0;
-        w.zone_most = if i % 4 == 2 { w.pending.div_ceil(2) } else { u32::MAX };
+        w.max_per_zone = if i % 4 == 2 { w.pending.div_ceil(2) } else { u32::MAX };
         w
     };
     let jobs = (0..8).map(&mut one).collect();
@@ -204,30 +204,33 @@
         let now = |starts: &[Start]| starts.iter().filter(|s| s.at == NOW).count();
         assert_eq!(some[..], plain[..some.len()], "seed {seed}");
         // Unless a gang stands where it would be cut, which starts as a whole.
-        let cut = plain.iter().any(|s| asked[s.work].gang);
+        let cut = plain.iter().any(|s| asked[s.work_index].gang);
         assert!(cut || now(&some) == now(&plain).min(3), "seed {seed}");
         let starts: Vec<Start> = starts.into_iter().filter(|s| s.at == NOW).collect();
         all += starts.len();
         let sum = |keep: &dyn Fn(&Start) -> bool| -> f64 {
-            starts.iter().filter(|s| keep(s)).map(|s| asked[s.work].each.cpus).sum()
+            starts.iter().filter(|s| keep(s)).map(|s| asked[s.work_index].demand.cpus).sum()
         };
         for (i, slot) in before.iter().enumerate() {
-            assert!(sum(&|s| s.slot == i) <= slot.free.cpus, "seed {seed}: room");
+            assert!(sum(&|s| s.slot_index == i) <= slot.free.cpus, "seed {seed}: room");
         }
         for (t, cap) in [14.0, 18.0].into_iter().enumerate() {
-            assert!(sum(&|s| asked[s.work].team == t) <= cap, "seed {seed}: cap");
+            assert!(sum(&|s| asked[s.work_index].team == t) <= cap, "seed {seed}: cap");
         }
         for (w, job) in asked.iter().enumerate() {
-            let here: Vec<&Start> = starts.iter().filter(|s| s.work == w).collect();
+            let here: Vec<&Start> = starts.iter().filter(|s| s.work_index == w).collect();
             assert!(here.len() as u32 <= job.pending);
             let whole = here.is_empty() || here.len() as u32 == job.pending;
             assert!(!job.gang || whole, "seed {seed}: some of a gang");
             gangs += u32::from(job.gang && !here.is_empty());
-            let in_zone = |z: usize| here.iter().filter(|s| before[s.slot].zone == z).count() as u32;
+            let in_zone = |z: usize| here.iter().filter(|s| before[s.slot_index].zone == z).count() as u32;
             let zones: Vec<u32> = (0..3).map(in_zone).collect();
-            assert!(!job.one_zone || zones.iter().filter(|n| **n > 0).count() <= 1, "seed {seed}: one zone");
-            assert!(zones.iter().all(|n| *n <= job.zone_most), "seed {seed}: scatter");
-            assert!(here.iter().all(|s| job.pools[before[s.slot].pool]), "seed {seed}: pool");
+            assert!(
+                !job.single_zone || zones.iter().filter(|n| **n > 0).count() <= 1,
+                "seed {seed}: one zone"
+            );
+            assert!(zones.iter().all(|n| *n <= job.max_per_zone), "seed {seed}: scatter");
+            assert!(here.iter().all(|s| job.allowed_pools[before[s.slot_index].pool]), "seed {seed}: pool");
         }
     }
     assert!(all > 4000 && gangs > 500, "{all} starts, {gangs} gangs");
@@ -242,8 +245,8 @@
         let mut slots = vec![slot(4.0, &[(100, 4.0)]), slot(8.0, &[])];
         slots[1].price = 0.4;
         let mut one = [work(4.0, 1, 10)];
-        one[0].again_by = again_by;
-        pass(NOW, &mut slots, &mut one, &mut [team(100.0, 100.0)])[0].slot
+        one[0].latest_restart = again_by;
+        pass(NOW, &mut slots, &mut one, &mut [team(100.0, 100.0)])[0].slot_index
     };
     assert_eq!(start(NOW), 1, "although the other is fuller");
     assert_eq!(start(NOW - secs(1)), 0);
@@ -256,10 +259,10 @@
     let first = |begun| {
         let mut slots = vec![slot(8.0, &[])];
         let mut both = [work(8.0, 9, 50), work(8.0, 1, 50)];
-        both[0].accepted = NOW - secs(300);
-        both[1].accepted = NOW - secs(200);
-        both[0].begun = begun;
-        pass(NOW, &mut slots, &mut both, &mut [team(100.0, 100.0)])[0].work
+        both[0].accepted_at = NOW - secs(300);
+        both[1].accepted_at = NOW - secs(200);
+        both[0].has_started = begun;
+        pass(NOW, &mut slots, &mut both, &mut [team(100.0, 100.0)])[0].work_index
     };
     assert_eq!((first(false), first(true)), (0, 1));
 }
@@ -269,7 +272,7 @@
 #[test]
 fn order_of_turns() {
     let mut urgent = work(1.0, 1, 1);
-    urgent.urgency = Priority::Urgent;
+    urgent.priority = Priority::Urgent;
     urgent.guaranteed = false;
     let mut borrows = work(1.0, 1, 1);
     borrows.guaranteed = false;
@@ -282,7 +285,7 @@
     let mut turns = FairShareQueue::new(&all, 2);
     let mut served = Vec::new();
     while let Some(i) = turns.next(&all, &teams) {
-        turns.close(&all, i);
+        turns.skip(&all, i);
         served.push(i);
     }
     assert_eq!(served, vec![3, 2, 1, 0]);
@@ -291,7 +294,7 @@
 /// Of three jobs of 4, 4 and 4 CPUs in a guarantee of 8, the last borrows.
 #[test]
 fn guarantees_go_by_arrival() {
-    let need = |i| QuotaDemand { team: 0, accepted: NOW - secs(i), amount: cpus(4.0) };
+    let need = |i| QuotaDemand { team: 0, accepted_at: NOW - secs(i), resources: cpus(4.0) };
     let needs: Vec<QuotaDemand> = (0..3).map(need).collect();
     assert_eq!(guaranteed(&needs, &[team(8.0, 99.0)]), vec![false, true, true]);
 }
@@ -305,7 +308,7 @@
         let mut trials = Vec::new();
         while climb.size().is_none() {
             trials.push(climb.trial());
-            climb.measured(slowdown(climb.trial()));
+            climb.record_slowdown(slowdown(climb.trial()));
         }
         (trials, climb.size().unwrap())
     };
@@ -336,11 +339,11 @@
     };
     assert!((replay(vec![work(8.0, 2, 20)], vec![]) - 1.5).abs() < 1e-9);
     let mut last = work(8.0, 1, 1);
-    last.due = NOW + secs(1);
+    last.latest_start = NOW + secs(1);
     let two = replay(vec![work(8.0, 2, 20), last], vec![]);
     assert!((two - (1.5 + 5.0) / 2.0).abs() < 1e-9, "{two}");
     // A job that comes after 30 s finds the machine busy for 10 s more.
-    let late = Arrival { at: NOW + secs(30), work: work(8.0, 1, 10) };
+    let late = Arrival { arrives_at: NOW + secs(30), work: work(8.0, 1, 10) };
     let with = replay(vec![work(8.0, 2, 20)], vec![late]);
     assert!((with - (1.5 + 2.0) / 2.0).abs() < 1e-9, "{with}");
 }
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -381,8 +381,9 @@
         let (token, answers) = (world.lease(), world.latest_report(node));
         let mut orders = orders(token, answers, vec![(shard.clone(), epoch)]);
         orders.stamp.sequence += u64::from(!cancelled);
-        orders.machines[0].host = machine.clone();
-        orders.machines[0].orders = vec![WorkerCommand::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
+        orders.machines[0].machine = machine.clone();
+        orders.machines[0].commands =
+            vec![WorkerCommand::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
         let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
         assert_eq!(delivery, Delivery::Accepted);
         let run =
@@ -452,19 +453,19 @@
 fn orders(token: u64, answers: u64, shards: Vec<(ShardId, u64)>) -> LeaderCommands {
     let task = TaskId { job: JobId::parse("job-000000").unwrap(), index: 0 };
     let run = MachineCommands {
-        host: "i-000001".into(),
+        machine: "i-000001".into(),
         shard: 0,
-        shift: 1,
-        orders: vec![WorkerCommand::Run { task, attempt: 9 }],
+        incarnation: 1,
+        commands: vec![WorkerCommand::Run { task, attempt: 9 }],
     };
     LeaderCommands {
         host: "plank-0".into(),
         stamp: MessageStamp { boot: 77, sequence: 1 << 50 },
-        answers,
+        acknowledged: answers,
         token,
         latest_epoch: 0,
         machines: if shards.is_empty() { Vec::new() } else { vec![run] },
-        gone: Vec::new(),
+        removed: Vec::new(),
         snapshot: Vec::new(),
         shards,
     }
@@ -524,7 +525,7 @@
         }],
         stream: 1,
         first: true,
-        news: Vec::new(),
+        updates: Vec::new(),
         alive: Default::default(),
         alive_age: Duration::ZERO,
     };
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use plankhead_core::node::EffectSink;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
-use plankhead_core::version_barrier::{Step, VersionBarrier};
+use plankhead_core::version_barrier::{VersionBarrier, VersionBarrierCall};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -242,13 +242,13 @@
         let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), EffectSink::default());
         version_barrier.tick(NOW, &mut out);
         version_barrier.reply(
-            Step::Mark,
+            VersionBarrierCall::WriteVersion,
             Ok(KvReply::Conflict { failed: vec!["node/plank-0".into()] }),
             &mut out,
         );
         version_barrier.tick(NOW, &mut out);
         version_barrier.reply(
-            Step::Look,
+            VersionBarrierCall::ListVersions,
             Ok(KvReply::Page { rows, truncated: false, revision: 9 }),
             &mut out,
         );
@@ -260,7 +260,7 @@
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
     assert!(version_barrier.open());
     let mut out = EffectSink::default();
-    version_barrier.reply(Step::Look, Err(CallError::OutcomeUnknown), &mut out);
+    version_barrier.reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
-    assert!(version_barrier.open() && out.effects.is_empty());
+    assert!(version_barrier.open() && out.queued.is_empty());
 }
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -311,13 +311,13 @@
         }
         self.number(report.stream);
         self.flag(report.first);
-        self.number(report.news.len() as u64);
-        for news in &report.news {
+        self.number(report.updates.len() as u64);
+        for news in &report.updates {
             self.number(u64::from(news.number));
-            self.report(&news.report);
-            self.flag(news.proven);
-            self.flag(news.deaf);
-            self.number(u64::from(news.unanswered));
+            self.report(&news.heartbeat);
+            self.flag(news.confirmed);
+            self.flag(news.ignores_commands);
+            self.number(u64::from(news.unanswered_commands));
             self.duration(news.age);
         }
         self.bitmap(&report.alive);
@@ -329,7 +329,7 @@
         self.text(&orders.host);
         self.number(orders.stamp.boot);
         self.number(orders.stamp.sequence);
-        self.number(orders.answers);
+        self.number(orders.acknowledged);
         self.number(orders.token);
         self.number(orders.shards.len() as u64);
         for (shard, epoch) in &orders.shards {
@@ -339,13 +339,13 @@
         self.number(orders.latest_epoch);
         self.number(orders.machines.len() as u64);
         for machine in &orders.machines {
-            self.text(&machine.host);
+            self.text(&machine.machine);
             self.number(machine.shard as u64);
-            self.number(machine.shift);
-            self.orders(&machine.orders);
+            self.number(machine.incarnation);
+            self.orders(&machine.commands);
         }
-        self.number(orders.gone.len() as u64);
-        orders.gone.iter().for_each(|host| self.text(host));
+        self.number(orders.removed.len() as u64);
+        orders.removed.iter().for_each(|host| self.text(host));
         self.number(orders.snapshot.len() as u64);
         orders.snapshot.iter().for_each(|report| self.report(report));
     }
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -1238,7 +1238,7 @@
         let times = self.times(node);
         let Some((boot, core)) = &mut self.nodes[node] else { return };
         let boot = *boot;
-        core.lags(self.lag);
+        core.set_timer_lag(self.lag);
         let effects = core.step(times, batch);
         self.trace.absorb(now, node, &effects);
         let asked = core.next_wake(times.now);
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -70,7 +70,7 @@
 const URGENT_LOOK: Duration = ms(100);
 
 /// Who could run the waiting task may be left idle for so long once troubles are over.
-const MOST_WAIT: Duration = secs(90);
+const MAX_WAIT: Duration = secs(90);
 
 impl World {
     /// Has something happen when the moment comes for the `nth` time.
@@ -297,7 +297,7 @@
                 continue;
             }
             let since = *job.waiting.get_or_insert(now);
-            assert!(now <= since + MOST_WAIT, "waits: {:?} although a machine has room", job.id);
+            assert!(now <= since + MAX_WAIT, "waits: {:?} although a machine has room", job.id);
         }
     }
 
--- a/crates/plankhead-fencing/src/duty.rs
+++ b/crates/plankhead-fencing/src/duty.rs
@@ -110,7 +110,7 @@
     }
 
     /// Goes on to the next state.
-    pub fn become_state(&mut self, next: State) -> Result<(), InvalidTransition> {
+    pub fn transition_to(&mut self, next: State) -> Result<(), InvalidTransition> {
         if !self.state.may_become(next) {
             return Err(InvalidTransition { key: self.key.clone(), from: self.state, to: next });
         }
--- a/crates/plankhead-fencing/src/log.rs
+++ b/crates/plankhead-fencing/src/log.rs
@@ -151,7 +151,7 @@
     }
 
     /// The most of these machines whose return fits into one record.
-    pub fn returnable(&self, hosts: &[Arc<str>], cause: ReturnReason) -> Return {
+    pub fn machines_per_return(&self, hosts: &[Arc<str>], cause: ReturnReason) -> Return {
         let mut room = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |host: &&Arc<str>| {
             let bytes = host.len() + HOST_OVERHEAD;
@@ -241,22 +241,22 @@
         self.entries.values().map(|entry| &entry.duty).filter(|duty| duty.holder != self.token)
     }
 
-    pub fn open_duties(&self) -> impl Iterator<Item = &Intent> {
+    pub fn open_intents(&self) -> impl Iterator<Item = &Intent> {
         self.entries.values().map(|entry| &entry.duty)
     }
 
-    pub fn duty(&self, key: &IdempotencyKey) -> Option<&Intent> {
+    pub fn intent(&self, key: &IdempotencyKey) -> Option<&Intent> {
         self.entries.get(key).map(|entry| &entry.duty)
     }
 
     /// Whether a duty waits for its record.
-    pub fn lacks_records(&self) -> bool {
-        self.pages.values().any(Page::lacks_duties)
+    pub fn has_unrecorded(&self) -> bool {
+        self.pages.values().any(Page::has_unrecorded)
     }
 
     /// Whether records of duties that are over could go.
-    pub fn is_untidy(&self) -> bool {
-        self.pages.values().any(Page::is_untidy)
+    pub fn needs_compaction(&self) -> bool {
+        self.pages.values().any(Page::needs_compaction)
     }
 
     pub fn is_writing(&self) -> bool {
@@ -273,10 +273,10 @@
         let most = most.min(self.limits.changes);
         let mut room = self.limits.transaction_bytes;
         let (mut changes, mut writing) = (Vec::new(), Vec::new());
-        let due = |page: &&Page| !page.in_doubt && (page.lacks_duties() || tidy && page.is_untidy());
+        let due = |page: &&Page| !page.in_doubt && (page.has_unrecorded() || tidy && page.needs_compaction());
         // What lacks a record comes before what is only to be tidied up.
         let mut pages: Vec<(&PageId, &Page)> = self.pages.iter().filter(|(_, page)| due(page)).collect();
-        pages.sort_by_key(|(id, page)| (!page.lacks_duties(), **id));
+        pages.sort_by_key(|(id, page)| (!page.has_unrecorded(), **id));
         for (id, page) in pages.into_iter().take(most) {
             if page.bytes + PAGE_OVERHEAD > room {
                 break;
@@ -300,10 +300,10 @@
         match outcome {
             WriteOutcome::Committed { revision } => return self.committed(pages, revision),
             WriteOutcome::Busy => {}
-            WriteOutcome::Conflict => self.doubt(&pages),
+            WriteOutcome::Conflict => self.mark_uncertain(&pages),
             WriteOutcome::Refused => self.unrecordable(),
             WriteOutcome::Lost => {
-                self.doubt(&pages);
+                self.mark_uncertain(&pages);
                 self.unrecordable();
             }
         }
@@ -327,7 +327,7 @@
             for key in &page.stored {
                 let Some(entry) = self.entries.get_mut(key) else { continue };
                 entry.basis = Some(Basis::Recorded { revision });
-                if entry.duty.become_state(State::Recorded).is_ok() {
+                if entry.duty.transition_to(State::Recorded).is_ok() {
                     durable.push(key.clone());
                 }
             }
@@ -337,7 +337,7 @@
 
     /// The transaction may be carried out later, or was by another way: what stands there
     /// is read before the next write.
-    fn doubt(&mut self, pages: &[(PageId, BTreeSet<IdempotencyKey>)]) {
+    fn mark_uncertain(&mut self, pages: &[(PageId, BTreeSet<IdempotencyKey>)]) {
         for (id, _) in pages {
             if let Some(page) = self.pages.get_mut(id) {
                 page.in_doubt = true;
@@ -353,7 +353,7 @@
     }
 
     /// The pages whose revisions are to be read before they are written again.
-    pub fn doubtful(&self) -> Vec<PageId> {
+    pub fn uncertain_pages(&self) -> Vec<PageId> {
         self.pages.iter().filter(|(_, page)| page.in_doubt).map(|(id, _)| *id).collect()
     }
 
@@ -385,7 +385,7 @@
         let token = self.token;
         let entry = self.entries.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
         let basis = entry.basis.ok_or_else(|| IssueError::NotDurable(key.clone()))?;
-        entry.duty.become_state(State::Issued)?;
+        entry.duty.transition_to(State::Issued)?;
         let proof = IssueProof { token, key: key.clone(), digest: entry.duty.digest, basis };
         Ok((entry.duty.action.clone(), proof))
     }
@@ -393,7 +393,7 @@
     /// Lets a duty be issued without its record: a rule forces the return of machines,
     /// and the state service has failed the attempt to record it. Time alone, or a lease
     /// that has run out by the own clock, is no ground.
-    pub fn compel(&mut self, key: &IdempotencyKey) -> bool {
+    pub fn force_issue(&mut self, key: &IdempotencyKey) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return false };
         let reclaim =
             matches!(entry.duty.action, Action::Return(Return { cause: ReturnReason::Reclaim, .. }));
@@ -415,7 +415,7 @@
 
     fn end(&mut self, key: &IdempotencyKey, last: State) -> Result<(), InvalidTransition> {
         let Some(entry) = self.entries.get_mut(key) else { return Ok(()) };
-        entry.duty.become_state(last)?;
+        entry.duty.transition_to(last)?;
         match last {
             State::Confirmed => self.confirmed += 1,
             _ => self.abandoned += 1,
--- a/crates/plankhead-fencing/src/page.rs
+++ b/crates/plankhead-fencing/src/page.rs
@@ -23,13 +23,13 @@
 
 impl Page {
     /// Whether it holds records of duties that are over.
-    pub fn is_untidy(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         let over = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
         over && !self.unreadable && (!self.inherited || self.open.is_empty())
     }
 
     /// Whether it lacks a duty.
-    pub fn lacks_duties(&self) -> bool {
+    pub fn has_unrecorded(&self) -> bool {
         !self.inherited && !self.open.is_subset(&self.stored)
     }
 }
--- a/crates/plankhead-fencing/src/token.rs
+++ b/crates/plankhead-fencing/src/token.rs
@@ -29,7 +29,7 @@
     }
 
     /// A token became known without a message under it.
-    pub fn learn(&mut self, token: u64) {
+    pub fn observe(&mut self, token: u64) {
         self.highest = self.highest.max(token);
     }
 
--- a/crates/plankhead-fencing/tests/duties.rs
+++ b/crates/plankhead-fencing/tests/duties.rs
@@ -59,7 +59,7 @@
         }
     }
     let mut duty = Intent::intended(key("k"), 7, rental("r", 1), 0);
-    assert!(duty.become_state(Confirmed).is_err());
+    assert!(duty.transition_to(Confirmed).is_err());
     assert_eq!(duty.state(), Intended);
 }
 
@@ -93,7 +93,7 @@
     for outcome in [WriteOutcome::Busy, WriteOutcome::Refused, WriteOutcome::Conflict, WriteOutcome::Lost] {
         assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
         assert_eq!(log.end_write(outcome), Vec::new());
-        for page in log.doubtful() {
+        for page in log.uncertain_pages() {
             assert_eq!(log.begin_write(4, true), None, "written while in doubt");
             log.reread(page, 0);
         }
@@ -137,7 +137,7 @@
     log.confirm(&key("r")).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused));
     assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
-    assert!(log.duty(&key("r")).is_none(), "a duty that is over began again");
+    assert!(log.intent(&key("r")).is_none(), "a duty that is over began again");
     assert!(log.next_key() != log.next_key());
 }
 
@@ -152,7 +152,7 @@
         log.issue(&key(name)).unwrap();
     }
     log.confirm(&key("a")).unwrap();
-    assert!(log.is_untidy() && !log.lacks_records());
+    assert!(log.needs_compaction() && !log.has_unrecorded());
     let (changes, _) = write(&mut log, WriteOutcome::Committed { revision: 10 });
     assert_eq!(
         (changes[0].expected, changes[0].value.as_ref().unwrap().contains("\"key\":\"a\"")),
@@ -161,7 +161,7 @@
     log.confirm(&key("b")).unwrap();
     let (changes, _) = write(&mut log, WriteOutcome::Committed { revision: 11 });
     assert_eq!(changes, vec![IntentPageWrite { page: changes[0].page, expected: 10, value: None }]);
-    assert!(!log.is_untidy());
+    assert!(!log.needs_compaction());
     assert_eq!(log.summary().pages, 0);
 }
 
@@ -178,7 +178,7 @@
     let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
     assert!(adopted.iter().all(|duty| duty.holder == 41 && duty.state() == State::Adopted));
-    assert!(!new.is_untidy(), "open duties of a former holder were to be removed");
+    assert!(!new.needs_compaction(), "open duties of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
         assert!(FencingGate::fenced(60).pass(action, Some(proof)).is_ok());
@@ -206,14 +206,14 @@
     let mut log = IntentLog::new(41, LIMITS);
     log.intend(key("reclaim"), back(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
     log.intend(key("surplus"), back(&["i-2"], ReturnReason::Surplus), 5).unwrap();
-    assert!(!log.compel(&key("reclaim")), "without an attempt to record it");
+    assert!(!log.force_issue(&key("reclaim")), "without an attempt to record it");
     write(&mut log, WriteOutcome::Busy);
-    assert!(!log.compel(&key("reclaim")), "the state service is only busy");
+    assert!(!log.force_issue(&key("reclaim")), "the state service is only busy");
     write(&mut log, WriteOutcome::Refused);
     log.forget_failures();
-    assert!(!log.compel(&key("reclaim")), "by a failure that is long past");
+    assert!(!log.force_issue(&key("reclaim")), "by a failure that is long past");
     write(&mut log, WriteOutcome::Refused);
-    assert!(log.compel(&key("reclaim")) && !log.compel(&key("surplus")));
+    assert!(log.force_issue(&key("reclaim")) && !log.force_issue(&key("surplus")));
     let (action, proof) = log.issue(&key("reclaim")).unwrap();
     assert_eq!(FencingGate::fenced(41).pass(action, Some(proof)).unwrap().basis(), Basis::Compelled);
 }
@@ -223,7 +223,7 @@
     let mut log = IntentLog::new(41, LIMITS);
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
     let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
-    let fits = log.returnable(&hosts, ReturnReason::Surplus);
+    let fits = log.machines_per_return(&hosts, ReturnReason::Surplus);
     assert!(fits.hosts.len() > 50 && fits.hosts.len() < 100, "{}", fits.hosts.len());
     log.intend(key("1"), Action::Return(fits), 5).unwrap();
     let whole = Action::Return(Return { hosts, cause: ReturnReason::Surplus });
@@ -287,9 +287,9 @@
     let mut guard = TokenGuard::default();
     assert_eq!(guard.admit(41), Ok(()));
     assert_eq!(guard.admit(41), Ok(()));
-    guard.learn(50);
+    guard.observe(50);
     assert_eq!(guard.admit(41), Err(StaleToken { given: 41, highest: 50 }));
-    guard.learn(3);
+    guard.observe(3);
     assert_eq!((guard.highest(), guard.refused()), (50, 1));
     assert_eq!(guard.admit(51), Ok(()));
 }
@@ -349,7 +349,7 @@
                     let next = log.next_key();
                     log.intend(next.clone(), rental(&next.to_string(), 1), 5).unwrap();
                 }
-                for page in log.doubtful() {
+                for page in log.uncertain_pages() {
                     log.reread(page, store.revision_of(&page));
                 }
                 if let Some(changes) = log.begin_write(rng.random_range(1..5), rng.random_range(0..4) == 0) {
@@ -370,7 +370,7 @@
                 if rng.random_range(0..8) == 0 {
                     late.pop().map(|changes| store.apply(&changes));
                 }
-                let open: Vec<IdempotencyKey> = log.open_duties().map(|duty| duty.key.clone()).collect();
+                let open: Vec<IdempotencyKey> = log.open_intents().map(|duty| duty.key.clone()).collect();
                 for duty in open {
                     if log.issue(&duty).is_ok() {
                         issued += 1;
@@ -382,11 +382,11 @@
                 }
             }
             if last {
-                assert_eq!(log.open_duties().count(), 0, "seed {seed}");
+                assert_eq!(log.open_intents().count(), 0, "seed {seed}");
                 while let Some(changes) = log.begin_write(4, true) {
                     let outcome = store.apply(&changes);
                     log.end_write(outcome);
-                    for page in log.doubtful() {
+                    for page in log.uncertain_pages() {
                         log.reread(page, store.revision_of(&page));
                     }
                 }
--- a/crates/plankhead-reachability/src/latency.rs
+++ b/crates/plankhead-reachability/src/latency.rs
@@ -10,7 +10,7 @@
 /// Times below this, in seconds, are not told apart.
 const LEAST: f64 = 1e-4;
 /// Fewer times tell nothing of the distribution.
-const LEAST_COUNT: usize = 16;
+const MIN_COUNT: usize = 16;
 const HIGH_QUANTILE: f64 = 0.99;
 
 /// How many more times come before the high quantile is looked up again.
@@ -60,7 +60,7 @@
     }
 
     fn full_windows(&self) -> impl Iterator<Item = &DDSketch> {
-        self.windows().filter(|sketch| sketch.count() >= LEAST_COUNT)
+        self.windows().filter(|sketch| sketch.count() >= MIN_COUNT)
     }
 
     /// The 99th percentile, once enough is known.
--- a/crates/plankhead-reachability/src/link.rs
+++ b/crates/plankhead-reachability/src/link.rs
@@ -9,8 +9,8 @@
 /// An answer that takes this many times the high quantile is overdue.
 const OVERDUE_FACTOR: u32 = 4;
 /// The bounds of that, whatever the quantile.
-const LEAST_OVERDUE: Duration = Duration::from_millis(200);
-const MOST_OVERDUE: Duration = Duration::from_secs(1);
+const MIN_OVERDUE: Duration = Duration::from_millis(200);
+const MAX_OVERDUE: Duration = Duration::from_secs(1);
 /// What one window of round trips spans.
 const ROUND_TRIPS: Duration = Duration::from_secs(60);
 /// What one window of gaps between arrivals spans, in longest silences: each window has
@@ -21,7 +21,7 @@
 /// A silence this many times the longest recent gap is wrong.
 const SILENCE_FACTOR: f64 = 1.5;
 /// Failures in a row without which no link is down: one may be anybody's.
-const LEAST_FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 /// Calls under way on a link that is down, beyond which it is not probed.
 const MAX_PROBES: usize = 8;
 /// A link that is in doubt is probed once nothing was sent over it for so long.
@@ -202,8 +202,8 @@
 
     /// After which time an answer is overdue, by the link's own distribution.
     pub fn overdue_after(&self) -> Duration {
-        let high = self.round_trips.high().unwrap_or(MOST_OVERDUE / OVERDUE_FACTOR);
-        (high * OVERDUE_FACTOR).clamp(LEAST_OVERDUE, MOST_OVERDUE)
+        let high = self.round_trips.high().unwrap_or(MAX_OVERDUE / OVERDUE_FACTOR);
+        (high * OVERDUE_FACTOR).clamp(MIN_OVERDUE, MAX_OVERDUE)
     }
 
     /// Since when calls are overdue with no confirmation since, and how many are.
@@ -227,7 +227,7 @@
         let since = signs.map(|(since, _)| since).min();
         let lasts = since.is_some_and(|since| now.saturating_sub(since) >= self.down_after);
         let fresh = self.confirmed_at.is_some_and(|at| now.saturating_sub(at) < IDLE);
-        let enough = failures >= LEAST_FAILURES;
+        let enough = failures >= MIN_FAILURES;
         let condition = match since {
             Some(_) if lasts && enough => Condition::Down,
             // A link that was down stays so until something is confirmed.
@@ -263,7 +263,7 @@
             return doubtful && self.outstanding.len() < MAX_PROBES;
         }
         let quiet = self.sent_at.is_none_or(|at| now.saturating_sub(at) >= QUIET);
-        doubtful && quiet && self.outstanding.len() < LEAST_FAILURES as usize
+        doubtful && quiet && self.outstanding.len() < MIN_FAILURES as usize
     }
 }
 
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -15,14 +15,14 @@
 /// How soon links that fail are judged again.
 const CLOSE_LOOK: Duration = Duration::from_millis(250);
 /// Silence of peers: their heartbeats come every second.
-const LEAST_PEER_SILENCE: Duration = Duration::from_millis(2500);
-const MOST_PEER_SILENCE: Duration = Duration::from_secs(4);
+const MIN_PEER_SILENCE: Duration = Duration::from_millis(2500);
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
 /// Silence of all workers, at the least.
-const LEAST_WORKER_SILENCE: Duration = Duration::from_millis(1500);
+const MIN_WORKER_SILENCE: Duration = Duration::from_millis(1500);
 /// Fewer machines can fall silent together by themselves.
-const LEAST_MACHINES: usize = 2;
+const MIN_MACHINES: usize = 2;
 /// With fewer, one that takes no answers is not told from a link that carries none.
-const LEAST_ANSWERED: usize = 3;
+const MIN_ANSWERED: usize = 3;
 
 const STATE_LINKS: [LinkId; 3] = [LinkId::StateReads, LinkId::StateWrites, LinkId::StateRenewal];
 const CALL_LINKS: [LinkId; 7] = [
@@ -76,13 +76,13 @@
         let link = || Link::new(settings.down_after, now);
         let out = (0..peers).map(LinkId::PeerOut);
         let peer = |_| {
-            let mut arrivals = ArrivalMonitor::new(LEAST_PEER_SILENCE, MOST_PEER_SILENCE, now);
+            let mut arrivals = ArrivalMonitor::new(MIN_PEER_SILENCE, MAX_PEER_SILENCE, now);
             arrivals.expect(true, now);
             arrivals
         };
         Self {
             links: CALL_LINKS.into_iter().chain(out).map(|id| (id, link())).collect(),
-            reports: ArrivalMonitor::new(LEAST_WORKER_SILENCE.min(most_silence), most_silence, now),
+            reports: ArrivalMonitor::new(MIN_WORKER_SILENCE.min(most_silence), most_silence, now),
             peers: (0..peers).map(peer).collect(),
             state: Side::new(settings, now),
             workers: Side::new(settings, now),
@@ -165,7 +165,7 @@
             self.forget(now);
         }
         self.judged = now;
-        self.reports.expect(machines >= LEAST_MACHINES, now);
+        self.reports.expect(machines >= MIN_MACHINES, now);
         self.reports.judge(now);
         for arrivals in &mut self.peers {
             arrivals.judge(now);
@@ -174,7 +174,7 @@
             link.judge(now);
         }
         let state = STATE_LINKS.iter().all(|id| !self.is_down(*id));
-        let answers = machines < LEAST_ANSWERED || !self.is_down(LinkId::Answers);
+        let answers = machines < MIN_ANSWERED || !self.is_down(LinkId::Answers);
         let workers = answers && self.reports.condition() != Condition::Down;
         self.state.judge(state, now);
         self.workers.judge(workers, now);
--- a/crates/plankhead-sharding/src/alive.rs
+++ b/crates/plankhead-sharding/src/alive.rs
@@ -52,7 +52,7 @@
 pub struct Names(HashMap<u32, Arc<str>>);
 
 impl Names {
-    pub fn learn(&mut self, number: u32, machine: Arc<str>) {
+    pub fn assign(&mut self, number: u32, machine: Arc<str>) {
         if self.0.len() < MAX_MACHINES || self.0.contains_key(&number) {
             self.0.insert(number, machine);
         }
--- a/crates/plankhead-sharding/src/sight.rs
+++ b/crates/plankhead-sharding/src/freshness.rs
@@ -13,12 +13,12 @@
 /// When a holder last saw the jobs and the records whole. Each time is when the read was
 /// asked for, never when it was answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sight {
+pub struct Freshness {
     pub jobs: Option<Duration>,
     pub records: Option<Duration>,
 }
 
-impl Sight {
+impl Freshness {
     /// Whether an answer decided now may renew a lease: it runs out before a cancellation
     /// that this holder could not see is due, `a + lease (1 + d) + e <= v + cancel (1 - d)`.
     /// The holder's own sight counts and nobody else's, so that however many holders and
--- a/crates/plankhead-sharding/src/lib.rs
+++ b/crates/plankhead-sharding/src/lib.rs
@@ -10,11 +10,11 @@
 
 pub mod alive;
 pub mod balance;
+pub mod freshness;
 pub mod record;
 pub mod registry;
 pub mod sequence;
 pub mod settings;
 pub mod shard;
-pub mod sight;
 pub mod state;
 pub mod table;
--- a/crates/plankhead-sharding/src/registry.rs
+++ b/crates/plankhead-sharding/src/registry.rs
@@ -145,7 +145,7 @@
     }
 
     /// Takes in the records as they were read; `seen`: when that read was asked for.
-    pub fn learn(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
+    pub fn apply_records(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
         for (shard, known) in table.iter() {
             let entry = self.entries.entry(shard.clone()).or_default();
             if known.revision <= entry.revision {
@@ -169,7 +169,7 @@
 
     /// Whether some record may have been written that this leader does not know of: a token
     /// above those that it knows may be a shard's.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn has_uncertain_writes(&self) -> bool {
         self.entries.values().any(|entry| entry.writing || entry.doubt.is_some())
     }
 
@@ -441,7 +441,7 @@
 
     /// What became of a write that was asked for at `sent`. Tells which holder was named by
     /// it.
-    pub fn written(
+    pub fn write_completed(
         &mut self,
         write: &RecordWrite,
         outcome: WriteOutcome,
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -149,7 +149,7 @@
         self.revision += 1;
         self.lease = (self.revision, host);
         let mut registry = ShardRegistry::new(self.revision, HOSTS[host], Self::settings());
-        registry.learn(&self.tables[host], self.read_at[host], self.now);
+        registry.apply_records(&self.tables[host], self.read_at[host], self.now);
         self.registries.insert(host, (self.revision, registry));
     }
 
@@ -185,7 +185,7 @@
         let current = self.registries.get_mut(&leader).filter(|(current, _)| *current == term);
         if let Some((_, registry)) = current.filter(|_| !given_up) {
             let outcome = if answered { outcome } else { WriteOutcome::Lost };
-            registry.written(&write, outcome, sent, self.now);
+            registry.write_completed(&write, outcome, sent, self.now);
         }
     }
 
@@ -197,7 +197,7 @@
         };
         let current = self.registries.get_mut(leader).filter(|(current, _)| current == term);
         if let Some((_, registry)) = current.filter(|_| !*given_up) {
-            registry.written(write, WriteOutcome::Lost, *sent, self.now);
+            registry.write_completed(write, WriteOutcome::Lost, *sent, self.now);
             *given_up = true;
         }
     }
@@ -209,7 +209,7 @@
         }
         self.read_at[host] = Some(self.now);
         if let Some((_, registry)) = self.registries.get_mut(&host) {
-            registry.learn(&self.tables[host], self.read_at[host], self.now);
+            registry.apply_records(&self.tables[host], self.read_at[host], self.now);
         }
     }
 
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -4,10 +4,10 @@
 
 use plankhead_sharding::alive::{self, AliveSetError, Names, Numbers};
 use plankhead_sharding::balance::{choose, improve, Candidate, Holding, Holdings};
+use plankhead_sharding::freshness::Freshness;
 use plankhead_sharding::record::{PendingMove, Record, RecordError};
 use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard, StaleMessage};
 use plankhead_sharding::shard::ShardId;
-use plankhead_sharding::sight::Sight;
 use plankhead_sharding::state::{ShardState, Transition};
 use plankhead_sharding::table::ShardTable;
 use roaring::RoaringBitmap;
@@ -114,7 +114,7 @@
     let mut alive = RoaringBitmap::new();
     for machine in &machines {
         let number = numbers.assign(machine).unwrap();
-        names.learn(number, machine.clone());
+        names.assign(number, machine.clone());
         alive.insert(number);
     }
     alive.insert(9_999);
@@ -133,12 +133,15 @@
 #[test]
 fn leases_end_before_an_unseen_cancellation_is_due() {
     let (lease, cancel) = (secs(11), secs(36));
-    let both = |jobs, records| Sight { jobs: Some(secs(jobs)), records: Some(secs(records)) };
+    let both = |jobs, records| Freshness { jobs: Some(secs(jobs)), records: Some(secs(records)) };
     assert!(both(100, 100).may_renew(secs(122), lease, cancel));
     assert!(!both(100, 100).may_renew(secs(123), lease, cancel));
     assert!(!both(100, 110).may_renew(secs(123), lease, cancel), "the older of the two counts");
     assert!(!both(110, 100).may_renew(secs(123), lease, cancel));
-    assert!(!Sight { jobs: Some(secs(1)), records: None }.may_renew(secs(1), lease, cancel), "none at all");
+    assert!(
+        !Freshness { jobs: Some(secs(1)), records: None }.may_renew(secs(1), lease, cancel),
+        "none at all"
+    );
     assert!(both(100, 0).may_start(secs(102)) && !both(100, 0).may_start(secs(103)));
     let latest = secs(123) + lease.mul_f64(1.0005) + Duration::from_millis(100);
     assert!(latest <= secs(100) + cancel.mul_f64(0.9995), "the bound itself");
--- a/crates/plankhead-standins/src/cloud.rs
+++ b/crates/plankhead-standins/src/cloud.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-const MOST_CONNECTIONS: usize = 100;
+const MAX_CONNECTIONS: usize = 100;
 
 #[derive(Debug, Default)]
 struct Rented {
@@ -79,7 +79,7 @@
         let listener = TcpListener::bind(address).await?;
         let (cloud, sender) = (cloud.clone(), format!("plank-{number}"));
         let handle = move |request| answer(cloud.clone(), sender.clone(), request);
-        tokio::spawn(http::serve(listener, MOST_CONNECTIONS, handle));
+        tokio::spawn(http::serve(listener, MAX_CONNECTIONS, handle));
     }
     Ok(cloud)
 }
@@ -87,7 +87,7 @@
 async fn answer(cloud: Arc<Cloud>, sender: String, request: Request<Incoming>) -> Reply {
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     let after = request.uri().query().unwrap_or_default().contains("after=");
-    let body = match http::body(request, http::MOST_REQUEST).await {
+    let body = match http::body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
--- a/crates/plankhead-standins/src/nodes.rs
+++ b/crates/plankhead-standins/src/nodes.rs
@@ -52,12 +52,12 @@
 const STOP_PATIENCE: Duration = Duration::from_secs(5);
 const STOP_POLL: Duration = Duration::from_millis(10);
 /// Ports that are tried at the most.
-const MOST_TRIES: usize = 1_000;
+const MAX_TRIES: usize = 1_000;
 
 /// A loopback address that nobody has at the moment, and that no connection will be given.
 pub fn free() -> std::io::Result<SocketAddr> {
     let mut random = rand::rng();
-    let drawn = (0..MOST_TRIES).map(|_| SocketAddr::from(([127, 0, 0, 1], random.random_range(PORTS))));
+    let drawn = (0..MAX_TRIES).map(|_| SocketAddr::from(([127, 0, 0, 1], random.random_range(PORTS))));
     let mut unused = drawn.filter(|address| TcpListener::bind(address).is_ok());
     unused.next().ok_or_else(|| std::io::Error::other("no port is free"))
 }
--- a/crates/plankhead-standins/src/state.rs
+++ b/crates/plankhead-standins/src/state.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-const MOST_CONNECTIONS: usize = 1_000;
-const MOST_ROWS: usize = 1_000;
+const MAX_CONNECTIONS: usize = 1_000;
+const MAX_ROWS: usize = 1_000;
 /// How often leases are looked at.
 const EXPIRY: Duration = Duration::from_millis(50);
 
@@ -77,7 +77,7 @@
     });
     let serving = state.clone();
     let handle = move |request| answer(serving.clone(), counts.clone(), request);
-    tokio::spawn(http::serve(listener, MOST_CONNECTIONS, handle));
+    tokio::spawn(http::serve(listener, MAX_CONNECTIONS, handle));
     Ok((address, state))
 }
 
@@ -85,7 +85,7 @@
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
-    let body = match http::body(request, http::MOST_REQUEST).await {
+    let body = match http::body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
@@ -179,10 +179,10 @@
         let wanted = keys.rows.iter().filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let found: Vec<Value> = wanted
             .map(|(key, row)| json!({"k": key, "value": row.value, "stamp": row.stamp}))
-            .take(MOST_ROWS + 1)
+            .take(MAX_ROWS + 1)
             .collect();
-        let truncated = found.len() > MOST_ROWS;
-        let rows = &found[..found.len().min(MOST_ROWS)];
+        let truncated = found.len() > MAX_ROWS;
+        let rows = &found[..found.len().min(MAX_ROWS)];
         (200, json!({"rows": rows, "truncated": truncated, "epoch": keys.revision}))
     }
 
--- a/crates/plankhead-standins/src/workers.rs
+++ b/crates/plankhead-standins/src/workers.rs
@@ -21,7 +21,7 @@
 
 pub const MACHINE_TYPE: &str = "large";
 pub const ZONE: &str = "zone-a";
-const MOST_CONNECTIONS: usize = 10_000;
+const MAX_CONNECTIONS: usize = 10_000;
 /// Reports on a change are at least this far apart.
 const CHANGE_PAUSE: Duration = Duration::from_millis(500);
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -117,7 +117,7 @@
         }
         let workers = Arc::new(workers);
         let direct = workers.clone();
-        tokio::spawn(http::serve(listener, MOST_CONNECTIONS, move |request| {
+        tokio::spawn(http::serve(listener, MAX_CONNECTIONS, move |request| {
             command(direct.clone(), request)
         }));
         Ok(workers)
@@ -185,7 +185,7 @@
 async fn command(workers: Arc<Workers>, request: Request<Incoming>) -> Reply {
     workers.counts.add(Kind::Command);
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default().to_owned();
-    let body = match http::body(request, http::MOST_REQUEST).await {
+    let body = match http::body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice::<Value>(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
--- a/crates/plankhead/src/api.rs
+++ b/crates/plankhead/src/api.rs
@@ -1,7 +1,7 @@
 //! What users, workers and the load balancer ask of a node.
 
 use crate::driver::{CoreRequest, Handle};
-use crate::http::{self, Reply, MOST_REQUEST};
+use crate::http::{self, Reply, MAX_REQUEST};
 use crate::wire::{self, HeartbeatReader};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
@@ -21,7 +21,7 @@
             false => Reply::error(503, "the state service refuses this node"),
         },
         (["work"], Method::POST) => {
-            let body = match http::body(request, MOST_REQUEST).await {
+            let body = match http::body(request, MAX_REQUEST).await {
                 Ok(body) => body,
                 Err(reply) => return reply,
             };
@@ -39,7 +39,7 @@
             Err(_) => Reply::error(404, "no such job"),
         },
         (["agent", "beat"], Method::POST) => {
-            let body = match http::body(request, MOST_REQUEST).await {
+            let body = match http::body(request, MAX_REQUEST).await {
                 Ok(body) => body,
                 Err(reply) => return reply,
             };
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -23,7 +23,7 @@
 /// Room in the queue of commands beside one for each connection; above, requests
 /// are refused at once.
 const MORE_COMMANDS: usize = 256;
-const MOST_BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// How long a peak of the lag is remembered: after each timer that fires in time, this
 /// share of it.
 const LAG_KEPT: f64 = 0.2;
@@ -32,7 +32,7 @@
 /// No request waits longer than this.
 pub const PATIENCE: Duration = Duration::from_secs(4);
 /// Connections on the controller port.
-const MOST_PEERS: usize = 64;
+const MAX_PEERS: usize = 64;
 
 #[derive(Debug, Error)]
 pub enum RunError {
@@ -301,7 +301,7 @@
         move |request| api::handle(handle.clone(), reader.clone(), request)
     };
     tokio::spawn(http::serve_each(users, config.connections, per_connection));
-    tokio::spawn(http::serve(peers, MOST_PEERS, move |r| peer::handle(handle.clone(), r)));
+    tokio::spawn(http::serve(peers, MAX_PEERS, move |r| peer::handle(handle.clone(), r)));
     let mut outside = Outside {
         queue,
         state: Arc::new(Client::new(config.state)),
@@ -330,17 +330,17 @@
                     batch.push(request.event(outside.asks.add(now, sender)))
                 }
             }
-            next = if batch.len() < MOST_BATCH { commands.try_recv().ok() } else { None };
+            next = if batch.len() < MAX_BATCH { commands.try_recv().ok() } else { None };
         }
         if now >= due {
             lag.measure(due, now);
-            node.lags(lag.get());
+            node.set_timer_lag(lag.get());
         }
         let times = StepTime { now: EPOCH + (now - start), wall: SystemTime::now() };
         for effect in node.step(times, batch) {
             outside.perform(effect);
         }
-        healthy.store(node.healthy(times.now), Ordering::Relaxed);
+        healthy.store(node.is_healthy(times.now), Ordering::Relaxed);
         highest_token.store(node.highest_token(), Ordering::Relaxed);
         // A timer that is due anyway stays: each one that is set again costs something.
         let next_due = start + (node.next_wake(times.now) - EPOCH);
--- a/crates/plankhead/src/http.rs
+++ b/crates/plankhead/src/http.rs
@@ -23,19 +23,19 @@
 /// A connection that takes longer than this is given up, for certain.
 const CONNECT: Duration = Duration::from_millis(600);
 /// The largest response that is read.
-const MOST_RESPONSE: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE: usize = 8 * 1024 * 1024;
 /// The largest request body, by the protocol.
-pub const MOST_REQUEST: usize = 64 * 1024;
+pub const MAX_REQUEST: usize = 64 * 1024;
 /// A connection that sends no request for this long is closed: workers and users
 /// come every few seconds, and those that a cut or a takeover left behind must not
 /// use up the sockets.
 pub const IDLE: Duration = Duration::from_secs(25);
 /// What is read of a connection before it is handled.
-const MOST_BUFFER: usize = 16 * 1024;
+const MAX_BUFFER: usize = 16 * 1024;
 /// A request's body must be there within this time.
 const BODY: Duration = Duration::from_secs(4);
 /// Connections kept open for the next call.
-const MOST_IDLE: usize = 6;
+const MAX_IDLE: usize = 6;
 
 /// A client of one address, which keeps its connections.
 #[derive(Debug)]
@@ -115,10 +115,10 @@
             Err(_) => return Err(CallError::OutcomeUnknown),
         };
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_RESPONSE).collect().await;
+        let body = Limited::new(response.into_body(), MAX_RESPONSE).collect().await;
         let body = body.map_err(|_| CallError::OutcomeUnknown)?.to_bytes();
         let mut idle = self.idle();
-        if idle.len() < MOST_IDLE && !sender.is_closed() {
+        if idle.len() < MAX_IDLE && !sender.is_closed() {
             idle.push(sender);
         }
         Ok((status, body))
@@ -253,7 +253,7 @@
     });
     let serving = hyper::server::conn::http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(MOST_BUFFER)
+        .max_buf_size(MAX_BUFFER)
         .serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         biased;
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -6,7 +6,7 @@
 use crate::{coverage, shard_messages, wire};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use plankhead_core::node::MOST_PROGRESS_READ;
+use plankhead_core::node::MAX_PROGRESS_READ;
 use plankhead_core::protocol::{Event, JobProgress, PeerHeartbeat};
 use plankhead_core::shard_messages::Delivery;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -20,9 +20,9 @@
 const RELAY: Duration = Duration::from_millis(1500);
 const RELAY_PAUSE: Duration = Duration::from_secs(3);
 /// Reports under way to one sibling at most.
-const MOST_RELAYS: usize = 24;
-const MOST_RELAY: usize = http::MOST_REQUEST + 1024;
-const MOST_PULSE: usize = 1024 * 1024;
+const MAX_RELAYS: usize = 24;
+const MAX_RELAY: usize = http::MAX_REQUEST + 1024;
+const MAX_PULSE: usize = 1024 * 1024;
 
 #[derive(Archive, Serialize, Deserialize)]
 struct PulseMessage {
@@ -45,7 +45,7 @@
 
 pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
     let message = rkyv::from_bytes::<PulseMessage, rkyv::rancor::Error>(&aligned(bytes)).ok()?;
-    if message.progress.len() > MOST_PROGRESS_READ || message.host.len() > 200 {
+    if message.progress.len() > MAX_PROGRESS_READ || message.host.len() > 200 {
         return None;
     }
     let progress = message.progress.into_iter();
@@ -120,7 +120,7 @@
         let failed = || self.failed.lock().unwrap_or_else(PoisonError::into_inner);
         let paused = failed().is_some_and(|at| at.elapsed() < RELAY_PAUSE);
         let message = relay_message(report)?;
-        if paused || self.relaying.load(Ordering::Relaxed) >= MOST_RELAYS {
+        if paused || self.relaying.load(Ordering::Relaxed) >= MAX_RELAYS {
             return None;
         }
         self.relaying.fetch_add(1, Ordering::Relaxed);
@@ -172,7 +172,7 @@
 pub async fn handle(handle: Handle, request: Request<Incoming>) -> Reply {
     match (request.method().clone(), request.uri().path()) {
         (Method::POST, "/pulse") => {
-            let body = match http::body(request, MOST_PULSE).await {
+            let body = match http::body(request, MAX_PULSE).await {
                 Ok(body) => body,
                 Err(reply) => return reply,
             };
@@ -209,7 +209,7 @@
             fault.map_or(answer, |fault| Reply::error(400, &fault))
         }
         (Method::POST, "/relay") => {
-            let body = match http::body(request, MOST_RELAY).await {
+            let body = match http::body(request, MAX_RELAY).await {
                 Ok(body) => body,
                 Err(reply) => return reply,
             };
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -174,10 +174,10 @@
 fn report_message(report: &HolderStatus) -> HolderStatusMessage {
     let news = |news: &MachineUpdate| NewsMessage {
         number: news.number,
-        report: worker_report(&news.report),
-        proven: news.proven,
-        deaf: news.deaf,
-        unanswered: news.unanswered,
+        report: worker_report(&news.heartbeat),
+        proven: news.confirmed,
+        deaf: news.ignores_commands,
+        unanswered: news.unanswered_commands,
         age_ms: millis(news.age),
     };
     let shard = |held: &ShardHolding| shard_name(&held.shard, held.epoch, held.released);
@@ -191,7 +191,7 @@
         shards: report.shards.iter().map(shard).collect(),
         stream: report.stream,
         first: report.first,
-        news: report.news.iter().map(news).collect(),
+        news: report.updates.iter().map(news).collect(),
         alive: alive::encode(&report.alive),
         alive_age_ms: millis(report.alive_age),
     }
@@ -221,21 +221,21 @@
 
 fn orders_message(orders: &LeaderCommands) -> OrdersMessage {
     let machine = |machine: &MachineCommands| MachineMessage {
-        host: machine.host.to_string(),
+        host: machine.machine.to_string(),
         shard: machine.shard as u32,
-        session: machine.shift,
-        orders: machine.orders.iter().map(order_message).collect(),
+        session: machine.incarnation,
+        orders: machine.commands.iter().map(order_message).collect(),
     };
     OrdersMessage {
         host: orders.host.clone(),
         boot: orders.stamp.boot,
         sequence: orders.stamp.sequence,
-        answers: orders.answers,
+        answers: orders.acknowledged,
         token: orders.token,
         shards: orders.shards.iter().map(|(shard, epoch)| shard_name(shard, *epoch, false)).collect(),
         latest_epoch: orders.latest_epoch,
         machines: orders.machines.iter().map(machine).collect(),
-        gone: orders.gone.iter().map(|host| host.to_string()).collect(),
+        gone: orders.removed.iter().map(|host| host.to_string()).collect(),
         snapshot: orders.snapshot.iter().map(worker_report).collect(),
     }
 }
@@ -325,7 +325,7 @@
         shards: shards?,
         stream: message.stream,
         first: message.first,
-        news: news?,
+        updates: news?,
         alive,
         alive_age: Duration::from_millis(message.alive_age_ms),
     })
@@ -334,10 +334,10 @@
 fn machine_news(news: NewsMessage) -> Result<MachineUpdate, ShardMessageError> {
     Ok(MachineUpdate {
         number: news.number,
-        report: report(news.report)?,
-        proven: news.proven,
-        deaf: news.deaf,
-        unanswered: news.unanswered,
+        heartbeat: report(news.report)?,
+        confirmed: news.proven,
+        ignores_commands: news.deaf,
+        unanswered_commands: news.unanswered,
         age: Duration::from_millis(news.age_ms),
     })
 }
@@ -382,7 +382,7 @@
         let orders: Result<Vec<WorkerCommand>, ShardMessageError> =
             machine.orders.iter().map(order).collect();
         let host = name(machine.host, "machine")?.as_str().into();
-        Ok(MachineCommands { host, shard, shift: machine.session, orders: orders? })
+        Ok(MachineCommands { machine: host, shard, incarnation: machine.session, commands: orders? })
     };
     let machines: Result<Vec<MachineCommands>, ShardMessageError> =
         message.machines.into_iter().map(machine).collect();
@@ -391,11 +391,11 @@
     Ok(LeaderCommands {
         host: name(message.host, "host")?,
         stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
-        answers: message.answers,
+        acknowledged: message.answers,
         token: message.token,
         latest_epoch: message.latest_epoch,
         machines: machines?,
-        gone: message.gone.iter().map(|host| host.as_str().into()).collect(),
+        removed: message.gone.iter().map(|host| host.as_str().into()).collect(),
         snapshot: snapshot?,
         shards,
     })
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -72,10 +72,10 @@
 fn holder_report(machines: u32) -> ShardMessage {
     let news = |n: u32| MachineUpdate {
         number: n,
-        report: report(n, 16),
-        proven: n & 1 == 0,
-        deaf: n == 3,
-        unanswered: n,
+        heartbeat: report(n, 16),
+        confirmed: n & 1 == 0,
+        ignores_commands: n == 3,
+        unanswered_commands: n,
         age: Duration::from_millis(70),
     };
     ShardMessage::HolderStatus(Box::new(HolderStatus {
@@ -91,7 +91,7 @@
         }],
         stream: 2,
         first: true,
-        news: (0..machines).map(news).collect(),
+        updates: (0..machines).map(news).collect(),
         alive: (0..50).collect(),
         alive_age: Duration::from_millis(480),
     }))
@@ -106,17 +106,17 @@
     LeaderCommands {
         host: "plank-0".into(),
         stamp: MessageStamp { boot: 6, sequence: 10 },
-        answers: 9,
+        acknowledged: 9,
         token: 40,
         shards: vec![(ShardId { zone: "a".into(), index: 1 }, 44)],
         latest_epoch: 45,
         machines: vec![MachineCommands {
-            host: "i-000231".into(),
+            machine: "i-000231".into(),
             shard: 0,
-            shift: 3,
-            orders: vec![run, kill, reap],
+            incarnation: 3,
+            commands: vec![run, kill, reap],
         }],
-        gone: vec!["i-000007".into()],
+        removed: vec!["i-000007".into()],
         snapshot: vec![report(1, 3)],
     }
 }
@@ -168,7 +168,7 @@
         assert!(matches!(decode(&bytes), Err(ShardMessageError::Range(_))), "{:?}", decode(&bytes));
     };
     range(&|orders| orders.machines[0].shard = 1);
-    range(&|orders| orders.machines[0].host = "".into());
+    range(&|orders| orders.machines[0].machine = "".into());
     range(&|orders| orders.host = "x".repeat(201));
     range(&|orders| orders.shards[0].0.index = 64);
     range(&|orders| orders.machines = vec![orders.machines[0].clone(); 401]);
