--- a/crates/plankhead-core/src/node/out.rs
+++ b/crates/plankhead-core/src/effects.rs
@@ -1,14 +1,15 @@
 //! What a step decides to do, and what the replies to its calls are for.
 
 use crate::holder::HolderCall;
+use crate::key_watch;
 use crate::leader::LeaderCall;
+use crate::leadership::{election, version_barrier};
 use crate::protocol::{
     CallId, CloudRequest, Effect, KvRequest, LogLevel, RequestId, Response, WorkerCommand,
 };
-use crate::reach::ReachabilityCall;
+use crate::reachability::ReachabilityCall;
 use crate::requests::PendingRequest;
-use crate::shard_messages::ShardMessage;
-use crate::{election, key_watch, version_barrier};
+use crate::shards::messages::ShardMessage;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -32,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct EffectSink {
     pub queued: Vec<Effect>,
-    pub(super) calls_in_flight: HashMap<CallId, CallPurpose>,
+    pub(crate) calls_in_flight: HashMap<CallId, CallPurpose>,
     last_call: CallId,
 }
 
--- a/crates/plankhead-core/src/fleet.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The machines: what is rented, what it holds, and what the cloud refused.
 
-use crate::easy::Slot;
-use crate::job::Resources;
-use crate::places::PlacementIndex;
+use crate::jobs::job::Resources;
+use crate::placement::backfill::Slot;
+use crate::placement::index::PlacementIndex;
 use crate::protocol::{
     CommandReply, Heartbeat, Instance, InstanceStatus, MachineName, MachineType, TaskId, TaskStatus,
     WorkerCommand,
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -1,7 +1,7 @@
 //! What a holder tells its workers.
 
 use super::*;
-use crate::shard_messages::{LeaderCommands, MachineCommands};
+use crate::shards::messages::{LeaderCommands, MachineCommands};
 
 impl Holder {
     /// Takes in what the leader orders; false: it is not meant for this node, or over.
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -1,8 +1,8 @@
 //! A holder's own sight of the jobs: which of them were cancelled, and as of when it knows.
 
-use crate::job::{JobId, JobRecord, Phase};
+use crate::effects::{CallPurpose, EffectSink};
+use crate::jobs::job::{JobId, JobRecord, Phase};
 use crate::key_watch::{KeyWatch, KeyWatchCall, Read};
-use crate::node::{CallPurpose, EffectSink};
 use crate::protocol::{CallError, KeyValue, KvReply, Status, WatchEvent};
 use crate::requests::RequestHandler;
 use std::collections::BTreeSet;
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -9,9 +9,9 @@
 pub mod jobs;
 mod reporting;
 
+use crate::effects::{CallPurpose, EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
 use crate::key_watch;
-use crate::node::{CallPurpose, EffectSink, StepTime};
 use crate::protocol::{
     CallError, CommandReply, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, TaskStatus,
     WorkerCommand,
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -1,7 +1,7 @@
 //! What a holder tells the leader.
 
 use super::*;
-use crate::shard_messages::{
+use crate::shards::messages::{
     Delivery, HolderStatus, MachineUpdate, ShardHolding, ShardMessage, MAX_MACHINES, MAX_TASKS,
 };
 use roaring::RoaringBitmap;
--- a/crates/plankhead-core/src/job.rs
+++ b/crates/plankhead-core/src/jobs/job.rs
@@ -47,7 +47,7 @@
     }
 
     /// The key of one chunk of the job's placements. `laid_anew`: of a job whose
-    /// chunks became too large for what may be written, see [`crate::ledger`].
+    /// chunks became too large for what may be written, see [`crate::jobs::job_table`].
     pub fn chunk_key(&self, chunk: u32, laid_anew: bool) -> String {
         let small = if laid_anew { "s" } else { "" };
         format!("run/{}/{small}{chunk}", self.0)
--- a/crates/plankhead-core/src/ledger.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -16,7 +16,7 @@
 //! for its range of tasks from when it is written; until then, and for the other
 //! ranges, the old one does. Nothing is ever moved in steps that need each other.
 
-use crate::job::{JobId, JobRecord, JobSpec, Phase};
+use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase};
 use crate::protocol::{ExitReason, Heartbeat, MachineName, TaskId, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/plankhead-core/src/leader/duties.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -396,7 +396,7 @@
     /// Has a rental asked for again as soon as the cloud's rate allows.
     fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
         self.rentals_in_flight.push(rental.clone());
-        self.rental_retries.push(renting::RentalRetry { due: now, rental });
+        self.rental_retries.push(scaling::RentalRetry { due: now, rental });
     }
 
     /// A duty is over.
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,44 +1,44 @@
 //! The leader's role: it knows every job, places tasks, minds the workers and
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
-mod clock;
-mod duties;
+mod intents;
+mod loading;
+mod maintenance;
 mod permissions;
-mod placing;
-mod renting;
+mod persistence;
+mod placement;
 mod replies;
-mod rounds;
+mod scaling;
 mod shards;
-mod takeover;
+mod sizing_rounds;
 mod view;
 mod workers;
-mod writing;
 
-use crate::budget::TokenBucket;
-use crate::easy::{self, Running, Slot};
-use crate::election;
+use crate::effects::{CallPurpose, EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine, Pool, RemovalReason};
-use crate::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
-use crate::ledger::{tasks_per_chunk, Ended, JobEntry, JobTable, StoredKey};
-use crate::node::{CallPurpose, EffectSink, StepTime};
-use crate::places::PlacementIndex;
-use crate::portions::CpuBudget;
+use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use crate::jobs::job_table::{tasks_per_chunk, Ended, JobEntry, JobTable, StoredKey};
+use crate::leadership::election;
+use crate::placement::backfill::{self, Running, Slot};
+use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
+use crate::placement::index::PlacementIndex;
 use crate::protocol::{
     CallError, CloudReply, CloudRequest, CommandReply, Condition, ExitReason, Heartbeat, Instance,
     JobProgress, KeyValue, KvChange, KvReply, KvRequest, LogLevel, MachineName, MachineType, ReportedTask,
     Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
 };
-use crate::queue::{guaranteed, QuotaDemand, TeamUsage, Work};
-use crate::replay::{Arrival, Replay};
 use crate::requests::RequestHandler;
 use crate::settings::{Settings, Team};
-use crate::sizing::FleetSizeSearch;
+use crate::sizing::cpu_budget::CpuBudget;
+use crate::sizing::fleet_size_search::FleetSizeSearch;
+use crate::sizing::replay::{Arrival, Replay};
+use crate::token_bucket::TokenBucket;
 use plankhead_fencing::duty::IdempotencyKey;
 use plankhead_fencing::record::PageId;
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::{Action, Permission, Precondition};
 use plankhead_sharding::registry::RecordWrite;
-pub use renting::PendingRental;
+pub use scaling::PendingRental;
 use serde::{Deserialize, Serialize};
 pub use shards::{LeaderRoute, SentShardCommands};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -241,7 +241,7 @@
     next_end_flush_at: Duration,
     pub target: Target,
     next_round_at: Duration,
-    round: Option<rounds::Round>,
+    round: Option<sizing_rounds::Round>,
     /// When the round may go on.
     next_replay_slice_at: Duration,
     cpu_budget: CpuBudget,
@@ -250,9 +250,9 @@
     rental_counter: u64,
     /// Rentals without an answer.
     rentals_in_flight: Vec<PendingRental>,
-    rental_retries: Vec<renting::RentalRetry>,
+    rental_retries: Vec<scaling::RentalRetry>,
     releasing: BTreeSet<MachineName>,
-    intents: duties::Intents,
+    intents: intents::Intents,
     next_release_at: Duration,
     next_inventory_at: Duration,
     inventory_in_flight: bool,
@@ -337,7 +337,7 @@
             rentals_in_flight: Vec::new(),
             rental_retries: Vec::new(),
             releasing: BTreeSet::new(),
-            intents: duties::Intents::new(&settings, token, now),
+            intents: intents::Intents::new(&settings, token, now),
             next_release_at: now,
             next_inventory_at: now,
             inventory_in_flight: false,
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -2,7 +2,7 @@
 //! that its bounds name.
 
 use super::*;
-use crate::reach::LeaderFacts;
+use crate::reachability::LeaderFacts;
 
 impl Leader {
     /// Whether the table allows an action at present.
--- a/crates/plankhead-core/src/leader/placing.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -271,7 +271,7 @@
         }
         let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.available_slots(now).into_iter().unzip();
         let most = self.cpu_budget.max_starts_per_pass();
-        let starts = easy::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
+        let starts = backfill::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
         // The rest has its turn after what else there is to do.
         let cut = starts.iter().filter(|s| s.at <= now).count() >= most;
         self.pass_needed |= cut;
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -204,7 +204,7 @@
             }
             // In doubt, the same name is used again: it rents once at most.
             (LeaderCall::Rent(rental), _) => {
-                self.rental_retries.push(renting::RentalRetry { due: now + PAUSE * 4, rental });
+                self.rental_retries.push(scaling::RentalRetry { due: now + PAUSE * 4, rental });
             }
             (LeaderCall::Release { machines: hosts, intent: duty }, Ok(CloudReply::Released)) => {
                 self.confirm_intent(&duty, out);
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -1,12 +1,12 @@
 //! The leader's side of divided machines: it names the holders of shards, takes in what
 //! they tell, and has them pass its commands on.
 
-mod orders;
+mod commands;
 mod records;
-mod reports;
+mod statuses;
 
 use super::*;
-use crate::shard_messages::{
+use crate::shards::messages::{
     Delivery, HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardMessage, MAX_MACHINES,
     MAX_TASKS,
 };
--- a/crates/plankhead-core/src/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -1,7 +1,7 @@
 //! Who leads: the node that wrote the key `lead` under its grant. The revision
 //! of that write is the fencing token.
 
-use crate::node::{CallPurpose, EffectSink};
+use crate::effects::{CallPurpose, EffectSink};
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
 use plankhead_reachability::handover::HOLD_BACK;
 use serde::{Deserialize, Serialize};
--- a/crates/plankhead-core/src/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -4,7 +4,7 @@
 //! back with it, so that the barrier, once open, stays open, whoever is cut off or
 //! starts again.
 
-use crate::node::{CallPurpose, EffectSink};
+use crate::effects::{CallPurpose, EffectSink};
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel};
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
--- a/crates/plankhead-core/src/lib.rs
+++ b/crates/plankhead-core/src/lib.rs
@@ -4,25 +4,19 @@
 //! effects that the adapters carry out. The same events at the same times give
 //! the same effects.
 
-pub mod budget;
-pub mod easy;
-pub mod election;
+pub mod effects;
 pub mod fleet;
 pub mod holder;
-pub mod job;
+pub mod jobs;
 pub mod key_watch;
 pub mod leader;
-pub mod ledger;
+pub mod leadership;
 pub mod node;
-pub mod places;
-pub mod portions;
+pub mod placement;
 pub mod protocol;
-pub mod queue;
-pub mod reach;
-pub mod replay;
+pub mod reachability;
 pub mod requests;
 pub mod settings;
-pub mod shard_messages;
-pub mod shard_records;
+pub mod shards;
 pub mod sizing;
-pub mod version_barrier;
+pub mod token_bucket;
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -1,30 +1,29 @@
 //! One controller node: requests of users, the election, and the leader's role
 //! while it has it.
 
-mod out;
+mod heartbeats;
 mod shards;
-mod workers;
 
-use crate::election::{Election, LeadershipChange};
-use crate::job::JobId;
+use crate::effects::{CallPurpose, EffectSink, StepTime};
+use crate::jobs::job::JobId;
 use crate::leader::{Leader, LeaderCall, LeaderEvidence};
-use crate::portions::CpuBudget;
+use crate::leadership::election::{Election, LeadershipChange};
+use crate::leadership::version_barrier::VersionBarrier;
 use crate::protocol::{
     CallError, CallId, CloudReply, CloudRequest, Effect, Event, Heartbeat, JobProgress, KvReply, LogLevel,
     MachineName, MachineType, PeerHeartbeat, RequestId, Response,
 };
-use crate::reach::{LeaderFacts, Reachability};
+use crate::reachability::{LeaderFacts, Reachability};
 use crate::requests::{PendingRequest, RequestHandler};
 use crate::settings::Settings;
-use crate::version_barrier::VersionBarrier;
-pub use out::{CallPurpose, EffectSink, StepTime};
+use crate::sizing::cpu_budget::CpuBudget;
+use heartbeats::Held;
 use plankhead_fencing::token::TokenGuard;
 use plankhead_reachability::coverage::{Coverage, CoverageError, KnownLeader};
 use plankhead_reachability::mode::Mode;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
-use workers::Held;
 
 /// How often siblings hear from a node.
 const PULSE: Duration = Duration::from_secs(1);
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -6,8 +6,8 @@
 use crate::key_watch;
 use crate::leader::LeaderRoute;
 use crate::protocol::CommandReply;
-use crate::shard_messages::{Delivery, ShardMessage, ShardMessageError};
-use crate::shard_records::RecordWatch;
+use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
+use crate::shards::records::RecordWatch;
 use plankhead_sharding::shard::ShardId;
 
 /// A record that was not seen for so long says nothing of who holds a shard now.
--- a/crates/plankhead-core/src/easy.rs
+++ b/crates/plankhead-core/src/placement/backfill.rs
@@ -5,8 +5,8 @@
 //! every machine for every job: it keeps the machines with room apart, and asks
 //! when a busy one opens only for a task that would have to fetch its image.
 
-use crate::job::{Priority, Resources};
-use crate::queue::{FairShareQueue, TeamUsage, Work};
+use crate::jobs::job::{Priority, Resources};
+use crate::placement::fair_share::{FairShareQueue, TeamUsage, Work};
 use std::time::Duration;
 
 /// A machine as a pass sees it.
--- a/crates/plankhead-core/src/queue.rs
+++ b/crates/plankhead-core/src/placement/fair_share.rs
@@ -1,7 +1,7 @@
 //! Whose turn it is: urgent work before standard, guarantees before borrowing,
 //! then a queue per team, served in turn by shares.
 
-use crate::job::{Priority, Resources};
+use crate::jobs::job::{Priority, Resources};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 /// One job's pending tasks, as a pass sees them. Names are numbers here, by
-/// [`crate::places::PlacementIndex`].
+/// [`crate::placement::index::PlacementIndex`].
 #[derive(Debug, Clone)]
 pub struct Work {
     pub team: usize,
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -1,7 +1,7 @@
 //! Events that the core takes and effects that it asks for.
 
-use crate::job::{JobId, JobSpec, Phase};
-use crate::shard_messages::{Delivery, ShardMessage, ShardMessageError};
+use crate::jobs::job::{JobId, JobSpec, Phase};
+use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
 use plankhead_fencing::gate::PermittedAction;
 use plankhead_reachability::coverage::{Coverage, CoverageError};
 use serde::{Deserialize, Serialize};
--- a/crates/plankhead-core/src/reach.rs
+++ b/crates/plankhead-core/src/reachability.rs
@@ -2,8 +2,8 @@
 //! with what calls and messages confirm, keeps the numbering of machines, and exchanges
 //! coverage with the other nodes.
 
-use crate::election;
-use crate::node::{CallPurpose, EffectSink};
+use crate::effects::{CallPurpose, EffectSink};
+use crate::leadership::election;
 use crate::protocol::{
     CallError, CallId, CommandReply, Condition, Effect, KeyValue, KvChange, KvReply, KvRequest, LogLevel,
     MachineName,
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -1,16 +1,16 @@
 //! Requests of users: takes jobs in, tells their state and cancels them,
 //! straight in the state service and on any node.
 
-use crate::budget::TokenBucket;
-use crate::job::{JobId, JobRecord, JobSpec, Phase};
-use crate::ledger::tasks_per_chunk;
-use crate::node::{CallPurpose, EffectSink, StepTime};
+use crate::effects::{CallPurpose, EffectSink, StepTime};
+use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase};
+use crate::jobs::job_table::tasks_per_chunk;
 use crate::protocol::{
     CallError, Condition, JobProgress, KeyValue, KvChange, KvReply, KvRequest, MachineType, RequestId,
     Response, Status,
 };
-use crate::reach::UserPermissions;
+use crate::reachability::UserPermissions;
 use crate::settings::Settings;
+use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -301,7 +301,7 @@
         let allowed =
             |r: &&MachineType| spec.machine_types.as_ref().is_none_or(|list| list.contains(&r.name));
         let holds = |r: &MachineType| {
-            let room = crate::job::Resources { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram };
+            let room = crate::jobs::job::Resources { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram };
             spec.demand.fits(&room) && spec.zone.as_ref().is_none_or(|z| r.zones.contains(z))
         };
         // At most half of a gang, rounded up, may be in one zone, and all of it runs at
--- a/crates/plankhead-core/src/replay.rs
+++ b/crates/plankhead-core/src/sizing/replay.rs
@@ -1,8 +1,8 @@
 //! The replay of the backlog on a trial fleet (the paper, section 3.3), in
 //! portions: the node has other things to do meanwhile.
 
-use crate::easy::{pass, Slot};
-use crate::queue::{TeamUsage, Work};
+use crate::placement::backfill::{pass, Slot};
+use crate::placement::fair_share::{TeamUsage, Work};
 use std::time::Duration;
 
 /// Run times below this count as this in a slowdown.
--- a/crates/plankhead-core/tests/portions.rs
+++ b/crates/plankhead-core/tests/cpu_budget.rs
@@ -1,11 +1,11 @@
 //! What may be done in one go on a small share of a core, and that portions change
 //! nothing of what a replay finds.
 
-use plankhead_core::easy::Slot;
-use plankhead_core::job::{Priority, Resources};
-use plankhead_core::portions::CpuBudget;
-use plankhead_core::queue::{TeamUsage, Work};
-use plankhead_core::replay::Replay;
+use plankhead_core::jobs::job::{Priority, Resources};
+use plankhead_core::placement::backfill::Slot;
+use plankhead_core::placement::fair_share::{TeamUsage, Work};
+use plankhead_core::sizing::cpu_budget::CpuBudget;
+use plankhead_core::sizing::replay::Replay;
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1_000);
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_core::fleet::{Fleet, HeartbeatNews, Pool, RemovalReason};
-use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
-use plankhead_core::ledger::JobTable;
+use plankhead_core::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::jobs::job_table::JobTable;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
 use std::collections::BTreeMap;
@@ -257,7 +257,7 @@
 /// The largest chunk fits into a value.
 #[test]
 fn a_full_chunk_fits() {
-    use plankhead_core::ledger::tasks_per_chunk;
+    use plankhead_core::jobs::job_table::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
     let mut ledger = JobTable::default();
     ledger.upsert(&id(), record(Phase::Active, 100_000), 5, NOW, None, per_chunk);
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::Priority;
+use plankhead_core::jobs::job::Priority;
 use std::time::Duration;
 use world::{secs, Happening, Kind, Troubles, World, FLEET, SMALL};
 
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::Priority;
+use plankhead_core::jobs::job::Priority;
 use std::time::Duration;
 use world::Blow::*;
 use world::{ms, secs, Happening, Kind, Moment, Troubles, World, SMALL};
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -2,8 +2,9 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_core::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
-use plankhead_core::node::{Node, StepTime};
+use plankhead_core::effects::StepTime;
+use plankhead_core::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
 use plankhead_fencing::action::{Action, Return, ReturnReason};
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -1,9 +1,9 @@
 //! The pass as EASY is told: every machine is looked at for every task. Slow,
 //! and what the real one must give.
 
-use plankhead_core::easy::{Running, Slot, Start};
-use plankhead_core::job::{Priority, Resources};
-use plankhead_core::queue::{TeamUsage, Work};
+use plankhead_core::jobs::job::{Priority, Resources};
+use plankhead_core::placement::backfill::{Running, Slot, Start};
+use plankhead_core::placement::fair_share::{TeamUsage, Work};
 use std::cmp::Reverse;
 use std::time::Duration;
 
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -5,11 +5,11 @@
 
 mod plain;
 
-use plankhead_core::easy::{pass, pass_up_to, Running, Slot, Start};
-use plankhead_core::job::{Priority, Resources};
-use plankhead_core::queue::{guaranteed, FairShareQueue, QuotaDemand, TeamUsage, Work};
-use plankhead_core::replay::{Arrival, Replay};
-use plankhead_core::sizing::FleetSizeSearch;
+use plankhead_core::jobs::job::{Priority, Resources};
+use plankhead_core::placement::backfill::{pass, pass_up_to, Running, Slot, Start};
+use plankhead_core::placement::fair_share::{guaranteed, FairShareQueue, QuotaDemand, TeamUsage, Work};
+use plankhead_core::sizing::fleet_size_search::FleetSizeSearch;
+use plankhead_core::sizing::replay::{Arrival, Replay};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -136,13 +136,14 @@
         all[1].max_per_zone = 1;
         let mut zoned = slots();
         zoned[2].free = cpus(0.0);
-        plankhead_core::easy::pass(NOW, &mut zoned, &mut all, &mut [team(100.0, 100.0)])
+        plankhead_core::placement::backfill::pass(NOW, &mut zoned, &mut all, &mut [team(100.0, 100.0)])
     };
     assert_eq!(pass(&gang, 90), vec![], "it would hold up the gang, which has both machines after 50 s");
     assert_eq!(pass(&gang, 40).len(), 1, "it is gone by then");
     gang.single_zone = false;
     let mut whole = [gang];
-    let starts = plankhead_core::easy::pass(NOW, &mut slots(), &mut whole, &mut [team(100.0, 100.0)]);
+    let starts =
+        plankhead_core::placement::backfill::pass(NOW, &mut slots(), &mut whole, &mut [team(100.0, 100.0)]);
     assert_eq!(starts.iter().map(|s| s.slot_index).collect::<Vec<_>>(), vec![0, 2]);
 }
 
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -9,9 +9,9 @@
 #[allow(dead_code)]
 mod world;
 
-use plankhead_core::job::{JobId, Priority};
+use plankhead_core::jobs::job::{JobId, Priority};
 use plankhead_core::protocol::{Effect, TaskId, WorkerCommand};
-use plankhead_core::shard_messages::{
+use plankhead_core::shards::messages::{
     Delivery, HolderStatus, LeaderCommands, MachineCommands, ShardHolding, ShardMessage,
 };
 use plankhead_sharding::sequence::MessageStamp;
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -4,10 +4,10 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_core::election::Holder;
-use plankhead_core::job::{JobId, JobRecord};
+use plankhead_core::jobs::job::{JobId, JobRecord};
+use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable};
 use plankhead_core::leader::Target;
-use plankhead_core::ledger::{tasks_per_chunk, JobTable};
+use plankhead_core::leadership::election::Holder;
 use plankhead_fencing::record;
 use plankhead_reachability::numbering::{self, MachineNumbering};
 use plankhead_sharding::record::Record;
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -6,14 +6,14 @@
 #[allow(dead_code)]
 mod before;
 
-use plankhead_core::election::Holder;
-use plankhead_core::job::{JobId, JobRecord, Phase};
+use plankhead_core::effects::EffectSink;
+use plankhead_core::jobs::job::{JobId, JobRecord, Phase};
+use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, TaskState};
 use plankhead_core::leader::{Size, Target};
-use plankhead_core::ledger::{tasks_per_chunk, JobTable, TaskState};
-use plankhead_core::node::EffectSink;
+use plankhead_core::leadership::election::Holder;
+use plankhead_core::leadership::version_barrier::{VersionBarrier, VersionBarrierCall};
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
-use plankhead_core::version_barrier::{VersionBarrier, VersionBarrierCall};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -5,7 +5,7 @@
 //! read: the text of log lines, reasons of refusals, and the operators' view.
 
 use plankhead_core::protocol::*;
-use plankhead_core::shard_messages::{HolderStatus, LeaderCommands, ShardMessage};
+use plankhead_core::shards::messages::{HolderStatus, LeaderCommands, ShardMessage};
 use plankhead_fencing::gate::Basis;
 use plankhead_reachability::coverage::Coverage;
 use std::time::Duration;
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -13,11 +13,12 @@
 
 pub use fencing::{Clock, Effects, TRUE_CLOCK};
 use kv::Kv;
-use plankhead_core::job::{JobId, JobSpec, Priority, Resources};
-use plankhead_core::node::{Node, StepTime};
+use plankhead_core::effects::StepTime;
+use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
+use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
-use plankhead_core::shard_messages::Delivery;
+use plankhead_core::shards::messages::Delivery;
 use plankhead_reachability::coverage::Coverage;
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::PermissionTable;
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers about shards, as the network has them: lost, late, refused.
 
 use super::*;
-use plankhead_core::shard_messages::ShardMessage;
+use plankhead_core::shards::messages::ShardMessage;
 use plankhead_sharding::sequence::MessageStamp;
 
 /// Until a message without an answer is given up.
--- a/crates/plankhead-standins/src/workers.rs
+++ b/crates/plankhead-standins/src/workers.rs
@@ -117,9 +117,7 @@
         }
         let workers = Arc::new(workers);
         let direct = workers.clone();
-        tokio::spawn(http::serve(listener, MAX_CONNECTIONS, move |request| {
-            command(direct.clone(), request)
-        }));
+        tokio::spawn(http::serve(listener, MAX_CONNECTIONS, move |request| command(direct.clone(), request)));
         Ok(workers)
     }
 
--- a/crates/plankhead/src/api.rs
+++ b/crates/plankhead/src/api.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, HeartbeatReader};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
-use plankhead_core::job::JobId;
+use plankhead_core::jobs::job::JobId;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// What is remembered of a connection: its last report.
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -5,7 +5,7 @@
 use crate::state;
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use plankhead_core::election::{self, Holder};
+use plankhead_core::leadership::election::{self, Holder};
 use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
 use plankhead_fencing::duty::Intent;
 use plankhead_fencing::record::{self, RecordError};
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, StatusCode};
 use plankhead_core::node::MAX_PROGRESS_READ;
 use plankhead_core::protocol::{Event, JobProgress, PeerHeartbeat};
-use plankhead_core::shard_messages::Delivery;
+use plankhead_core::shards::messages::Delivery;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -2,9 +2,9 @@
 //! they are large, as the snapshot of a shard is.
 
 use crate::peer::aligned;
-use plankhead_core::job::JobId;
+use plankhead_core::jobs::job::JobId;
 use plankhead_core::protocol::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus, WorkerCommand};
-use plankhead_core::shard_messages::{
+use plankhead_core::shards::messages::{
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -4,9 +4,9 @@
 use crate::shard_table::Shards;
 use crate::sharding::{self, ShardingFile};
 use crate::tests::compare_with_fixture;
-use plankhead_core::job::JobId;
+use plankhead_core::jobs::job::JobId;
 use plankhead_core::protocol::{ExitReason, Heartbeat, ReportedTask, TaskId, TaskStatus, WorkerCommand};
-use plankhead_core::shard_messages::{
+use plankhead_core::shards::messages::{
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError,
 };
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -1,12 +1,12 @@
 //! The published messages, field by field. Their names stop here.
 
 use bytes::Bytes;
-use plankhead_core::job::{JobId, JobSpec, Priority, Resources};
+use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
 use plankhead_core::protocol::{
     Condition, ExitReason, Heartbeat, Instance, InstanceStatus, KeyValue, KvChange, MachineType,
     ReportedTask, Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
 };
-use plankhead_core::shard_messages::Delivery;
+use plankhead_core::shards::messages::Delivery;
 use plankhead_fencing::action::Rental;
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::value::RawValue;
