--- a/crates/plankhead-core/src/effects.rs
+++ b/crates/plankhead-core/src/effects.rs
@@ -59,11 +59,11 @@
         purpose: CallPurpose,
         address: Arc<str>,
         token: u64,
-        shift: u64,
-        orders: Vec<WorkerCommand>,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
     ) {
         let call = self.call(purpose);
-        self.queued.push(Effect::SendCommands { call, address, token, incarnation: shift, commands: orders });
+        self.queued.push(Effect::SendCommands { call, address, token, incarnation, commands });
     }
 
     pub fn send_shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
@@ -71,8 +71,8 @@
         self.queued.push(Effect::SendShardMessage { call, to, message });
     }
 
-    pub fn respond(&mut self, ask: RequestId, answer: Response) {
-        self.queued.push(Effect::Respond { request: ask, response: answer });
+    pub fn respond(&mut self, request: RequestId, answer: Response) {
+        self.queued.push(Effect::Respond { request, response: answer });
     }
 
     pub fn log(&mut self, level: LogLevel, text: String) {
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -50,16 +50,18 @@
 
 impl Pool {
     /// The pool that a report names.
-    fn of(report: &Heartbeat) -> Self {
+    fn of(heartbeat: &Heartbeat) -> Self {
         Self {
-            machine_type: report.machine_type.to_string(),
-            zone: report.zone.to_string(),
-            spot: report.spot,
+            machine_type: heartbeat.machine_type.to_string(),
+            zone: heartbeat.zone.to_string(),
+            spot: heartbeat.spot,
         }
     }
 
-    fn matches(&self, report: &Heartbeat) -> bool {
-        *self.machine_type == *report.machine_type && *self.zone == *report.zone && self.spot == report.spot
+    fn matches(&self, heartbeat: &Heartbeat) -> bool {
+        *self.machine_type == *heartbeat.machine_type
+            && *self.zone == *heartbeat.zone
+            && self.spot == heartbeat.spot
     }
 }
 
@@ -157,7 +159,7 @@
 
 impl Machine {
     pub fn incarnation(&self) -> Option<u64> {
-        self.last_heartbeat_id.map(|(shift, _)| shift)
+        self.last_heartbeat_id.map(|(incarnation, _)| incarnation)
     }
 
     pub fn is_up(&self) -> bool {
@@ -180,7 +182,7 @@
     /// Whether the newest report lists an attempt.
     pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
         let listed =
-            |report: &Heartbeat| report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
+            |heartbeat: &Heartbeat| heartbeat.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
         self.last_heartbeat.as_ref().is_some_and(listed)
     }
 
@@ -197,30 +199,32 @@
     }
 
     /// A direct command with these starts is sent; tells where to.
-    pub fn begin_command(&mut self, runs: &[(TaskId, u64)]) -> Arc<str> {
-        let shift = self.incarnation().unwrap_or_default();
+    pub fn begin_command(&mut self, starts: &[(TaskId, u64)]) -> Arc<str> {
+        let incarnation = self.incarnation().unwrap_or_default();
         self.command_in_flight = true;
-        self.unconfirmed_starts.extend(runs.iter().map(|(task, attempt)| (task.clone(), *attempt, shift)));
+        self.unconfirmed_starts
+            .extend(starts.iter().map(|(task, attempt)| (task.clone(), *attempt, incarnation)));
         self.address.clone()
     }
 
     /// What came of a direct command.
-    pub fn end_command(&mut self, shift: u64, runs: &[(TaskId, u64)], reply: &CommandReply) {
+    pub fn end_command(&mut self, incarnation: u64, starts: &[(TaskId, u64)], reply: &CommandReply) {
         self.command_in_flight = false;
         if !matches!(reply, CommandReply::Answered(_)) {
             self.unanswered_commands += 1;
         }
         if !matches!(reply, CommandReply::Unanswered) {
-            self.unconfirmed_starts.retain(|(t, n, s)| *s != shift || !runs.contains(&(t.clone(), *n)));
+            self.unconfirmed_starts
+                .retain(|(t, n, s)| *s != incarnation || !starts.contains(&(t.clone(), *n)));
         }
     }
 
-    /// Whether the worker is to look for another node, once in a while: where `adrift`,
+    /// Whether the worker is to look for another node, once in a while: where `is_cut_off`,
     /// somebody else may be entitled by now. Who finds nobody comes back before its lease
     /// runs out.
-    pub fn take_redirect(&mut self, adrift: bool, lease: Duration, now: Duration) -> bool {
+    pub fn take_redirect(&mut self, is_cut_off: bool, lease: Duration, now: Duration) -> bool {
         let patience = lease.mul_f64(SENT_OFF);
-        let due = adrift && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > patience);
+        let due = is_cut_off && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > patience);
         if due {
             self.redirected_at = Some(now);
         }
@@ -230,18 +234,18 @@
     /// Notes what an answer to a report asked for. The first that a node hears of a machine
     /// may be an old copy, of an earlier session: its answer reaches nobody, and who then
     /// reports a later session or nothing of what was asked is not deaf for that.
-    pub fn record_response(&mut self, orders: &[WorkerCommand], now: Duration) {
+    pub fn record_response(&mut self, commands: &[WorkerCommand], now: Duration) {
         if self.confirmed {
             self.answered_at = Some(now);
-            self.expected_effects = orders.iter().filter_map(WorkerCommand::expected_effect).collect();
+            self.expected_effects = commands.iter().filter_map(WorkerCommand::expected_effect).collect();
         }
     }
 
     /// Whether the report shows at least one of the orders in the last answer,
     /// if there were any.
-    fn shows_expected_effect(&self, report: &Heartbeat) -> bool {
+    fn shows_expected_effect(&self, heartbeat: &Heartbeat) -> bool {
         let shown = |(task, attempt, run): &(TaskId, u64, bool)| {
-            let listed = report.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
+            let listed = heartbeat.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
             match listed.map(|l| l.status) {
                 Some(TaskStatus::Exited(_) | TaskStatus::Checkpointing) => true,
                 Some(_) => *run,
@@ -264,9 +268,9 @@
 }
 
 impl Fleet {
-    pub fn resources(&self, rig: &str) -> Option<Resources> {
-        let rig = self.machine_types.get(rig)?;
-        Some(Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram })
+    pub fn resources(&self, machine_type: &str) -> Option<Resources> {
+        let machine_type = self.machine_types.get(machine_type)?;
+        Some(Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram })
     }
 
     fn insert(
@@ -337,35 +341,38 @@
     }
 
     /// Takes in a report that came at `now` to the leader under the token `own`.
-    pub fn observe_heartbeat(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
-        if self.removed.contains(&report.machine) {
+    pub fn observe_heartbeat(&mut self, heartbeat: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
+        if self.removed.contains(&heartbeat.machine) {
             return HeartbeatNews::Stale;
         }
-        if !self.machines.contains_key(&report.machine) {
-            self.insert(&report.machine, report.address.clone(), Pool::of(report), now, now);
+        if !self.machines.contains_key(&heartbeat.machine) {
+            self.insert(&heartbeat.machine, heartbeat.address.clone(), Pool::of(heartbeat), now, now);
         }
-        let Some(machine) = self.machines.get_mut(&report.machine) else { return HeartbeatNews::Stale };
-        if machine.last_heartbeat_id.is_some_and(|newest| (report.incarnation, report.sequence) <= newest) {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return HeartbeatNews::Stale };
+        if machine
+            .last_heartbeat_id
+            .is_some_and(|newest| (heartbeat.incarnation, heartbeat.sequence) <= newest)
+        {
             return HeartbeatNews::Stale;
         }
         let first = machine.last_heartbeat_id.is_none();
         let alike = |r: &Heartbeat| {
-            (r.incarnation, r.token) == (report.incarnation, report.token) && r.tasks == report.tasks
+            (r.incarnation, r.token) == (heartbeat.incarnation, heartbeat.token) && r.tasks == heartbeat.tasks
         };
         let same = machine.last_heartbeat.as_ref().is_some_and(alike);
-        if machine.incarnation() != Some(report.incarnation) {
+        if machine.incarnation() != Some(heartbeat.incarnation) {
             // Its lease ran out although we answered: it does not hear us.
             let lately = machine.answered_at.is_some_and(|at| now.saturating_sub(at) < DEAF);
             if !first && lately {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
             // Orders of an earlier session are refused from now on.
-            machine.unconfirmed_starts.retain(|(_, _, shift)| *shift >= report.incarnation);
+            machine.unconfirmed_starts.retain(|(_, _, incarnation)| *incarnation >= heartbeat.incarnation);
             machine.cached_images.clear();
             machine.expected_effects.clear();
             machine.cached_slot = None;
         }
-        if machine.shows_expected_effect(report) {
+        if machine.shows_expected_effect(heartbeat) {
             machine.ignored_responses = 0;
         } else {
             machine.ignored_responses += 1;
@@ -376,20 +383,20 @@
         machine.expected_effects.clear();
         machine.unanswered_commands = 0;
         // A later one is of the same term, or of one whose leader has taken this one's place.
-        machine.confirmed |= report.token >= own;
+        machine.confirmed |= heartbeat.token >= own;
         // What carries another token may be a late copy: no sign of life.
         if machine.confirmed || first {
             machine.last_heard_at = now;
         }
-        machine.last_heartbeat_id = Some((report.incarnation, report.sequence));
+        machine.last_heartbeat_id = Some((heartbeat.incarnation, heartbeat.sequence));
         machine.last_new_heartbeat_at = now;
-        if !machine.pool.matches(report) {
-            machine.pool = Pool::of(report);
+        if !machine.pool.matches(heartbeat) {
+            machine.pool = Pool::of(heartbeat);
             machine.cached_slot = None;
         }
-        machine.address = report.address.clone();
-        machine.has_preemption_notice |= report.preemption_notice.is_some();
-        machine.last_heartbeat = Some(report.clone());
+        machine.address = heartbeat.address.clone();
+        machine.has_preemption_notice |= heartbeat.preemption_notice.is_some();
+        machine.last_heartbeat = Some(heartbeat.clone());
         if same {
             HeartbeatNews::Unchanged
         } else {
@@ -398,14 +405,14 @@
     }
 
     /// Takes in a report that answers a command of ours, so that it is no copy.
-    pub fn observe_command_reply(&mut self, report: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
+    pub fn observe_command_reply(&mut self, heartbeat: &Heartbeat, own: u64, now: Duration) -> HeartbeatNews {
+        if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.confirmed = true;
             machine.unanswered_commands = 0;
             // The answer to its last report may still be under way.
             machine.expected_effects.clear();
         }
-        self.observe_heartbeat(report, own, now)
+        self.observe_heartbeat(heartbeat, own, now)
     }
 
     pub fn rented(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
@@ -434,9 +441,9 @@
 
     /// The machines of this type that the cloud is known to have at most, if
     /// every pool of the type has refused lately.
-    pub fn known_capacity(&self, rig: &str, now: Duration) -> Option<u32> {
+    pub fn known_capacity(&self, machine_type: &str, now: Duration) -> Option<u32> {
         let mut sum = 0;
-        for pool in self.pools(rig) {
+        for pool in self.pools(machine_type) {
             let (limit, at) = self.capacity_backoffs.get(&pool)?.limit?;
             if now.saturating_sub(at) > LESSON {
                 return None;
@@ -446,19 +453,25 @@
         Some(sum)
     }
 
-    pub fn pools(&self, rig: &str) -> Vec<Pool> {
-        let Some(found) = self.machine_types.get(rig) else { return Vec::new() };
+    pub fn pools(&self, machine_type: &str) -> Vec<Pool> {
+        let Some(found) = self.machine_types.get(machine_type) else { return Vec::new() };
         let both = |zone: &String| {
-            [true, false].map(|spot| Pool { machine_type: rig.to_string(), zone: zone.clone(), spot })
+            [true, false].map(|spot| Pool {
+                machine_type: machine_type.to_string(),
+                zone: zone.clone(),
+                spot,
+            })
         };
         found.zones.iter().flat_map(both).collect()
     }
 
     /// Machines of the type that are not on their way out.
-    pub fn machines_of_type(&self, rig: &str) -> u32 {
+    pub fn machines_of_type(&self, machine_type: &str) -> u32 {
         self.machines
             .values()
-            .filter(|m| m.pool.machine_type == rig && m.removal.is_none() && !m.has_preemption_notice)
+            .filter(|m| {
+                m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
+            })
             .count() as u32
     }
 
@@ -600,9 +613,10 @@
         own: impl Fn(&Machine) -> bool,
     ) -> Vec<MachineName> {
         let asked = self.machines.values().filter(|m| m.command_in_flight).count();
-        let asks = |m: &&Machine| m.is_up() && m.takes_commands() && m.unanswered_commands < MAX_UNANSWERED;
+        let requests =
+            |m: &&Machine| m.is_up() && m.takes_commands() && m.unanswered_commands < MAX_UNANSWERED;
         let late = |m: &&Machine| now.saturating_sub(m.last_heard_at) > gap && own(m);
-        let names = self.machines.values().filter(asks).filter(late).map(|m| m.name.clone());
+        let names = self.machines.values().filter(requests).filter(late).map(|m| m.name.clone());
         names.take(MAX_INQUIRIES.saturating_sub(asked)).collect()
     }
 
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -9,8 +9,8 @@
         &mut self,
         now: Duration,
         message: LeaderCommands,
-        standing: HolderEvidence,
-        out: &mut EffectSink,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
     ) -> bool {
         let known = self.leader.as_ref().map_or(0, |leader| leader.token);
         let sent = self.sent_messages.iter().find(|(sequence, _)| *sequence == message.acknowledged);
@@ -21,7 +21,7 @@
             return false;
         }
         self.set_leader(Some((message.host.clone(), message.token)), now);
-        self.drop_superseded_shards(&message, out);
+        self.drop_superseded_shards(&message, effects);
         for (shard, epoch) in &message.shards {
             // A record that this node has not read yet, or that another has replaced.
             let held = self.shards.get(shard);
@@ -34,29 +34,29 @@
         message.removed.iter().for_each(|host| self.forget(host));
         let named: BTreeSet<&ShardId> = message.shards.iter().map(|(shard, _)| shard).collect();
         let snapshot: Vec<&Heartbeat> = message.snapshot.iter().collect();
-        for report in snapshot {
-            self.observe_snapshot(now, report, &named);
+        for heartbeat in snapshot {
+            self.observe_snapshot(now, heartbeat, &named);
         }
-        for MachineCommands { machine: host, shard, incarnation: shift, commands: orders } in message.machines
-        {
+        for MachineCommands { machine: host, shard, incarnation, commands: orders } in message.machines {
             // A machine may not have been heard here yet: its commands wait for its report.
             let Some((shard, _)) = message.shards.get(shard) else {
                 self.refused += 1;
                 continue;
             };
-            let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(shard, shift));
-            if commands.incarnation != shift || commands.shard != *shard {
-                *commands = Commands::new(shard, shift);
+            let commands =
+                self.commands.entry(host.clone()).or_insert_with(|| Commands::new(shard, incarnation));
+            if commands.incarnation != incarnation || commands.shard != *shard {
+                *commands = Commands::new(shard, incarnation);
             }
             commands.pending = orders;
-            self.send_commands(now, &host, standing, out);
+            self.send_commands(now, &host, evidence, effects);
         }
         true
     }
 
     /// Shards that the leader takes others to hold. Their records say so, too; who can't read
     /// them acts no more all the same.
-    fn drop_superseded_shards(&mut self, message: &LeaderCommands, out: &mut EffectSink) {
+    fn drop_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
         let listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let replaced = |(shard, held): &(&ShardId, &Held)| {
             held.epoch < message.latest_epoch && !listed(shard, held.epoch)
@@ -65,7 +65,7 @@
             self.shards.iter().filter(replaced).map(|(shard, held)| (shard.clone(), held.epoch)).collect();
         for (shard, epoch) in replaced {
             if self.superseded.insert(shard.clone(), epoch) != Some(epoch) {
-                out.log(
+                effects.log(
                     LogLevel::Info,
                     format!("shard {shard} is somebody else's: {} says so", message.host),
                 );
@@ -75,16 +75,17 @@
 
     /// What the leader knows of a machine in a shard that came to this node: enough to send
     /// commands, and no sign of life.
-    fn observe_snapshot(&mut self, now: Duration, report: &Heartbeat, named: &BTreeSet<&ShardId>) {
-        let known = self.fleet.machines.contains_key(&report.machine);
+    fn observe_snapshot(&mut self, now: Duration, heartbeat: &Heartbeat, named: &BTreeSet<&ShardId>) {
+        let known = self.fleet.machines.contains_key(&heartbeat.machine);
         let shard = named.iter().find(|shard| {
-            let of = self.shards.contains_key(**shard) && *shard.zone == *report.zone;
-            of && ShardId::of(&report.zone, &report.machine, self.shards_of_zone(&shard.zone)) == ***shard
+            let of = self.shards.contains_key(**shard) && *shard.zone == *heartbeat.zone;
+            of && ShardId::of(&heartbeat.zone, &heartbeat.machine, self.shards_of_zone(&shard.zone))
+                == ***shard
         });
         if let Some(shard) = shard.filter(|_| !known) {
             let epoch = self.shards.get(*shard).map_or(0, |held| held.epoch);
-            self.observe_machine(now, report, ((*shard).clone(), epoch), false);
-            self.unreported.remove(&report.machine);
+            self.observe_machine(now, heartbeat, ((*shard).clone(), epoch), false);
+            self.unreported.remove(&heartbeat.machine);
         }
     }
 
@@ -94,14 +95,14 @@
         &mut self,
         now: Duration,
         host: &MachineName,
-        standing: HolderEvidence,
-        out: &mut EffectSink,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
     ) {
-        let sight = self.freshness(standing);
+        let evidence = self.freshness(evidence);
         let Some(epoch) = self.shard_of.get(host).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(host) else { return };
-        let Some(shift) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
-        let orders: Vec<WorkerCommand> = self.unsent_commands(machine, sight, now);
+        let Some(incarnation) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
+        let orders: Vec<WorkerCommand> = self.unsent_commands(machine, evidence, now);
         if orders.is_empty() {
             return;
         }
@@ -109,20 +110,21 @@
             WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         };
-        let runs: Vec<(TaskId, u64)> = orders.iter().filter_map(run).collect();
+        let starts: Vec<(TaskId, u64)> = orders.iter().filter_map(run).collect();
         let Some(shard) = self.shard_of.get(host).cloned() else { return };
-        let commands = self.commands.entry(host.clone()).or_insert_with(|| Commands::new(&shard, shift));
+        let commands =
+            self.commands.entry(host.clone()).or_insert_with(|| Commands::new(&shard, incarnation));
         commands.sent.extend(orders.iter().filter_map(WorkerCommand::expected_effect));
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
-        let address = machine.begin_command(&runs);
-        let call = HolderCall::SendCommands { machine: host.clone(), incarnation: shift, starts: runs };
-        out.send_commands(CallPurpose::Holder(call), address, epoch, shift, orders);
+        let address = machine.begin_command(&starts);
+        let call = HolderCall::SendCommands { machine: host.clone(), incarnation, starts };
+        effects.send_commands(CallPurpose::Holder(call), address, epoch, incarnation, orders);
     }
 
     /// Starts and kills that were not sent straight to the worker yet. A start with a kill
     /// of the same attempt goes with the answer to a report only.
-    fn unsent_commands(&self, machine: &Machine, sight: Freshness, now: Duration) -> Vec<WorkerCommand> {
-        let orders = self.commands_for(&machine.name, sight, now);
+    fn unsent_commands(&self, machine: &Machine, evidence: Freshness, now: Duration) -> Vec<WorkerCommand> {
+        let orders = self.commands_for(&machine.name, evidence, now);
         let told = self.commands.get(&machine.name).map(|commands| &commands.sent);
         let asked: Vec<(TaskId, u64, bool)> =
             orders.iter().filter_map(WorkerCommand::expected_effect).collect();
@@ -140,22 +142,26 @@
     pub(super) fn commands_for(
         &self,
         host: &MachineName,
-        sight: Freshness,
+        evidence: Freshness,
         now: Duration,
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
-        let Some(report) = &machine.last_heartbeat else { return Vec::new() };
-        let ordered = self.commands.get(host).filter(|commands| commands.incarnation == report.incarnation);
+        let Some(heartbeat) = &machine.last_heartbeat else { return Vec::new() };
+        let ordered =
+            self.commands.get(host).filter(|commands| commands.incarnation == heartbeat.incarnation);
         let due = |order: &&WorkerCommand| match order {
             WorkerCommand::Run { task, attempt } => {
-                sight.may_start(now) && !self.jobs.is_cancelled(&task.job) && !machine.lists(task, *attempt)
+                evidence.may_start(now)
+                    && !self.jobs.is_cancelled(&task.job)
+                    && !machine.lists(task, *attempt)
             }
             WorkerCommand::Kill { .. } => true,
             WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_start(task, *attempt),
         };
         let mut orders: Vec<WorkerCommand> =
             ordered.into_iter().flat_map(|commands| &commands.pending).filter(due).cloned().collect();
-        for listed in report.tasks.iter().filter(|listed| !matches!(listed.status, TaskStatus::Exited(_))) {
+        for listed in heartbeat.tasks.iter().filter(|listed| !matches!(listed.status, TaskStatus::Exited(_)))
+        {
             let (task, attempt) = (&listed.task, listed.attempt);
             let killed = |order: &WorkerCommand| {
                 order.expected_effect().is_some_and(|(t, n, run)| !run && t == *task && n == attempt)
@@ -169,14 +175,15 @@
     }
 
     /// Drops commands that the report shows carried out.
-    pub(super) fn drop_carried_out(&mut self, report: &Heartbeat) {
-        let Some(commands) = self.commands.get_mut(&report.machine) else { return };
-        if commands.incarnation != report.incarnation {
-            self.commands.remove(&report.machine);
+    pub(super) fn drop_carried_out(&mut self, heartbeat: &Heartbeat) {
+        let Some(commands) = self.commands.get_mut(&heartbeat.machine) else { return };
+        if commands.incarnation != heartbeat.incarnation {
+            self.commands.remove(&heartbeat.machine);
             return;
         }
         let seen = |task: &TaskId, attempt: u64| {
-            let listed = report.tasks.iter().find(|listed| listed.task == *task && listed.attempt == attempt);
+            let listed =
+                heartbeat.tasks.iter().find(|listed| listed.task == *task && listed.attempt == attempt);
             listed.map(|listed| listed.status)
         };
         commands.pending.retain(|order| match order {
@@ -191,41 +198,46 @@
     pub fn command_reply(
         &mut self,
         now: Duration,
-        (host, shift, runs): (MachineName, u64, Vec<(TaskId, u64)>),
+        (host, incarnation, starts): (MachineName, u64, Vec<(TaskId, u64)>),
         reply: CommandReply,
-        standing: HolderEvidence,
-        out: &mut EffectSink,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
     ) {
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
-        machine.end_command(shift, &runs, &reply);
+        machine.end_command(incarnation, &starts, &reply);
         if !matches!(reply, CommandReply::Answered(_)) {
             self.unreported.insert(host.clone());
         }
         let of = self.shard_of.get(&host).and_then(|shard| Some((shard.clone(), self.epoch(shard, now)?)));
-        if let (CommandReply::Answered(report), Some(of)) = (reply, of) {
+        if let (CommandReply::Answered(heartbeat), Some(of)) = (reply, of) {
             // A later token: somebody else holds the shard, and the record will say so.
-            if report.machine == host && report.token <= of.1 {
-                self.observe_machine(now, &report, of, true);
+            if heartbeat.machine == host && heartbeat.token <= of.1 {
+                self.observe_machine(now, &heartbeat, of, true);
             }
         }
-        self.send_commands(now, &host, standing, out);
+        self.send_commands(now, &host, evidence, effects);
     }
 
     /// Ends tasks of cancelled jobs, without waiting for the workers' reports.
-    pub(super) fn kill_cancelled(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
+    pub(super) fn kill_cancelled(
+        &mut self,
+        now: Duration,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
+    ) {
         let holds = |machine: &&Machine| {
-            let tasks = machine.last_heartbeat.as_ref().map(|report| &report.tasks);
+            let tasks = machine.last_heartbeat.as_ref().map(|heartbeat| &heartbeat.tasks);
             tasks.is_some_and(|tasks| tasks.iter().any(|listed| self.jobs.is_cancelled(&listed.task.job)))
         };
         let hosts: Vec<MachineName> =
             self.fleet.machines.values().filter(holds).map(|machine| machine.name.clone()).collect();
         for host in hosts {
-            self.send_commands(now, &host, standing, out);
+            self.send_commands(now, &host, evidence, effects);
         }
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    pub(super) fn probe_late_machines(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn probe_late_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.cpu_starved {
             return;
         }
@@ -234,10 +246,10 @@
                 continue;
             };
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
-            let Some(shift) = machine.incarnation() else { continue };
+            let Some(incarnation) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
-            let call = HolderCall::SendCommands { machine: host, incarnation: shift, starts: Vec::new() };
-            out.send_commands(CallPurpose::Holder(call), address, epoch, shift, Vec::new());
+            let call = HolderCall::SendCommands { machine: host, incarnation, starts: Vec::new() };
+            effects.send_commands(CallPurpose::Holder(call), address, epoch, incarnation, Vec::new());
         }
     }
 }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -54,9 +54,9 @@
         self.watch.next_due()
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
+    pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.call_kv(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
+            effects.call_kv(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
         }
     }
 
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -72,8 +72,8 @@
 }
 
 impl Commands {
-    fn new(shard: &ShardId, shift: u64) -> Self {
-        Self { shard: shard.clone(), incarnation: shift, pending: Vec::new(), sent: BTreeSet::new() }
+    fn new(shard: &ShardId, incarnation: u64) -> Self {
+        Self { shard: shard.clone(), incarnation, pending: Vec::new(), sent: BTreeSet::new() }
     }
 }
 
@@ -168,7 +168,7 @@
     }
 
     /// Takes in the records: which shards this node holds, and under which epoch.
-    pub fn apply_records(&mut self, table: &ShardTable, out: &mut EffectSink) {
+    pub fn apply_records(&mut self, table: &ShardTable, effects: &mut EffectSink) {
         let (host, boot) = (&self.settings.host, self.settings.boot_id);
         let own = |known: &plankhead_sharding::table::KnownRecord| known.record.is_held_by(host, boot);
         let held = table.iter().filter(|(_, known)| own(known)).map(|(shard, known)| {
@@ -185,7 +185,7 @@
         for (shard, now) in &held {
             let before = self.shards.get(shard);
             if before.is_none_or(|before| before.epoch != now.epoch) {
-                out.log(LogLevel::Info, format!("holds shard {shard} under {}", now.epoch));
+                effects.log(LogLevel::Info, format!("holds shard {shard} under {}", now.epoch));
             }
             // What a former leader ordered is void, and so are starts in a shard that goes.
             let renewed = before.is_some_and(|before| before.term != now.term);
@@ -194,7 +194,7 @@
             }
         }
         for shard in self.shards.keys().filter(|shard| !held.contains_key(*shard)) {
-            out.log(LogLevel::Info, format!("holds shard {shard} no more"));
+            effects.log(LogLevel::Info, format!("holds shard {shard} no more"));
         }
         let gone = |shard: &ShardId| !held.contains_key(shard);
         let left: Vec<MachineName> =
@@ -261,36 +261,36 @@
         self.jobs.is_loading()
     }
 
-    fn freshness(&self, standing: HolderEvidence) -> Freshness {
-        Freshness { jobs: self.jobs.synced_at(), records: standing.records_synced_at }
+    fn freshness(&self, evidence: HolderEvidence) -> Freshness {
+        Freshness { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
     }
 
-    /// Answers a report of a machine in one of the shards. `adrift`: neither the state
+    /// Answers a report of a machine in one of the shards. `is_cut_off`: neither the state
     /// service nor another controller is heard.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         (shard, epoch): (ShardId, u64),
-        (relayed, adrift): (bool, bool),
-        standing: HolderEvidence,
+        (relayed, is_cut_off): (bool, bool),
+        evidence: HolderEvidence,
     ) -> Response {
         let now = times.now;
-        let sight = self.freshness(standing);
-        let heard = self.observe_machine(now, report, (shard, epoch), false);
+        let evidence = self.freshness(evidence);
+        let heard = self.observe_machine(now, heartbeat, (shard, epoch), false);
         let settings = &self.settings;
-        if !sight.may_renew(now, settings.worker_lease, settings.cancel_within) {
+        if !evidence.may_renew(now, settings.worker_lease, settings.cancel_within) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        let orders = self.commands_for(&report.machine, sight, now);
+        let orders = self.commands_for(&heartbeat.machine, evidence, now);
         let Some(machine) =
-            self.fleet.machines.get_mut(&report.machine).filter(|_| heard != HeartbeatNews::Stale)
+            self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.is_relayed = relayed;
-        if machine.take_redirect(adrift, self.settings.worker_lease, now) {
+        if machine.take_redirect(is_cut_off, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
         }
         machine.record_response(&orders, now);
@@ -301,15 +301,15 @@
     fn observe_machine(
         &mut self,
         now: Duration,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         (shard, epoch): (ShardId, u64),
         ours: bool,
     ) -> HeartbeatNews {
         let heard = match ours {
-            true => self.fleet.observe_command_reply(report, epoch, now),
-            false => self.fleet.observe_heartbeat(report, epoch, now),
+            true => self.fleet.observe_command_reply(heartbeat, epoch, now),
+            false => self.fleet.observe_heartbeat(heartbeat, epoch, now),
         };
-        let host = &report.machine;
+        let host = &heartbeat.machine;
         match heard {
             HeartbeatNews::Stale => return heard,
             HeartbeatNews::Unchanged => {
@@ -323,31 +323,31 @@
             }
         }
         self.shard_of.insert(host.clone(), shard);
-        self.drop_carried_out(report);
+        self.drop_carried_out(heartbeat);
         heard
     }
 
-    pub fn tick(&mut self, times: StepTime, standing: HolderEvidence, out: &mut EffectSink) {
+    pub fn tick(&mut self, times: StepTime, evidence: HolderEvidence, effects: &mut EffectSink) {
         let now = times.now;
-        self.cpu_starved = standing.cpu_starved;
-        self.jobs.tick(now, out);
+        self.cpu_starved = evidence.cpu_starved;
+        self.jobs.tick(now, effects);
         if now >= self.next_machine_scan_at {
             self.next_machine_scan_at = now + LOOK;
             let silent = |machine: &&Machine| now.saturating_sub(machine.last_heard_at) > FORGET;
             let silent: Vec<MachineName> =
                 self.fleet.machines.values().filter(silent).map(|machine| machine.name.clone()).collect();
             silent.iter().for_each(|host| self.forget(host));
-            self.probe_late_machines(now, out);
+            self.probe_late_machines(now, effects);
         }
         self.send_news_soon(now);
-        self.send_status(now, standing, out);
+        self.send_status(now, evidence, effects);
     }
 
     pub fn next_due(&self) -> Duration {
         let jobs = self.jobs.next_due().unwrap_or(Duration::MAX);
-        let report = if self.status_in_flight { Duration::MAX } else { self.next_status_at };
+        let heartbeat = if self.status_in_flight { Duration::MAX } else { self.next_status_at };
         let look = if self.fleet.machines.is_empty() { Duration::MAX } else { self.next_machine_scan_at };
-        jobs.min(report).min(look)
+        jobs.min(heartbeat).min(look)
     }
 
     pub fn kv_reply(
@@ -356,8 +356,8 @@
         step: key_watch::KeyWatchCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        standing: HolderEvidence,
-        out: &mut EffectSink,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
     ) {
         let news = self.jobs.reply(now, step, reply, requests);
         if !news.ended.is_empty() {
@@ -365,7 +365,7 @@
             self.commands.values_mut().for_each(|commands| commands.pending.retain(|order| !over(order)));
         }
         if news.cancelled {
-            self.kill_cancelled(now, standing, out);
+            self.kill_cancelled(now, evidence, effects);
         }
     }
 
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -16,7 +16,7 @@
 
 impl Holder {
     /// Sends the next message, if one is due and none is under way.
-    pub(super) fn send_status(&mut self, now: Duration, standing: HolderEvidence, out: &mut EffectSink) {
+    pub(super) fn send_status(&mut self, now: Duration, evidence: HolderEvidence, effects: &mut EffectSink) {
         if self.status_in_flight || now < self.next_status_at {
             return;
         }
@@ -35,13 +35,13 @@
             self.sent_messages.pop_front();
         }
         self.status_sent_at = now;
-        let report = HolderStatus {
+        let heartbeat = HolderStatus {
             host: self.settings.host.clone(),
             stamp: MessageStamp { boot: self.settings.boot_id, sequence: self.sequence },
             zone: self.settings.zone.clone(),
             term: token,
-            sees_records: !standing.kv_failing
-                && standing.records_synced_at.is_some_and(|at| now.saturating_sub(at) < RECORDS_SEEN),
+            sees_records: !evidence.kv_failing
+                && evidence.records_synced_at.is_some_and(|at| now.saturating_sub(at) < RECORDS_SEEN),
             shards: self.shard_holdings(now),
             stream: self.stream,
             first: !self.stream_begun,
@@ -50,10 +50,10 @@
             alive_age: now.saturating_sub(self.alive_since),
         };
         let call = HolderCall::ReportStatus { leader: token, machines };
-        out.send_shard_message(
+        effects.send_shard_message(
             CallPurpose::Holder(call),
             leader,
-            ShardMessage::HolderStatus(Box::new(report)),
+            ShardMessage::HolderStatus(Box::new(heartbeat)),
         );
     }
 
@@ -84,11 +84,11 @@
                 return Vec::new();
             };
             let Some(machine) = self.fleet.machines.get(&host) else { continue };
-            let Some(report) = &machine.last_heartbeat else { continue };
-            tasks += report.tasks.len();
+            let Some(heartbeat) = &machine.last_heartbeat else { continue };
+            tasks += heartbeat.tasks.len();
             told.push(MachineUpdate {
                 number,
-                heartbeat: report.clone(),
+                heartbeat: heartbeat.clone(),
                 confirmed: machine.confirmed,
                 ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
                 unanswered_commands: machine.unanswered_commands,
--- a/crates/plankhead-core/src/jobs/job.rs
+++ b/crates/plankhead-core/src/jobs/job.rs
@@ -200,8 +200,9 @@
         if self.zone.as_deref().is_some_and(|z| !text(z)) {
             return Err(InvalidSpec("yard must have 1 to 200 bytes"));
         }
-        if let Some(rigs) = &self.machine_types {
-            if rigs.is_empty() || rigs.len() > 64 || !rigs.iter().all(|r| text(r)) {
+        if let Some(machine_types) = &self.machine_types {
+            if machine_types.is_empty() || machine_types.len() > 64 || !machine_types.iter().all(|r| text(r))
+            {
                 return Err(InvalidSpec("rigs must be null or name 1 to 64 types"));
             }
         }
--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -280,16 +280,16 @@
         &mut self,
         id: &JobId,
         record: JobRecord,
-        stamp: u64,
+        mod_revision: u64,
         accepted: Duration,
         cancelled: Option<Duration>,
         per_chunk: u32,
     ) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            if stamp < entry.mod_revision {
+            if mod_revision < entry.mod_revision {
                 return;
             }
-            entry.mod_revision = stamp;
+            entry.mod_revision = mod_revision;
             entry.revision_uncertain = false;
             if record.phase == Phase::Cancelled && entry.phase == Phase::Active {
                 entry.phase = Phase::Cancelled;
@@ -306,7 +306,7 @@
                 spec: Arc::new(spec),
                 gang,
                 phase: record.phase,
-                mod_revision: stamp,
+                mod_revision,
                 accepted_at: accepted,
                 cancelled_at: cancelled,
                 tasks_per_chunk: per_chunk,
@@ -362,13 +362,13 @@
         id: &JobId,
         number: u32,
         value: &str,
-        stamp: u64,
+        mod_revision: u64,
         now: Duration,
     ) -> Result<(), ChunkError> {
         let text: StoredChunk = serde_json::from_str(value)?;
         let Some(entry) = self.jobs.get_mut(id) else { return Ok(()) };
         let tasks = entry.spec.tasks;
-        let mut chunk = Chunk { mod_revision: stamp, ..Chunk::default() };
+        let mut chunk = Chunk { mod_revision, ..Chunk::default() };
         // A job that was accepted when values could be larger: the smaller chunk
         // takes the place of what the old ones say of its tasks.
         if let Some(before) = entry.chunks.remove(&number) {
@@ -388,11 +388,11 @@
             let state = match usize::try_from(place) {
                 Err(_) => TaskState::Pending,
                 Ok(place) => {
-                    let (host, shift, zone) = text.h.get(place).ok_or(ChunkError::Range)?;
+                    let (host, incarnation, zone) = text.h.get(place).ok_or(ChunkError::Range)?;
                     TaskState::Placed(Attempt {
                         number: tried,
                         machine: host.as_str().into(),
-                        incarnation: *shift,
+                        incarnation: *incarnation,
                         zone: zone.as_str().into(),
                         chunk_version: 0,
                         reported_status: None,
@@ -548,7 +548,7 @@
         &mut self,
         id: &JobId,
         host: &MachineName,
-        shift: u64,
+        incarnation: u64,
         zone: &Arc<str>,
         now: Duration,
     ) -> Option<TaskId> {
@@ -580,7 +580,7 @@
         task.state = TaskState::Placed(Attempt {
             number: task.latest_attempt,
             machine: host.clone(),
-            incarnation: shift,
+            incarnation,
             zone: zone.clone(),
             chunk_version: chunk.version,
             reported_status: None,
@@ -722,10 +722,15 @@
     /// leaders are refused from now on, so that an attempt of theirs that is not
     /// listed is not there and can't come. That is enough to forget attempts of
     /// cancelled jobs, of which no new ones will be made.
-    pub fn observe_heartbeat(&mut self, report: &Heartbeat, own: bool, now: Duration) -> (Vec<Ended>, u32) {
-        let here: Vec<TaskId> = self.by_machine(&report.machine).cloned().collect();
+    pub fn observe_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        own: bool,
+        now: Duration,
+    ) -> (Vec<Ended>, u32) {
+        let here: Vec<TaskId> = self.by_machine(&heartbeat.machine).cloned().collect();
         let listed: HashMap<(&TaskId, u64), TaskStatus> =
-            report.tasks.iter().map(|l| ((&l.task, l.attempt), l.status)).collect();
+            heartbeat.tasks.iter().map(|l| ((&l.task, l.attempt), l.status)).collect();
         let mut ended = Vec::new();
         let mut lost = 0;
         for id in here {
@@ -734,17 +739,17 @@
             let (stopped, running) = (attempt.stop_requested, attempt.running_since);
             let finish =
                 |cause, ran| Ended { task: id.clone(), attempt: number, reason: cause, ran, stopped };
-            if attempt.incarnation < report.incarnation {
+            if attempt.incarnation < heartbeat.incarnation {
                 ended.push(finish(None, None));
                 self.end_attempt(&id, false);
                 self.mark_end_pending(&id, now);
                 continue;
             }
-            if attempt.incarnation > report.incarnation {
+            if attempt.incarnation > heartbeat.incarnation {
                 continue;
             }
             match listed.get(&(&id, number)) {
-                None if own && attempt.is_fenced_by(report.token) && self.is_ending(&id.job) => {
+                None if own && attempt.is_fenced_by(heartbeat.token) && self.is_ending(&id.job) => {
                     ended.push(finish(None, None));
                     self.end_attempt(&id, false);
                     self.mark_end_pending(&id, now);
@@ -860,14 +865,14 @@
         id: &JobId,
         number: u32,
         version: u64,
-        stamp: u64,
+        mod_revision: u64,
     ) -> BTreeSet<MachineName> {
         let mut hosts = BTreeSet::new();
         let Some(entry) = self.jobs.get_mut(id) else { return hosts };
         let Some(chunk) = entry.chunks.get_mut(&number) else { return hosts };
         let before = chunk.durable_version;
         chunk.write_in_flight = false;
-        chunk.mod_revision = stamp;
+        chunk.mod_revision = mod_revision;
         chunk.durable_version = chunk.durable_version.max(version);
         if chunk.durable_version == chunk.version {
             chunk.ends_pending_since = None;
@@ -890,10 +895,10 @@
     }
 
     /// The stamp that a chunk's key has now, after a write in doubt.
-    pub fn set_chunk_revision(&mut self, id: &JobId, number: u32, stamp: u64) {
+    pub fn set_chunk_revision(&mut self, id: &JobId, number: u32, mod_revision: u64) {
         if let Some(chunk) = self.jobs.get_mut(id).and_then(|e| e.chunks.get_mut(&number)) {
             chunk.revision_uncertain = false;
-            chunk.mod_revision = stamp;
+            chunk.mod_revision = mod_revision;
         }
     }
 
--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -90,10 +90,10 @@
     pub(super) fn view(&self) -> serde_json::Value {
         let counts = self.gate.counts();
         let summary = self.log.summary();
-        let shown = |duty: &Intent| {
-            serde_json::json!({"key": duty.key.to_string(), "kind": duty.action.kind(),
-                "subject": duty.action.subject(), "holder": duty.holder, "state": duty.state().name(),
-                "attempts": duty.attempts, "ageS": self.wall_ms.saturating_sub(duty.intended_ms) as f64 / 1e3})
+        let shown = |intent: &Intent| {
+            serde_json::json!({"key": intent.key.to_string(), "kind": intent.action.kind(),
+                "subject": intent.action.subject(), "holder": intent.holder, "state": intent.state().name(),
+                "attempts": intent.attempts, "ageS": self.wall_ms.saturating_sub(intent.intended_ms) as f64 / 1e3})
         };
         let open: Vec<_> = self.log.open_intents().take(MAX_SHOWN).map(shown).collect();
         serde_json::json!({
@@ -115,10 +115,10 @@
         &mut self,
         key: IdempotencyKey,
         action: Action,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         if !self.intents.is_fenced() {
-            self.pass_gate(&key, action, None, out);
+            self.pass_gate(&key, action, None, effects);
             return true;
         }
         use plankhead_fencing::log::IntentAdmission;
@@ -129,7 +129,7 @@
                 true
             }
             Err(error) => {
-                out.log(LogLevel::Error, format!("a duty was not taken: {error}"));
+                effects.log(LogLevel::Error, format!("a duty was not taken: {error}"));
                 false
             }
         }
@@ -140,50 +140,60 @@
         key: &IdempotencyKey,
         action: Action,
         proof: Option<IssueProof>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         match self.intents.gate.pass(action, proof) {
-            Ok(permitted) => self.send_action(key, permitted, out),
-            Err(refusal) => out.log(LogLevel::Error, format!("the gate refused {key}: {refusal}")),
+            Ok(permitted) => self.send_action(key, permitted, effects),
+            Err(refusal) => effects.log(LogLevel::Error, format!("the gate refused {key}: {refusal}")),
         }
     }
 
-    fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, out: &mut EffectSink) {
+    fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, effects: &mut EffectSink) {
         let leader_call = match permitted.action() {
             Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
             Action::Return(back) => LeaderCall::Release { machines: back.hosts.clone(), intent: key.clone() },
         };
-        out.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
+        effects.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
     }
 
     /// Sends the duties that may go now.
-    fn send_ready(&mut self, out: &mut EffectSink) {
+    fn send_ready(&mut self, effects: &mut EffectSink) {
         for _ in 0..self.intents.ready.len() {
             let Some(key) = self.intents.ready.pop_front() else { return };
             match self.intents.log.issue(&key) {
-                Ok((action, proof)) => self.pass_gate(&key, action, Some(proof), out),
-                Err(error) => out.log(LogLevel::Debug, format!("not sent: {error}")),
+                Ok((action, proof)) => self.pass_gate(&key, action, Some(proof), effects),
+                Err(error) => effects.log(LogLevel::Debug, format!("not sent: {error}")),
             }
         }
     }
 
     /// Makes duties durable, and sends those that are.
-    pub(super) fn advance_intents(&mut self, times: StepTime, sight: LeaderEvidence, out: &mut EffectSink) {
+    pub(super) fn advance_intents(
+        &mut self,
+        times: StepTime,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
+    ) {
         if !self.intents.is_fenced() {
             return;
         }
         let now = times.now;
-        self.force_unrecorded_returns(now, sight, out);
-        self.retry_returns(now, sight);
-        self.retry_refused_rentals(now, out);
-        self.send_ready(out);
-        self.read_uncertain_pages(now, out);
-        self.write_intents(now, sight, out);
+        self.force_unrecorded_returns(now, evidence, effects);
+        self.retry_returns(now, evidence);
+        self.retry_refused_rentals(now, effects);
+        self.send_ready(effects);
+        self.read_uncertain_pages(now, effects);
+        self.write_intents(now, evidence, effects);
     }
 
     /// A rule can't wait for a state service that fails: a cancelled task must be gone in
     /// time. What was tried to be recorded in this very step, and failed, goes without.
-    fn force_unrecorded_returns(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
+    fn force_unrecorded_returns(
+        &mut self,
+        now: Duration,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
+    ) {
         let forced: Vec<(IdempotencyKey, bool)> =
             self.intents.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
@@ -192,9 +202,9 @@
                 self.intents.forced.remove(&key);
                 continue;
             }
-            let allowed = (!blind || sight.no_peer_leads) && self.is_cloud_reachable(now);
+            let allowed = (!blind || evidence.no_peer_leads) && self.is_cloud_reachable(now);
             if allowed && self.intents.log.force_issue(&key) {
-                out.log(
+                effects.log(
                     LogLevel::Info,
                     format!("duty {key} goes without its record: the state service fails"),
                 );
@@ -205,8 +215,8 @@
         self.intents.log.forget_failures();
     }
 
-    fn retry_returns(&mut self, now: Duration, sight: LeaderEvidence) {
-        if !sight.lease_valid && !self.is_cloud_reachable(now) {
+    fn retry_returns(&mut self, now: Duration, evidence: LeaderEvidence) {
+        if !evidence.lease_valid && !self.is_cloud_reachable(now) {
             return;
         }
         let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.intents.returns_due);
@@ -221,22 +231,23 @@
 
     /// A rental that was refused may still be carried out from an earlier copy of its
     /// request: only its name's success makes sure that no more machines come of it.
-    fn retry_refused_rentals(&mut self, now: Duration, out: &mut EffectSink) {
+    fn retry_refused_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
         let all = std::mem::take(&mut self.intents.refused_rentals);
         for refused in all {
             let key = IdempotencyKey::new(&refused.rental.name);
             if refused.due > now {
                 self.intents.refused_rentals.push(refused);
             } else if now.saturating_sub(self.started_at) > self.intents.settings.abandon_rental_after {
-                out.log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
-                self.end_intent(&key, State::Abandoned, out);
+                effects
+                    .log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
+                self.end_intent(&key, State::Abandoned, effects);
             } else {
                 self.retry_rental(now, refused.rental);
             }
         }
     }
 
-    fn read_uncertain_pages(&mut self, now: Duration, out: &mut EffectSink) {
+    fn read_uncertain_pages(&mut self, now: Duration, effects: &mut EffectSink) {
         if now < self.writes_paused_until {
             return;
         }
@@ -245,19 +256,19 @@
                 self.call_kv(
                     LeaderCall::ReadDuties { page, sent: now },
                     KvRequest::Get { key: page.key() },
-                    out,
+                    effects,
                 );
             }
         }
     }
 
-    fn write_intents(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
+    fn write_intents(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let urgent = !self.intents.forced.is_empty();
         // Without the lease a write would only fail, which a forced return must know.
-        if !sight.lease_valid && !urgent || now < self.writes_paused_until {
+        if !evidence.lease_valid && !urgent || now < self.writes_paused_until {
             return;
         }
-        let tidy = sight.lease_valid && now >= self.intents.tidy_due;
+        let tidy = evidence.lease_valid && now >= self.intents.tidy_due;
         let lacks = self.intents.log.has_unrecorded();
         let due = lacks && (urgent || now >= self.intents.write_due);
         if !(due || tidy && self.intents.log.needs_compaction()) {
@@ -273,7 +284,7 @@
         self.intents.write_due = now + self.intents.settings.write_interval;
         self.intents.tidy_due = now + self.intents.settings.compaction_interval;
         let (conditions, changes) = self.intent_transaction(changes);
-        self.call_kv(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, out);
+        self.call_kv(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, effects);
     }
 
     fn intent_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
@@ -296,7 +307,7 @@
         now: Duration,
         sent: Duration,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         let fresh = now.saturating_sub(sent) < FRESH_FAILURE;
         let outcome = match reply {
@@ -317,7 +328,7 @@
             self.intents.log.forget_failures();
         }
         self.intents.ready.extend(durable);
-        self.send_ready(out);
+        self.send_ready(effects);
         true
     }
 
@@ -342,19 +353,23 @@
         }
     }
 
-    pub(super) fn list_intents(&mut self, out: &mut EffectSink) {
+    pub(super) fn list_intents(&mut self, effects: &mut EffectSink) {
         let after = self.load_after_key.clone();
         if after.is_none() {
             self.intents.log.begin_reading();
         }
-        self.call_kv(LeaderCall::ListDuties, KvRequest::List { prefix: record::PREFIX.into(), after }, out);
+        self.call_kv(
+            LeaderCall::ListDuties,
+            KvRequest::List { prefix: record::PREFIX.into(), after },
+            effects,
+        );
     }
 
     pub(super) fn intents_page_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.retry_loading(times.now);
@@ -362,22 +377,22 @@
         self.load_after_key = rows.last().map(|row| row.key.clone());
         for row in &rows {
             for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
-                out.log(LogLevel::Error, format!("left alone: {fault}"));
+                effects.log(LogLevel::Error, format!("left alone: {fault}"));
             }
         }
         if truncated {
-            return self.list_intents(out);
+            return self.list_intents(effects);
         }
         self.load_after_key = None;
-        self.read_target(out);
+        self.read_target(effects);
     }
 
     /// Takes up what former leaders left open, before anything is placed: their machines
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
-    pub(super) fn adopt_intents(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn adopt_intents(&mut self, now: Duration, effects: &mut EffectSink) {
         let adopted: Vec<(IdempotencyKey, Action)> =
-            self.intents.log.adopted().map(|duty| (duty.key.clone(), duty.action.clone())).collect();
+            self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
                 Action::Rent(rental) => self.retry_rental(now, rental.clone().into()),
@@ -389,7 +404,7 @@
             }
         }
         if !adopted.is_empty() {
-            out.log(LogLevel::Info, format!("adopts {} duties of former leaders", adopted.len()));
+            effects.log(LogLevel::Info, format!("adopts {} duties of former leaders", adopted.len()));
         }
     }
 
@@ -400,30 +415,30 @@
     }
 
     /// A duty is over.
-    fn end_intent(&mut self, key: &IdempotencyKey, last: State, out: &mut EffectSink) {
+    fn end_intent(&mut self, key: &IdempotencyKey, last: State, effects: &mut EffectSink) {
         let ended = match last {
             State::Abandoned => self.intents.log.abandon(key),
             _ => self.intents.log.confirm(key),
         };
         if let Err(error) = ended {
-            out.log(LogLevel::Error, error.to_string());
+            effects.log(LogLevel::Error, error.to_string());
         }
     }
 
     /// The cloud has carried a duty out, or said that it never will.
-    pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, out: &mut EffectSink) {
+    pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, effects: &mut EffectSink) {
         if self.intents.is_fenced() {
-            self.end_intent(key, State::Confirmed, out);
+            self.end_intent(key, State::Confirmed, effects);
         }
     }
 
     /// The cloud had no machines for a rental. Where another copy of the request may be
     /// under way, it stays open.
-    pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, out: &mut EffectSink) {
+    pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
-        let Some(duty) = self.intents.log.intent(&key) else { return };
-        if duty.holder == self.token && duty.attempts <= 1 {
-            return self.confirm_intent(&key, out);
+        let Some(intent) = self.intents.log.intent(&key) else { return };
+        if intent.holder == self.token && intent.attempts <= 1 {
+            return self.confirm_intent(&key, effects);
         }
         let due = now + self.intents.settings.refused_rental_retry;
         self.intents.refused_rentals.push(RefusedRental { due, rental });
@@ -440,7 +455,7 @@
         &mut self,
         leaving: &[(MachineName, RemovalReason)],
         (forced, blind): (bool, bool),
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let surplus = leaving.iter().all(|(_, why)| *why == RemovalReason::Surplus);
         let cause = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
@@ -449,11 +464,11 @@
         for (host, why) in
             leaving.iter().take(back.hosts.len()).filter(|(_, why)| *why != RemovalReason::Surplus)
         {
-            out.log(LogLevel::Info, format!("gives back {host}: {why:?}"));
+            effects.log(LogLevel::Info, format!("gives back {host}: {why:?}"));
         }
         let key = self.intents.log.next_key();
         let hosts = back.hosts.clone();
-        if !hosts.is_empty() && self.request_cloud_action(key.clone(), Action::Return(back), out) {
+        if !hosts.is_empty() && self.request_cloud_action(key.clone(), Action::Return(back), effects) {
             self.releasing.extend(hosts);
             if forced && self.intents.is_fenced() {
                 self.intents.forced.insert(key, blind);
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl Leader {
-    pub fn begin_loading(&mut self, now: Duration, out: &mut EffectSink) {
+    pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.jobs_revision.is_none() {
             self.jobs_synced_at = now;
         }
         let after = self.load_after_key.clone();
-        self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, out);
+        self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, effects);
     }
 
     /// Whether it still reads what is known, and nothing says that it can't.
@@ -21,9 +21,9 @@
         self.loading_failed = true;
     }
 
-    pub(super) fn list_chunks(&mut self, out: &mut EffectSink) {
+    pub(super) fn list_chunks(&mut self, effects: &mut EffectSink) {
         let after = self.load_after_key.clone();
-        self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, out);
+        self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, effects);
     }
 
     pub(super) fn jobs_page_loaded(
@@ -31,7 +31,7 @@
         times: StepTime,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, revision: epoch }) = reply else {
             return self.retry_loading(times.now);
@@ -42,17 +42,17 @@
             self.job_record_changed(times, row, requests);
         }
         if truncated {
-            return self.begin_loading(times.now, out);
+            return self.begin_loading(times.now, effects);
         }
         self.load_after_key = None;
-        self.list_chunks(out);
+        self.list_chunks(effects);
     }
 
     pub(super) fn chunks_page_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.retry_loading(times.now);
@@ -72,28 +72,28 @@
                 (Some(id), Some(number)) => {
                     self.loaded_chunks.push((id, number, row.value, row.mod_revision))
                 }
-                _ => out.log(LogLevel::Error, format!("strange key {}", row.key)),
+                _ => effects.log(LogLevel::Error, format!("strange key {}", row.key)),
             }
         }
         if truncated {
-            return self.list_chunks(out);
+            return self.list_chunks(effects);
         }
         self.load_after_key = None;
         if self.intents.is_fenced() {
-            return self.list_intents(out);
+            return self.list_intents(effects);
         }
-        self.read_target(out);
+        self.read_target(effects);
     }
 
-    pub(super) fn read_target(&self, out: &mut EffectSink) {
-        self.call_kv(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, out);
+    pub(super) fn read_target(&self, effects: &mut EffectSink) {
+        self.call_kv(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, effects);
     }
 
     pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Ok(KvReply::Value(row)) = reply else {
             return self.retry_loading(times.now);
@@ -103,13 +103,13 @@
         // Smaller chunks exist only where no version is left that doesn't know them.
         let (small, rows): (Vec<_>, Vec<_>) = rows.into_iter().partition(|(_, (small, _), ..)| *small);
         self.all_nodes_upgraded |= !small.is_empty();
-        self.load_chunks(rows, now, out);
+        self.load_chunks(rows, now, effects);
         if self.all_nodes_upgraded {
             self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
-        self.load_chunks(small, now, out);
+        self.load_chunks(small, now, effects);
         self.job_table.finish_loading();
-        self.stop_broken_gangs(now, out);
+        self.stop_broken_gangs(now, effects);
         // Not a new service: the jobs that are there came one after the other.
         if row.is_some() {
             self.first_job_at = Some(Duration::ZERO);
@@ -132,14 +132,14 @@
                 self.fleet.expect_machine(&host, now);
             }
         }
-        self.adopt_intents(now, out);
+        self.adopt_intents(now, effects);
         self.stage = Stage::Ready;
-        let reports: Vec<Heartbeat> =
+        let heartbeats: Vec<Heartbeat> =
             self.fleet.machines.values().filter_map(|m| m.last_heartbeat.clone()).collect();
-        for report in reports {
-            self.observe_tasks(times, &report, HeartbeatNews::Changed, out);
+        for heartbeat in heartbeats {
+            self.observe_tasks(times, &heartbeat, HeartbeatNews::Changed, effects);
         }
-        out.log(
+        effects.log(
             LogLevel::Info,
             format!(
                 "took over {} jobs and {} machines in {} ms",
@@ -151,11 +151,11 @@
         self.pass_needed = true;
     }
 
-    fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, out: &mut EffectSink) {
-        for (id, (_, number), value, stamp) in rows {
-            if let Err(error) = self.job_table.load_chunk(&id, number, &value, stamp, now) {
+    fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, effects: &mut EffectSink) {
+        for (id, (_, number), value, mod_revision) in rows {
+            if let Err(error) = self.job_table.load_chunk(&id, number, &value, mod_revision, now) {
                 // Nothing may be started for a job whose attempts are unknown.
-                out.log(LogLevel::Error, format!("placements of {id} can't be read: {error}"));
+                effects.log(LogLevel::Error, format!("placements of {id} can't be read: {error}"));
                 self.job_table.remove(&id);
             }
         }
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -9,16 +9,16 @@
     pub fn tick(
         &mut self,
         times: StepTime,
-        sight: LeaderEvidence,
+        evidence: LeaderEvidence,
         requests: &mut RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
-        let (now, firm) = (times.now, sight.lease_valid);
+        let (now, firm) = (times.now, evidence.lease_valid);
         self.intents.wall_ms = times.wall_ms();
-        self.cpu_starved = sight.cpu_starved;
-        self.mode = sight.mode;
-        self.peers_agree = sight.peers_agree;
-        if !sight.kv_undisputed {
+        self.cpu_starved = evidence.cpu_starved;
+        self.mode = evidence.mode;
+        self.peers_agree = evidence.peers_agree;
+        if !evidence.kv_undisputed {
             self.lease_doubted_at = Some(now);
         }
         if std::mem::take(&mut self.direct_heartbeat_arrived) || self.stage == Stage::Loading {
@@ -33,22 +33,22 @@
                 self.garbage.clear();
                 self.to_archive.clear();
                 self.urgent_garbage = 0;
-                self.begin_loading(now, out);
+                self.begin_loading(now, effects);
             }
             if now >= self.next_maintenance_at {
                 self.next_maintenance_at = now + MIND;
-                self.remove_silent_beyond_lease(now, sight);
-                self.release_removed_machines(now, sight, out);
+                self.remove_silent_beyond_lease(now, evidence);
+                self.release_removed_machines(now, evidence, effects);
             }
-            self.advance_intents(times, sight, out);
-            self.list_instances(now, out);
+            self.advance_intents(times, evidence, effects);
+            self.list_instances(now, effects);
             return;
         }
         if let Some(epoch) = self.jobs_revision.filter(|_| !self.watch_in_flight && now >= self.next_watch_at)
         {
             self.watch_in_flight = true;
             let op = KvRequest::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
-            self.call_kv(LeaderCall::WatchJobs { sent: now }, op, out);
+            self.call_kv(LeaderCall::WatchJobs { sent: now }, op, effects);
         }
         let places = firm && self.permits(Action::Place, now);
         let rents = firm && self.inventory_complete && self.permits(Action::Rent, now);
@@ -60,22 +60,22 @@
         if places && self.pass_needed && now >= due {
             self.pass_needed = false;
             self.next_pass_at = now + self.cpu_budget.pass_interval();
-            self.run_placement_pass(now, out);
+            self.run_placement_pass(now, effects);
         }
         // A new leader that had not seen the machines yet took the fleet for none: it
         // hired all anew, and its round gave back what then turned up.
         if rents {
-            self.advance_sizing(times, out);
+            self.advance_sizing(times, effects);
         }
         // At the first step of a leader that has read all, too: nothing larger than
         // what may be written is ever sent.
         if self.rechunk_pending {
             self.rechunk_pending = self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
-        self.advance_intents(times, sight, out);
-        self.tick_shards(now, firm, requests, out);
+        self.advance_intents(times, evidence, effects);
+        self.tick_shards(now, firm, requests, effects);
         if firm {
-            self.flush(now, requests, out);
+            self.flush(now, requests, effects);
         }
         // Every report brings a step: what costs time with every machine or job
         // has a beat of its own.
@@ -83,23 +83,23 @@
             return;
         }
         self.next_maintenance_at = now + MIND;
-        self.check_machines(now, sight, out);
+        self.check_machines(now, evidence, effects);
         // A new leader's rentals took the cloud's rate while a cancellation was due.
         if self.fleet.machines.values().any(|m| m.removal == Some(RemovalReason::CancellationDue)) {
-            self.release_removed_machines(now, sight, out);
+            self.release_removed_machines(now, evidence, effects);
         }
         if rents {
-            self.rent_machines(now, out);
+            self.rent_machines(now, effects);
         }
         if firm && self.permits(Action::Return, now) {
             self.remove_surplus(now);
         }
         if firm {
-            self.delete_garbage(now, out);
+            self.delete_garbage(now, effects);
         }
-        self.release_removed_machines(now, sight, out);
-        self.list_instances(now, out);
-        self.log_late_jobs(now, out);
+        self.release_removed_machines(now, evidence, effects);
+        self.list_instances(now, effects);
+        self.log_late_jobs(now, effects);
     }
 
     /// When [`Leader::tick`] has something to do next, unless an event comes before.
@@ -132,12 +132,12 @@
         due
     }
 
-    pub(super) fn list_instances(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn list_instances(&mut self, now: Duration, effects: &mut EffectSink) {
         if !self.inventory_in_flight && now >= self.next_inventory_at && self.cloud_budget.take(now, 1) {
             self.inventory_in_flight = true;
             self.next_inventory_at = now + self.settings.inventory_lag.max(Duration::from_secs(3));
             let after = self.inventory_pages.last().map(|h| h.name.clone());
-            out.call_cloud(
+            effects.call_cloud(
                 CallPurpose::Leader(self.token, LeaderCall::ListInstances),
                 CloudRequest::ListInstances { after },
             );
@@ -177,10 +177,10 @@
     ///
     /// A leader that has not read yet does not know how old its ignorance is, and
     /// doesn't wait; but it takes the silence of many for its own fault.
-    fn remove_silent_beyond_lease(&mut self, now: Duration, sight: LeaderEvidence) {
+    fn remove_silent_beyond_lease(&mut self, now: Duration, evidence: LeaderEvidence) {
         let reading = self.stage == Stage::Loading;
         let due = reading || now.saturating_sub(self.jobs_synced_at) >= self.cancel_grace();
-        if due && sight.no_peer_leads && self.is_cloud_reachable(now) {
+        if due && evidence.no_peer_leads && self.is_cloud_reachable(now) {
             let silence = self.settings.worker_lease + Duration::from_secs(1);
             self.fleet.mark_silent_beyond_lease(now, silence, reading);
         }
@@ -196,17 +196,17 @@
         self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
     }
 
-    fn check_machines(&mut self, now: Duration, sight: LeaderEvidence, out: &mut EffectSink) {
+    fn check_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let contact = self.hears_workers(now);
         // Where no node hears any worker, the silence is theirs.
         let silence_tells = contact || self.mode == Mode::StateOnly;
-        if sight.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
+        if evidence.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
             if !std::mem::replace(&mut self.silence_is_reliable, true) {
                 self.fleet.reset_silence(now);
             }
             self.pass_needed |= self.fleet.mark_for_removal(now, &self.settings) > 0;
             if !self.cpu_starved {
-                self.probe_late_machines(now, out);
+                self.probe_late_machines(now, effects);
             }
         } else {
             // A leader that is cut off hears nobody, and its requests to the
@@ -215,7 +215,7 @@
             // theirs: forgiven after every lost renewal, machines that were gone kept
             // their tasks for ever under a lossy state service.
             self.silence_is_reliable &= contact;
-            self.remove_silent_beyond_lease(now, sight);
+            self.remove_silent_beyond_lease(now, evidence);
         }
         // A cancelled task that is not proven gone takes its machine along, whoever
         // else is silent: in an outage, or where all machines hang, too.
@@ -250,20 +250,20 @@
     }
 
     /// Asks machines whose reports are late directly whether they are there.
-    fn probe_late_machines(&mut self, now: Duration, out: &mut EffectSink) {
+    fn probe_late_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         for host in self
             .fleet
             .machines_to_probe(now, self.settings.heartbeat_timeout(), |machine| self.is_own_machine(machine))
         {
             let token = self.token_for(&host);
             let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
-            let Some(shift) = machine.incarnation() else { continue };
+            let Some(incarnation) = machine.incarnation() else { continue };
             let address = machine.begin_command(&[]);
             let call = CallPurpose::Leader(
                 self.token,
-                LeaderCall::SendCommands { machine: host, incarnation: shift, starts: Vec::new() },
+                LeaderCall::SendCommands { machine: host, incarnation, starts: Vec::new() },
             );
-            out.send_commands(call, address, token, shift, Vec::new());
+            effects.send_commands(call, address, token, incarnation, Vec::new());
         }
     }
 }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -364,10 +364,10 @@
     }
 
     /// Takes in the machine types that the cloud has.
-    pub fn set_machine_types(&mut self, rigs: BTreeMap<String, MachineType>) {
-        self.fleet.machine_types = rigs;
-        for rig in self.fleet.machine_types.keys() {
-            for pool in self.fleet.pools(rig) {
+    pub fn set_machine_types(&mut self, machine_types: BTreeMap<String, MachineType>) {
+        self.fleet.machine_types = machine_types;
+        for machine_type in self.fleet.machine_types.keys() {
+            for pool in self.fleet.pools(machine_type) {
                 self.placement_index.pool_index(&pool);
                 self.placement_index.zone_index(&pool.zone);
             }
@@ -390,8 +390,8 @@
         }
     }
 
-    fn call_kv(&self, leader_call: LeaderCall, op: KvRequest, out: &mut EffectSink) {
-        out.call_kv(CallPurpose::Leader(self.token, leader_call), op);
+    fn call_kv(&self, leader_call: LeaderCall, op: KvRequest, effects: &mut EffectSink) {
+        effects.call_kv(CallPurpose::Leader(self.token, leader_call), op);
     }
 
     /// The condition under which alone the leader writes.
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -46,12 +46,13 @@
     }
 
     /// Whether a report shows the answer to the one before; `None` if there was none.
-    pub fn answer_shown(&self, report: &Heartbeat) -> Option<bool> {
-        let machine = self.fleet.machines.get(&report.machine)?;
+    pub fn answer_shown(&self, heartbeat: &Heartbeat) -> Option<bool> {
+        let machine = self.fleet.machines.get(&heartbeat.machine)?;
         machine.answered_at?;
-        let later =
-            machine.last_heartbeat_id.is_some_and(|newest| (report.incarnation, report.sequence) > newest);
-        later.then_some(report.token >= self.token)
+        let later = machine
+            .last_heartbeat_id
+            .is_some_and(|newest| (heartbeat.incarnation, heartbeat.sequence) > newest);
+        later.then_some(heartbeat.token >= self.token)
     }
 
     /// Machines that should report to this leader.
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -5,12 +5,12 @@
 impl Leader {
     /// Sends transactions: finished jobs first, then placements, the more urgent
     /// ones before others, then ends.
-    pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, out: &mut EffectSink) {
+    pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, effects: &mut EffectSink) {
         if now < self.writes_paused_until {
             return;
         }
         if self.has_uncertain_revisions {
-            self.reread_uncertain(out);
+            self.reread_uncertain(effects);
         }
         self.close_ended_jobs(requests);
         let ends = now >= self.next_end_flush_at;
@@ -34,14 +34,14 @@
                 self.add_chunks(ending, most.min(spare), &mut txn);
             }
             if self.target_dirty && !self.target_write_in_flight && txn.changes.is_empty() {
-                return self.write_target(now, out);
+                return self.write_target(now, effects);
             }
             if txn.changes.is_empty() || !self.write_budget.take(now, txn.changes.len()) {
                 return;
             }
             self.txns_in_flight += 1;
             let op = KvRequest::Txn { conditions: txn.conditions, changes: txn.changes };
-            self.call_kv(LeaderCall::Commit(txn.batch), op, out);
+            self.call_kv(LeaderCall::Commit(txn.batch), op, effects);
         }
     }
 
@@ -121,8 +121,8 @@
             let record = JobRecord::finished(Phase::Done, entry.spec.tasks);
             let Ok(value) = serde_json::to_string(&record) else { continue };
             entry.final_write_in_flight = true;
-            let stamp = entry.mod_revision;
-            txn.condition(Condition { key: id.key(), mod_revision: stamp });
+            let mod_revision = entry.mod_revision;
+            txn.condition(Condition { key: id.key(), mod_revision });
             txn.bytes += value.len() + 200;
             txn.changes.push(KvChange::Put { key: id.key(), value, lease: None });
             txn.batch.finals.push(id.clone());
@@ -161,7 +161,7 @@
     }
 
     /// Reads again what is in doubt.
-    fn reread_uncertain(&mut self, out: &mut EffectSink) {
+    fn reread_uncertain(&mut self, effects: &mut EffectSink) {
         let mut calls = Vec::new();
         self.has_uncertain_revisions = false;
         for (id, number) in &self.job_table.dirty_chunks {
@@ -184,15 +184,15 @@
             }
         }
         for (leader_call, key) in calls {
-            self.call_kv(leader_call, KvRequest::Get { key }, out);
+            self.call_kv(leader_call, KvRequest::Get { key }, effects);
         }
     }
 
-    fn write_target(&mut self, now: Duration, out: &mut EffectSink) {
+    fn write_target(&mut self, now: Duration, effects: &mut EffectSink) {
         let Ok(value) = serde_json::to_string(&self.target) else { return };
         if value.len() > self.settings.max_value_bytes {
             self.target_dirty = false;
-            return out.log(LogLevel::Error, "the target is too large to be stored".into());
+            return effects.log(LogLevel::Error, "the target is too large to be stored".into());
         }
         if !self.write_budget.take(now, 1) {
             return;
@@ -203,19 +203,19 @@
         self.call_kv(
             LeaderCall::WriteTarget,
             KvRequest::Txn { conditions: vec![self.leader_condition()], changes },
-            out,
+            effects,
         );
     }
 
     /// Drops chunks that nobody needs, when there is room to write.
-    pub(super) fn delete_garbage(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn delete_garbage(&mut self, now: Duration, effects: &mut EffectSink) {
         let spare = self.write_budget.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
         let due = spare || self.urgent_garbage > 0;
         if self.garbage_write_in_flight || !due || now < self.writes_paused_until {
             return;
         }
         if self.garbage.is_empty() {
-            return self.archive_finished_jobs(now, out);
+            return self.archive_finished_jobs(now, effects);
         }
         let most = if spare { self.garbage.len() } else { self.urgent_garbage.min(self.garbage.len()) };
         let most = self.settings.max_txn_changes.min(most).min(self.write_budget.available(now));
@@ -224,7 +224,7 @@
         keys.dedup_by(|a, b| a.key == b.key);
         self.urgent_garbage = self.urgent_garbage.saturating_sub(keys.len());
         if self.intents.is_fenced() {
-            keys = self.with_known_revision(keys, out);
+            keys = self.with_known_revision(keys, effects);
         }
         if keys.is_empty() || !self.write_budget.take(now, keys.len()) {
             return self.garbage.extend(keys);
@@ -236,15 +236,15 @@
             conditions.extend(keys.iter().filter_map(revision));
         }
         let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
-        self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, out);
+        self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
     }
 
     /// Where duties are fenced, a key goes only at the revision that is known to be over:
     /// where that is in doubt it is read first.
-    fn with_known_revision(&self, keys: Vec<StoredKey>, out: &mut EffectSink) -> Vec<StoredKey> {
+    fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
         for StoredKey { key, .. } in unknown {
-            self.call_kv(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, out);
+            self.call_kv(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, effects);
         }
         known
     }
@@ -277,7 +277,7 @@
     }
 
     /// Moves records of jobs that are over to where no new leader reads them.
-    fn archive_finished_jobs(&mut self, now: Duration, out: &mut EffectSink) {
+    fn archive_finished_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         let most = (self.settings.max_txn_changes / 2).min(self.to_archive.len());
         if most == 0 || !self.write_budget.take(now, most * 2) {
             return;
@@ -286,12 +286,12 @@
         let finals: Vec<FinishedJob> = self.to_archive.drain(..most).collect();
         let mut conditions = vec![self.leader_condition()];
         let mut changes = Vec::new();
-        for (id, stamp, record) in &finals {
+        for (id, mod_revision, record) in &finals {
             let Ok(value) = serde_json::to_string(record) else { continue };
-            conditions.push(Condition { key: id.key(), mod_revision: *stamp });
+            conditions.push(Condition { key: id.key(), mod_revision: *mod_revision });
             changes.push(KvChange::Put { key: id.archive_key(), value, lease: None });
             changes.push(KvChange::Delete { key: id.key() });
         }
-        self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, out);
+        self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, effects);
     }
 }
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -170,17 +170,17 @@
     fn build_slot(&mut self, host: &MachineName) -> Option<Slot> {
         let machine = self.fleet.machines.get(host)?;
         let total = self.fleet.resources(&machine.pool.machine_type)?;
-        let rig = self.fleet.machine_types.get(&machine.pool.machine_type)?;
+        let machine_type = self.fleet.machine_types.get(&machine.pool.machine_type)?;
         let mut slot = Slot {
             pool: self.placement_index.pool_index(&machine.pool),
             zone: self.placement_index.zone_index(&machine.pool.zone),
-            price: if machine.pool.spot { rig.spot_price } else { rig.price },
+            price: if machine.pool.spot { machine_type.spot_price } else { machine_type.price },
             free: total,
             ready_at: Duration::ZERO,
             running: Vec::new(),
             images: machine.cached_images.iter().copied().collect(),
             fetches_in_progress: 0,
-            image_fetch_gb_per_s: rig.image_fetch_gb_per_s,
+            image_fetch_gb_per_s: machine_type.image_fetch_gb_per_s,
         };
         for task in self.job_table.by_machine(host) {
             let (Some(entry), Some(attempt)) =
@@ -240,7 +240,7 @@
         let usable = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut slots = Vec::with_capacity(self.fleet.machines.len());
         for machine in self.fleet.machines.values().filter(usable) {
-            let (Some(sketch), Some(rig)) =
+            let (Some(sketch), Some(machine_type)) =
                 (&machine.cached_slot, self.fleet.machine_types.get(&machine.pool.machine_type))
             else {
                 continue;
@@ -248,7 +248,7 @@
             let mut slot = sketch.clone();
             slot.extend_overdue(now);
             slot.ready_at = if !machine.confirmed {
-                (machine.rented_at + rig.boot_time).max(now + Duration::from_secs(3))
+                (machine.rented_at + machine_type.boot_time).max(now + Duration::from_secs(3))
             } else if machine.is_start_doubtful(now, self.settings.heartbeat_timeout()) {
                 now + self.settings.heartbeat_interval
             } else {
@@ -260,7 +260,7 @@
     }
 
     /// Starts what may start now. Several changes share a pass.
-    pub(super) fn run_placement_pass(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn run_placement_pass(&mut self, now: Duration, effects: &mut EffectSink) {
         let mut teams = self.team_usage();
         let (ids, mut work) = self.pending_work(now, &teams);
         if work.is_empty() {
@@ -289,7 +289,7 @@
         }
         if !cut && now >= self.next_preemption_at {
             self.next_preemption_at = now + self.cpu_budget.preemption_interval();
-            self.preempt(now, &slots, &hosts, &mut work, &mut teams, out);
+            self.preempt(now, &slots, &hosts, &mut work, &mut teams, effects);
         }
     }
 
@@ -302,7 +302,7 @@
         hosts: &[MachineName],
         work: &mut [Work],
         teams: &mut [TeamUsage],
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         // As many tasks of a job as find no room in time; those of a gang that must be
         // in one zone, in the zone that lacks least.
@@ -387,7 +387,7 @@
         }
         told.append(&mut self.job_table.machines_to_stop);
         for host in told {
-            self.send_commands(now, &host, out);
+            self.send_commands(now, &host, effects);
         }
     }
 
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -10,17 +10,17 @@
         leader_call: LeaderCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         let now = times.now;
         match leader_call {
-            LeaderCall::ListJobs => self.jobs_page_loaded(times, reply, requests, out),
-            LeaderCall::ListChunks => self.chunks_page_loaded(times, reply, out),
-            LeaderCall::ReadTarget => self.target_loaded(times, reply, out),
-            LeaderCall::ListDuties => self.intents_page_loaded(times, reply, out),
-            LeaderCall::WriteDuties { sent } => return self.intents_written(now, sent, reply, out),
+            LeaderCall::ListJobs => self.jobs_page_loaded(times, reply, requests, effects),
+            LeaderCall::ListChunks => self.chunks_page_loaded(times, reply, effects),
+            LeaderCall::ReadTarget => self.target_loaded(times, reply, effects),
+            LeaderCall::ListDuties => self.intents_page_loaded(times, reply, effects),
+            LeaderCall::WriteDuties { sent } => return self.intents_written(now, sent, reply, effects),
             LeaderCall::WriteShards { writes, sent } => {
-                return self.shards_written(now, (writes, sent), reply, out);
+                return self.shards_written(now, (writes, sent), reply, effects);
             }
             LeaderCall::ReadDuties { page, sent } => self.intents_reread(now, page, sent, reply),
             LeaderCall::WatchJobs { sent } => {
@@ -34,13 +34,13 @@
                         }
                         self.jobs_revision = self.jobs_revision.max(Some(epoch));
                         self.jobs_synced_at = self.jobs_synced_at.max(sent);
-                        self.kill_cancelled(now, out);
+                        self.kill_cancelled(now, effects);
                     }
                     Ok(KvReply::Compacted) => return false,
                     _ => self.next_watch_at = now + PAUSE,
                 }
             }
-            LeaderCall::Commit(batch) => return self.batch_written(times, batch, reply, requests, out),
+            LeaderCall::Commit(batch) => return self.batch_written(times, batch, reply, requests, effects),
             LeaderCall::ReadChunk(id, number) => {
                 self.keys_being_read.remove(&self.chunk_key(&id, number));
                 if let Ok(KvReply::Value(row)) = reply {
@@ -54,7 +54,7 @@
                 match reply {
                     Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
                     Ok(KvReply::Value(None)) => {
-                        out.log(LogLevel::Error, format!("the record of {id} is missing"));
+                        effects.log(LogLevel::Error, format!("the record of {id} is missing"));
                         self.writes_paused_until = now + PAUSE;
                     }
                     _ => self.writes_paused_until = now + PAUSE,
@@ -106,7 +106,7 @@
         batch: WriteBatch,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         let now = times.now;
         self.txns_in_flight -= 1;
@@ -130,7 +130,7 @@
                     }
                 }
                 for host in hosts {
-                    self.send_commands(now, &host, out);
+                    self.send_commands(now, &host, effects);
                 }
                 return true;
             }
@@ -168,7 +168,7 @@
         times: StepTime,
         leader_call: LeaderCall,
         reply: Result<CloudReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let now = times.now;
         if reply.is_ok() {
@@ -193,35 +193,35 @@
             (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Rented(hosts))) => {
                 self.rentals_in_flight.retain(|rental| rental.name != name);
                 self.fleet.rented(&hosts, &pool, count, now);
-                self.confirm_intent(&IdempotencyKey::new(&name), out);
+                self.confirm_intent(&IdempotencyKey::new(&name), effects);
             }
             (LeaderCall::Rent(rental), Ok(CloudReply::NoCapacity)) => {
                 self.rentals_in_flight.retain(|other| other.name != rental.name);
                 let pool = &rental.pool;
                 self.fleet.capacity_refused(pool, now);
-                out.log(LogLevel::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
-                self.rental_refused(now, rental, out);
+                effects.log(LogLevel::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
+                self.rental_refused(now, rental, effects);
             }
             // In doubt, the same name is used again: it rents once at most.
             (LeaderCall::Rent(rental), _) => {
                 self.rental_retries.push(scaling::RentalRetry { due: now + PAUSE * 4, rental });
             }
-            (LeaderCall::Release { machines: hosts, intent: duty }, Ok(CloudReply::Released)) => {
-                self.confirm_intent(&duty, out);
+            (LeaderCall::Release { machines: hosts, intent }, Ok(CloudReply::Released)) => {
+                self.confirm_intent(&intent, effects);
                 for host in hosts {
                     self.releasing.remove(&host);
                     self.fleet.instance_released(&host);
                     self.machine_gone(&host);
                     let freed = self.job_table.machine_gone(&host, now);
                     if freed > 0 {
-                        out.log(LogLevel::Debug, format!("{host} is gone with {freed} tasks"));
+                        effects.log(LogLevel::Debug, format!("{host} is gone with {freed} tasks"));
                     }
                 }
-                self.stop_broken_gangs(now, out);
+                self.stop_broken_gangs(now, effects);
                 self.pass_needed = true;
             }
-            (LeaderCall::Release { intent: duty, .. }, _) if self.intents.is_fenced() => {
-                self.return_failed(now, duty);
+            (LeaderCall::Release { intent, .. }, _) if self.intents.is_fenced() => {
+                self.return_failed(now, intent);
             }
             (LeaderCall::Release { machines: hosts, .. }, _) => {
                 for host in hosts {
@@ -238,18 +238,18 @@
         times: StepTime,
         leader_call: LeaderCall,
         reply: CommandReply,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
-        let LeaderCall::SendCommands { machine: host, incarnation: shift, starts: runs } = leader_call else {
+        let LeaderCall::SendCommands { machine: host, incarnation, starts } = leader_call else {
             return;
         };
         let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
-        machine.end_command(shift, &runs, &reply);
-        if let CommandReply::Answered(report) = reply {
-            if report.machine == host {
-                self.observe_machine(times, &report, true, out);
+        machine.end_command(incarnation, &starts, &reply);
+        if let CommandReply::Answered(heartbeat) = reply {
+            if heartbeat.machine == host {
+                self.observe_machine(times, &heartbeat, true, effects);
             }
         }
-        self.send_commands(times.now, &host, out);
+        self.send_commands(times.now, &host, effects);
     }
 }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -34,28 +34,31 @@
 }
 
 impl Leader {
-    pub(super) fn rent_machines(&mut self, now: Duration, out: &mut EffectSink) {
-        self.retry_rentals(now, out);
-        for (rig, size) in self.target.sizes.clone() {
+    pub(super) fn rent_machines(&mut self, now: Duration, effects: &mut EffectSink) {
+        self.retry_rentals(now, effects);
+        for (machine_type, size) in self.target.sizes.clone() {
             let coming = |spot: Option<bool>| -> u32 {
-                let such =
-                    |r: &&PendingRental| r.pool.machine_type == rig && spot.is_none_or(|s| s == r.pool.spot);
+                let such = |r: &&PendingRental| {
+                    r.pool.machine_type == machine_type && spot.is_none_or(|s| s == r.pool.spot)
+                };
                 self.rentals_in_flight.iter().filter(such).map(|r| r.count).sum()
             };
             let ordinary = self
                 .fleet
-                .pools(&rig)
+                .pools(&machine_type)
                 .iter()
                 .filter(|p| !p.spot)
                 .map(|p| self.fleet.machines_staying(p))
                 .sum::<u32>();
             let strict = size.ordinary.saturating_sub(ordinary + coming(Some(false)));
-            let want =
-                size.machines.saturating_sub(self.fleet.machines_of_type(&rig) + coming(None)).max(strict);
+            let want = size
+                .machines
+                .saturating_sub(self.fleet.machines_of_type(&machine_type) + coming(None))
+                .max(strict);
             if want == 0 {
                 continue;
             }
-            let mut pools: Vec<Pool> = self.fleet.pools(&rig);
+            let mut pools: Vec<Pool> = self.fleet.pools(&machine_type);
             pools.retain(|p| {
                 self.fleet.may_rent_from(p, now) && !self.rentals_in_flight.iter().any(|r| r.pool == *p)
             });
@@ -80,29 +83,29 @@
                 let name = format!("{}-{}-{}", self.settings.host, self.token, self.rental_counter);
                 let rental = PendingRental { name, pool, count };
                 self.rentals_in_flight.push(rental.clone());
-                self.rent(rental, out);
+                self.rent(rental, effects);
             }
         }
     }
 
     /// Asks again for rentals whose answers were lost, under their names.
-    fn retry_rentals(&mut self, now: Duration, out: &mut EffectSink) {
+    fn retry_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
         let all = std::mem::take(&mut self.rental_retries);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|retry| retry.due <= now);
         self.rental_retries = later;
         for retry in due {
             if self.cloud_budget.take(now, 1) {
-                self.rent(retry.rental, out);
+                self.rent(retry.rental, effects);
             } else {
                 self.rental_retries.push(retry);
             }
         }
     }
 
-    fn rent(&mut self, rental: PendingRental, out: &mut EffectSink) {
+    fn rent(&mut self, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
-        if !self.request_cloud_action(key, Action::Rent(rental.into()), out) {
+        if !self.request_cloud_action(key, Action::Rent(rental.into()), effects) {
             self.rentals_in_flight.retain(|other| other.name != name);
         }
     }
@@ -110,13 +113,15 @@
     /// Chooses the machines that go back: those above the target as they fall idle,
     /// and empty ones that are about to be taken.
     pub(super) fn remove_surplus(&mut self, now: Duration) {
-        for (rig, size) in self.target.sizes.clone() {
-            let mut surplus = self.fleet.machines_of_type(&rig).saturating_sub(size.machines);
+        for (machine_type, size) in self.target.sizes.clone() {
+            let mut surplus = self.fleet.machines_of_type(&machine_type).saturating_sub(size.machines);
             let mut idle: Vec<(bool, Duration, MachineName)> = self
                 .fleet
                 .machines
                 .values()
-                .filter(|m| m.pool.machine_type == rig && m.removal.is_none() && !m.has_preemption_notice)
+                .filter(|m| {
+                    m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
+                })
                 .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
                 .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= IDLE))
                 .map(|m| (m.pool.spot, m.rented_at, m.name.clone()))
@@ -126,7 +131,7 @@
                 .fleet
                 .machines
                 .values()
-                .filter(|m| m.pool.machine_type == rig && !m.pool.spot && m.removal.is_none())
+                .filter(|m| m.pool.machine_type == machine_type && !m.pool.spot && m.removal.is_none())
                 .count() as u32;
             for (spot, _, host) in idle {
                 if surplus == 0 {
@@ -156,16 +161,16 @@
     pub(super) fn release_removed_machines(
         &mut self,
         now: Duration,
-        sight: LeaderEvidence,
-        out: &mut EffectSink,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
     ) {
-        let free = sight.lease_valid && self.stage == Stage::Ready;
+        let free = evidence.lease_valid && self.stage == Stage::Ready;
         if now < self.next_release_at || !(free || self.is_cloud_reachable(now)) {
             return;
         }
         let may = |why: RemovalReason| match why {
             RemovalReason::CancellationDue => true,
-            RemovalReason::HeartbeatTimeout => free || sight.no_peer_leads,
+            RemovalReason::HeartbeatTimeout => free || evidence.no_peer_leads,
             _ => free,
         };
         let machines = self.fleet.machines.values();
@@ -179,7 +184,7 @@
             leaving.retain(|(_, why)| *why == RemovalReason::CancellationDue);
         }
         if !leaving.is_empty() && self.cloud_budget.take(now, 1) {
-            self.return_machines(&leaving, (due || !free, !due), out);
+            self.return_machines(&leaving, (due || !free, !due), effects);
         }
     }
 }
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -21,9 +21,9 @@
         };
         shards.next_refresh_at = now + REFRESH;
         let waits = |machine: &&Machine| {
-            let report = machine.last_heartbeat.as_ref();
+            let heartbeat = machine.last_heartbeat.as_ref();
             let ended =
-                report.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.status, TaskStatus::Exited(_))));
+                heartbeat.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.status, TaskStatus::Exited(_))));
             ended || self.job_table.by_machine(&machine.name).next().is_some()
         };
         let hosts: Vec<MachineName> =
@@ -36,7 +36,7 @@
         &mut self,
         now: Duration,
         requests: &RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
         let ready = |(_, peer): &(&String, &Peer)| {
@@ -48,7 +48,7 @@
         };
         let ready: Vec<String> = shards.peers.iter().filter(ready).map(|(host, _)| host.clone()).collect();
         for host in ready {
-            self.send_shard_commands(now, &host, requests, out);
+            self.send_shard_commands(now, &host, requests, effects);
         }
     }
 
@@ -57,7 +57,7 @@
         now: Duration,
         to: &str,
         requests: &RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
         let held: Vec<(ShardId, u64)> = shards
@@ -81,16 +81,18 @@
             taken += 1;
             // Those of a shard that is not renewed yet wait for its record.
             let Some(shard) = place(host) else { continue };
-            let Some(shift) = self.fleet.machines.get(host).and_then(Machine::incarnation) else { continue };
+            let Some(incarnation) = self.fleet.machines.get(host).and_then(Machine::incarnation) else {
+                continue;
+            };
             let orders = self.commands_for(now, host, requests);
             let last = peer.sent.get(host);
-            let same = last.map_or(orders.is_empty(), |(of, sent)| *of == shift && *sent == orders);
+            let same = last.map_or(orders.is_empty(), |(of, sent)| *of == incarnation && *sent == orders);
             commands += orders.len();
             if !same {
                 machines.push(MachineCommands {
                     machine: host.clone(),
                     shard,
-                    incarnation: shift,
+                    incarnation,
                     commands: orders,
                 });
             }
@@ -103,7 +105,7 @@
         for MachineCommands { commands: orders, shard, .. } in &machines {
             self.record_offered_starts(orders, held[*shard].1);
         }
-        self.log_first_start(now, &machines, out);
+        self.log_first_start(now, &machines, effects);
         let Some(shards) = &mut self.shards else { return };
         shards.sequence += 1;
         let sequence = shards.sequence;
@@ -116,8 +118,8 @@
             return;
         }
         peer.send_in_flight = true;
-        for MachineCommands { machine: host, incarnation: shift, commands: orders, .. } in &machines {
-            peer.sent.insert(host.clone(), (*shift, orders.clone()));
+        for MachineCommands { machine: host, incarnation, commands: orders, .. } in &machines {
+            peer.sent.insert(host.clone(), (*incarnation, orders.clone()));
         }
         let told = machines.iter().map(|machine| machine.machine.clone()).collect();
         let message = LeaderCommands {
@@ -135,21 +137,21 @@
             SentShardCommands { machines: told, newly_held: fresh, removed: gone, shard_taken: replaced };
         let call = LeaderCall::SendShardCommands { to: to.to_owned(), sent: told };
         let message = ShardMessage::LeaderCommands(Box::new(message));
-        out.send_shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
+        effects.send_shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
     }
 
     pub(super) fn log_first_start(
         &mut self,
         now: Duration,
         machines: &[MachineCommands],
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let run = |machine: &MachineCommands| {
             machine.commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }))
         };
         if machines.iter().any(run) && !std::mem::replace(&mut self.first_start_sent, true) {
             let after = now.saturating_sub(self.started_at).as_millis();
-            out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
+            effects.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
     }
 
@@ -161,12 +163,12 @@
         let here = |machine: &&Machine| self.shard_of(machine).is_some_and(|shard| shards.contains(&shard));
         let machines = self.fleet.machines.values().filter(here);
         let mut tasks = 0;
-        let few = |report: &Heartbeat| {
-            tasks += report.tasks.len();
+        let few = |heartbeat: &Heartbeat| {
+            tasks += heartbeat.tasks.len();
             tasks <= MAX_TASKS
         };
-        let reports = machines.filter_map(|machine| machine.last_heartbeat.clone());
-        reports.take(MAX_MACHINES).take_while(few).collect()
+        let heartbeats = machines.filter_map(|machine| machine.last_heartbeat.clone());
+        heartbeats.take(MAX_MACHINES).take_while(few).collect()
     }
 
     /// What became of a message to a holder.
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -137,15 +137,15 @@
     }
 
     /// Who answers a report.
-    pub fn route(&self, report: &Heartbeat) -> LeaderRoute {
+    pub fn route(&self, heartbeat: &Heartbeat) -> LeaderRoute {
         let Some(shards) = &self.shards else {
-            return if report.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
+            return if heartbeat.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
         };
-        if report.token > shards.registry.highest_epoch() {
+        if heartbeat.token > shards.registry.highest_epoch() {
             let doubt = shards.registry.has_uncertain_writes();
             return if doubt { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
         }
-        let shard = shards.registry.shard_of(&report.zone, &report.machine);
+        let shard = shards.registry.shard_of(&heartbeat.zone, &heartbeat.machine);
         match self.other_holder(&shard) {
             Some((host, epoch)) => LeaderRoute::Holder { host, epoch },
             None => LeaderRoute::Own,
@@ -160,11 +160,11 @@
     }
 
     /// What this node knew of a machine as its shard's holder, before it led.
-    pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, out: &mut EffectSink) {
-        let Some(report) = &machine.last_heartbeat else { return };
-        self.observe_machine(times, report, false, out);
-        self.confirm_by_holder(&report.machine, machine.confirmed, machine.last_heard_at);
-        if let Some(own) = self.fleet.machines.get_mut(&report.machine) {
+    pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, effects: &mut EffectSink) {
+        let Some(heartbeat) = &machine.last_heartbeat else { return };
+        self.observe_machine(times, heartbeat, false, effects);
+        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.last_heard_at);
+        if let Some(own) = self.fleet.machines.get_mut(&heartbeat.machine) {
             own.is_relayed = machine.is_relayed;
         }
     }
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -26,7 +26,12 @@
                 *around.machines.entry(shard).or_default() += 1;
             }
         }
-        around.zones = self.fleet.machine_types.values().flat_map(|rig| rig.zones.iter().cloned()).collect();
+        around.zones = self
+            .fleet
+            .machine_types
+            .values()
+            .flat_map(|machine_type| machine_type.zones.iter().cloned())
+            .collect();
         around
     }
 
@@ -36,17 +41,17 @@
         now: Duration,
         firm: bool,
         requests: &RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
         if firm && now >= shards.next_write_at {
-            self.write_records(now, out);
+            self.write_records(now, effects);
         }
         self.refresh_due_commands(now);
-        self.flush_shard_commands(now, requests, out);
+        self.flush_shard_commands(now, requests, effects);
     }
 
-    pub(super) fn write_records(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn write_records(&mut self, now: Duration, effects: &mut EffectSink) {
         let most = self.settings.max_txn_changes.min(self.write_budget.available(now));
         let around = self.registry_input(now);
         let Some(shards) = &mut self.shards else { return };
@@ -72,7 +77,7 @@
         };
         let changes = writes.iter().map(change).collect();
         let call = LeaderCall::WriteShards { writes, sent: now };
-        self.call_kv(call, KvRequest::Txn { conditions, changes }, out);
+        self.call_kv(call, KvRequest::Txn { conditions, changes }, effects);
     }
 
     /// What became of a write of records; false: somebody else leads.
@@ -81,7 +86,7 @@
         now: Duration,
         (writes, sent): (Vec<RecordWrite>, Duration),
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         let outcome = match reply {
             Ok(KvReply::Committed { revision: epoch }) => WriteOutcome::Committed { revision: epoch },
@@ -101,19 +106,19 @@
             .filter_map(|write| shards.registry.write_completed(write, outcome, sent, now))
             .collect();
         for named in named {
-            self.holder_named(now, named, out);
+            self.holder_named(now, named, effects);
         }
         true
     }
 
     /// A shard has a holder from now on.
-    pub(super) fn holder_named(&mut self, now: Duration, named: Named, out: &mut EffectSink) {
+    pub(super) fn holder_named(&mut self, now: Duration, named: Named, effects: &mut EffectSink) {
         let Named { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
         if moved {
             let before = from.as_deref().unwrap_or("nobody");
             let text = format!("shard {shard} goes from {before} to {to} under {epoch} ({reason:?})");
-            out.log(LogLevel::Info, text);
+            effects.log(LogLevel::Info, text);
         }
         let here = |machine: &&Machine| self.shard_of(machine).is_some_and(|of| of == shard);
         let hosts: Vec<MachineName> =
@@ -141,7 +146,7 @@
                 self.fleet.extend_for_reroute(&host, now);
             }
             if own {
-                self.send_commands(now, &host, out);
+                self.send_commands(now, &host, effects);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -8,12 +8,12 @@
         &mut self,
         times: StepTime,
         message: HolderStatus,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> Delivery {
         let now = times.now;
-        let sibling = self.settings.peers.contains(&message.host);
+        let peer = self.settings.peers.contains(&message.host);
         let Some(shards) = self.shards.as_mut() else { return Delivery::Unsupported };
-        let meant = sibling && message.term == self.token;
+        let meant = peer && message.term == self.token;
         let admitted =
             if meant { shards.sequence_guard.admit(&message.host, message.stamp).ok() } else { None };
         let Some(admission) = admitted else {
@@ -46,7 +46,7 @@
         self.direct_heartbeat_arrived |= !message.updates.is_empty() || !alive.is_empty();
         let mut taken = true;
         for news in message.updates {
-            taken &= self.apply_machine_update(times, &message.host, news, out);
+            taken &= self.apply_machine_update(times, &message.host, news, effects);
         }
         let heard = now.saturating_sub(message.alive_age);
         for host in alive {
@@ -74,11 +74,12 @@
         times: StepTime,
         holder: &str,
         news: MachineUpdate,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
-        let report = &news.heartbeat;
+        let heartbeat = &news.heartbeat;
         let shards = self.shards.as_mut();
-        let Some(shard) = shards.map(|shards| shards.registry.shard_of(&report.zone, &report.machine)) else {
+        let Some(shard) = shards.map(|shards| shards.registry.shard_of(&heartbeat.zone, &heartbeat.machine))
+        else {
             return false;
         };
         if self.other_holder(&shard).is_none_or(|(of, _)| of != holder) {
@@ -87,15 +88,15 @@
             }
             return false;
         }
-        self.observe_machine(times, report, false, out);
-        self.confirm_by_holder(&report.machine, news.confirmed, times.now.saturating_sub(news.age));
-        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+        self.observe_machine(times, heartbeat, false, effects);
+        self.confirm_by_holder(&heartbeat.machine, news.confirmed, times.now.saturating_sub(news.age));
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.unanswered_commands = news.unanswered_commands;
             if news.ignores_commands {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
-        self.mark_commands_due(&report.machine);
+        self.mark_commands_due(&heartbeat.machine);
         true
     }
 }
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -50,7 +50,7 @@
         Some(if there { "its other tasks" } else { "images" })
     }
 
-    pub(super) fn log_late_jobs(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn log_late_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         if now < self.next_lateness_scan_at {
             return;
         }
@@ -72,7 +72,7 @@
                 let (done, tasks) = (entry.done, entry.spec.tasks);
                 let gang = waits.map(|w| format!(", waits for {w}")).unwrap_or_default();
                 let text = format!("{id} {what} after {age} s: {done} of {tasks} done (late: {late}){gang}");
-                out.log(LogLevel::Info, text);
+                effects.log(LogLevel::Info, text);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -20,30 +20,30 @@
         self.permits(Action::Start, now) && self.lease_doubted_at.is_none_or(|at| at < self.jobs_synced_at)
     }
 
-    /// Answers a report. `adrift`: neither the state service nor any sibling is
+    /// Answers a report. `is_cut_off`: neither the state service nor any sibling is
     /// heard, so that somebody else may lead by now.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
-        report: Heartbeat,
-        (relayed, adrift): (bool, bool),
+        heartbeat: Heartbeat,
+        (relayed, is_cut_off): (bool, bool),
         requests: &RequestHandler,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> Response {
         let now = times.now;
         self.direct_heartbeat_arrived |= !relayed;
         if !self.permits(Action::AnswerReports, now) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        if !self.may_renew_leases(now) || self.fleet.is_removed(&report.machine) {
+        if !self.may_renew_leases(now) || self.fleet.is_removed(&heartbeat.machine) {
             // What it tells counts all the same, and that it is there.
-            self.observe_machine(times, &report, false, out);
+            self.observe_machine(times, &heartbeat, false, effects);
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
-        let host = report.machine.clone();
-        let heard = self.observe_machine(times, &report, false, out);
+        let host = heartbeat.machine.clone();
+        let heard = self.observe_machine(times, &heartbeat, false, effects);
         let token = self.token_for(&host);
-        let orders = self.commands_for(now, &host, requests);
+        let commands = self.commands_for(now, &host, requests);
         let Some(machine) = self.fleet.machines.get_mut(&host).filter(|_| heard != HeartbeatNews::Stale)
         else {
             // A copy gets no orders, nor counts as heard.
@@ -53,17 +53,17 @@
         if !relayed {
             machine.last_direct_at = now;
         }
-        if machine.take_redirect(adrift, self.settings.worker_lease, now) {
+        if machine.take_redirect(is_cut_off, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
         }
-        machine.record_response(&orders, now);
-        self.record_offered_starts(&orders, token);
-        Response::Commands { token, commands: orders }
+        machine.record_response(&commands, now);
+        self.record_offered_starts(&commands, token);
+        Response::Commands { token, commands }
     }
 
     /// Notes which attempts a worker may be told to run from now on, and under which token.
-    pub(super) fn record_offered_starts(&mut self, orders: &[WorkerCommand], token: u64) {
-        for order in orders {
+    pub(super) fn record_offered_starts(&mut self, commands: &[WorkerCommand], token: u64) {
+        for order in commands {
             if let WorkerCommand::Run { task, .. } = order {
                 if let Some(attempt) = self.job_table.attempt_mut(task) {
                     attempt.offered_under_token = attempt.offered_under_token.max(Some(token));
@@ -76,19 +76,19 @@
     pub(super) fn observe_machine(
         &mut self,
         times: StepTime,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         ours: bool,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> HeartbeatNews {
-        let up = |fleet: &Fleet| fleet.machines.get(&report.machine).is_some_and(Machine::is_up);
+        let up = |fleet: &Fleet| fleet.machines.get(&heartbeat.machine).is_some_and(Machine::is_up);
         let before = up(&self.fleet);
         let heard = match ours {
-            true => self.fleet.observe_command_reply(report, self.token, times.now),
-            false => self.fleet.observe_heartbeat(report, self.token, times.now),
+            true => self.fleet.observe_command_reply(heartbeat, self.token, times.now),
+            false => self.fleet.observe_heartbeat(heartbeat, self.token, times.now),
         };
         self.pass_needed |= up(&self.fleet) != before;
         if heard != HeartbeatNews::Stale && self.stage == Stage::Ready {
-            self.observe_tasks(times, report, heard, out);
+            self.observe_tasks(times, heartbeat, heard, effects);
         }
         heard
     }
@@ -97,44 +97,45 @@
     pub(super) fn observe_tasks(
         &mut self,
         times: StepTime,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         heard: HeartbeatNews,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let now = times.now;
         let (ended, lost) = match heard {
             HeartbeatNews::Changed => {
-                self.job_table.observe_heartbeat(report, report.token >= self.token, now)
+                self.job_table.observe_heartbeat(heartbeat, heartbeat.token >= self.token, now)
             }
             _ => Default::default(),
         };
         if lost > 0 {
             // Such an attempt is neither there nor proven gone.
-            if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+            if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
             }
         }
-        for listed in report.tasks.iter().filter(|_| heard == HeartbeatNews::Changed) {
+        for listed in heartbeat.tasks.iter().filter(|_| heard == HeartbeatNews::Changed) {
             // Who waits for other tasks of a gang has the image.
             if !matches!(listed.status, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
             }
             if let Some(spec) = self.job_table.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
                 let image = self.image_number(&spec);
-                self.fleet.record_image(&report.machine, image, &self.placement_index);
+                self.fleet.record_image(&heartbeat.machine, image, &self.placement_index);
             }
         }
         for end in ended {
-            self.attempt_ended(now, &report.machine, &end, out);
+            self.attempt_ended(now, &heartbeat.machine, &end, effects);
             self.pass_needed = true;
         }
-        if let Some(left) = report.preemption_notice {
-            self.evacuate(now, &report.machine, left, out);
+        if let Some(left) = heartbeat.preemption_notice {
+            self.evacuate(now, &heartbeat.machine, left, effects);
         }
-        self.stop_broken_gangs(now, out);
-        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-            let idle = report.tasks.iter().all(|t| matches!(t.status, TaskStatus::Exited(_)));
-            match (idle && self.job_table.by_machine(&report.machine).next().is_none(), machine.idle_since) {
+        self.stop_broken_gangs(now, effects);
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
+            let idle = heartbeat.tasks.iter().all(|t| matches!(t.status, TaskStatus::Exited(_)));
+            match (idle && self.job_table.by_machine(&heartbeat.machine).next().is_none(), machine.idle_since)
+            {
                 (true, None) => {
                     machine.idle_since = Some(now);
                     self.pass_needed = true;
@@ -152,7 +153,7 @@
         now: Duration,
         host: &MachineName,
         left: Duration,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let here: Vec<TaskId> = self.job_table.by_machine(host).cloned().collect();
         for task in here {
@@ -168,7 +169,7 @@
                 self.job_table.stop(&task);
             }
         }
-        self.send_commands(now, host, out);
+        self.send_commands(now, host, effects);
     }
 
     pub(super) fn attempt_ended(
@@ -176,7 +177,7 @@
         now: Duration,
         host: &MachineName,
         end: &Ended,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let Some(entry) = self.job_table.jobs.get_mut(&end.task.job) else { return };
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
@@ -202,7 +203,7 @@
                 if entry.failed_machines.len() > 1 {
                     entry.backoff_until = now + wait;
                 }
-                out.log(LogLevel::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
+                effects.log(LogLevel::Debug, format!("{}/{} failed on {host}", end.task.job, end.task.index));
             }
             Some(ExitReason::InsufficientResources | ExitReason::AttemptConflict) => {
                 machine.no_starts_until = now + FULL_PAUSE
@@ -227,28 +228,28 @@
         requests: &RequestHandler,
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(host) else { return Vec::new() };
-        let Some(report) = &machine.last_heartbeat else { return Vec::new() };
-        let mut orders = Vec::new();
+        let Some(heartbeat) = &machine.last_heartbeat else { return Vec::new() };
+        let mut commands = Vec::new();
         let (reaps, kills) = (self.permits(Action::AcknowledgeEnds, now), self.permits(Action::Kill, now));
-        for ReportedTask { task, attempt, status: seen } in report.tasks.iter() {
+        for ReportedTask { task, attempt, status: seen } in heartbeat.tasks.iter() {
             let attempt = *attempt;
             if matches!(seen, TaskStatus::Exited(_)) {
                 // A direct `run` under way would start a forgotten attempt anew.
                 let unconfirmed = machine.has_unconfirmed_start(task, attempt);
                 let over = !self.job_table.jobs.contains_key(&task.job) && requests.is_ended(&task.job);
                 if reaps && !unconfirmed && (over || self.job_table.may_acknowledge(task, attempt)) {
-                    orders.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
+                    commands.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
-            } else if let Some(leeway) = self.kill_grace(host, task, attempt, requests).filter(|_| kills) {
-                orders.push(WorkerCommand::Kill { task: task.clone(), attempt, grace: leeway });
+            } else if let Some(grace) = self.kill_grace(host, task, attempt, requests).filter(|_| kills) {
+                commands.push(WorkerCommand::Kill { task: task.clone(), attempt, grace });
             }
         }
-        orders.extend(self.unreported_gang_tasks(now, machine, report));
-        orders.extend(
+        commands.extend(self.unreported_gang_tasks(now, machine, heartbeat));
+        commands.extend(
             self.due_starts(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }),
         );
-        orders.truncate(MAX_ORDERS);
-        orders
+        commands.truncate(MAX_ORDERS);
+        commands
     }
 
     /// Whether a listed attempt must go, and how much time it has to save.
@@ -291,9 +292,9 @@
         &self,
         now: Duration,
         machine: &Machine,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> Vec<WorkerCommand> {
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let sighted = self.may_start_tasks(now);
         for task in self.job_table.by_machine(&machine.name).filter(|_| sighted) {
             let ending = |e: &&JobEntry| e.phase == Phase::Active && e.is_gang_ending();
@@ -301,16 +302,16 @@
             let Some(attempt) = found else { continue };
             let told = attempt.offered_under_token.is_some()
                 && attempt.reported_status.is_none()
-                && attempt.incarnation == report.incarnation;
-            let listed = report.tasks.iter().any(|l| l.task == *task && l.attempt == attempt.number);
+                && attempt.incarnation == heartbeat.incarnation;
+            let listed = heartbeat.tasks.iter().any(|l| l.task == *task && l.attempt == attempt.number);
             if told && !listed {
                 let number = attempt.number;
-                orders.push(WorkerCommand::Run { task: task.clone(), attempt: number });
-                let leeway = Duration::ZERO;
-                orders.push(WorkerCommand::Kill { task: task.clone(), attempt: number, grace: leeway });
+                commands.push(WorkerCommand::Run { task: task.clone(), attempt: number });
+                let grace = Duration::ZERO;
+                commands.push(WorkerCommand::Kill { task: task.clone(), attempt: number, grace });
             }
         }
-        orders
+        commands
     }
 
     /// Durable placements that the worker has not listed yet.
@@ -320,13 +321,13 @@
         machine: &'a Machine,
     ) -> impl Iterator<Item = (TaskId, u64)> + 'a {
         let sighted = self.may_start_tasks(now);
-        let shift = machine.incarnation();
+        let incarnation = machine.incarnation();
         self.job_table.by_machine(&machine.name).filter_map(move |task| {
             let attempt = self.job_table.attempt(task)?;
             let live = self.job_table.jobs.get(&task.job)?.phase == Phase::Active;
             let due = live
                 && sighted
-                && Some(attempt.incarnation) == shift
+                && Some(attempt.incarnation) == incarnation
                 && attempt.reported_status.is_none()
                 && !attempt.stop_requested
                 && self.job_table.may_start(task);
@@ -336,19 +337,19 @@
 
     /// Sends a machine what it should hear at once: starts, each once, and
     /// kills, each once. The answers to reports repeat what got lost.
-    pub(super) fn send_commands(&mut self, now: Duration, host: &MachineName, out: &mut EffectSink) {
+    pub(super) fn send_commands(&mut self, now: Duration, host: &MachineName, effects: &mut EffectSink) {
         let Some(machine) = self.fleet.machines.get(host) else { return };
         if !self.is_own_machine(machine) {
             return self.mark_commands_due(host);
         }
-        let Some(shift) = machine.incarnation() else { return };
+        let Some(incarnation) = machine.incarnation() else { return };
         if !machine.takes_commands() {
             return;
         }
         let told = |t: &TaskId| self.job_table.attempt(t).is_some_and(|a| a.start_sent);
         // A command of its own costs several times an answer, and the answer to the next
         // report carries the same: what can wait for that gives way first.
-        let runs: Vec<(TaskId, u64)> = match self.cpu_starved {
+        let starts: Vec<(TaskId, u64)> = match self.cpu_starved {
             true => Vec::new(),
             false => self.due_starts(now, machine).filter(|(t, _)| !told(t)).collect(),
         };
@@ -360,48 +361,53 @@
             .filter_map(|t| {
                 let a = self.job_table.attempt(t)?;
                 let cancelled = self.job_table.jobs.get(&t.job)?.phase == Phase::Cancelled;
-                let due = (cancelled || a.stop_requested) && !a.kill_sent && a.incarnation == shift;
+                let due = (cancelled || a.stop_requested) && !a.kill_sent && a.incarnation == incarnation;
                 due.then(|| (t.clone(), a.number))
             })
             .collect();
-        if runs.is_empty() && kills.is_empty() {
+        if starts.is_empty() && kills.is_empty() {
             return;
         }
-        let mut orders: Vec<WorkerCommand> = Vec::new();
+        let mut commands: Vec<WorkerCommand> = Vec::new();
         for (task, attempt) in &kills {
-            let leeway = self.checkpoint_grace(task);
+            let grace = self.checkpoint_grace(task);
             if let Some(a) = self.job_table.attempt_mut(task) {
                 a.kill_sent = true;
             }
-            orders.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, grace: leeway });
+            commands.push(WorkerCommand::Kill { task: task.clone(), attempt: *attempt, grace });
         }
         let token = self.token_for(host);
-        for (task, attempt) in &runs {
+        for (task, attempt) in &starts {
             if let Some(a) = self.job_table.attempt_mut(task) {
                 (a.start_sent, a.offered_under_token) = (true, a.offered_under_token.max(Some(token)));
             }
-            orders.push(WorkerCommand::Run { task: task.clone(), attempt: *attempt });
+            commands.push(WorkerCommand::Run { task: task.clone(), attempt: *attempt });
         }
-        if !runs.is_empty() && !std::mem::replace(&mut self.first_start_sent, true) {
+        if !starts.is_empty() && !std::mem::replace(&mut self.first_start_sent, true) {
             let after = now.saturating_sub(self.started_at).as_millis();
-            out.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
+            effects.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
         }
         let Some(machine) = self.fleet.machines.get_mut(host) else { return };
-        let address = machine.begin_command(&runs);
-        let leader_call =
-            LeaderCall::SendCommands { machine: host.clone(), incarnation: shift, starts: runs };
-        out.send_commands(CallPurpose::Leader(self.token, leader_call), address, token, shift, orders);
+        let address = machine.begin_command(&starts);
+        let leader_call = LeaderCall::SendCommands { machine: host.clone(), incarnation, starts };
+        effects.send_commands(
+            CallPurpose::Leader(self.token, leader_call),
+            address,
+            token,
+            incarnation,
+            commands,
+        );
     }
 
     /// Tells the machines of gangs that are to end, all at once.
-    pub(super) fn stop_broken_gangs(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn stop_broken_gangs(&mut self, now: Duration, effects: &mut EffectSink) {
         for host in std::mem::take(&mut self.job_table.machines_to_stop) {
-            self.send_commands(now, &host, out);
+            self.send_commands(now, &host, effects);
         }
     }
 
     /// Kills what was cancelled, without waiting for the workers' reports.
-    pub(super) fn kill_cancelled(&mut self, now: Duration, out: &mut EffectSink) {
+    pub(super) fn kill_cancelled(&mut self, now: Duration, effects: &mut EffectSink) {
         let hosts: BTreeSet<MachineName> = self
             .job_table
             .jobs
@@ -412,7 +418,7 @@
             .map(|a| a.machine.clone())
             .collect();
         for host in hosts {
-            self.send_commands(now, &host, out);
+            self.send_commands(now, &host, effects);
         }
     }
 }
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -147,11 +147,11 @@
         }
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
+    pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if let Stage::Leading { hold, .. } = self.stage {
             if !self.renewal_in_flight && now >= self.next_renewal_at {
                 self.renewal_in_flight = true;
-                out.call_kv(
+                effects.call_kv(
                     CallPurpose::Election(ElectionCall::RenewLease { hold, sent: now }),
                     KvRequest::RenewLease { lease: hold },
                 );
@@ -172,7 +172,7 @@
             }
             _ => (ElectionCall::GrantLease, KvRequest::GrantLease { ttl: self.lease }),
         };
-        out.call_kv(CallPurpose::Election(step), op);
+        effects.call_kv(CallPurpose::Election(step), op);
     }
 
     pub fn reply(
@@ -180,7 +180,7 @@
         now: Duration,
         step: ElectionCall,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> LeadershipChange {
         if let ElectionCall::RenewLease { hold, sent } = step {
             return self.lease_renewal_reply(now, hold, sent, reply);
@@ -190,13 +190,13 @@
         }
         self.call_in_flight = false;
         match (step, reply) {
-            (ElectionCall::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, out),
+            (ElectionCall::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, effects),
             (ElectionCall::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
                 let mut verdict = LeadershipChange::Unchanged;
                 for event in events {
                     match event {
                         WatchEvent::Put(row) if row.key == KEY => {
-                            verdict = self.key_read(now, Some(row), out);
+                            verdict = self.key_read(now, Some(row), effects);
                         }
                         WatchEvent::Delete { key, .. } if key == KEY => {
                             self.key_vacant(now);
@@ -209,7 +209,9 @@
                 }
                 return verdict;
             }
-            (ElectionCall::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => self.claim(hold, out),
+            (ElectionCall::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => {
+                self.claim(hold, effects)
+            }
             (ElectionCall::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
                 return self.won(now, epoch, hold);
             }
@@ -218,7 +220,7 @@
                 ElectionCall::Claim { hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
-                out.call_kv(
+                effects.call_kv(
                     CallPurpose::Election(ElectionCall::RevokeLease),
                     KvRequest::RevokeLease { lease: hold },
                 );
@@ -238,11 +240,11 @@
         LeadershipChange::Unchanged
     }
 
-    fn claim(&mut self, hold: u64, out: &mut EffectSink) {
+    fn claim(&mut self, hold: u64, effects: &mut EffectSink) {
         let holder = Holder { host: self.host.clone(), boot: self.boot_id, hold };
         let Ok(value) = serde_json::to_string(&holder) else { return };
         self.call_in_flight = true;
-        out.call_kv(
+        effects.call_kv(
             CallPurpose::Election(ElectionCall::Claim { hold }),
             KvRequest::Txn {
                 conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
@@ -251,13 +253,18 @@
         );
     }
 
-    fn key_read(&mut self, now: Duration, row: Option<KeyValue>, out: &mut EffectSink) -> LeadershipChange {
+    fn key_read(
+        &mut self,
+        now: Duration,
+        row: Option<KeyValue>,
+        effects: &mut EffectSink,
+    ) -> LeadershipChange {
         let Some(row) = row else {
             self.key_vacant(now);
             return LeadershipChange::Unchanged;
         };
         let Ok(holder) = serde_json::from_str::<Holder>(&row.value) else {
-            out.log(LogLevel::Error, "the key of the leader holds something strange".into());
+            effects.log(LogLevel::Error, "the key of the leader holds something strange".into());
             self.retry_at = now + PAUSE;
             return LeadershipChange::Unchanged;
         };
@@ -268,7 +275,7 @@
             // An earlier life of this process held it, or this one, which stepped
             // down: its end of the grant was lost or comes late. To lead twice under
             // one token would make commands of the first time look like own ones.
-            out.call_kv(
+            effects.call_kv(
                 CallPurpose::Election(ElectionCall::RevokeLease),
                 KvRequest::RevokeLease { lease: holder.hold },
             );
@@ -316,16 +323,16 @@
 
     /// Steps down of its own will, so that a node that hears the workers can
     /// lead.
-    pub fn step_down_for_peers(&mut self, now: Duration, out: &mut EffectSink) -> LeadershipChange {
-        let verdict = self.release_lease(out);
+    pub fn step_down_for_peers(&mut self, now: Duration, effects: &mut EffectSink) -> LeadershipChange {
+        let verdict = self.release_lease(effects);
         self.retry_at = now + ABSTAIN;
         verdict
     }
 
     /// Gives the key up, if it is still there.
-    pub fn release_lease(&mut self, out: &mut EffectSink) -> LeadershipChange {
+    pub fn release_lease(&mut self, effects: &mut EffectSink) -> LeadershipChange {
         if let Stage::Leading { hold, .. } = self.stage {
-            out.call_kv(
+            effects.call_kv(
                 CallPurpose::Election(ElectionCall::RevokeLease),
                 KvRequest::RevokeLease { lease: hold },
             );
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -62,7 +62,7 @@
         (!self.is_open && !self.call_in_flight).then_some(self.next_call_at)
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
+    pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.is_open || self.call_in_flight || now < self.next_call_at {
             return;
         }
@@ -77,7 +77,7 @@
             }
             _ => (VersionBarrierCall::ListVersions, KvRequest::List { prefix: PREFIX.into(), after: None }),
         };
-        out.call_kv(CallPurpose::VersionBarrier(step), op);
+        effects.call_kv(CallPurpose::VersionBarrier(step), op);
     }
 
     /// Handles a reply; true if the barrier has opened by it.
@@ -85,7 +85,7 @@
         &mut self,
         step: VersionBarrierCall,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         self.call_in_flight = false;
         match (step, reply) {
@@ -97,16 +97,16 @@
             }
             (VersionBarrierCall::ListVersions, Ok(KvReply::Page { rows, .. })) => {
                 let shown: BTreeSet<String> = rows.iter().filter_map(shown).collect();
-                self.nodes.is_subset(&shown) && self.open_barrier(out)
+                self.nodes.is_subset(&shown) && self.open_barrier(effects)
             }
             _ => false,
         }
     }
 
     /// The state service has lowered its limits, which it does after the upgrade only.
-    pub fn open_barrier(&mut self, out: &mut EffectSink) -> bool {
+    pub fn open_barrier(&mut self, effects: &mut EffectSink) -> bool {
         if !std::mem::replace(&mut self.is_open, true) {
-            out.log(
+            effects.log(
                 LogLevel::Info,
                 "every node has this version: takes gangs, keeps to the later limits".into(),
             );
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -31,41 +31,46 @@
     pub(super) fn defer_heartbeat(
         &mut self,
         now: Duration,
-        ask: RequestId,
-        report: Heartbeat,
+        request: RequestId,
+        heartbeat: Heartbeat,
         relayed: bool,
     ) -> Option<Heartbeat> {
-        if self.deferred_heartbeats.len() >= MAX_HELD || !self.must_defer(&report, now) {
-            return Some(report);
+        if self.deferred_heartbeats.len() >= MAX_HELD || !self.must_defer(&heartbeat, now) {
+            return Some(heartbeat);
         }
         let until = now + if relayed { HOLD_RELAYED } else { HOLD };
-        self.deferred_heartbeats.push(Held { request: ask, heartbeat: report, relayed, until });
+        self.deferred_heartbeats.push(Held { request, heartbeat, relayed, until });
         None
     }
 }
 
 impl Node {
-    pub(super) fn handle_heartbeat(&mut self, times: StepTime, report: Heartbeat, relayed: bool) -> Response {
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        times: StepTime,
+        heartbeat: Heartbeat,
+        relayed: bool,
+    ) -> Response {
         let now = times.now;
         // A shard's epoch is above its leader's token and says nothing of other shards.
         if self.sharding.is_none() {
-            self.token_guard.observe(report.token);
+            self.token_guard.observe(heartbeat.token);
         }
-        self.record_link_evidence(&report, relayed, now);
-        let adrift = !self.election.is_lease_valid(now) && !self.hears_a_peer(now);
+        self.record_link_evidence(&heartbeat, relayed, now);
+        let is_cut_off = !self.election.is_lease_valid(now) && !self.hears_a_peer(now);
         if let Some(leader) = &mut self.leader {
-            match leader.route(&report) {
+            match leader.route(&heartbeat) {
                 LeaderRoute::Own => {
                     return leader.handle_heartbeat(
                         times,
-                        report,
-                        (relayed, adrift),
+                        heartbeat,
+                        (relayed, is_cut_off),
                         &self.requests,
                         &mut self.effects,
                     );
                 }
                 LeaderRoute::Holder { host, epoch } => {
-                    return self.redirect(now, report, (epoch, host), relayed)
+                    return self.redirect(now, heartbeat, (epoch, host), relayed)
                 }
                 LeaderRoute::HolderUnknown => {
                     return Response::Unavailable { retry_after: Duration::from_secs(1) }
@@ -76,16 +81,18 @@
             let verdict = self.election.lease_lost();
             self.apply_leadership(times, verdict);
         }
-        match self.holder_route(&report, now) {
+        match self.holder_route(&heartbeat, now) {
             HolderRoute::Own { shard, epoch } => {
-                return self.handle_heartbeat_as_holder(times, &report, (shard, epoch), relayed);
+                return self.handle_heartbeat_as_holder(times, &heartbeat, (shard, epoch), relayed);
+            }
+            HolderRoute::Other { host, epoch } => {
+                return self.redirect(now, heartbeat, (epoch, host), relayed)
             }
-            HolderRoute::Other { host, epoch } => return self.redirect(now, report, (epoch, host), relayed),
             HolderRoute::Leader => {}
         }
-        let least = report.token.max(self.highest_token());
+        let least = heartbeat.token.max(self.highest_token());
         match self.known_leader(now, least) {
-            Some(leader) => self.redirect(now, report, leader, relayed),
+            Some(leader) => self.redirect(now, heartbeat, leader, relayed),
             None => Response::Redirect { leader: None },
         }
     }
@@ -94,8 +101,8 @@
     fn redirect(
         &mut self,
         now: Duration,
-        report: Heartbeat,
-        (token, foreman): (u64, String),
+        heartbeat: Heartbeat,
+        (token, leader): (u64, String),
         relayed: bool,
     ) -> Response {
         // Who knows that node's token, or was sent there and is back, can't reach it.
@@ -103,24 +110,25 @@
             let since = now.saturating_sub(*at);
             *to == token && since > SENT && since < SENT_LIFE
         };
-        let known = token == report.token || self.redirected_workers.get(&report.machine).is_some_and(back);
+        let known =
+            token == heartbeat.token || self.redirected_workers.get(&heartbeat.machine).is_some_and(back);
         if known && !relayed {
-            return Response::Relay { leader: foreman };
+            return Response::Relay { leader };
         }
         if self.redirected_workers.len() >= MAX_SENT {
             self.redirected_workers.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
         }
         if self.redirected_workers.len() < MAX_SENT {
-            self.redirected_workers.insert(report.machine, (token, now));
+            self.redirected_workers.insert(heartbeat.machine, (token, now));
         }
-        Response::Redirect { leader: Some(foreman) }
+        Response::Redirect { leader: Some(leader) }
     }
 
     /// What a report tells of the links to workers.
-    fn record_link_evidence(&mut self, report: &Heartbeat, relayed: bool, now: Duration) {
+    fn record_link_evidence(&mut self, heartbeat: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reach) = &mut self.reachability else { return };
-        reach.heartbeat_arrived(&report.machine, relayed, now);
-        if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(report)) {
+        reach.heartbeat_arrived(&heartbeat.machine, relayed, now);
+        if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(heartbeat)) {
             reach.answer_confirmed(shown, now);
         }
     }
@@ -132,9 +140,9 @@
             .into_iter()
             .partition(|held| times.now < held.until && self.must_defer(&held.heartbeat, times.now));
         self.deferred_heartbeats = held;
-        for Held { request: ask, heartbeat: report, relayed, .. } in due {
-            let answer = self.handle_heartbeat(times, report, relayed);
-            self.effects.respond(ask, answer);
+        for Held { request, heartbeat, relayed, .. } in due {
+            let answer = self.handle_heartbeat(times, heartbeat, relayed);
+            self.effects.respond(request, answer);
         }
     }
 }
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -125,7 +125,7 @@
         let better = self
             .peer_heartbeats
             .values()
-            .any(|(at, pulse)| now.saturating_sub(*at) < PULSE_LIFE && pulse.kv_available);
+            .any(|(at, peer_heartbeat)| now.saturating_sub(*at) < PULSE_LIFE && peer_heartbeat.kv_available);
         let alone = !self.settings.peers.is_empty() && !self.hears_a_peer(now);
         !(refused && (better || alone))
     }
@@ -230,18 +230,18 @@
     fn handle_event(&mut self, times: StepTime, event: Event) {
         let now = times.now;
         match event {
-            Event::Submit { request: ask, id, job } => {
+            Event::Submit { request, id, job } => {
                 let takes = (&self.machine_types, self.version_barrier.open());
-                self.requests.submit(times, ask, id, job, takes, &mut self.effects);
+                self.requests.submit(times, request, id, job, takes, &mut self.effects);
             }
-            Event::Poll { request: ask, id } => self.requests.poll(now, ask, id, &mut self.effects),
-            Event::Cancel { request: ask, id } => {
-                self.requests.cancel_requested(now, ask, id, &mut self.effects)
+            Event::Poll { request, id } => self.requests.poll(now, request, id, &mut self.effects),
+            Event::Cancel { request, id } => {
+                self.requests.cancel_requested(now, request, id, &mut self.effects)
             }
-            Event::Heartbeat { request: ask, heartbeat: report, relayed } => {
-                let Some(report) = self.defer_heartbeat(now, ask, report, relayed) else { return };
-                let answer = self.handle_heartbeat(times, report, relayed);
-                self.effects.respond(ask, answer);
+            Event::Heartbeat { request, heartbeat, relayed } => {
+                let Some(heartbeat) = self.defer_heartbeat(now, request, heartbeat, relayed) else { return };
+                let answer = self.handle_heartbeat(times, heartbeat, relayed);
+                self.effects.respond(request, answer);
             }
             Event::KvReply { call, reply } => {
                 if let Some(reach) = &mut self.reachability {
@@ -249,8 +249,8 @@
                 }
                 match &reply {
                     Ok(_) => {
-                        let out = self.kv_failing_since.take().map(|since| now.saturating_sub(since));
-                        if let Some(long) = out.filter(|long| *long > TELL_OUTAGE) {
+                        let effects = self.kv_failing_since.take().map(|since| now.saturating_sub(since));
+                        if let Some(long) = effects.filter(|long| *long > TELL_OUTAGE) {
                             let text = format!("the state service failed for {} s", long.as_secs());
                             self.effects.log(LogLevel::Info, text);
                         }
@@ -328,23 +328,23 @@
                     _ => {}
                 }
             }
-            Event::ShardMessage { request: ask, message } => {
+            Event::ShardMessage { request, message } => {
                 let delivery = self.handle_shard_message(times, message);
-                self.effects.respond(ask, Response::ShardMessageDelivery(delivery));
+                self.effects.respond(request, Response::ShardMessageDelivery(delivery));
             }
             Event::ShardMessageDelivery { call, delivery } => {
                 self.shard_message_delivered(now, call, delivery)
             }
-            Event::PeerHeartbeat(pulse) => self.handle_peer_heartbeat(times, pulse),
+            Event::PeerHeartbeat(peer_heartbeat) => self.handle_peer_heartbeat(times, peer_heartbeat),
             Event::Coverage(coverage) => self.handle_coverage(now, coverage),
             Event::PeerDelivery { host, confirmed } => {
                 if let Some(reach) = &mut self.reachability {
                     reach.peer_delivery(&host, confirmed, now);
                 }
             }
-            Event::View { request: ask } => {
+            Event::View { request } => {
                 let view = self.view(times);
-                self.effects.respond(ask, Response::View(view));
+                self.effects.respond(request, Response::View(view));
             }
         }
     }
@@ -409,7 +409,9 @@
     fn no_peer_leads(&self, now: Duration) -> bool {
         let there = |name: &String| {
             let heard = self.peer_heartbeats.get(name);
-            heard.is_some_and(|(at, pulse)| now.saturating_sub(*at) < PULSE_LIFE && pulse.token == 0)
+            heard.is_some_and(|(at, peer_heartbeat)| {
+                now.saturating_sub(*at) < PULSE_LIFE && peer_heartbeat.token == 0
+            })
         };
         self.settings.peers.iter().all(there)
     }
@@ -418,7 +420,7 @@
     /// by its own word where the state service does not serve us.
     fn known_leader(&self, now: Duration, least: u64) -> Option<(u64, String)> {
         let heard = self.peer_heartbeats.values().filter(|(at, _)| now.saturating_sub(*at) < PULSE_LIFE);
-        let told = heard.map(|(_, pulse)| (pulse.token, &pulse.host));
+        let told = heard.map(|(_, peer_heartbeat)| (peer_heartbeat.token, &peer_heartbeat.host));
         let read = self.election.known_leader.iter().map(|(host, token)| (*token, host));
         let latest = told.chain(read).filter(|(token, _)| *token > 0 && *token >= least).max();
         latest.map(|(token, host)| (token, host.clone()))
@@ -427,8 +429,8 @@
     fn machine_types_reply(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
         self.machine_type_list_in_flight = false;
         match reply {
-            Ok(CloudReply::MachineTypes(rigs)) if !rigs.is_empty() => {
-                self.machine_types = rigs.into_iter().map(|r| (r.name.clone(), r)).collect();
+            Ok(CloudReply::MachineTypes(machine_types)) if !machine_types.is_empty() => {
+                self.machine_types = machine_types.into_iter().map(|r| (r.name.clone(), r)).collect();
                 self.next_machine_type_list_at = now + CATALOG_AGE;
                 if let Some(leader) = &mut self.leader {
                     leader.set_machine_types(self.machine_types.clone());
@@ -441,16 +443,18 @@
     /// Where fencing is on, what a node that claims to lead under a token that is over tells
     /// of jobs is passed over. It still counts as one that leads where this matters for
     /// workers: it may renew leases of those that know no later token.
-    fn drop_stale_claim(&mut self, pulse: &mut PeerHeartbeat) {
-        if !self.settings.fencing.enabled || pulse.token == 0 {
+    fn drop_stale_claim(&mut self, peer_heartbeat: &mut PeerHeartbeat) {
+        if !self.settings.fencing.enabled || peer_heartbeat.token == 0 {
             return;
         }
-        if let Err(stale) = self.token_guard.admit(pulse.token) {
-            let known =
-                self.peer_heartbeats.get(&pulse.host).is_some_and(|(_, before)| before.token == pulse.token);
+        if let Err(stale) = self.token_guard.admit(peer_heartbeat.token) {
+            let known = self
+                .peer_heartbeats
+                .get(&peer_heartbeat.host)
+                .is_some_and(|(_, before)| before.token == peer_heartbeat.token);
             let level = if known { LogLevel::Debug } else { LogLevel::Info };
-            self.effects.log(level, format!("{} claims to lead: {stale}", pulse.host));
-            pulse.progress.clear();
+            self.effects.log(level, format!("{} claims to lead: {stale}", peer_heartbeat.host));
+            peer_heartbeat.progress.clear();
         }
     }
 
@@ -464,25 +468,25 @@
         }
     }
 
-    fn handle_peer_heartbeat(&mut self, times: StepTime, mut pulse: PeerHeartbeat) {
-        if !self.settings.peers.contains(&pulse.host) {
+    fn handle_peer_heartbeat(&mut self, times: StepTime, mut peer_heartbeat: PeerHeartbeat) {
+        if !self.settings.peers.contains(&peer_heartbeat.host) {
             return;
         }
-        self.drop_stale_claim(&mut pulse);
+        self.drop_stale_claim(&mut peer_heartbeat);
         // The state service may not serve us, who then would not learn from it
         // that the key is somebody else's, and would hold the workers.
-        if self.leader.as_ref().is_some_and(|l| l.token < pulse.token) {
+        if self.leader.as_ref().is_some_and(|l| l.token < peer_heartbeat.token) {
             let verdict = self.election.lease_lost();
             self.apply_leadership(times, verdict);
         }
         let now = times.now;
         if let Some(reach) = &mut self.reachability {
-            reach.peer_heard(&pulse.host, now);
+            reach.peer_heard(&peer_heartbeat.host, now);
         }
-        if pulse.token > 0 {
-            self.requests.progress(&pulse.progress);
+        if peer_heartbeat.token > 0 {
+            self.requests.progress(&peer_heartbeat.progress);
         }
-        self.peer_heartbeats.insert(pulse.host.clone(), (now, pulse));
+        self.peer_heartbeats.insert(peer_heartbeat.host.clone(), (now, peer_heartbeat));
     }
 
     fn tick(&mut self, times: StepTime) {
@@ -495,7 +499,7 @@
         }
         self.requests.tick(times, &mut self.effects);
         self.tick_sharding(times);
-        let sight = LeaderEvidence {
+        let evidence = LeaderEvidence {
             lease_valid: self.election.is_lease_valid(now),
             kv_undisputed: self.election.is_lease_undisputed(now),
             no_peer_leads: self.no_peer_leads(now),
@@ -504,7 +508,7 @@
             peers_agree: self.reachability.as_ref().is_some_and(|reach| reach.peers_agree(now)),
         };
         if let Some(leader) = &mut self.leader {
-            leader.tick(times, sight, &mut self.requests, &mut self.effects);
+            leader.tick(times, evidence, &mut self.requests, &mut self.effects);
         }
         if !self.deferred_heartbeats.is_empty() {
             self.answer_deferred(times);
@@ -513,7 +517,7 @@
         // cancellations would be lost: it runs out of its key by itself.
         // Where all nodes tell what they hear, that decides who should lead.
         let coverage = self.reachability.as_ref().is_some_and(|reach| reach.is_complete(now));
-        let other = sight.lease_valid && self.hears_a_peer(now) && !coverage;
+        let other = evidence.lease_valid && self.hears_a_peer(now) && !coverage;
         if other && self.leader.as_ref().is_some_and(|l| l.is_isolated(now)) {
             self.effects.log(LogLevel::Info, "hears no worker and steps down".into());
             let verdict = self.election.step_down_for_peers(now, &mut self.effects);
@@ -535,7 +539,7 @@
     }
 
     fn view(&self, times: StepTime) -> serde_json::Value {
-        let siblings: Vec<_> = self
+        let peers: Vec<_> = self
             .peer_heartbeats
             .values()
             .map(|(at, p)| {
@@ -550,7 +554,7 @@
             "leader": self.leader.as_ref().map(|l| l.view(times)),
             "foreman": self.known_leader(times.now, 0).map(|(_, host)| host),
             "tokens": {"highest": self.token_guard.highest(), "refused": self.token_guard.refused()},
-            "siblings": siblings,
+            "siblings": peers,
             "sharding": self.sharding_view(times.now),
             "reachability": self.reachability.as_ref().map(|reach| reach.view(times.now)),
         })
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -58,13 +58,13 @@
     }
 
     /// Where the table sends a report of this machine.
-    pub(super) fn holder_route(&self, report: &Heartbeat, now: Duration) -> HolderRoute {
+    pub(super) fn holder_route(&self, heartbeat: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
-            let shard = table.shard_of(&report.zone, &report.machine)?;
+            let shard = table.shard_of(&heartbeat.zone, &heartbeat.machine)?;
             let known = table.get(&shard)?;
             // The worker knows a later one: the record is not read yet, or is over.
-            (known.epoch() >= report.token).then_some((sharding, shard, known))
+            (known.epoch() >= heartbeat.token).then_some((sharding, shard, known))
         });
         let Some((sharding, shard, known)) = found else { return HolderRoute::Leader };
         if known.record.holder == self.settings.host {
@@ -73,8 +73,8 @@
         }
         let (term, since) = sharding.term;
         let current = known.record.term >= term || now.saturating_sub(since) < FORMER_TERM;
-        let adrift = sharding.records.synced_at().is_none_or(|at| now.saturating_sub(at) > ADRIFT);
-        if !current || adrift {
+        let is_cut_off = sharding.records.synced_at().is_none_or(|at| now.saturating_sub(at) > ADRIFT);
+        if !current || is_cut_off {
             return HolderRoute::Leader;
         }
         HolderRoute::Other { host: known.record.holder.clone(), epoch: known.epoch() }
@@ -84,30 +84,30 @@
     pub(super) fn handle_heartbeat_as_holder(
         &mut self,
         times: StepTime,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         of: (ShardId, u64),
         relayed: bool,
     ) -> Response {
         let now = times.now;
-        let standing = self.holder_evidence(now);
-        let blind = standing.records_synced_at.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
-        let adrift = (blind || standing.kv_failing) && !self.hears_a_peer(now);
+        let evidence = self.holder_evidence(now);
+        let blind = evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
+        let is_cut_off = (blind || evidence.kv_failing) && !self.hears_a_peer(now);
         let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
-        sharding.holder.handle_heartbeat(times, report, of, (relayed, adrift), standing)
+        sharding.holder.handle_heartbeat(times, heartbeat, of, (relayed, is_cut_off), evidence)
     }
 
     /// Whether a report should wait: whoever is to answer it here still reads.
-    pub(super) fn must_defer(&self, report: &Heartbeat, now: Duration) -> bool {
+    pub(super) fn must_defer(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
         if let Some(leader) = &self.leader {
-            return leader.is_loading() && matches!(leader.route(report), LeaderRoute::Own);
+            return leader.is_loading() && matches!(leader.route(heartbeat), LeaderRoute::Own);
         }
         let reads = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.is_loading());
-        reads && matches!(self.holder_route(report, now), HolderRoute::Own { .. })
+        reads && matches!(self.holder_route(heartbeat, now), HolderRoute::Own { .. })
     }
 
     pub(super) fn tick_sharding(&mut self, times: StepTime) {
         let now = times.now;
-        let standing = self.holder_evidence(now);
+        let evidence = self.holder_evidence(now);
         let leader = match &self.leader {
             Some(leader) => Some((self.settings.host.clone(), leader.token)),
             None => self.known_leader(now, 0).map(|(token, host)| (host, token)),
@@ -119,7 +119,7 @@
         }
         sharding.holder.set_leader(leader, now);
         if self.leader.is_none() {
-            sharding.holder.tick(times, standing, &mut self.effects);
+            sharding.holder.tick(times, evidence, &mut self.effects);
         }
     }
 
@@ -152,20 +152,26 @@
         call: HolderCall,
         reply: Result<KvReply, CallError>,
     ) {
-        let standing = self.holder_evidence(now);
+        let evidence = self.holder_evidence(now);
         let (Some(sharding), HolderCall::WatchJobs(step)) = (&mut self.sharding, call) else { return };
-        sharding.holder.kv_reply(now, step, reply, &mut self.requests, standing, &mut self.effects);
+        sharding.holder.kv_reply(now, step, reply, &mut self.requests, evidence, &mut self.effects);
     }
 
     pub(super) fn holder_command_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
-        let standing = self.holder_evidence(now);
-        let (Some(sharding), HolderCall::SendCommands { machine: host, incarnation: shift, starts: runs }) =
+        let evidence = self.holder_evidence(now);
+        let (Some(sharding), HolderCall::SendCommands { machine: host, incarnation, starts }) =
             (&mut self.sharding, call)
         else {
             return;
         };
         if self.leader.is_none() {
-            sharding.holder.command_reply(now, (host, shift, runs), reply, standing, &mut self.effects);
+            sharding.holder.command_reply(
+                now,
+                (host, incarnation, starts),
+                reply,
+                evidence,
+                &mut self.effects,
+            );
         }
     }
 
@@ -175,7 +181,7 @@
         times: StepTime,
         message: Result<ShardMessage, ShardMessageError>,
     ) -> Delivery {
-        let standing = self.holder_evidence(times.now);
+        let evidence = self.holder_evidence(times.now);
         let Some(sharding) = &mut self.sharding else { return Delivery::Unsupported };
         match (message, &mut self.leader) {
             (Err(fault), _) => {
@@ -183,14 +189,14 @@
                 self.effects.log(LogLevel::Info, format!("a message about shards was refused: {fault}"));
                 Delivery::Rejected
             }
-            (Ok(ShardMessage::HolderStatus(report)), Some(leader)) => {
-                leader.handle_holder_status(times, *report, &mut self.effects)
+            (Ok(ShardMessage::HolderStatus(heartbeat)), Some(leader)) => {
+                leader.handle_holder_status(times, *heartbeat, &mut self.effects)
             }
-            (Ok(ShardMessage::LeaderCommands(orders)), None)
-                if self.settings.peers.contains(&orders.host) =>
+            (Ok(ShardMessage::LeaderCommands(commands)), None)
+                if self.settings.peers.contains(&commands.host) =>
             {
                 let taken =
-                    sharding.holder.handle_leader_commands(times.now, *orders, standing, &mut self.effects);
+                    sharding.holder.handle_leader_commands(times.now, *commands, evidence, &mut self.effects);
                 if taken {
                     Delivery::Accepted
                 } else {
--- a/crates/plankhead-core/src/placement/index.rs
+++ b/crates/plankhead-core/src/placement/index.rs
@@ -63,7 +63,10 @@
     pub fn allowed_pools(&self, spec: &JobSpec) -> Vec<bool> {
         let allows = |pool: &Pool| {
             (spec.allows_spot || !pool.spot)
-                && spec.machine_types.as_ref().is_none_or(|rigs| rigs.contains(&pool.machine_type))
+                && spec
+                    .machine_types
+                    .as_ref()
+                    .is_none_or(|machine_types| machine_types.contains(&pool.machine_type))
                 && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
         };
         self.pools.iter().map(allows).collect()
--- a/crates/plankhead-core/src/reachability.rs
+++ b/crates/plankhead-core/src/reachability.rs
@@ -239,7 +239,7 @@
     }
 
     fn peer_index(&self, host: &str) -> Option<usize> {
-        self.settings.peers.iter().position(|sibling| sibling == host)
+        self.settings.peers.iter().position(|peer| peer == host)
     }
 
     pub fn peer_heard(&mut self, host: &str, now: Duration) {
@@ -271,7 +271,7 @@
         coverage: Result<Coverage, CoverageError>,
         holder: Option<KnownLeader<'_>>,
         now: Duration,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         let received = match coverage {
             Ok(coverage) => self.coverage_table.receive(coverage, now, &self.numbering, holder).map(|_| ()),
@@ -285,7 +285,7 @@
             self.next_list_at = self.next_list_at.min(now);
         } else if now >= self.next_fault_log_at {
             self.next_fault_log_at = now + FAULT_PAUSE;
-            out.log(LogLevel::Info, format!("a peer's coverage was refused: {fault}"));
+            effects.log(LogLevel::Info, format!("a peer's coverage was refused: {fault}"));
         }
         false
     }
@@ -314,14 +314,14 @@
         facts: Option<&LeaderFacts>,
         successor: Option<String>,
         now: Duration,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         self.heard_machines.retain(|_, at| now.saturating_sub(*at) < lately);
         self.sequence += 1;
-        let siblings = self.settings.peers.iter().enumerate();
-        let peers = siblings.filter(|(peer, _)| self.monitor.hears_peer(*peer));
-        let peers = peers.map(|(_, sibling)| sibling.clone()).collect();
+        let peers = self.settings.peers.iter().enumerate();
+        let peers = peers.filter(|(peer, _)| self.monitor.hears_peer(*peer));
+        let peers = peers.map(|(_, peer)| peer.clone()).collect();
         let coverage = Coverage {
             host: self.settings.host.clone(),
             boot: self.settings.boot_id,
@@ -335,11 +335,16 @@
             peers,
             successor,
         };
-        out.queued.push(Effect::SendCoverage(Box::new(coverage)));
+        effects.queued.push(Effect::SendCoverage(Box::new(coverage)));
     }
 
     /// The node that this leader should hand over to now; the others are told.
-    pub fn successor(&mut self, facts: &LeaderFacts, now: Duration, out: &mut EffectSink) -> Option<String> {
+    pub fn successor(
+        &mut self,
+        facts: &LeaderFacts,
+        now: Duration,
+        effects: &mut EffectSink,
+    ) -> Option<String> {
         if !facts.lease_undisputed {
             // What can't be given up runs out by itself.
             return None;
@@ -357,7 +362,7 @@
         };
         let candidates: Vec<Candidate> = self.coverage_table.fresh(now).map(candidate).collect();
         let successor = self.handover.decide(&own, &candidates, facts.leading_since, now)?;
-        self.send_coverage(Some(facts), Some(successor.clone()), now, out);
+        self.send_coverage(Some(facts), Some(successor.clone()), now, effects);
         Some(successor)
     }
 
@@ -374,29 +379,29 @@
     }
 
     /// Judges the links; a change of mode is logged, in one line.
-    pub fn judge(&mut self, machines: usize, now: Duration, out: &mut EffectSink) -> Option<ModeChange> {
+    pub fn judge(&mut self, machines: usize, now: Duration, effects: &mut EffectSink) -> Option<ModeChange> {
         let change = self.monitor.judge(now, machines)?;
         let causes =
             if change.causes.is_empty() { "all links hold".into() } else { change.causes.join(", ") };
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
-        out.log(LogLevel::Info, format!("sees {to} after {lasted:.1} s of {from} ({causes})"));
+        effects.log(LogLevel::Info, format!("sees {to} after {lasted:.1} s of {from} ({causes})"));
         // The others should know at once.
         self.next_coverage_at = now;
         Some(change)
     }
 
-    pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, out: &mut EffectSink) {
+    pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, effects: &mut EffectSink) {
         if now >= self.next_coverage_at {
             self.next_coverage_at = now + self.settings.reachability.coverage_interval;
-            self.send_coverage(facts, None, now, out);
+            self.send_coverage(facts, None, now, effects);
         }
         if !self.list_in_flight && now >= self.next_list_at {
             self.list_in_flight = true;
-            self.list_numbering(out);
+            self.list_numbering(effects);
         }
         if now >= self.next_probe_at {
             self.next_probe_at = now + PROBE;
-            self.probe(now, out);
+            self.probe(now, effects);
         }
     }
 
@@ -410,7 +415,12 @@
     }
 
     /// Writes one page of the numbering, as the leader.
-    pub fn write_numbering(&mut self, machines: &BTreeSet<MachineName>, token: u64, out: &mut EffectSink) {
+    pub fn write_numbering(
+        &mut self,
+        machines: &BTreeSet<MachineName>,
+        token: u64,
+        effects: &mut EffectSink,
+    ) {
         let Some(write) = self.numbering.next_write(machines, self.settings.max_value_bytes) else { return };
         self.write_in_flight = true;
         let lead = Condition { key: election::KEY.into(), mod_revision: token };
@@ -418,21 +428,21 @@
         let (key, value) = (write.key, write.value);
         let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), lease: None }];
         let call = ReachabilityCall::WritePage { key, value };
-        out.call_kv(
+        effects.call_kv(
             CallPurpose::Reachability(call),
             KvRequest::Txn { conditions: vec![lead, page], changes },
         );
     }
 
-    fn list_numbering(&self, out: &mut EffectSink) {
+    fn list_numbering(&self, effects: &mut EffectSink) {
         let op = KvRequest::List { prefix: numbering::PREFIX.into(), after: self.list_after_key.clone() };
-        out.call_kv(CallPurpose::Reachability(ReachabilityCall::ListPages), op);
+        effects.call_kv(CallPurpose::Reachability(ReachabilityCall::ListPages), op);
     }
 
     /// Tries links that fail and that nothing else uses.
-    fn probe(&mut self, now: Duration, out: &mut EffectSink) {
+    fn probe(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.monitor.wants_probe(LinkId::StateReads, now) {
-            out.call_kv(
+            effects.call_kv(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
                 KvRequest::Get { key: election::KEY.into() },
             );
@@ -440,7 +450,7 @@
         if self.monitor.wants_probe(LinkId::StateWrites, now) {
             let conditions = vec![Condition { key: election::KEY.into(), mod_revision: NO_REVISION }];
             let changes = vec![KvChange::Delete { key: election::KEY.into() }];
-            out.call_kv(
+            effects.call_kv(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
                 KvRequest::Txn { conditions, changes },
             );
@@ -452,16 +462,16 @@
         call: ReachabilityCall,
         reply: Result<KvReply, CallError>,
         now: Duration,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         match call {
             ReachabilityCall::Probe => {}
-            ReachabilityCall::ListPages => self.numbering_listed(reply, now, out),
+            ReachabilityCall::ListPages => self.numbering_listed(reply, now, effects),
             ReachabilityCall::WritePage { key, value } => {
                 self.write_in_flight = false;
                 match reply {
                     Ok(KvReply::Committed { revision: epoch }) => {
-                        self.apply_numbering_page(&KeyValue { key, value, mod_revision: epoch }, out);
+                        self.apply_numbering_page(&KeyValue { key, value, mod_revision: epoch }, effects);
                         // More may be left to write.
                         self.next_write_at = now;
                     }
@@ -472,7 +482,12 @@
         }
     }
 
-    fn numbering_listed(&mut self, reply: Result<KvReply, CallError>, now: Duration, out: &mut EffectSink) {
+    fn numbering_listed(
+        &mut self,
+        reply: Result<KvReply, CallError>,
+        now: Duration,
+        effects: &mut EffectSink,
+    ) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             self.list_in_flight = false;
             self.list_after_key = None;
@@ -480,20 +495,20 @@
             return;
         };
         for row in &rows {
-            self.apply_numbering_page(row, out);
+            self.apply_numbering_page(row, effects);
         }
         self.list_after_key = rows.last().map(|row| row.key.clone()).filter(|_| truncated);
         if truncated {
-            return self.list_numbering(out);
+            return self.list_numbering(effects);
         }
         self.numbering_loaded = true;
         self.list_in_flight = false;
         self.next_list_at = now + NUMBERING_AGE;
     }
 
-    fn apply_numbering_page(&mut self, row: &KeyValue, out: &mut EffectSink) {
+    fn apply_numbering_page(&mut self, row: &KeyValue, effects: &mut EffectSink) {
         if let Err(fault) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
-            out.log(LogLevel::Debug, format!("left alone: {fault}"));
+            effects.log(LogLevel::Debug, format!("left alone: {fault}"));
         }
     }
 
