--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -158,76 +158,78 @@
         }
     }
 
-    fn unavailable(ask: RequestId, out: &mut EffectSink) {
-        out.respond(ask, Response::Unavailable { retry_after: RETRY });
+    fn unavailable(request: RequestId, effects: &mut EffectSink) {
+        effects.respond(request, Response::Unavailable { retry_after: RETRY });
     }
 
     /// Whether one more request may go to the state service; if not, it has
     /// been refused at once.
-    fn admit(&mut self, now: Duration, ask: RequestId, out: &mut EffectSink) -> bool {
+    fn admit(&mut self, now: Duration, request: RequestId, effects: &mut EffectSink) -> bool {
         let probe = !self.kv_failing || now.saturating_sub(self.last_probe_at) >= PROBE;
         if !probe || self.requests_in_flight >= MAX_PENDING {
-            Self::unavailable(ask, out);
+            Self::unavailable(request, effects);
             return false;
         }
         self.last_probe_at = now;
         true
     }
 
-    fn lookup(&mut self, now: Duration, ask: RequestId, id: JobId, why: LookupReason, out: &mut EffectSink) {
-        self.lookup_in(now, (ask, id, why), false, out);
+    fn lookup(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        id: JobId,
+        why: LookupReason,
+        effects: &mut EffectSink,
+    ) {
+        self.lookup_in(now, (request, id, why), false, effects);
     }
 
     fn lookup_in(
         &mut self,
         now: Duration,
-        (ask, id, why): (RequestId, JobId, LookupReason),
+        (request, id, why): (RequestId, JobId, LookupReason),
         over: bool,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         if !self.read_budget.take(now, 1) {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         }
         self.requests_in_flight += 1;
         let key = if over { id.archive_key() } else { id.key() };
-        out.call_kv(
-            CallPurpose::UserRequest(PendingRequest::Lookup {
-                request: ask,
-                id,
-                reason: why,
-                archived: over,
-            }),
+        effects.call_kv(
+            CallPurpose::UserRequest(PendingRequest::Lookup { request, id, reason: why, archived: over }),
             KvRequest::Get { key },
         );
     }
 
-    fn answer_if_ended(&self, ask: RequestId, id: &JobId, out: &mut EffectSink) -> bool {
+    fn answer_if_ended(&self, request: RequestId, id: &JobId, effects: &mut EffectSink) -> bool {
         if !self.permissions.answer_from_memory {
             return false;
         }
         let Some((status, done)) = self.ended_jobs.get(id) else { return false };
         let answer =
             Response::Job { created: false, id: id.clone(), status: *status, done: *done, running: 0 };
-        out.respond(ask, answer);
+        effects.respond(request, answer);
         true
     }
 
     pub fn submit(
         &mut self,
         times: StepTime,
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
         job: Result<JobSpec, String>,
-        (rigs, takes_gangs): (&BTreeMap<String, MachineType>, bool),
-        out: &mut EffectSink,
+        (machine_types, takes_gangs): (&BTreeMap<String, MachineType>, bool),
+        effects: &mut EffectSink,
     ) {
-        if self.answer_if_ended(ask, &id, out) {
+        if self.answer_if_ended(request, &id, effects) {
             return;
         }
         if !self.permissions.accept {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         }
-        if !self.admit(times.now, ask, out) {
+        if !self.admit(times.now, request, effects) {
             return;
         }
         // A known id is answered before the body is judged.
@@ -236,33 +238,33 @@
             Err(reason) => {
                 return self.lookup(
                     times.now,
-                    ask,
+                    request,
                     id,
                     LookupReason::RejectUnlessKnown(Response::BadRequest(reason)),
-                    out,
+                    effects,
                 );
             }
         };
-        if rigs.is_empty() {
+        if machine_types.is_empty() {
             let later = Response::Unavailable { retry_after: RETRY };
-            return self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
+            return self.lookup(times.now, request, id, LookupReason::RejectUnlessKnown(later), effects);
         }
-        if let Some(reason) = self.unsatisfiable(&spec, rigs) {
+        if let Some(reason) = self.unsatisfiable(&spec, machine_types) {
             return self.lookup(
                 times.now,
-                ask,
+                request,
                 id,
                 LookupReason::RejectUnlessKnown(Response::Unprocessable(reason)),
-                out,
+                effects,
             );
         }
         // An older node would take it for an array.
         if spec.gang && !takes_gangs {
             let later = Response::Unavailable { retry_after: RETRY };
-            return self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(later), out);
+            return self.lookup(times.now, request, id, LookupReason::RejectUnlessKnown(later), effects);
         }
         if let Some(same) = self.queued.iter_mut().find(|c| c.id == id) {
-            same.requests.push(ask);
+            same.requests.push(request);
             return;
         }
         let record = JobRecord {
@@ -276,16 +278,16 @@
         match serde_json::to_string(&record) {
             Ok(value) if value.len() + 200 <= self.settings.max_value_bytes => {
                 self.requests_in_flight += 1;
-                self.queued.push_back(Create { requests: vec![ask], id, value, queued_at: times.now });
+                self.queued.push_back(Create { requests: vec![request], id, value, queued_at: times.now });
             }
             _ => {
                 let answer = Response::BadRequest("the job's description is too long".into());
-                self.lookup(times.now, ask, id, LookupReason::RejectUnlessKnown(answer), out);
+                self.lookup(times.now, request, id, LookupReason::RejectUnlessKnown(answer), effects);
             }
         }
     }
 
-    fn unsatisfiable(&self, spec: &JobSpec, rigs: &BTreeMap<String, MachineType>) -> Option<String> {
+    fn unsatisfiable(&self, spec: &JobSpec, machine_types: &BTreeMap<String, MachineType>) -> Option<String> {
         let Some(team) = self.settings.teams.get(&spec.team) else {
             return Some("no such team".into());
         };
@@ -307,32 +309,38 @@
         // At most half of a gang, rounded up, may be in one zone, and all of it runs at
         // the same time: it needs another.
         let zones: BTreeSet<&String> =
-            rigs.values().filter(allowed).filter(|r| holds(r)).flat_map(|r| &r.zones).collect();
+            machine_types.values().filter(allowed).filter(|r| holds(r)).flat_map(|r| &r.zones).collect();
         let one = spec.single_zone || spec.zone.is_some() || zones.len() < 2;
         if spec.gang && spec.spread && spec.tasks > 1 && one {
             return Some("the tasks can't all be in one zone and at most half of them in each".into());
         }
-        if !rigs.values().filter(allowed).any(holds) {
+        if !machine_types.values().filter(allowed).any(holds) {
             return Some("no allowed machine type can hold a task".into());
         }
         None
     }
 
-    pub fn poll(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
-        if !self.answer_if_ended(ask, &id, out) && self.admit(now, ask, out) {
-            self.lookup(now, ask, id, LookupReason::Status, out);
+    pub fn poll(&mut self, now: Duration, request: RequestId, id: JobId, effects: &mut EffectSink) {
+        if !self.answer_if_ended(request, &id, effects) && self.admit(now, request, effects) {
+            self.lookup(now, request, id, LookupReason::Status, effects);
         }
     }
 
-    pub fn cancel_requested(&mut self, now: Duration, ask: RequestId, id: JobId, out: &mut EffectSink) {
-        if self.answer_if_ended(ask, &id, out) {
+    pub fn cancel_requested(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        id: JobId,
+        effects: &mut EffectSink,
+    ) {
+        if self.answer_if_ended(request, &id, effects) {
             return;
         }
         if !self.permissions.cancel {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         }
-        if self.admit(now, ask, out) {
-            self.lookup(now, ask, id, LookupReason::Cancel { attempts: 0 }, out);
+        if self.admit(now, request, effects) {
+            self.lookup(now, request, id, LookupReason::Cancel { attempts: 0 }, effects);
         }
     }
 
@@ -343,13 +351,13 @@
 
     /// Sends what waits, as far as the write budget goes, and refuses what has
     /// waited too long.
-    pub fn tick(&mut self, times: StepTime, out: &mut EffectSink) {
+    pub fn tick(&mut self, times: StepTime, effects: &mut EffectSink) {
         let now = times.now;
         while self.queued.front().is_some_and(|c| now.saturating_sub(c.queued_at) > PATIENCE) {
             if let Some(create) = self.queued.pop_front() {
                 self.requests_in_flight = self.requests_in_flight.saturating_sub(1);
-                for ask in create.requests {
-                    Self::unavailable(ask, out);
+                for request in create.requests {
+                    Self::unavailable(request, effects);
                 }
             }
         }
@@ -378,7 +386,7 @@
                 .iter()
                 .map(|c| KvChange::Put { key: c.id.key(), value: c.value.clone(), lease: None })
                 .collect();
-            out.call_kv(
+            effects.call_kv(
                 CallPurpose::UserRequest(PendingRequest::Create(batch)),
                 KvRequest::Txn { conditions, changes },
             );
@@ -392,7 +400,7 @@
         request: PendingRequest,
         reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
         self.kv_failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         let now = times.now;
@@ -400,16 +408,16 @@
             PendingRequest::Create(batch) => {
                 self.batches_in_flight -= 1;
                 self.requests_in_flight = self.requests_in_flight.saturating_sub(batch.len());
-                self.creation_reply(now, batch, reply, out)
+                self.creation_reply(now, batch, reply, effects)
             }
-            PendingRequest::Lookup { request: ask, id, reason: why, archived: over } => {
+            PendingRequest::Lookup { request, id, reason: why, archived: over } => {
                 self.requests_in_flight -= 1;
-                self.lookup_reply(times, (ask, id, why), over, reply, progress, out);
+                self.lookup_reply(times, (request, id, why), over, reply, progress, effects);
                 Vec::new()
             }
-            PendingRequest::Cancel { request: ask, id, record, attempts } => {
+            PendingRequest::Cancel { request, id, record, attempts } => {
                 self.requests_in_flight -= 1;
-                self.cancellation_reply(now, ask, id, *record, attempts, reply, out)
+                self.cancellation_reply(now, request, id, *record, attempts, reply, effects)
             }
         }
     }
@@ -419,19 +427,19 @@
         now: Duration,
         batch: Vec<Create>,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
         let mut news = Vec::new();
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
                 for create in batch {
-                    for ask in create.requests {
+                    for request in create.requests {
                         // It may have been cancelled while the answer was under way.
-                        if self.answer_if_ended(ask, &create.id, out) {
+                        if self.answer_if_ended(request, &create.id, effects) {
                             continue;
                         }
-                        out.respond(
-                            ask,
+                        effects.respond(
+                            request,
                             Response::Job {
                                 created: true,
                                 id: create.id.clone(),
@@ -447,8 +455,14 @@
             Ok(KvReply::Conflict { failed }) => {
                 for create in batch {
                     if failed.contains(&create.id.key()) || failed.contains(&create.id.archive_key()) {
-                        for ask in create.requests {
-                            self.lookup(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
+                        for request in create.requests {
+                            self.lookup(
+                                now,
+                                request,
+                                create.id.clone(),
+                                LookupReason::RepeatedSubmission,
+                                effects,
+                            );
                         }
                     } else {
                         self.requests_in_flight += 1;
@@ -457,8 +471,8 @@
                 }
             }
             Err(CallError::Refused | CallError::TooLarge) => {
-                for ask in batch.into_iter().flat_map(|c| c.requests) {
-                    Self::unavailable(ask, out);
+                for request in batch.into_iter().flat_map(|c| c.requests) {
+                    Self::unavailable(request, effects);
                 }
             }
             // Others used the budget: it comes back within the patience.
@@ -472,8 +486,14 @@
             // The commit may have happened: only the key can tell.
             _ => {
                 for create in batch {
-                    for ask in create.requests {
-                        self.lookup(now, ask, create.id.clone(), LookupReason::RepeatedSubmission, out);
+                    for request in create.requests {
+                        self.lookup(
+                            now,
+                            request,
+                            create.id.clone(),
+                            LookupReason::RepeatedSubmission,
+                            effects,
+                        );
                     }
                 }
             }
@@ -484,80 +504,90 @@
     fn lookup_reply(
         &mut self,
         times: StepTime,
-        (ask, id, why): (RequestId, JobId, LookupReason),
+        (request, id, why): (RequestId, JobId, LookupReason),
         over: bool,
         reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<(u32, u32)>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         let row = match reply {
             Ok(KvReply::Value(row)) => row,
-            _ => return Self::unavailable(ask, out),
+            _ => return Self::unavailable(request, effects),
         };
         // The read may be older than what was told meanwhile.
-        if self.answer_if_ended(ask, &id, out) {
+        if self.answer_if_ended(request, &id, effects) {
             return;
         }
         let Some(row) = row else {
             // It may have been moved there just now, in one transaction.
             if !over {
-                return self.lookup_in(times.now, (ask, id, why), true, out);
+                return self.lookup_in(times.now, (request, id, why), true, effects);
             }
             return match why {
-                LookupReason::Status | LookupReason::Cancel { .. } => out.respond(ask, Response::NotFound),
-                LookupReason::RepeatedSubmission => Self::unavailable(ask, out),
-                LookupReason::RejectUnlessKnown(answer) => out.respond(ask, answer),
+                LookupReason::Status | LookupReason::Cancel { .. } => {
+                    effects.respond(request, Response::NotFound)
+                }
+                LookupReason::RepeatedSubmission => Self::unavailable(request, effects),
+                LookupReason::RejectUnlessKnown(answer) => effects.respond(request, answer),
             };
         };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         };
         match record.phase {
             Phase::Done => self.record_ended(&id, Status::Done, record.tasks),
             Phase::Cancelled => self.record_ended(&id, Status::Cancelled, 0),
             Phase::Active => {
                 if let LookupReason::Cancel { attempts } = why {
-                    return self.write_cancellation(times, ask, id, record, row.mod_revision, attempts, out);
+                    return self.write_cancellation(
+                        times,
+                        request,
+                        id,
+                        record,
+                        row.mod_revision,
+                        attempts,
+                        effects,
+                    );
                 }
                 let known = progress(&id).or_else(|| self.set_progress.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
                 let status = Status::of(Phase::Active, running);
-                return out.respond(ask, Response::Job { created: false, id, status, done, running });
+                return effects.respond(request, Response::Job { created: false, id, status, done, running });
             }
         }
-        self.answer_if_ended(ask, &id, out);
+        self.answer_if_ended(request, &id, effects);
     }
 
     #[allow(clippy::too_many_arguments)]
     fn write_cancellation(
         &mut self,
         times: StepTime,
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
         mut record: JobRecord,
-        stamp: u64,
+        mod_revision: u64,
         attempts: u32,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) {
         if attempts >= MAX_ATTEMPTS || !self.write_budget.take(times.now, 1) {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         }
         record.phase = Phase::Cancelled;
         record.cancelled_ms = Some(times.wall_ms());
         let Some(value) = record.encode(self.settings.max_value_bytes) else {
-            return Self::unavailable(ask, out);
+            return Self::unavailable(request, effects);
         };
         self.requests_in_flight += 1;
         let key = id.key();
-        out.call_kv(
+        effects.call_kv(
             CallPurpose::UserRequest(PendingRequest::Cancel {
-                request: ask,
+                request,
                 id,
                 record: Box::new(record),
                 attempts,
             }),
             KvRequest::Txn {
-                conditions: vec![Condition { key: key.clone(), mod_revision: stamp }],
+                conditions: vec![Condition { key: key.clone(), mod_revision }],
                 changes: vec![KvChange::Put { key, value, lease: None }],
             },
         );
@@ -567,25 +597,25 @@
     fn cancellation_reply(
         &mut self,
         now: Duration,
-        ask: RequestId,
+        request: RequestId,
         id: JobId,
         record: JobRecord,
         attempts: u32,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
                 self.record_ended(&id, Status::Cancelled, 0);
-                self.answer_if_ended(ask, &id, out);
+                self.answer_if_ended(request, &id, effects);
                 let Some(value) = record.encode(self.settings.max_value_bytes) else { return Vec::new() };
                 return vec![KeyValue { key: id.key(), value, mod_revision: epoch }];
             }
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
-                Self::unavailable(ask, out)
+                Self::unavailable(request, effects)
             }
             // Changed meanwhile, or in doubt: look again and go on from there.
-            _ => self.lookup(now, ask, id, LookupReason::Cancel { attempts: attempts + 1 }, out),
+            _ => self.lookup(now, request, id, LookupReason::Cancel { attempts: attempts + 1 }, effects),
         }
         Vec::new()
     }
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -35,9 +35,9 @@
         self.watch.next_due()
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut EffectSink) {
+    pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            out.call_kv(CallPurpose::ShardRecords(step), op);
+            effects.call_kv(CallPurpose::ShardRecords(step), op);
         }
     }
 
@@ -47,12 +47,12 @@
         now: Duration,
         step: KeyWatchCall,
         reply: Result<KvReply, CallError>,
-        out: &mut EffectSink,
+        effects: &mut EffectSink,
     ) -> bool {
         match self.watch.reply(now, step, reply) {
             Read::Page { rows, complete } => {
                 self.listed_keys.extend(rows.iter().map(|row| row.key.clone()));
-                rows.iter().for_each(|row| self.write(row, out));
+                rows.iter().for_each(|row| self.write(row, effects));
                 if complete {
                     self.table.retain_keys(&std::mem::take(&mut self.listed_keys));
                 }
@@ -60,7 +60,7 @@
             }
             Read::Events(events) => {
                 let news = !events.is_empty();
-                events.into_iter().for_each(|event| self.event(event, out));
+                events.into_iter().for_each(|event| self.event(event, effects));
                 news
             }
             Read::Failed => {
@@ -70,16 +70,16 @@
         }
     }
 
-    fn event(&mut self, event: WatchEvent, out: &mut EffectSink) {
+    fn event(&mut self, event: WatchEvent, effects: &mut EffectSink) {
         match event {
-            WatchEvent::Put(row) => self.write(&row, out),
-            WatchEvent::Delete { key, revision: stamp } => self.table.remove(&key, stamp),
+            WatchEvent::Put(row) => self.write(&row, effects),
+            WatchEvent::Delete { key, revision: mod_revision } => self.table.remove(&key, mod_revision),
         }
     }
 
-    fn write(&mut self, row: &KeyValue, out: &mut EffectSink) {
+    fn write(&mut self, row: &KeyValue, effects: &mut EffectSink) {
         if let Err(fault) = self.table.write(&row.key, &row.value, row.mod_revision) {
-            out.log(LogLevel::Error, format!("the record {} is left alone: {fault}", row.key));
+            effects.log(LogLevel::Error, format!("the record {} is left alone: {fault}", row.key));
         }
     }
 }
