--- a/crates/plankhead-core/src/effects.rs
+++ b/crates/plankhead-core/src/effects.rs
@@ -1,34 +1,14 @@
-//! What a step decides to do, and what the replies to its calls are for.
+//! What one step of a node decides to do: effects, and the purposes of the calls among them.
 
-use crate::holder::HolderCall;
-use crate::key_watch;
-use crate::leader::LeaderCall;
-use crate::leadership::{election, version_barrier};
+use crate::calls::CallPurpose;
 use crate::protocol::{
     CallId, CloudRequest, Effect, KvRequest, LogLevel, RequestId, Response, WorkerCommand,
 };
-use crate::reachability::ReachabilityCall;
-use crate::requests::PendingRequest;
 use crate::shards::messages::ShardMessage;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// What a call was for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum CallPurpose {
-    Election(election::ElectionCall),
-    VersionBarrier(version_barrier::VersionBarrierCall),
-    UserRequest(PendingRequest),
-    /// Under a token, so that replies to an earlier term are ignored.
-    Leader(u64, LeaderCall),
-    Reachability(ReachabilityCall),
-    /// The records of shards.
-    ShardRecords(key_watch::KeyWatchCall),
-    Holder(HolderCall),
-    MachineTypes,
-}
-
 /// Collects effects and remembers what replies are for.
 #[derive(Debug, Default)]
 pub struct EffectSink {
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 use crate::placement::backfill::Slot;
 use crate::placement::index::PlacementIndex;
 use crate::protocol::{
-    CommandReply, Heartbeat, Instance, InstanceStatus, MachineName, MachineType, TaskId, TaskStatus,
+    CommandReply, Heartbeat, Instance, InstanceStatus, MachineName, MachineType, Pool, TaskId, TaskStatus,
     WorkerCommand,
 };
 use crate::settings::Settings;
@@ -41,30 +41,6 @@
 /// Errors in a row after which a machine is retired.
 const MAX_ERRORS: u32 = 3;
 
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Pool {
-    pub machine_type: String,
-    pub zone: String,
-    pub spot: bool,
-}
-
-impl Pool {
-    /// The pool that a report names.
-    fn of(heartbeat: &Heartbeat) -> Self {
-        Self {
-            machine_type: heartbeat.machine_type.to_string(),
-            zone: heartbeat.zone.to_string(),
-            spot: heartbeat.spot,
-        }
-    }
-
-    fn matches(&self, heartbeat: &Heartbeat) -> bool {
-        *self.machine_type == *heartbeat.machine_type
-            && *self.zone == *heartbeat.zone
-            && self.spot == heartbeat.spot
-    }
-}
-
 #[derive(Debug, Clone, Default)]
 struct CapacityBackoff {
     retry_at: Duration,
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -1,7 +1,15 @@
 //! What a holder tells its workers.
 
-use super::*;
+use super::{Commands, Held, Holder, HolderEvidence, MAX_ORDERS, ORDERS_LIFE};
+use crate::calls::{CallPurpose, HolderCall};
+use crate::effects::EffectSink;
+use crate::fleet::Machine;
+use crate::protocol::{CommandReply, Heartbeat, LogLevel, MachineName, TaskId, TaskStatus, WorkerCommand};
 use crate::shards::messages::{LeaderCommands, MachineCommands};
+use plankhead_sharding::freshness::Freshness;
+use plankhead_sharding::shard::ShardId;
+use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Holder {
     /// Takes in what the leader orders; false: it is not meant for this node, or over.
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -1,9 +1,10 @@
 //! A holder's own sight of the jobs: which of them were cancelled, and as of when it knows.
 
-use crate::effects::{CallPurpose, EffectSink};
-use crate::jobs::job::{JobId, JobRecord, Phase};
-use crate::key_watch::{KeyWatch, KeyWatchCall, Read};
-use crate::protocol::{CallError, KeyValue, KvReply, Status, WatchEvent};
+use crate::calls::{CallPurpose, HolderCall, KeyWatchCall};
+use crate::effects::EffectSink;
+use crate::jobs::job::{JobId, JobPhase, JobRecord};
+use crate::key_watch::{KeyWatch, Read};
+use crate::protocol::{CallError, JobStatus, KeyValue, KvReply, WatchEvent};
 use crate::requests::RequestHandler;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -56,7 +57,7 @@
 
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if let Some((step, op)) = self.watch.tick(now) {
-            effects.call_kv(CallPurpose::Holder(super::HolderCall::WatchJobs(step)), op);
+            effects.call_kv(CallPurpose::Holder(HolderCall::WatchJobs(step)), op);
         }
     }
 
@@ -96,13 +97,13 @@
         let Some(id) = job_of(&row.key) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
-            Phase::Active => {}
-            Phase::Done => {
-                requests.record_ended(&id, Status::Done, record.tasks);
+            JobPhase::Active => {}
+            JobPhase::Done => {
+                requests.record_ended(&id, JobStatus::Done, record.tasks);
                 news.ended.insert(id);
             }
-            Phase::Cancelled => {
-                requests.record_ended(&id, Status::Cancelled, 0);
+            JobPhase::Cancelled => {
+                requests.record_ended(&id, JobStatus::Cancelled, 0);
                 news.cancelled |= self.cancelled.insert(id);
             }
         }
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -9,19 +9,17 @@
 pub mod jobs;
 mod reporting;
 
-use crate::effects::{CallPurpose, EffectSink, StepTime};
-use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
-use crate::key_watch;
+use crate::calls::KeyWatchCall;
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::{Fleet, HeartbeatNews, Machine};
 use crate::protocol::{
-    CallError, CommandReply, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, TaskStatus,
-    WorkerCommand,
+    CallError, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, WorkerCommand,
 };
 use crate::requests::RequestHandler;
 use crate::settings::Settings;
 use jobs::JobWatch;
 use plankhead_sharding::alive::Numbers;
 use plankhead_sharding::freshness::Freshness;
-use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::table::ShardTable;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -43,14 +41,6 @@
 /// How often machines are looked through.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// What a holder's call is for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum HolderCall {
-    WatchJobs(key_watch::KeyWatchCall),
-    SendCommands { machine: MachineName, incarnation: u64, starts: Vec<(TaskId, u64)> },
-    ReportStatus { leader: u64, machines: Vec<MachineName> },
-}
-
 /// A shard that this node holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Held {
@@ -353,7 +343,7 @@
     pub fn kv_reply(
         &mut self,
         now: Duration,
-        step: key_watch::KeyWatchCall,
+        step: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         evidence: HolderEvidence,
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -1,10 +1,17 @@
 //! What a holder tells the leader.
 
-use super::*;
+use super::{Holder, HolderEvidence, KnownLeader, MAX_SENT};
+use crate::calls::{CallPurpose, HolderCall};
+use crate::effects::EffectSink;
+use crate::fleet::RemovalReason;
+use crate::protocol::MachineName;
 use crate::shards::messages::{
     Delivery, HolderStatus, MachineUpdate, ShardHolding, ShardMessage, MAX_MACHINES, MAX_TASKS,
 };
+use plankhead_sharding::sequence::MessageStamp;
+use plankhead_sharding::shard::ShardId;
 use roaring::RoaringBitmap;
+use std::time::Duration;
 
 /// Between two messages without news.
 const HEARTBEAT: Duration = Duration::from_millis(500);
--- a/crates/plankhead-core/src/jobs/job.rs
+++ b/crates/plankhead-core/src/jobs/job.rs
@@ -212,7 +212,7 @@
 
 impl JobRecord {
     /// What is kept of a job that is over.
-    pub fn finished(phase: Phase, tasks: u32) -> Self {
+    pub fn finished(phase: JobPhase, tasks: u32) -> Self {
         Self { phase, spec: None, tasks, per_chunk: 0, accepted_ms: 0, cancelled_ms: None }
     }
 
@@ -225,7 +225,7 @@
             return Some(text);
         }
         let mut less = self.clone();
-        let spec = less.spec.as_mut().filter(|_| self.phase == Phase::Cancelled)?;
+        let spec = less.spec.as_mut().filter(|_| self.phase == JobPhase::Cancelled)?;
         (spec.class, spec.image) = (String::new(), String::new());
         (spec.machine_types, spec.zone) = (None, None);
         serde_json::to_string(&less).ok().filter(|text| text.len() <= value_bytes)
@@ -235,7 +235,7 @@
 /// How far a job has come, as the state service knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum JobPhase {
     #[serde(rename = "live")]
     Active,
     Done,
@@ -246,7 +246,7 @@
 /// cancelled job only, for as long as its tasks may be somewhere.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    pub phase: Phase,
+    pub phase: JobPhase,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// Tasks in the job.
--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -16,7 +16,8 @@
 //! for its range of tasks from when it is written; until then, and for the other
 //! ranges, the old one does. Nothing is ever moved in steps that need each other.
 
-use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase};
+use crate::calls::StoredKey;
+use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
 use crate::protocol::{ExitReason, Heartbeat, MachineName, TaskId, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -106,7 +107,7 @@
 pub struct JobEntry {
     pub spec: Arc<JobSpec>,
     pub gang: Option<Gang>,
-    pub phase: Phase,
+    pub phase: JobPhase,
     pub mod_revision: u64,
     pub accepted_at: Duration,
     pub cancelled_at: Option<Duration>,
@@ -187,14 +188,6 @@
     }
 }
 
-/// A key in the state service that nobody needs any more.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredKey {
-    pub key: String,
-    /// Its revision, where that is known.
-    pub revision: Option<u64>,
-}
-
 /// What became of an attempt in a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ended {
@@ -291,8 +284,8 @@
             }
             entry.mod_revision = mod_revision;
             entry.revision_uncertain = false;
-            if record.phase == Phase::Cancelled && entry.phase == Phase::Active {
-                entry.phase = Phase::Cancelled;
+            if record.phase == JobPhase::Cancelled && entry.phase == JobPhase::Active {
+                entry.phase = JobPhase::Cancelled;
                 entry.cancelled_at = cancelled;
                 self.check_ended(id);
             }
@@ -334,7 +327,7 @@
     /// go of placements of a cancelled job that no worker was ever told of.
     fn check_ended(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
-        if entry.phase == Phase::Cancelled {
+        if entry.phase == JobPhase::Cancelled {
             let untold: Vec<u32> = entry
                 .chunks
                 .values()
@@ -348,7 +341,7 @@
         }
         let Some(entry) = self.jobs.get(id) else { return };
         let over = match entry.phase {
-            Phase::Active => entry.done == entry.spec.tasks,
+            JobPhase::Active => entry.done == entry.spec.tasks,
             _ => entry.placed == 0,
         };
         if over {
@@ -553,7 +546,7 @@
         now: Duration,
     ) -> Option<TaskId> {
         let entry = self.jobs.get_mut(id)?;
-        if entry.phase != Phase::Active || entry.pending() == 0 {
+        if entry.phase != JobPhase::Active || entry.pending() == 0 {
             return None;
         }
         if let Some(gang) = &mut entry.gang {
@@ -666,10 +659,10 @@
         let Some(task) = chunk.tasks.get(&id.index) else { return false };
         let current = matches!(&task.state, TaskState::Placed(a) if a.number == number);
         let kept = match entry.phase {
-            Phase::Active => chunk.durable_version >= task.end_version,
+            JobPhase::Active => chunk.durable_version >= task.end_version,
             // The job's end was written, which is that of all its tasks.
-            Phase::Done => true,
-            Phase::Cancelled => false,
+            JobPhase::Done => true,
+            JobPhase::Cancelled => false,
         };
         !current && kept
     }
@@ -778,14 +771,14 @@
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
         let orderly = gang.stopping && end.reason == Some(ExitReason::Stopped);
-        if entry.placed > 0 && entry.phase == Phase::Active && !gang.completed && !orderly {
+        if entry.placed > 0 && entry.phase == JobPhase::Active && !gang.completed && !orderly {
             self.break_gang(&end.task.job);
         }
     }
 
     /// Whether no attempt of the job may go on.
     fn is_ending(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|e| e.phase == Phase::Cancelled || e.is_gang_ending())
+        self.jobs.get(id).is_some_and(|e| e.phase == JobPhase::Cancelled || e.is_gang_ending())
     }
 
     fn record_status(&mut self, id: &TaskId, seen: TaskStatus, now: Duration) {
@@ -915,8 +908,8 @@
     /// The job's end is durable; true if that is news. A gang is kept until all its
     /// tasks are proven gone, which are all done although only some have said so.
     pub fn job_finished(&mut self, id: &JobId) -> bool {
-        let Some(entry) = self.jobs.get_mut(id).filter(|e| e.phase != Phase::Done) else { return false };
-        entry.phase = Phase::Done;
+        let Some(entry) = self.jobs.get_mut(id).filter(|e| e.phase != JobPhase::Done) else { return false };
+        entry.phase = JobPhase::Done;
         if entry.placed == 0 {
             self.remove(id);
         } else {
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -1,18 +1,12 @@
 //! Reading all keys with a prefix: a list once, and a watch from then on.
 
+use crate::calls::KeyWatchCall;
 use crate::protocol::{CallError, KeyValue, KvReply, KvRequest, WatchEvent};
 use std::time::Duration;
 
 /// The pause after a failure.
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// What a call to the state service is for.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyWatchCall {
-    List { sent: Duration },
-    Watch { sent: Duration },
-}
-
 /// What a reply brought.
 #[derive(Debug, PartialEq)]
 pub enum Read {
--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -2,13 +2,23 @@
 //! former leader left open is finished. `plankhead-fencing` decides; this carries its
 //! decisions to the state service and the cloud.
 
-use super::*;
-use crate::settings::Fencing;
+use super::scaling::RentalRetry;
+use super::{Leader, LeaderEvidence, PAUSE, TXN_BYTES};
+use crate::calls::{CallPurpose, LeaderCall, PendingRental};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::RemovalReason;
+use crate::leadership::election;
+use crate::protocol::{
+    CallError, CloudRequest, Condition, KvChange, KvReply, KvRequest, LogLevel, MachineName,
+};
+use crate::settings::{Fencing, Settings};
 use plankhead_fencing::action::{Action, Return, ReturnReason, MAX_RETURN_HOSTS};
 use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
 use plankhead_fencing::gate::{FencingGate, IssueProof, PermittedAction};
 use plankhead_fencing::log::{IntentLog, IntentPageWrite, Limits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
 
 /// A failure to record a duty compels only while it is so fresh: a process that was
 /// paused after it asks again. The clock can only forbid here, never allow.
@@ -254,7 +264,7 @@
         for page in self.intents.log.uncertain_pages() {
             if self.intents.reading.insert(page) {
                 self.call_kv(
-                    LeaderCall::ReadDuties { page, sent: now },
+                    LeaderCall::ReadIntents { page, sent: now },
                     KvRequest::Get { key: page.key() },
                     effects,
                 );
@@ -284,7 +294,7 @@
         self.intents.write_due = now + self.intents.settings.write_interval;
         self.intents.tidy_due = now + self.intents.settings.compaction_interval;
         let (conditions, changes) = self.intent_transaction(changes);
-        self.call_kv(LeaderCall::WriteDuties { sent: now }, KvRequest::Txn { conditions, changes }, effects);
+        self.call_kv(LeaderCall::WriteIntents { sent: now }, KvRequest::Txn { conditions, changes }, effects);
     }
 
     fn intent_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
@@ -359,7 +369,7 @@
             self.intents.log.begin_reading();
         }
         self.call_kv(
-            LeaderCall::ListDuties,
+            LeaderCall::ListIntents,
             KvRequest::List { prefix: record::PREFIX.into(), after },
             effects,
         );
@@ -411,7 +421,7 @@
     /// Has a rental asked for again as soon as the cloud's rate allows.
     fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
         self.rentals_in_flight.push(rental.clone());
-        self.rental_retries.push(scaling::RentalRetry { due: now, rental });
+        self.rental_retries.push(RentalRetry { due: now, rental });
     }
 
     /// A duty is over.
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,6 +1,15 @@
 //! Taking over: a new leader reads all that is known.
 
-use super::*;
+use super::{ChunkRow, Leader, Stage, Target, MAX_ARRIVALS, PAUSE, RUSH, TARGET};
+use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::HeartbeatNews;
+use crate::jobs::job::{JobId, JobPhase, JobRecord};
+use crate::jobs::job_table::{tasks_per_chunk, JobEntry};
+use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
+use crate::requests::RequestHandler;
+use std::sync::Arc;
+use std::time::Duration;
 
 impl Leader {
     pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
@@ -170,31 +179,32 @@
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
-            Phase::Done => {
-                requests.record_ended(&id, Status::Done, record.tasks);
+            JobPhase::Done => {
+                requests.record_ended(&id, JobStatus::Done, record.tasks);
                 let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
                 let news = self.job_table.job_finished(&id);
                 if self.stage == Stage::Loading || news {
-                    self.to_archive.push_back((id.clone(), row.mod_revision, record));
+                    let job = FinishedJob { id: id.clone(), mod_revision: row.mod_revision, record };
+                    self.to_archive.push_back(job);
                 }
                 if news {
                     self.garbage.extend(stored);
                 }
                 return;
             }
-            Phase::Cancelled => requests.record_ended(&id, Status::Cancelled, 0),
+            JobPhase::Cancelled => requests.record_ended(&id, JobStatus::Cancelled, 0),
             // An old event of a job that is over by now. While reading, it is taken in
             // all the same: a row that is older than a cancellation which this node
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
             // comes with the first events.
-            Phase::Active if self.stage == Stage::Ready && requests.is_ended(&id) => return,
-            Phase::Active => {}
+            JobPhase::Active if self.stage == Stage::Ready && requests.is_ended(&id) => return,
+            JobPhase::Active => {}
         }
         let accepted = times.monotonic_of(record.accepted_ms);
         let cancelled = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
         let per_chunk = record.per_chunk.max(1);
-        if record.phase == Phase::Active && !self.job_table.jobs.contains_key(&id) {
+        if record.phase == JobPhase::Active && !self.job_table.jobs.contains_key(&id) {
             // What waits when a service opens is a backlog and tells no rate.
             let opened = *self.first_job_at.get_or_insert(accepted);
             let rush = accepted < opened + RUSH;
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -1,6 +1,15 @@
 //! What time alone brings about.
 
-use super::*;
+use super::{Leader, LeaderEvidence, Stage, MIND, PASS_PATIENCE, WATCH};
+use crate::calls::{CallPurpose, LeaderCall};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::{Machine, RemovalReason};
+use crate::jobs::job_table::tasks_per_chunk;
+use crate::protocol::{CloudRequest, KvRequest, MachineName};
+use crate::requests::RequestHandler;
+use plankhead_reachability::mode::Mode;
+use plankhead_reachability::permission::Action;
+use std::time::Duration;
 
 /// What a release takes at the most, usually.
 const RELEASE: Duration = Duration::from_secs(3);
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -14,33 +14,20 @@
 mod view;
 mod workers;
 
-use crate::effects::{CallPurpose, EffectSink, StepTime};
-use crate::fleet::{Fleet, HeartbeatNews, Machine, Pool, RemovalReason};
-use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
-use crate::jobs::job_table::{tasks_per_chunk, Ended, JobEntry, JobTable, StoredKey};
+use crate::calls::{CallPurpose, FinishedJob, LeaderCall, PendingRental, StoredKey, WriteBatch};
+use crate::effects::EffectSink;
+use crate::fleet::Fleet;
+use crate::jobs::job::{JobId, JobSpec};
+use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
-use crate::placement::backfill::{self, Running, Slot};
-use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
 use crate::placement::index::PlacementIndex;
-use crate::protocol::{
-    CallError, CloudReply, CloudRequest, CommandReply, Condition, ExitReason, Heartbeat, Instance,
-    JobProgress, KeyValue, KvChange, KvReply, KvRequest, LogLevel, MachineName, MachineType, ReportedTask,
-    Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
-};
-use crate::requests::RequestHandler;
-use crate::settings::{Settings, Team};
+use crate::protocol::{Condition, Instance, KvChange, KvRequest, MachineName, MachineType};
+use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
-use crate::sizing::fleet_size_search::FleetSizeSearch;
-use crate::sizing::replay::{Arrival, Replay};
 use crate::token_bucket::TokenBucket;
-use plankhead_fencing::duty::IdempotencyKey;
-use plankhead_fencing::record::PageId;
 use plankhead_reachability::mode::Mode;
-use plankhead_reachability::permission::{Action, Permission, Precondition};
-use plankhead_sharding::registry::RecordWrite;
-pub use scaling::PendingRental;
 use serde::{Deserialize, Serialize};
-pub use shards::{LeaderRoute, SentShardCommands};
+pub use shards::LeaderRoute;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -93,68 +80,10 @@
 const MIN_WINDOW: Duration = Duration::from_secs(20);
 const RUSH: Duration = Duration::from_secs(5);
 
-/// What a leader's call is for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum LeaderCall {
-    ListJobs,
-    ListChunks,
-    ReadTarget,
-    WatchJobs {
-        sent: Duration,
-    },
-    Commit(WriteBatch),
-    ReadChunk(JobId, u32),
-    ReadJob(JobId),
-    DeleteGarbage(Vec<StoredKey>),
-    /// The revision of a key that is to go.
-    ReadGarbageRevision(String),
-    ArchiveJobs(Vec<FinishedJob>),
-    WriteTarget,
-    ListInstances,
-    Rent(PendingRental),
-    Release {
-        machines: Vec<MachineName>,
-        intent: IdempotencyKey,
-    },
-    /// Duties of former leaders.
-    ListDuties,
-    WriteDuties {
-        sent: Duration,
-    },
-    ReadDuties {
-        page: PageId,
-        sent: Duration,
-    },
-    SendCommands {
-        machine: MachineName,
-        incarnation: u64,
-        starts: Vec<(TaskId, u64)>,
-    },
-    WriteShards {
-        writes: Vec<RecordWrite>,
-        sent: Duration,
-    },
-    /// Commands for machines of shards that another node holds.
-    SendShardCommands {
-        to: String,
-        sent: SentShardCommands,
-    },
-}
-
 /// A chunk as it is stored: of which job, whether laid anew, its number, its value
 /// and its stamp.
 type ChunkRow = (JobId, (bool, u32), String, u64);
 
-/// A job that is over: its record's stamp, and what stays of it.
-pub type FinishedJob = (JobId, u64, JobRecord);
-
-/// What one transaction makes durable.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct WriteBatch {
-    chunks: Vec<(JobId, u32, u64)>,
-    finals: Vec<JobId>,
-}
-
 /// A round's decision, as the state service keeps it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Target {
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -1,8 +1,12 @@
 //! What the leader may do with what this node reaches: the one table, and the evidence
 //! that its bounds name.
 
-use super::*;
+use super::{Leader, Stage, BLIND_MARGIN, STALE};
+use crate::protocol::{Heartbeat, MachineName};
 use crate::reachability::LeaderFacts;
+use plankhead_reachability::permission::{Action, Permission, Precondition};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Leader {
     /// Whether the table allows an action at present.
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,6 +1,12 @@
 //! Making decisions durable, within the write budget.
 
-use super::*;
+use super::{Leader, Txn, ENDS_LOOK, ENDS_WAIT, MAX_TXNS, TARGET, TXN_BYTES};
+use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::effects::EffectSink;
+use crate::jobs::job::{JobId, JobPhase, JobRecord};
+use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
+use crate::requests::RequestHandler;
+use std::time::Duration;
 
 impl Leader {
     /// Sends transactions: finished jobs first, then placements, the more urgent
@@ -77,7 +83,7 @@
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             let Some(chunk) = entry.chunks.get(&number) else { continue };
             let closing = entry.done == entry.spec.tasks;
-            if entry.phase != Phase::Active
+            if entry.phase != JobPhase::Active
                 || entry.revision_uncertain
                 || entry.final_write_in_flight
                 || closing
@@ -111,14 +117,14 @@
             }
             let Some(entry) = self.job_table.jobs.get_mut(&id) else { continue };
             let writing = entry.chunks.values().any(|c| c.write_in_flight);
-            if entry.phase != Phase::Active
+            if entry.phase != JobPhase::Active
                 || entry.revision_uncertain
                 || entry.final_write_in_flight
                 || writing
             {
                 continue;
             }
-            let record = JobRecord::finished(Phase::Done, entry.spec.tasks);
+            let record = JobRecord::finished(JobPhase::Done, entry.spec.tasks);
             let Ok(value) = serde_json::to_string(&record) else { continue };
             entry.final_write_in_flight = true;
             let mod_revision = entry.mod_revision;
@@ -140,19 +146,20 @@
         for id in self.job_table.ended_jobs.clone() {
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             let writing = entry.chunks.values().any(|c| c.write_in_flight);
-            if entry.phase == Phase::Active || entry.placed > 0 || writing {
+            if entry.phase == JobPhase::Active || entry.placed > 0 || writing {
                 continue;
             }
-            if entry.phase == Phase::Done {
+            if entry.phase == JobPhase::Done {
                 self.job_table.remove(&id);
                 continue;
             }
-            requests.record_ended(&id, Status::Cancelled, 0);
+            requests.record_ended(&id, JobStatus::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
                 // The next leader would wait for proof of all that is left here.
                 let before = self.garbage.len();
                 self.delete_chunks_of(&id, &entry);
-                self.to_archive.push_back((id, entry.mod_revision, JobRecord::finished(Phase::Cancelled, 0)));
+                let record = JobRecord::finished(JobPhase::Cancelled, 0);
+                self.to_archive.push_back(FinishedJob { id, mod_revision: entry.mod_revision, record });
                 let added = self.garbage.len() - before;
                 self.garbage.rotate_right(added);
                 self.urgent_garbage += added;
@@ -265,7 +272,7 @@
     pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
         let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
         let needed =
-            job.is_some_and(|id| self.job_table.jobs.get(&id).is_some_and(|e| e.phase == Phase::Active));
+            job.is_some_and(|id| self.job_table.jobs.get(&id).is_some_and(|e| e.phase == JobPhase::Active));
         match reply {
             _ if needed => {}
             Ok(KvReply::Value(None)) => {}
@@ -286,11 +293,11 @@
         let finals: Vec<FinishedJob> = self.to_archive.drain(..most).collect();
         let mut conditions = vec![self.leader_condition()];
         let mut changes = Vec::new();
-        for (id, mod_revision, record) in &finals {
-            let Ok(value) = serde_json::to_string(record) else { continue };
-            conditions.push(Condition { key: id.key(), mod_revision: *mod_revision });
-            changes.push(KvChange::Put { key: id.archive_key(), value, lease: None });
-            changes.push(KvChange::Delete { key: id.key() });
+        for job in &finals {
+            let Ok(value) = serde_json::to_string(&job.record) else { continue };
+            conditions.push(Condition { key: job.id.key(), mod_revision: job.mod_revision });
+            changes.push(KvChange::Put { key: job.id.archive_key(), value, lease: None });
+            changes.push(KvChange::Delete { key: job.id.key() });
         }
         self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, effects);
     }
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -1,6 +1,18 @@
 //! Which task goes where, and who must make room.
 
-use super::*;
+use super::{Leader, MAX_PREEMPTED, MAX_STOPS, MAX_WORK, MIN_WINDOW, STOPPING};
+use crate::effects::EffectSink;
+use crate::fleet::Machine;
+use crate::jobs::job::{JobId, JobPhase, JobSpec, Priority, Resources};
+use crate::jobs::job_table::JobEntry;
+use crate::placement::backfill::{self, Running, Slot};
+use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
+use crate::protocol::{MachineName, TaskId};
+use crate::settings::Team;
+use crate::sizing::replay::Arrival;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
 
 impl Leader {
     pub(super) fn estimated_runtime(&self, spec: &JobSpec) -> Duration {
@@ -124,7 +136,7 @@
 
     /// The pending work, with the ids of its jobs.
     pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
-        let live = |e: &JobEntry| e.phase == Phase::Active && e.done < e.spec.tasks;
+        let live = |e: &JobEntry| e.phase == JobPhase::Active && e.done < e.spec.tasks;
         let mut needs = Vec::new();
         let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
         for (id, entry) in self.job_table.jobs.iter().filter(|(_, e)| live(e)) {
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -1,6 +1,15 @@
 //! What comes back from the state service, the cloud and workers.
 
-use super::*;
+use super::scaling::RentalRetry;
+use super::{Leader, PAUSE};
+use crate::calls::{FinishedJob, LeaderCall, PendingRental, WriteBatch};
+use crate::effects::{EffectSink, StepTime};
+use crate::jobs::job::{JobPhase, JobRecord};
+use crate::leadership::election;
+use crate::protocol::{CallError, CloudReply, CommandReply, JobStatus, KvReply, LogLevel, WatchEvent};
+use crate::requests::RequestHandler;
+use plankhead_fencing::duty::IdempotencyKey;
+use std::collections::BTreeSet;
 
 impl Leader {
     /// Handles a reply of the state service; false: somebody else leads.
@@ -17,12 +26,12 @@
             LeaderCall::ListJobs => self.jobs_page_loaded(times, reply, requests, effects),
             LeaderCall::ListChunks => self.chunks_page_loaded(times, reply, effects),
             LeaderCall::ReadTarget => self.target_loaded(times, reply, effects),
-            LeaderCall::ListDuties => self.intents_page_loaded(times, reply, effects),
-            LeaderCall::WriteDuties { sent } => return self.intents_written(now, sent, reply, effects),
+            LeaderCall::ListIntents => self.intents_page_loaded(times, reply, effects),
+            LeaderCall::WriteIntents { sent } => return self.intents_written(now, sent, reply, effects),
             LeaderCall::WriteShards { writes, sent } => {
                 return self.shards_written(now, (writes, sent), reply, effects);
             }
-            LeaderCall::ReadDuties { page, sent } => self.intents_reread(now, page, sent, reply),
+            LeaderCall::ReadIntents { page, sent } => self.intents_reread(now, page, sent, reply),
             LeaderCall::WatchJobs { sent } => {
                 self.watch_in_flight = false;
                 match reply {
@@ -82,7 +91,7 @@
                     // Moved already, by a transaction whose reply was lost.
                     Ok(KvReply::Conflict { failed }) => {
                         self.to_archive
-                            .extend(finals.into_iter().filter(|(id, ..)| !failed.contains(&id.key())));
+                            .extend(finals.into_iter().filter(|job| !failed.contains(&job.id.key())));
                     }
                     _ => self.to_archive.extend(finals),
                 }
@@ -124,9 +133,13 @@
                     let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
                     if self.job_table.job_finished(id) {
                         self.garbage.extend(stored);
-                        requests.record_ended(id, Status::Done, tasks);
-                        let record = JobRecord::finished(Phase::Done, tasks);
-                        self.to_archive.push_back((id.clone(), epoch, record));
+                        requests.record_ended(id, JobStatus::Done, tasks);
+                        let record = JobRecord::finished(JobPhase::Done, tasks);
+                        self.to_archive.push_back(FinishedJob {
+                            id: id.clone(),
+                            mod_revision: epoch,
+                            record,
+                        });
                     }
                 }
                 for host in hosts {
@@ -204,7 +217,7 @@
             }
             // In doubt, the same name is used again: it rents once at most.
             (LeaderCall::Rent(rental), _) => {
-                self.rental_retries.push(scaling::RentalRetry { due: now + PAUSE * 4, rental });
+                self.rental_retries.push(RentalRetry { due: now + PAUSE * 4, rental });
             }
             (LeaderCall::Release { machines: hosts, intent }, Ok(CloudReply::Released)) => {
                 self.confirm_intent(&intent, effects);
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,16 +1,13 @@
 //! Renting machines and giving them back.
 
-use super::*;
+use super::{Leader, LeaderEvidence, Stage, IDLE};
+use crate::calls::PendingRental;
+use crate::effects::EffectSink;
+use crate::fleet::RemovalReason;
+use crate::protocol::{MachineName, Pool};
 use plankhead_fencing::action::{Action, Rental, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
-
-/// A rental that is not answered yet.
-#[derive(Debug, Clone, PartialEq)]
-pub struct PendingRental {
-    /// The cloud carries each name out once at most.
-    pub name: String,
-    pub pool: Pool,
-    pub count: u32,
-}
+use plankhead_fencing::duty::IdempotencyKey;
+use std::time::Duration;
 
 impl From<PendingRental> for Rental {
     fn from(rental: PendingRental) -> Self {
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -1,6 +1,19 @@
 //! What the leader has the holders of shards tell their machines.
 
-use super::*;
+use super::super::Leader;
+use super::{Peer, REFRESH, RETRY};
+use crate::calls::{CallPurpose, LeaderCall, SentShardCommands};
+use crate::effects::EffectSink;
+use crate::fleet::Machine;
+use crate::protocol::{Heartbeat, LogLevel, MachineName, TaskStatus, WorkerCommand};
+use crate::requests::RequestHandler;
+use crate::shards::messages::{
+    Delivery, LeaderCommands, MachineCommands, ShardMessage, MAX_MACHINES, MAX_TASKS,
+};
+use plankhead_sharding::sequence::MessageStamp;
+use plankhead_sharding::shard::ShardId;
+use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Leader {
     /// The commands for a machine may have changed: its holder is told.
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -5,17 +5,18 @@
 mod records;
 mod statuses;
 
-use super::*;
-use crate::shards::messages::{
-    Delivery, HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardMessage, MAX_MACHINES,
-    MAX_TASKS,
-};
+use super::Leader;
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::Machine;
+use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
+use crate::settings::Settings;
 use plankhead_sharding::alive::Names;
-use plankhead_sharding::balance::Candidate;
-use plankhead_sharding::registry::{Named, Reason, RecordWrite, RegistryInput, ShardRegistry, WriteOutcome};
-use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard};
+use plankhead_sharding::registry::ShardRegistry;
+use plankhead_sharding::sequence::SequenceGuard;
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::table::ShardTable;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::time::Duration;
 
 /// Until commands are repeated that did not arrive.
 const RETRY: Duration = Duration::from_millis(100);
@@ -64,15 +65,6 @@
     retry_at: Duration,
 }
 
-/// What a message told a holder, to be told again if it did not arrive.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct SentShardCommands {
-    machines: Vec<MachineName>,
-    newly_held: BTreeSet<ShardId>,
-    removed: Vec<MachineName>,
-    shard_taken: bool,
-}
-
 /// What a leader that divides machines has beside the rest.
 #[derive(Debug)]
 pub struct LeaderShards {
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -1,6 +1,16 @@
 //! Naming the holders of shards: what is decided by, the records, and what follows.
 
-use super::*;
+use super::super::Leader;
+use super::{Peer, WRITE_PAUSE};
+use crate::calls::LeaderCall;
+use crate::effects::EffectSink;
+use crate::fleet::Machine;
+use crate::leadership::election;
+use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest, LogLevel, MachineName};
+use crate::requests::RequestHandler;
+use plankhead_sharding::balance::Candidate;
+use plankhead_sharding::registry::{Named, Reason, RecordWrite, RegistryInput, WriteOutcome};
+use std::time::Duration;
 
 impl Leader {
     /// What the registry decides by.
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -1,6 +1,12 @@
 //! What holders of shards tell the leader.
 
-use super::*;
+use super::super::Leader;
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::RemovalReason;
+use crate::protocol::MachineName;
+use crate::shards::messages::{Delivery, HolderStatus, MachineUpdate};
+use plankhead_sharding::alive::Names;
+use plankhead_sharding::sequence::Admission;
 
 impl Leader {
     /// Takes in a holder's message, or refuses it.
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -1,6 +1,18 @@
 //! The fleet's size: rounds, and raises for jobs that are wider than it.
 
-use super::*;
+use super::{Leader, Size, Target, COLD_ROUND};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::Machine;
+use crate::jobs::job::{JobPhase, Resources};
+use crate::jobs::job_table::JobEntry;
+use crate::placement::backfill::Slot;
+use crate::placement::fair_share::{TeamUsage, Work};
+use crate::protocol::{LogLevel, Pool};
+use crate::sizing::cpu_budget::CpuBudget;
+use crate::sizing::fleet_size_search::FleetSizeSearch;
+use crate::sizing::replay::{Arrival, Replay};
+use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Without a U of the operators, how far the fleet may grow under overload, as a
 /// multiple of what the guarantees would fill.
@@ -178,7 +190,7 @@
         // Nor does the rush of the first seconds tell what comes later.
         let expected = if cold { Vec::new() } else { self.expected_arrivals(now) };
         let slots: Vec<Slot> = self.available_slots(now).into_iter().map(|(_, slot)| slot).collect();
-        let running = |e: &&JobEntry| e.phase == Phase::Active && e.placed > 0 && e.pending() == 0;
+        let running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
         let running = self.job_table.jobs.values().filter(running).count();
         let mut trials = Vec::new();
         for rig in self.fleet.machine_types.keys().cloned().collect::<Vec<_>>() {
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -1,6 +1,11 @@
 //! What users and operators see of the leader.
 
-use super::*;
+use super::{Leader, Stage, LATE_SCAN, STUCK};
+use crate::effects::{EffectSink, StepTime};
+use crate::jobs::job::{JobId, JobPhase};
+use crate::jobs::job_table::JobEntry;
+use crate::protocol::{JobProgress, LogLevel, TaskStatus};
+use std::time::Duration;
 
 impl Leader {
     pub fn progress(&self, id: &JobId) -> Option<(u32, u32)> {
@@ -9,7 +14,7 @@
 
     pub fn all_progress(&self, most: usize) -> Vec<JobProgress> {
         let moving =
-            self.job_table.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == Phase::Active);
+            self.job_table.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == JobPhase::Active);
         moving
             .take(most)
             .map(|(id, e)| JobProgress { id: id.to_string(), done: e.done, running: e.running })
@@ -31,7 +36,7 @@
         let all = |seen: fn(Option<TaskStatus>) -> bool| {
             self.job_table.attempts_of(entry).all(|a| seen(a.reported_status))
         };
-        if entry.gang.is_none() || entry.phase != Phase::Active || entry.done > 0 {
+        if entry.gang.is_none() || entry.phase != JobPhase::Active || entry.done > 0 {
             return None;
         }
         if entry.placed == 0 {
@@ -55,7 +60,7 @@
             return;
         }
         self.next_lateness_scan_at = now + LATE_SCAN;
-        let live = |e: &JobEntry| e.phase == Phase::Active && !e.late_logged;
+        let live = |e: &JobEntry| e.phase == JobPhase::Active && !e.late_logged;
         let news: Vec<(JobId, bool, bool, Option<&str>)> = self
             .job_table
             .jobs
@@ -83,7 +88,7 @@
             .job_table
             .jobs
             .iter()
-            .filter(|(_, e)| e.phase == Phase::Active && (self.is_late(e, now) || self.is_stuck(e, now)))
+            .filter(|(_, e)| e.phase == JobPhase::Active && (self.is_late(e, now) || self.is_stuck(e, now)))
             .take(1000)
             .map(|(id, e)| {
                 serde_json::json!({
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -1,6 +1,18 @@
 //! Reports of workers and orders for them.
 
-use super::*;
+use super::{Leader, Stage, FULL_PAUSE, MAX_LEEWAY, MAX_ORDERS};
+use crate::calls::{CallPurpose, LeaderCall};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
+use crate::jobs::job::JobPhase;
+use crate::jobs::job_table::{Ended, JobEntry};
+use crate::protocol::{
+    ExitReason, Heartbeat, LogLevel, MachineName, ReportedTask, Response, TaskId, TaskStatus, WorkerCommand,
+};
+use crate::requests::RequestHandler;
+use plankhead_reachability::permission::Action;
+use std::collections::BTreeSet;
+use std::time::Duration;
 
 impl Leader {
     /// Whether workers may still be answered: their leases must run out before
@@ -265,7 +277,7 @@
         };
         match self.job_table.attempt(task) {
             Some(a) if a.number == attempt && a.machine == *host => {
-                (a.stop_requested || entry.phase != Phase::Active).then(|| self.checkpoint_grace(task))
+                (a.stop_requested || entry.phase != JobPhase::Active).then(|| self.checkpoint_grace(task))
             }
             _ => Some(Duration::ZERO),
         }
@@ -275,8 +287,9 @@
     pub(super) fn checkpoint_grace(&self, task: &TaskId) -> Duration {
         let Some(entry) = self.job_table.jobs.get(&task.job) else { return Duration::ZERO };
         // A gang that lost a task saves nothing any more.
-        let saves =
-            entry.phase == Phase::Active && entry.spec.checkpoint_interval_s > 0.0 && !entry.is_gang_broken();
+        let saves = entry.phase == JobPhase::Active
+            && entry.spec.checkpoint_interval_s > 0.0
+            && !entry.is_gang_broken();
         let save = Duration::from_secs_f64(entry.spec.checkpoint_duration_s.min(3600.0));
         if saves && save <= MAX_LEEWAY {
             MAX_LEEWAY
@@ -297,7 +310,7 @@
         let mut commands = Vec::new();
         let sighted = self.may_start_tasks(now);
         for task in self.job_table.by_machine(&machine.name).filter(|_| sighted) {
-            let ending = |e: &&JobEntry| e.phase == Phase::Active && e.is_gang_ending();
+            let ending = |e: &&JobEntry| e.phase == JobPhase::Active && e.is_gang_ending();
             let found = self.job_table.jobs.get(&task.job).filter(ending).and(self.job_table.attempt(task));
             let Some(attempt) = found else { continue };
             let told = attempt.offered_under_token.is_some()
@@ -324,7 +337,7 @@
         let incarnation = machine.incarnation();
         self.job_table.by_machine(&machine.name).filter_map(move |task| {
             let attempt = self.job_table.attempt(task)?;
-            let live = self.job_table.jobs.get(&task.job)?.phase == Phase::Active;
+            let live = self.job_table.jobs.get(&task.job)?.phase == JobPhase::Active;
             let due = live
                 && sighted
                 && Some(attempt.incarnation) == incarnation
@@ -360,7 +373,7 @@
             .filter(|_| may_kill)
             .filter_map(|t| {
                 let a = self.job_table.attempt(t)?;
-                let cancelled = self.job_table.jobs.get(&t.job)?.phase == Phase::Cancelled;
+                let cancelled = self.job_table.jobs.get(&t.job)?.phase == JobPhase::Cancelled;
                 let due = (cancelled || a.stop_requested) && !a.kill_sent && a.incarnation == incarnation;
                 due.then(|| (t.clone(), a.number))
             })
@@ -412,7 +425,7 @@
             .job_table
             .jobs
             .iter()
-            .filter(|(_, e)| e.phase == Phase::Cancelled && e.placed > 0)
+            .filter(|(_, e)| e.phase == JobPhase::Cancelled && e.placed > 0)
             .flat_map(|(_, e)| self.job_table.attempts_of(e))
             .filter(|a| !a.kill_sent)
             .map(|a| a.machine.clone())
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -1,7 +1,8 @@
 //! Who leads: the node that wrote the key `lead` under its grant. The revision
 //! of that write is the fencing token.
 
-use crate::effects::{CallPurpose, EffectSink};
+use crate::calls::{CallPurpose, ElectionCall};
+use crate::effects::EffectSink;
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
 use plankhead_reachability::handover::HOLD_BACK;
 use serde::{Deserialize, Serialize};
@@ -25,16 +26,6 @@
     pub hold: u64,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ElectionCall {
-    Read,
-    Watch,
-    GrantLease,
-    Claim { hold: u64 },
-    RenewLease { hold: u64, sent: Duration },
-    RevokeLease,
-}
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     /// The key must be read.
@@ -152,7 +143,7 @@
             if !self.renewal_in_flight && now >= self.next_renewal_at {
                 self.renewal_in_flight = true;
                 effects.call_kv(
-                    CallPurpose::Election(ElectionCall::RenewLease { hold, sent: now }),
+                    CallPurpose::Election(ElectionCall::RenewLease { lease: hold, sent: now }),
                     KvRequest::RenewLease { lease: hold },
                 );
             }
@@ -182,7 +173,7 @@
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> LeadershipChange {
-        if let ElectionCall::RenewLease { hold, sent } = step {
+        if let ElectionCall::RenewLease { lease: hold, sent } = step {
             return self.lease_renewal_reply(now, hold, sent, reply);
         }
         if step == ElectionCall::RevokeLease {
@@ -212,12 +203,12 @@
             (ElectionCall::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => {
                 self.claim(hold, effects)
             }
-            (ElectionCall::Claim { hold }, Ok(KvReply::Committed { revision: epoch })) => {
+            (ElectionCall::Claim { lease: hold }, Ok(KvReply::Committed { revision: epoch })) => {
                 return self.won(now, epoch, hold);
             }
-            (ElectionCall::Claim { hold }, Ok(_))
+            (ElectionCall::Claim { lease: hold }, Ok(_))
             | (
-                ElectionCall::Claim { hold },
+                ElectionCall::Claim { lease: hold },
                 Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
             ) => {
                 effects.call_kv(
@@ -227,7 +218,7 @@
                 self.stage = Stage::Unknown;
             }
             // A lost claim may have been carried out: the key tells.
-            (ElectionCall::Claim { hold }, Err(CallError::OutcomeUnknown)) => {
+            (ElectionCall::Claim { lease: hold }, Err(CallError::OutcomeUnknown)) => {
                 self.uncertain_claim = Some(hold);
                 self.stage = Stage::Unknown;
                 self.retry_at = now + PAUSE;
@@ -245,7 +236,7 @@
         let Ok(value) = serde_json::to_string(&holder) else { return };
         self.call_in_flight = true;
         effects.call_kv(
-            CallPurpose::Election(ElectionCall::Claim { hold }),
+            CallPurpose::Election(ElectionCall::Claim { lease: hold }),
             KvRequest::Txn {
                 conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
                 changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(hold) }],
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -4,7 +4,8 @@
 //! back with it, so that the barrier, once open, stays open, whoever is cut off or
 //! starts again.
 
-use crate::effects::{CallPurpose, EffectSink};
+use crate::calls::{CallPurpose, VersionBarrierCall};
+use crate::effects::EffectSink;
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel};
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
@@ -17,12 +18,6 @@
 /// Time between looks, and after a failure.
 const PAUSE: Duration = Duration::from_secs(1);
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VersionBarrierCall {
-    WriteVersion,
-    ListVersions,
-}
-
 /// The value of a `node/<host>` key.
 #[derive(Debug, Serialize, Deserialize)]
 struct Shown {
--- a/crates/plankhead-core/src/lib.rs
+++ b/crates/plankhead-core/src/lib.rs
@@ -4,6 +4,7 @@
 //! effects that the adapters carry out. The same events at the same times give
 //! the same effects.
 
+pub mod calls;
 pub mod effects;
 pub mod fleet;
 pub mod holder;
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -1,8 +1,11 @@
 //! Reports of workers: who answers them, and what waits.
 
 use super::shards::HolderRoute;
-use super::*;
+use super::Node;
+use crate::effects::StepTime;
 use crate::leader::LeaderRoute;
+use crate::protocol::{Heartbeat, RequestId, Response};
+use std::time::Duration;
 
 /// A worker that comes back this long after it was sent to the leader has not
 /// reached it; after the longer time it says nothing.
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -4,17 +4,18 @@
 mod heartbeats;
 mod shards;
 
-use crate::effects::{CallPurpose, EffectSink, StepTime};
+use crate::calls::{CallPurpose, PendingRequest};
+use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::JobId;
-use crate::leader::{Leader, LeaderCall, LeaderEvidence};
+use crate::leader::{Leader, LeaderEvidence};
 use crate::leadership::election::{Election, LeadershipChange};
 use crate::leadership::version_barrier::VersionBarrier;
 use crate::protocol::{
-    CallError, CallId, CloudReply, CloudRequest, Effect, Event, Heartbeat, JobProgress, KvReply, LogLevel,
-    MachineName, MachineType, PeerHeartbeat, RequestId, Response,
+    CallError, CloudReply, CloudRequest, Effect, Event, JobProgress, KvReply, LogLevel, MachineName,
+    MachineType, PeerHeartbeat, Response,
 };
 use crate::reachability::{LeaderFacts, Reachability};
-use crate::requests::{PendingRequest, RequestHandler};
+use crate::requests::RequestHandler;
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
 use heartbeats::Held;
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -1,14 +1,18 @@
 //! A node's part in divided machines: the records of shards, the holder's role while it
 //! does not lead, and the messages between leader and holders.
 
-use super::*;
-use crate::holder::{Holder, HolderCall, HolderEvidence};
-use crate::key_watch;
+use super::{Node, BEHIND};
+use crate::calls::{CallPurpose, HolderCall, KeyWatchCall, LeaderCall};
+use crate::effects::StepTime;
+use crate::holder::{Holder, HolderEvidence};
 use crate::leader::LeaderRoute;
-use crate::protocol::CommandReply;
+use crate::protocol::{CallError, CallId, CommandReply, Heartbeat, KvReply, LogLevel, Response};
+use crate::settings::Settings;
 use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
 use crate::shards::records::RecordWatch;
 use plankhead_sharding::shard::ShardId;
+use std::sync::Arc;
+use std::time::Duration;
 
 /// A record that was not seen for so long says nothing of who holds a shard now.
 const ADRIFT: Duration = Duration::from_secs(5);
@@ -132,7 +136,7 @@
     pub(super) fn shard_records_reply(
         &mut self,
         now: Duration,
-        step: key_watch::KeyWatchCall,
+        step: KeyWatchCall,
         reply: Result<KvReply, CallError>,
     ) {
         let Some(sharding) = &mut self.sharding else { return };
--- a/crates/plankhead-core/src/placement/index.rs
+++ b/crates/plankhead-core/src/placement/index.rs
@@ -1,7 +1,7 @@
 //! Numbers in place of the names that a pass compares over and over.
 
-use crate::fleet::Pool;
 use crate::jobs::job::JobSpec;
+use crate::protocol::Pool;
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -1,6 +1,6 @@
 //! Events that the core takes and effects that it asks for.
 
-use crate::jobs::job::{JobId, JobSpec, Phase};
+use crate::jobs::job::{JobId, JobPhase, JobSpec};
 use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
 use plankhead_fencing::gate::PermittedAction;
 use plankhead_reachability::coverage::{Coverage, CoverageError};
@@ -135,7 +135,7 @@
     Job {
         created: bool,
         id: JobId,
-        status: Status,
+        status: JobStatus,
         done: u32,
         running: u32,
     },
@@ -165,20 +165,20 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum JobStatus {
     Queued,
     Running,
     Done,
     Cancelled,
 }
 
-impl Status {
-    pub fn of(phase: Phase, running: u32) -> Self {
+impl JobStatus {
+    pub fn of(phase: JobPhase, running: u32) -> Self {
         match phase {
-            Phase::Active if running > 0 => Self::Running,
-            Phase::Active => Self::Queued,
-            Phase::Done => Self::Done,
-            Phase::Cancelled => Self::Cancelled,
+            JobPhase::Active if running > 0 => Self::Running,
+            JobPhase::Active => Self::Queued,
+            JobPhase::Done => Self::Done,
+            JobPhase::Cancelled => Self::Cancelled,
         }
     }
 }
@@ -389,6 +389,31 @@
     pub zones: Vec<String>,
 }
 
+/// Machines that the cloud treats alike: of one type, in one zone, spot or ordinary.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Pool {
+    pub machine_type: String,
+    pub zone: String,
+    pub spot: bool,
+}
+
+impl Pool {
+    /// The pool that a report names.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        Self {
+            machine_type: heartbeat.machine_type.to_string(),
+            zone: heartbeat.zone.to_string(),
+            spot: heartbeat.spot,
+        }
+    }
+
+    pub fn matches(&self, heartbeat: &Heartbeat) -> bool {
+        *self.machine_type == *heartbeat.machine_type
+            && *self.zone == *heartbeat.zone
+            && self.spot == heartbeat.spot
+    }
+}
+
 #[derive(Debug, Clone, PartialEq)]
 pub struct Instance {
     pub name: MachineName,
--- a/crates/plankhead-core/src/reachability.rs
+++ b/crates/plankhead-core/src/reachability.rs
@@ -2,7 +2,8 @@
 //! with what calls and messages confirm, keeps the numbering of machines, and exchanges
 //! coverage with the other nodes.
 
-use crate::effects::{CallPurpose, EffectSink};
+use crate::calls::{CallPurpose, ReachabilityCall};
+use crate::effects::EffectSink;
 use crate::leadership::election;
 use crate::protocol::{
     CallError, CallId, CommandReply, Condition, Effect, KeyValue, KvChange, KvReply, KvRequest, LogLevel,
@@ -37,14 +38,6 @@
 /// Refused messages are logged this often at the most.
 const FAULT_PAUSE: Duration = Duration::from_secs(10);
 
-/// What a call of the reachability's own was for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum ReachabilityCall {
-    ListPages,
-    WritePage { key: String, value: String },
-    Probe,
-}
-
 /// What the leader tells of itself.
 #[derive(Debug, Clone, Default)]
 pub struct LeaderFacts {
--- a/crates/plankhead-core/src/requests.rs
+++ b/crates/plankhead-core/src/requests.rs
@@ -1,12 +1,13 @@
 //! Requests of users: takes jobs in, tells their state and cancels them,
 //! straight in the state service and on any node.
 
-use crate::effects::{CallPurpose, EffectSink, StepTime};
-use crate::jobs::job::{JobId, JobRecord, JobSpec, Phase};
+use crate::calls::{CallPurpose, JobCreation, LookupReason, PendingRequest};
+use crate::effects::{EffectSink, StepTime};
+use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
 use crate::jobs::job_table::tasks_per_chunk;
 use crate::protocol::{
-    CallError, Condition, JobProgress, KeyValue, KvChange, KvReply, KvRequest, MachineType, RequestId,
-    Response, Status,
+    CallError, Condition, JobProgress, JobStatus, KeyValue, KvChange, KvReply, KvRequest, MachineType,
+    RequestId, Response,
 };
 use crate::reachability::UserPermissions;
 use crate::settings::Settings;
@@ -33,54 +34,15 @@
 /// Pause after the state service said that too much was asked.
 const BUSY: Duration = Duration::from_millis(100);
 
-/// What a call to the state service is for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum PendingRequest {
-    Create(Vec<Create>),
-    /// `over`: in the place of jobs that are over, since the first one is empty.
-    Lookup {
-        request: RequestId,
-        id: JobId,
-        reason: LookupReason,
-        archived: bool,
-    },
-    Cancel {
-        request: RequestId,
-        id: JobId,
-        record: Box<JobRecord>,
-        attempts: u32,
-    },
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum LookupReason {
-    Status,
-    /// A repeated submission, or one whose commit is in doubt.
-    RepeatedSubmission,
-    /// If the job is not known, this is the answer.
-    RejectUnlessKnown(Response),
-    Cancel {
-        attempts: u32,
-    },
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub struct Create {
-    requests: Vec<RequestId>,
-    id: JobId,
-    value: String,
-    queued_at: Duration,
-}
-
 #[derive(Debug)]
 pub struct RequestHandler {
     settings: Arc<Settings>,
-    queued: VecDeque<Create>,
+    queued: VecDeque<JobCreation>,
     batches_in_flight: usize,
     requests_in_flight: usize,
     read_budget: TokenBucket,
     write_budget: TokenBucket,
-    ended_jobs: HashMap<JobId, (Status, u32)>,
+    ended_jobs: HashMap<JobId, (JobStatus, u32)>,
     ended_order: VecDeque<JobId>,
     set_progress: HashMap<JobId, (u32, u32)>,
     kv_failing: bool,
@@ -133,7 +95,7 @@
     }
 
     /// Remembers that a job is over; this never changes.
-    pub fn record_ended(&mut self, id: &JobId, status: Status, done: u32) {
+    pub fn record_ended(&mut self, id: &JobId, status: JobStatus, done: u32) {
         self.set_progress.remove(id);
         if self.ended_jobs.insert(id.clone(), (status, done)).is_none() {
             self.ended_order.push_back(id.clone());
@@ -268,7 +230,7 @@
             return;
         }
         let record = JobRecord {
-            phase: Phase::Active,
+            phase: JobPhase::Active,
             tasks: spec.tasks,
             per_chunk: tasks_per_chunk(self.settings.max_value_bytes),
             spec: Some(spec),
@@ -278,7 +240,12 @@
         match serde_json::to_string(&record) {
             Ok(value) if value.len() + 200 <= self.settings.max_value_bytes => {
                 self.requests_in_flight += 1;
-                self.queued.push_back(Create { requests: vec![request], id, value, queued_at: times.now });
+                self.queued.push_back(JobCreation {
+                    requests: vec![request],
+                    id,
+                    value,
+                    queued_at: times.now,
+                });
             }
             _ => {
                 let answer = Response::BadRequest("the job's description is too long".into());
@@ -425,7 +392,7 @@
     fn creation_reply(
         &mut self,
         now: Duration,
-        batch: Vec<Create>,
+        batch: Vec<JobCreation>,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
@@ -443,7 +410,7 @@
                             Response::Job {
                                 created: true,
                                 id: create.id.clone(),
-                                status: Status::Queued,
+                                status: JobStatus::Queued,
                                 done: 0,
                                 running: 0,
                             },
@@ -535,9 +502,9 @@
             return Self::unavailable(request, effects);
         };
         match record.phase {
-            Phase::Done => self.record_ended(&id, Status::Done, record.tasks),
-            Phase::Cancelled => self.record_ended(&id, Status::Cancelled, 0),
-            Phase::Active => {
+            JobPhase::Done => self.record_ended(&id, JobStatus::Done, record.tasks),
+            JobPhase::Cancelled => self.record_ended(&id, JobStatus::Cancelled, 0),
+            JobPhase::Active => {
                 if let LookupReason::Cancel { attempts } = why {
                     return self.write_cancellation(
                         times,
@@ -551,7 +518,7 @@
                 }
                 let known = progress(&id).or_else(|| self.set_progress.get(&id).copied());
                 let (done, running) = known.unwrap_or_default();
-                let status = Status::of(Phase::Active, running);
+                let status = JobStatus::of(JobPhase::Active, running);
                 return effects.respond(request, Response::Job { created: false, id, status, done, running });
             }
         }
@@ -572,7 +539,7 @@
         if attempts >= MAX_ATTEMPTS || !self.write_budget.take(times.now, 1) {
             return Self::unavailable(request, effects);
         }
-        record.phase = Phase::Cancelled;
+        record.phase = JobPhase::Cancelled;
         record.cancelled_ms = Some(times.wall_ms());
         let Some(value) = record.encode(self.settings.max_value_bytes) else {
             return Self::unavailable(request, effects);
@@ -606,7 +573,7 @@
     ) -> Vec<KeyValue> {
         match reply {
             Ok(KvReply::Committed { revision: epoch }) => {
-                self.record_ended(&id, Status::Cancelled, 0);
+                self.record_ended(&id, JobStatus::Cancelled, 0);
                 self.answer_if_ended(request, &id, effects);
                 let Some(value) = record.encode(self.settings.max_value_bytes) else { return Vec::new() };
                 return vec![KeyValue { key: id.key(), value, mod_revision: epoch }];
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -1,7 +1,8 @@
 //! The records of shards as this node has read them.
 
-use crate::effects::{CallPurpose, EffectSink};
-use crate::key_watch::{KeyWatch, KeyWatchCall, Read};
+use crate::calls::{CallPurpose, KeyWatchCall};
+use crate::effects::EffectSink;
+use crate::key_watch::{KeyWatch, Read};
 use crate::protocol::{CallError, KeyValue, KvReply, LogLevel, WatchEvent};
 use plankhead_sharding::shard::PREFIX;
 use plankhead_sharding::table::ShardTable;
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -2,9 +2,10 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_core::fleet::{Fleet, HeartbeatNews, Pool, RemovalReason};
-use plankhead_core::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::fleet::{Fleet, HeartbeatNews, RemovalReason};
+use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord, JobSpec, Priority, Resources};
 use plankhead_core::jobs::job_table::JobTable;
+use plankhead_core::protocol::Pool;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
 use std::collections::BTreeMap;
@@ -38,14 +39,14 @@
     }
 }
 
-fn record(phase: Phase, tasks: u32) -> JobRecord {
+fn record(phase: JobPhase, tasks: u32) -> JobRecord {
     JobRecord { phase, spec: Some(spec(tasks)), tasks, per_chunk: 4, accepted_ms: 0, cancelled_ms: None }
 }
 
 /// A ledger with `placed` of ten tasks on one machine, all durable.
 fn ledger(placed: usize) -> JobTable {
     let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
+    ledger.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
     for _ in 0..placed {
         ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     }
@@ -160,7 +161,7 @@
 fn cancelling_drops_only_what_nobody_was_told() {
     let mut ledger = ledger(1);
     ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
-    ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     assert_eq!(placed(&ledger), 1);
     assert!(ledger.ended_jobs.is_empty());
     ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
@@ -174,7 +175,7 @@
 #[test]
 fn the_own_token_fences_cancelled_attempts_of_earlier_leaders() {
     let cancel = |ledger: &mut JobTable| {
-        ledger.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+        ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     };
     let mut live = ledger(2);
     assert!(
@@ -207,7 +208,7 @@
         offered.observe_heartbeat(&under(50, 1), true, NOW).0.is_empty(),
         "a live job's attempt may come"
     );
-    offered.upsert(&id(), record(Phase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    offered.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     assert!(
         offered.observe_heartbeat(&under(40, 2), true, NOW).0.is_empty(),
         "its own holder may tell it yet"
@@ -235,7 +236,7 @@
         NOW,
     );
     let mut new = JobTable::default();
-    new.upsert(&id(), record(Phase::Active, 10), 5, NOW, None, 4);
+    new.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
     for chunk in 0..2 {
         let (text, _) = old.encode_chunk(&id(), chunk).unwrap();
         new.load_chunk(&id(), chunk, &text, 7, NOW).unwrap();
@@ -260,7 +261,7 @@
     use plankhead_core::jobs::job_table::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
     let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(Phase::Active, 100_000), 5, NOW, None, per_chunk);
+    ledger.upsert(&id(), record(JobPhase::Active, 100_000), 5, NOW, None, per_chunk);
     for n in 0..per_chunk {
         let host: MachineName = format!("i-{n:012}").into();
         ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
@@ -420,7 +421,7 @@
 /// A gang of three on machines i-1, i-2 and i-3, durable and offered.
 fn gang() -> JobTable {
     let mut ledger = JobTable::default();
-    let mut record = record(Phase::Active, 3);
+    let mut record = record(JobPhase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
@@ -490,7 +491,7 @@
     assert!(ledger.ended_jobs.contains(&id()));
     assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 2));
     assert!(ledger.job_finished(&id()) && !ledger.job_finished(&id()));
-    assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (Phase::Done, 2));
+    assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (JobPhase::Done, 2));
     ledger.machine_gone("i-1", NOW);
     ledger.observe_heartbeat(
         &from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
@@ -509,7 +510,7 @@
     let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
     let mut next = gang();
     next.remove(&id());
-    let mut record = record(Phase::Active, 3);
+    let mut record = record(JobPhase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_core::effects::StepTime;
-use plankhead_core::jobs::job::{JobId, JobRecord, JobSpec, Phase, Priority, Resources};
+use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord, JobSpec, Priority, Resources};
 use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
@@ -74,9 +74,9 @@
 }
 
 /// A job's record as it is stored.
-fn record(phase: Phase, since: Duration) -> String {
+fn record(phase: JobPhase, since: Duration) -> String {
     let accepted_ms = since.as_millis() as u64;
-    let cancelled_ms = (phase == Phase::Cancelled).then_some(accepted_ms);
+    let cancelled_ms = (phase == JobPhase::Cancelled).then_some(accepted_ms);
     let record = JobRecord { phase, spec: Some(spec()), tasks: 1, per_chunk: 16, accepted_ms, cancelled_ms };
     serde_json::to_string(&record).unwrap()
 }
@@ -166,7 +166,7 @@
                 self.reply_to(call, Ok(KvReply::LeaseRenewed));
             }
             if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::Watch { .. })) {
-                let cancelled = record(Phase::Cancelled, START);
+                let cancelled = record(JobPhase::Cancelled, START);
                 let events = vec![WatchEvent::Put(row("job/job-000001", &cancelled, 10))];
                 self.reply_to(call, Ok(KvReply::Events { revision: 10, events }));
             }
@@ -280,7 +280,7 @@
 
     /// Has the leader read one job, live by what was read, and its placement on i-1.
     fn loads(&mut self) {
-        let rows = vec![row("job/job-000001", &record(Phase::Active, self.now), 5)];
+        let rows = vec![row("job/job-000001", &record(JobPhase::Active, self.now), 5)];
         let page = |rows| Ok(KvReply::Page { rows, truncated: false, revision: 9 });
         self.reply(lists("job/"), page(rows));
         self.loads_placements();
@@ -350,11 +350,11 @@
     let mut bench = Bench::new();
     bench.wins(41);
     let page = bench.taken(lists("job/")).unwrap();
-    let live = record(Phase::Active, bench.now);
+    let live = record(JobPhase::Active, bench.now);
     let poll = bench.ask(|ask| Event::Poll { request: ask, id: id() });
-    let cancelled = row("job/job-000001", &record(Phase::Cancelled, bench.now), 10);
+    let cancelled = row("job/job-000001", &record(JobPhase::Cancelled, bench.now), 10);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
-    assert!(matches!(bench.answer(poll), Some(Response::Job { status: Status::Cancelled, .. })));
+    assert!(matches!(bench.answer(poll), Some(Response::Job { status: JobStatus::Cancelled, .. })));
     // The list was read before that, and its reply comes after.
     let rows = vec![row("job/job-000001", &live, 5)];
     bench.reply_to(page.0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
@@ -431,7 +431,7 @@
             break;
         }
     }
-    let rows = vec![row("job/job-000001", &record(Phase::Active, START), 5)];
+    let rows = vec![row("job/job-000001", &record(JobPhase::Active, START), 5)];
     bench.reply_to(reads.unwrap().0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.loads_placements();
     bench.lives(Duration::from_secs(6));
@@ -520,12 +520,12 @@
     let submit = bench.ask(|ask| Event::Submit { request: ask, id: id(), job: Ok(spec()) });
     let create = bench.taken(writes("job/job-000001")).unwrap();
     bench.ask(|ask| Event::Cancel { request: ask, id: id() });
-    let live = record(Phase::Active, bench.now);
+    let live = record(JobPhase::Active, bench.now);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &live, 5)))));
     bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { revision: 6 }));
     bench.reply_to(create.0, Ok(KvReply::Committed { revision: 5 }));
     assert!(
-        matches!(bench.answer(submit), Some(Response::Job { status: Status::Cancelled, .. })),
+        matches!(bench.answer(submit), Some(Response::Job { status: JobStatus::Cancelled, .. })),
         "{:?}",
         bench.answer(submit)
     );
@@ -579,7 +579,7 @@
     let fencing = Fencing { enabled: true, ..Fencing::default() };
     let mut bench = Bench::of(Settings { fencing, ..settings() });
     bench.wins(41);
-    let rows = vec![row("job/job-000001", &record(Phase::Active, bench.now), 5)];
+    let rows = vec![row("job/job-000001", &record(JobPhase::Active, bench.now), 5)];
     bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
     let back = Return { hosts: vec!["i-1".into()], cause: ReturnReason::Surplus };
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -6,12 +6,13 @@
 #[allow(dead_code)]
 mod before;
 
+use plankhead_core::calls::VersionBarrierCall;
 use plankhead_core::effects::EffectSink;
-use plankhead_core::jobs::job::{JobId, JobRecord, Phase};
+use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, TaskState};
 use plankhead_core::leader::{Size, Target};
 use plankhead_core::leadership::election::Holder;
-use plankhead_core::leadership::version_barrier::{VersionBarrier, VersionBarrierCall};
+use plankhead_core::leadership::version_barrier::VersionBarrier;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
 use std::collections::BTreeMap;
@@ -37,7 +38,7 @@
     );
     let done = r#"{"phase":"done","tasks":12,"per_chunk":0,"accepted_ms":0}"#;
     for (text, phase) in
-        [(live(), Phase::Active), (cancelled, Phase::Cancelled), (done.to_string(), Phase::Done)]
+        [(live(), JobPhase::Active), (cancelled, JobPhase::Cancelled), (done.to_string(), JobPhase::Done)]
     {
         let record: JobRecord = serde_json::from_str(&text).unwrap();
         assert_eq!(record.phase, phase);
@@ -194,7 +195,7 @@
     }
     assert!(serde_json::to_string(&record).unwrap().len() > 6000);
     assert_eq!(record.encode(2048), None);
-    record.phase = Phase::Cancelled;
+    record.phase = JobPhase::Cancelled;
     let text = record.encode(2048).unwrap();
     let read: JobRecord = serde_json::from_str(&text).unwrap();
     let spec = read.spec.unwrap();
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -133,10 +133,10 @@
                 self.flag(*fresh);
                 self.text(id.as_str());
                 self.tag(match status {
-                    Status::Queued => 0,
-                    Status::Running => 1,
-                    Status::Done => 2,
-                    Status::Cancelled => 3,
+                    JobStatus::Queued => 0,
+                    JobStatus::Running => 1,
+                    JobStatus::Done => 2,
+                    JobStatus::Cancelled => 3,
                 });
                 self.number(u64::from(*done));
                 self.number(u64::from(*running));
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -393,7 +393,7 @@
     pub submitted: bool,
     pub aborting: bool,
     pub cancelled: Option<Duration>,
-    pub told: Option<Status>,
+    pub told: Option<JobStatus>,
     /// When the user first heard that it is over.
     told_over: Duration,
     pub done: BTreeSet<u32>,
@@ -420,7 +420,7 @@
 
 impl Job {
     pub fn done_or_cancelled(&self) -> bool {
-        matches!(self.told, Some(Status::Done | Status::Cancelled))
+        matches!(self.told, Some(JobStatus::Done | JobStatus::Cancelled))
     }
 }
 
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -233,7 +233,7 @@
 
     /// Users ask every node within milliseconds, some repeat the submission, and some
     /// call off what was accepted just now.
-    pub(super) fn look_closely(&mut self, job: usize, status: Status) {
+    pub(super) fn look_closely(&mut self, job: usize, status: JobStatus) {
         if !self.troubles.close_looks {
             return;
         }
@@ -243,7 +243,7 @@
             }
             self.at(ms(2 + node as u64), Happening::SubmitAt { job, node });
         }
-        if status == Status::Queued && job % 5 == 4 && self.jobs[job].told.is_none() {
+        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].told.is_none() {
             self.at(ms(3), Happening::Abort { job });
         }
     }
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -522,7 +522,7 @@
         match answer {
             Response::Job { status, .. } => {
                 self.tell(job, status);
-                if !matches!(status, Status::Done | Status::Cancelled) {
+                if !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
                     self.at(secs(2), Happening::Poll { job });
                 } else if self.chance(0.5) {
                     // Users may ask again at any later time.
@@ -539,7 +539,7 @@
     fn abort_answered(&mut self, job: usize, known: bool, answer: Response) {
         match answer {
             Response::Job { status, .. } => {
-                assert!(matches!(status, Status::Done | Status::Cancelled), "an abort gets {status:?}");
+                assert!(matches!(status, JobStatus::Done | JobStatus::Cancelled), "an abort gets {status:?}");
                 self.tell(job, status);
             }
             Response::NotFound => {
@@ -551,11 +551,11 @@
         }
     }
 
-    pub(super) fn tell(&mut self, job: usize, status: Status) {
+    pub(super) fn tell(&mut self, job: usize, status: JobStatus) {
         let now = self.now;
-        if matches!(status, Status::Done | Status::Cancelled) && self.jobs[job].told != Some(status) {
+        if matches!(status, JobStatus::Done | JobStatus::Cancelled) && self.jobs[job].told != Some(status) {
             self.look_closely(job, status);
-            if status == Status::Cancelled {
+            if status == JobStatus::Cancelled {
                 let id = &self.jobs[job].id;
                 let here = |w: &Worker| w.runs().any(|(t, _)| t.job == *id);
                 self.jobs[job].cut_short = self.workers.values().any(here);
@@ -565,18 +565,18 @@
         let j = &mut self.jobs[job];
         j.heard = now;
         assert!(j.submitted, "invented: {:?}", j.id);
-        if let Some(told @ (Status::Done | Status::Cancelled)) = j.told {
+        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.told {
             // What was asked before may have been read before.
-            if self.asked_at < j.told_over && !matches!(status, Status::Done | Status::Cancelled) {
+            if self.asked_at < j.told_over && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
                 return;
             }
             assert_eq!(told, status, "went_back: {:?}", j.id);
-        } else if matches!(status, Status::Done | Status::Cancelled) {
+        } else if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
             j.told_over = now;
         }
         match status {
-            Status::Done => assert_eq!(j.done.len() as u32, j.spec.tasks, "not_done: {:?}", j.id),
-            Status::Cancelled => {
+            JobStatus::Done => assert_eq!(j.done.len() as u32, j.spec.tasks, "not_done: {:?}", j.id),
+            JobStatus::Cancelled => {
                 assert!(j.aborting, "went_back: {:?} was not cancelled by its user", j.id);
                 j.cancelled.get_or_insert(now);
             }
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
 use plankhead_core::protocol::{
-    Condition, ExitReason, Heartbeat, Instance, InstanceStatus, KeyValue, KvChange, MachineType,
-    ReportedTask, Response, Status, TaskId, TaskStatus, WatchEvent, WorkerCommand,
+    Condition, ExitReason, Heartbeat, Instance, InstanceStatus, JobStatus, KeyValue, KvChange, MachineType,
+    ReportedTask, Response, TaskId, TaskStatus, WatchEvent, WorkerCommand,
 };
 use plankhead_core::shards::messages::Delivery;
 use plankhead_fencing::action::Rental;
@@ -104,12 +104,12 @@
     Ok(spec)
 }
 
-fn status(status: Status) -> &'static str {
+fn status(status: JobStatus) -> &'static str {
     match status {
-        Status::Queued => "queued",
-        Status::Running => "running",
-        Status::Done => "done",
-        Status::Cancelled => "cancelled",
+        JobStatus::Queued => "queued",
+        JobStatus::Running => "running",
+        JobStatus::Done => "done",
+        JobStatus::Cancelled => "cancelled",
     }
 }
 
