--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -11,22 +11,24 @@
 #[allow(dead_code)]
 mod world;
 
-use world::Blow::*;
-use world::{ms, secs, Clock, Effects, Happening, Kind, Moment, Troubles, World, FLEET, SMALL, TRUE_CLOCK};
+use world::Fault::*;
+use world::{
+    ms, secs, Clock, Deployment, Effects, Faults, SimEvent, Trigger, World, FLEET, SMALL, TRUE_CLOCK,
+};
 
 /// A few machines that come and go, under leaders that record what they ask for.
-const FENCED: Kind = Kind { fenced: true, capacity: 6, cloud_rps: 10.0, ..SMALL };
-const UNFENCED: Kind = Kind { fenced: false, ..FENCED };
+const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
+const UNFENCED: Deployment = Deployment { fencing: false, ..FENCED };
 /// Longer than the leader's lease, and than a watch on it.
 const PAUSE: u64 = 4_000;
 
 /// Plays a history until every job has come to its end.
-fn play(name: &str, kind: Kind, troubles: Troubles, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::of(kind, seed, troubles);
+fn play(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+    let mut world = World::with_deployment(kind, seed, troubles);
     world.plan(24, secs(90));
     set(&mut world);
-    world.calm += secs(90);
-    world.clears = true;
+    world.calm_at += secs(90);
+    world.faults_end = true;
     world.run(secs(1500));
     let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
     assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
@@ -46,20 +48,20 @@
     for n in 0..10u64 {
         let at = ms(4_000 + 8_300 * n + 97 * (seed * 7 + n) % 4_000);
         let node = ((seed + n) % 3) as usize;
-        world.after(at, Happening::Freeze { node, last: ms(500 + 1_100 * ((seed + n) % 7)) });
+        world.schedule_at(at, SimEvent::PauseProcess { node, last: ms(500 + 1_100 * ((seed + n) % 7)) });
     }
     let pause = ms(PAUSE + 800 * (seed % 5));
     for n in 0..5u32 {
         let nth = 1 + (seed as u32 + 2 * n) % 9;
-        world.when(Moment::DutySent, nth, vec![(ms(u64::from(n)), Happening::Leader(Freeze(pause)))]);
-        world.when(Moment::DutyWritten, nth, vec![(ms(u64::from(n)), Happening::Leader(Freeze(pause)))]);
-        world.when(Moment::CloudCalled, nth, vec![(ms(0), Happening::Leader(FreezeHolding(pause)))]);
+        world.when(Trigger::DutySent, nth, vec![(ms(u64::from(n)), SimEvent::FaultLeader(Freeze(pause)))]);
+        world.when(Trigger::DutyWritten, nth, vec![(ms(u64::from(n)), SimEvent::FaultLeader(Freeze(pause)))]);
+        world.when(Trigger::CloudCalled, nth, vec![(ms(0), SimEvent::FaultLeader(FreezeHolding(pause)))]);
     }
 }
 
 /// The cloud is slow, too: calls are carried out up to 20 s late.
-fn slow() -> Troubles {
-    Troubles { lost: 0.05, late: 0.3, ..Troubles::default() }
+fn slow() -> Faults {
+    Faults { lost_replies: 0.05, late_requests: 0.3, ..Faults::default() }
 }
 
 /// A thousand pauses, and not one stale effect.
@@ -69,7 +71,7 @@
     for seed in 0..60 {
         let world = play("pauses", FENCED, slow(), seed, |world| freezes(world, seed));
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        pauses += world.freezes;
+        pauses += world.pauses;
         sum(&mut effects, world.effects);
     }
     assert!(pauses >= 1_000, "{pauses} pauses");
@@ -91,31 +93,31 @@
 /// record is under way, before it hears that it is durable, and between that and the call.
 #[test]
 fn paused_at_each_step_of_a_duty() {
-    let freeze = |blow| move |after| (after, Happening::Leader(blow));
+    let freeze = |blow| move |after| (after, SimEvent::FaultLeader(blow));
     let pause = ms(PAUSE);
     for (moment, after, blow) in [
-        (Moment::DutySent, ms(0), FreezeHolding(pause)),
-        (Moment::DutySent, ms(1), Freeze(pause)),
-        (Moment::DutyWritten, ms(0), Freeze(pause)),
-        (Moment::DutyWritten, ms(3), Freeze(pause)),
-        (Moment::CloudCalled, ms(0), FreezeHolding(pause)),
-        (Moment::CloudCalled, ms(1), Freeze(pause)),
-        (Moment::CloudCalled, ms(90), Freeze(pause)),
+        (Trigger::DutySent, ms(0), FreezeHolding(pause)),
+        (Trigger::DutySent, ms(1), Freeze(pause)),
+        (Trigger::DutyWritten, ms(0), Freeze(pause)),
+        (Trigger::DutyWritten, ms(3), Freeze(pause)),
+        (Trigger::CloudCalled, ms(0), FreezeHolding(pause)),
+        (Trigger::CloudCalled, ms(1), Freeze(pause)),
+        (Trigger::CloudCalled, ms(90), Freeze(pause)),
     ] {
         let (mut of_former, mut pauses) = (0, 0);
         for seed in 0..8 {
-            let world = play("steps", FENCED, Troubles::default(), seed, |world| {
+            let world = play("steps", FENCED, Faults::default(), seed, |world| {
                 for nth in 1..=5 {
                     world.when(moment, nth, vec![freeze(blow)(after)]);
                 }
             });
             assert_eq!(world.effects.stale, 0, "{moment:?}, seed {seed}: {:?}", world.effects);
             of_former += world.effects.of_former;
-            pauses += world.freezes;
+            pauses += world.pauses;
         }
         assert!(pauses >= 24, "{moment:?}: {pauses} pauses");
         // A call that is under way when its holder is paused is carried out under it.
-        let held_back = matches!((moment, blow), (Moment::CloudCalled, FreezeHolding(_)));
+        let held_back = matches!((moment, blow), (Trigger::CloudCalled, FreezeHolding(_)));
         assert!(!held_back || of_former > 0, "nothing came of calls held back");
     }
 }
@@ -123,11 +125,11 @@
 /// Answers are lost, and writes of records are carried out late, after the takeover.
 #[test]
 fn records_written_late() {
-    let troubles = Troubles { lost: 0.2, late: 0.7, ..Troubles::default() };
+    let troubles = Faults { lost_replies: 0.2, late_requests: 0.7, ..Faults::default() };
     for seed in 0..15 {
         let world = play("late", FENCED, troubles, seed, |world| {
             for nth in 1..=6 {
-                world.when(Moment::DutySent, nth, vec![(ms(0), Happening::Leader(Freeze(ms(PAUSE))))]);
+                world.when(Trigger::DutySent, nth, vec![(ms(0), SimEvent::FaultLeader(Freeze(ms(PAUSE))))]);
             }
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
@@ -138,13 +140,13 @@
 #[test]
 fn the_lease_is_won_back_by_the_same_process() {
     for seed in 0..10 {
-        let world = play("back", FENCED, Troubles::default(), seed, |world| {
+        let world = play("back", FENCED, Faults::default(), seed, |world| {
             for node in [1, 2] {
-                world.after(ms(300), Happening::Freeze { node, last: secs(100) });
+                world.schedule_at(ms(300), SimEvent::PauseProcess { node, last: secs(100) });
             }
             for nth in 1..=4 {
                 let blow = if nth % 2 == 0 { Freeze(ms(PAUSE)) } else { FreezeHolding(ms(PAUSE)) };
-                world.when(Moment::CloudCalled, nth, vec![(ms(0), Happening::Leader(blow))]);
+                world.when(Trigger::CloudCalled, nth, vec![(ms(0), SimEvent::FaultLeader(blow))]);
             }
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
@@ -158,13 +160,13 @@
 fn three_leaders_leave_their_intentions() {
     let mut inherited = 0;
     for seed in 0..10 {
-        let world = play("three", FENCED, Troubles::default(), seed, |world| {
+        let world = play("three", FENCED, Faults::default(), seed, |world| {
             for nth in 1..=3 {
-                world.when(Moment::DutyWritten, nth, vec![(ms(0), Happening::Leader(Freeze(secs(25))))]);
+                world.when(Trigger::DutyWritten, nth, vec![(ms(0), SimEvent::FaultLeader(Freeze(secs(25))))]);
             }
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        inherited += world.inherited;
+        inherited += world.inherited_intents;
     }
     assert!(inherited >= 20, "{inherited} records were inherited");
 }
@@ -175,12 +177,12 @@
 #[test]
 fn the_state_service_refuses_the_holder_alone() {
     for seed in 0..12 {
-        let world = play("refused", FENCED, Troubles::default(), seed, |world| {
+        let world = play("refused", FENCED, Faults::default(), seed, |world| {
             for n in 0..4 {
                 let at = secs(12 + 18 * n) + ms(211 * seed);
-                world.after(at, Happening::Leader(Refuse(secs(12))));
-                world.after(at + ms(700), Happening::CancelNow { count: 6, hang: secs(30) });
-                world.after(at + ms(1_300), Happening::Leader(Freeze(ms(PAUSE))));
+                world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(12))));
+                world.schedule_at(at + ms(700), SimEvent::CancelNow { count: 6, hang: secs(30) });
+                world.schedule_at(at + ms(1_300), SimEvent::FaultLeader(Freeze(ms(PAUSE))));
             }
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
@@ -194,15 +196,15 @@
 fn an_outage_compels_returns_without_records() {
     let mut compelled = 0;
     for seed in 0..8 {
-        let world = play("outage", FENCED, Troubles::default(), seed, |world| {
+        let world = play("outage", FENCED, Faults::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
                 (job.runs, job.spec.estimated_runtime_s) = (70.0, 70.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             let at = secs(30) + ms(137 * seed);
-            world.after(at, Happening::CancelNow { count: 12, hang: secs(70) });
-            let until = world.now + at + SMALL.cancel + secs(18);
-            world.after(at + ms(1_400), Happening::Outage { until });
+            world.schedule_at(at, SimEvent::CancelNow { count: 12, hang: secs(70) });
+            let until = world.now + at + SMALL.cancel_within + secs(18);
+            world.schedule_at(at + ms(1_400), SimEvent::Outage { until });
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
         assert_eq!(world.effects.compelled_stale, 0, "seed {seed}: {:?}", world.effects);
@@ -240,12 +242,12 @@
             for (round, fenced) in [(0, true), (1, false), (2, true)] {
                 for node in 0..3 {
                     let at = secs(10 + 28 * round + 6 * node as u64) + ms(97 * seed);
-                    world.after(at, Happening::Refence { node, fenced });
+                    world.schedule_at(at, SimEvent::RestartWithFencing { node, fenced });
                 }
             }
-            world.when(Moment::DutyWritten, 2, vec![(ms(0), Happening::Leader(Freeze(secs(20))))]);
+            world.when(Trigger::DutyWritten, 2, vec![(ms(0), SimEvent::FaultLeader(Freeze(secs(20))))]);
         });
-        assert!(world.fenced.iter().all(|fenced| *fenced));
+        assert!(world.fencing.iter().all(|fenced| *fenced));
         assert!(world.records() <= 2, "seed {seed}: {} records are left", world.records());
     }
 }
@@ -271,7 +273,7 @@
     for seed in 0..4 {
         let world = play("strange", FENCED, slow(), seed, |world| {
             strange.iter().for_each(|(key, value)| world.put(key, value));
-            world.after(secs(20), Happening::Leader(End(secs(5))));
+            world.schedule_at(secs(20), SimEvent::FaultLeader(End(secs(5))));
         });
         assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
         for (key, _) in &strange {
@@ -284,12 +286,16 @@
 /// asserts (1 KiB, 4 changes), with leaders that end and are paused.
 #[test]
 fn a_fleet_within_the_limits() {
-    let kind = Kind { fenced: true, ..FLEET };
+    let kind = Deployment { fencing: true, ..FLEET };
     for seed in 0..2 {
-        let mut world = World::of(kind, seed, Troubles { crashes: 2, deaths: 1, ..Troubles::default() });
+        let mut world = World::with_deployment(
+            kind,
+            seed,
+            Faults { node_crashes: 2, machine_deaths: 1, ..Faults::default() },
+        );
         world.plan(60, secs(120));
         for at in [20, 50, 80] {
-            world.after(secs(at), Happening::Leader(Freeze(ms(PAUSE))));
+            world.schedule_at(secs(at), SimEvent::FaultLeader(Freeze(ms(PAUSE))));
         }
         world.run(secs(900));
         assert!(world.settled(), "seed {seed}");
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -9,21 +9,27 @@
 
 use plankhead_core::jobs::job::Priority;
 use std::time::Duration;
-use world::{secs, Happening, Kind, Troubles, World, FLEET, SMALL};
+use world::{secs, Deployment, Faults, SimEvent, World, FLEET, SMALL};
 
 /// Plays histories and expects every job to come to its end.
-fn play(seeds: std::ops::Range<u64>, troubles: Troubles) {
+fn play(seeds: std::ops::Range<u64>, troubles: Faults) {
     play_on(SMALL, 24, seeds, troubles);
 }
 
-fn play_on(kind: Kind, jobs: usize, seeds: std::ops::Range<u64>, troubles: Troubles) {
+fn play_on(kind: Deployment, jobs: usize, seeds: std::ops::Range<u64>, troubles: Faults) {
     play_called(false, kind, jobs, seeds, troubles);
 }
 
 /// `on_demand`: nodes are called when they asked to be, instead of ten times a second.
-fn play_called(on_demand: bool, kind: Kind, jobs: usize, seeds: std::ops::Range<u64>, troubles: Troubles) {
+fn play_called(
+    on_demand: bool,
+    kind: Deployment,
+    jobs: usize,
+    seeds: std::ops::Range<u64>,
+    troubles: Faults,
+) {
     for seed in seeds {
-        let mut world = World::of(kind, seed, troubles);
+        let mut world = World::with_deployment(kind, seed, troubles);
         world.on_demand = on_demand;
         world.plan(jobs, secs(90));
         world.run(secs(1500));
@@ -31,7 +37,7 @@
             world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| (j.id.clone(), j.told)).collect();
         assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.aborting) {
-            let (since, began) = (job.since.unwrap().max(world.calm), job.began.unwrap());
+            let (since, began) = (job.since.unwrap().max(world.calm_at), job.began.unwrap());
             assert!(began <= since + secs(240), "seed {seed}: the large {:?} began late", job.id);
         }
         assert!(world.starts > 0, "nothing_ran");
@@ -40,62 +46,96 @@
 
 #[test]
 fn quiet() {
-    play(0..10, Troubles::default());
+    play(0..10, Faults::default());
 }
 
 /// A node that is called only when it asked to be, or when something comes, forgets
 /// nothing: whatever time alone brings about happens all the same.
 #[test]
 fn nodes_act_when_they_asked_to() {
-    let crashes = Troubles { crashes: 8, all_crash: 1, lost: 0.01, late: 0.5, ..Troubles::default() };
-    let state = Troubles { outages: 3, refusals: 3, crashes: 2, lost: 0.01, ..Troubles::default() };
-    let machines = Troubles { cuts: 4, hangs: 4, deaths: 3, notices: 4, ..Troubles::default() };
-    let alone = Troubles { adrift: 4, apart: 1, node_cuts: 2, ..Troubles::default() };
-    let upgrade = Troubles { upgrade: true, crashes: 2, ..Troubles::default() };
-    for troubles in [Troubles::default(), crashes, state, machines, alone, upgrade] {
+    let crashes = Faults {
+        node_crashes: 8,
+        all_nodes_crash: 1,
+        lost_replies: 0.01,
+        late_requests: 0.5,
+        ..Faults::default()
+    };
+    let state =
+        Faults { kv_outages: 3, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..Faults::default() };
+    let machines = Faults {
+        machine_cuts: 4,
+        machine_hangs: 4,
+        machine_deaths: 3,
+        preemption_notices: 4,
+        ..Faults::default()
+    };
+    let alone = Faults { cut_from_kv_and_peers: 4, worker_partitions: 1, node_cuts: 2, ..Faults::default() };
+    let upgrade = Faults { upgrade: true, node_crashes: 2, ..Faults::default() };
+    for troubles in [Faults::default(), crashes, state, machines, alone, upgrade] {
         play_called(true, SMALL, 24, 0..12, troubles);
     }
 }
 
 #[test]
 fn lost_and_late_replies() {
-    play(0..25, Troubles { lost: 0.05, late: 0.5, ..Troubles::default() });
+    play(0..25, Faults { lost_replies: 0.05, late_requests: 0.5, ..Faults::default() });
 }
 
 #[test]
 fn nodes_crash() {
-    play(0..25, Troubles { crashes: 8, all_crash: 1, lost: 0.01, late: 0.5, ..Troubles::default() });
+    play(
+        0..25,
+        Faults {
+            node_crashes: 8,
+            all_nodes_crash: 1,
+            lost_replies: 0.01,
+            late_requests: 0.5,
+            ..Faults::default()
+        },
+    );
 }
 
 #[test]
 fn state_service_fails() {
-    play(0..25, Troubles { outages: 3, refusals: 3, crashes: 2, lost: 0.01, ..Troubles::default() });
+    play(
+        0..25,
+        Faults { kv_outages: 3, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..Faults::default() },
+    );
 }
 
 #[test]
 fn machines_fail() {
-    play(0..25, Troubles { cuts: 4, hangs: 4, deaths: 3, lost: 0.01, ..Troubles::default() });
+    play(
+        0..25,
+        Faults {
+            machine_cuts: 4,
+            machine_hangs: 4,
+            machine_deaths: 3,
+            lost_replies: 0.01,
+            ..Faults::default()
+        },
+    );
 }
 
 #[test]
 fn everything_fails() {
-    let troubles = Troubles {
-        lost: 0.03,
-        late: 0.5,
-        crashes: 5,
-        all_crash: 1,
-        outages: 2,
-        refusals: 2,
-        cuts: 3,
-        hangs: 3,
-        deaths: 2,
+    let troubles = Faults {
+        lost_replies: 0.03,
+        late_requests: 0.5,
+        node_crashes: 5,
+        all_nodes_crash: 1,
+        kv_outages: 2,
+        kv_refusals: 2,
+        machine_cuts: 3,
+        machine_hangs: 3,
+        machine_deaths: 2,
         node_cuts: 2,
-        deaf: 2,
-        copies: 0.02,
-        adrift: 1,
-        apart: 2,
-        errors: 0.1,
-        ..Troubles::default()
+        dropped_responses: 2,
+        duplicate_heartbeats: 0.02,
+        cut_from_kv_and_peers: 1,
+        worker_partitions: 2,
+        task_errors: 0.1,
+        ..Faults::default()
     };
     play(0..40, troubles);
 }
@@ -104,12 +144,21 @@
 /// leaders: a new one has no newer report to compare them with.
 #[test]
 fn reports_come_again_late() {
-    play(0..25, Troubles { copies: 0.2, crashes: 5, hangs: 3, deaths: 2, ..Troubles::default() });
+    play(
+        0..25,
+        Faults {
+            duplicate_heartbeats: 0.2,
+            node_crashes: 5,
+            machine_hangs: 3,
+            machine_deaths: 2,
+            ..Faults::default()
+        },
+    );
 }
 
 #[test]
 fn machines_hear_nothing() {
-    play(0..25, Troubles { deaf: 5, crashes: 2, ..Troubles::default() });
+    play(0..25, Faults { dropped_responses: 5, node_crashes: 2, ..Faults::default() });
 }
 
 /// Workers that can't reach the leader are heard through another node: none of
@@ -119,7 +168,7 @@
     let mut relayed = 0;
     for seed in std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok()).map_or(0..25, |s: u64| s..s + 1)
     {
-        let mut world = World::new(seed, Troubles { apart: 1, ..Troubles::default() });
+        let mut world = World::new(seed, Faults { worker_partitions: 1, ..Faults::default() });
         world.plan(24, secs(90));
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
@@ -133,9 +182,12 @@
 /// held its workers until a cancellation could have come: 23 s.
 #[test]
 fn nodes_lose_all_but_their_workers() {
-    play(0..25, Troubles { adrift: 4, crashes: 1, lost: 0.01, ..Troubles::default() });
-    let alone = Troubles { adrift: 3, ..Troubles::default() };
-    let refused = Troubles { refusals: 4, ..Troubles::default() };
+    play(
+        0..25,
+        Faults { cut_from_kv_and_peers: 4, node_crashes: 1, lost_replies: 0.01, ..Faults::default() },
+    );
+    let alone = Faults { cut_from_kv_and_peers: 3, ..Faults::default() };
+    let refused = Faults { kv_refusals: 4, ..Faults::default() };
     // Where two are adrift at once, a worker may be sent from one to the other.
     for (troubles, most) in [(alone, 9), (refused, 3)] {
         let mut longest = Duration::ZERO;
@@ -143,7 +195,7 @@
             let mut world = World::new(seed, troubles);
             world.plan(24, secs(90));
             world.run(secs(1500));
-            longest = longest.max(world.held);
+            longest = longest.max(world.longest_heeded);
         }
         assert!(longest > Duration::ZERO && longest < secs(most), "held for {longest:?}");
     }
@@ -154,7 +206,7 @@
 #[test]
 fn a_cut_leader_gives_no_machine_back() {
     for seed in 0..25 {
-        let mut world = World::new(seed, Troubles { node_cuts: 4, ..Troubles::default() });
+        let mut world = World::new(seed, Faults { node_cuts: 4, ..Faults::default() });
         world.plan(24, secs(90));
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
@@ -166,21 +218,21 @@
 /// leaders that crash, some back within a fraction of a second, late copies and cuts.
 #[test]
 fn many_machines_fail_together() {
-    let troubles = Troubles {
-        lost: 0.01,
-        late: 0.5,
-        crashes: 4,
-        all_crash: 1,
-        outages: 1,
-        cuts: 1,
-        hangs: 2,
-        deaths: 2,
+    let troubles = Faults {
+        lost_replies: 0.01,
+        late_requests: 0.5,
+        node_crashes: 4,
+        all_nodes_crash: 1,
+        kv_outages: 1,
+        machine_cuts: 1,
+        machine_hangs: 2,
+        machine_deaths: 2,
         node_cuts: 1,
-        deaf: 1,
-        copies: 0.02,
-        adrift: 1,
-        apart: 1,
-        ..Troubles::default()
+        dropped_responses: 1,
+        duplicate_heartbeats: 0.02,
+        cut_from_kv_and_peers: 1,
+        worker_partitions: 1,
+        ..Faults::default()
     };
     play_on(FLEET, 200, 0..6, troubles);
 }
@@ -193,7 +245,8 @@
         let (mut calm, mut rented) = (0, 0);
         for seed in 0..4 {
             let play = |crashes| {
-                let mut world = World::of(kind, seed, Troubles { crashes, ..Troubles::default() });
+                let mut world =
+                    World::with_deployment(kind, seed, Faults { node_crashes: crashes, ..Faults::default() });
                 world.plan(jobs, secs(90));
                 world.run(secs(1500));
                 assert!(world.settled(), "seed {seed}");
@@ -215,10 +268,19 @@
 /// chunks of 120 tasks were stored before.
 #[test]
 fn an_upgrade_among_troubles() {
-    let upgrade = Troubles { upgrade: true, ..Troubles::default() };
-    let crashes = Troubles { crashes: 8, all_crash: 1, lost: 0.03, late: 0.5, ..upgrade };
-    let state = Troubles { outages: 2, refusals: 3, crashes: 2, lost: 0.01, ..upgrade };
-    let cuts = Troubles { node_cuts: 2, adrift: 2, apart: 2, copies: 0.05, hangs: 3, deaths: 2, ..crashes };
+    let upgrade = Faults { upgrade: true, ..Faults::default() };
+    let crashes =
+        Faults { node_crashes: 8, all_nodes_crash: 1, lost_replies: 0.03, late_requests: 0.5, ..upgrade };
+    let state = Faults { kv_outages: 2, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..upgrade };
+    let cuts = Faults {
+        node_cuts: 2,
+        cut_from_kv_and_peers: 2,
+        worker_partitions: 2,
+        duplicate_heartbeats: 0.05,
+        machine_hangs: 3,
+        machine_deaths: 2,
+        ..crashes
+    };
     for troubles in [upgrade, crashes, state, cuts] {
         play_on(SMALL, 40, 0..15, troubles);
     }
@@ -231,20 +293,20 @@
 fn gangs_save_when_a_machine_is_taken() {
     let (mut saves, mut spoilt) = (0, 0);
     for seed in 0..25 {
-        let mut world = World::new(seed, Troubles { notices: 8, ..Troubles::default() });
+        let mut world = World::new(seed, Faults { preemption_notices: 8, ..Faults::default() });
         world.plan(40, secs(90));
         for job in world.jobs.iter_mut().filter(|j| j.spec.gang) {
             (job.runs, job.spec.estimated_runtime_s, job.spec.allows_spot) = (30.0, 30.0, true);
         }
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
-        (saves, spoilt) = (saves + world.saves, spoilt + world.spoilt);
+        (saves, spoilt) = (saves + world.checkpoints_saved, spoilt + world.checkpoints_lost);
     }
     assert!(saves > 20 && spoilt == 0, "{saves} saved, {spoilt} could not");
 }
 
 /// The rules that histories under these troubles break.
-fn broken(troubles: Troubles) -> Vec<String> {
+fn broken(troubles: Faults) -> Vec<String> {
     let history = |seed| {
         let play = || {
             let mut world = World::new(seed, troubles);
@@ -262,9 +324,9 @@
 /// shifts that have not begun, or answers reach nobody.
 #[test]
 fn false_evidence_is_caught() {
-    let cloud = Troubles { hangs: 10, cuts: 6, lying_cloud: true, ..Troubles::default() };
-    let copies = Troubles { copies: 0.2, lying_copies: true, ..Troubles::default() };
-    let mute = Troubles { unheard: true, ..Troubles::default() };
+    let cloud = Faults { machine_hangs: 10, machine_cuts: 6, lying_cloud: true, ..Faults::default() };
+    let copies = Faults { duplicate_heartbeats: 0.2, lying_copies: true, ..Faults::default() };
+    let mute = Faults { unanswered_first_job: true, ..Faults::default() };
     for (troubles, rules) in
         [(cloud, vec!["ran_twice", "quota"]), (copies, vec!["ran_twice"]), (mute, vec!["forgotten"])]
     {
@@ -279,7 +341,7 @@
 /// log line every 5 s.
 #[test]
 fn an_idle_service_is_quiet() {
-    let mut world = World::new(1, Troubles::default());
+    let mut world = World::new(1, Faults::default());
     world.plan(6, secs(20));
     world.run(secs(300));
     assert!(world.settled());
@@ -298,7 +360,7 @@
 #[test]
 fn urgent_work_makes_room() {
     for (lesser, urgent) in [(false, false), (false, true), (true, false), (true, true)] {
-        let mut world = World::new(2, Troubles::default());
+        let mut world = World::new(2, Faults::default());
         world.capacity = 3;
         world.plan(2, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
@@ -320,7 +382,7 @@
         let which = format!("gangs: {lesser}, {urgent}");
         assert!(world.jobs[1].done_or_cancelled(), "the urgent job waits behind a standard one; {which}");
         assert!(!world.jobs[0].done_or_cancelled(), "{which}");
-        assert_eq!((world.saves, world.spoilt), (u32::from(lesser), 0), "{which}");
+        assert_eq!((world.checkpoints_saved, world.checkpoints_lost), (u32::from(lesser), 0), "{which}");
     }
 }
 
@@ -331,7 +393,7 @@
 #[test]
 fn a_wide_gang_gets_its_machines_in_one_zone() {
     for seed in 0..60 {
-        let mut world = World::new(seed, Troubles { crashes: 2, ..Troubles::default() });
+        let mut world = World::new(seed, Faults { node_crashes: 2, ..Faults::default() });
         world.capacity = 2;
         world.plan(90, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
@@ -362,7 +424,7 @@
 #[test]
 fn small_jobs_do_not_starve_a_wide_one() {
     for seed in 0..6 {
-        let mut world = World::new(seed, Troubles::default());
+        let mut world = World::new(seed, Faults::default());
         world.capacity = 3;
         world.plan(260, secs(1));
         for (n, job) in world.jobs.iter_mut().enumerate() {
@@ -392,13 +454,14 @@
 #[test]
 fn the_only_machine_is_lost() {
     for seed in 0..4 {
-        let kind = Kind { pool: 1, capacity: 1, ..SMALL };
-        let mut world = World::of(kind, seed, Troubles::default());
+        let kind = Deployment { machines_per_pool: 1, max_machines: 1, ..SMALL };
+        let mut world = World::with_deployment(kind, seed, Faults::default());
         world.plan(1, secs(5));
         let job = &mut world.jobs[0];
         (job.spec.tasks, job.spec.spread, job.runs) = (2, false, 40.0);
-        let ends = if seed % 2 == 0 { Happening::Die } else { Happening::Notice { left: secs(0) } };
-        world.after(secs(25), ends);
+        let ends =
+            if seed % 2 == 0 { SimEvent::KillMachine } else { SimEvent::PreemptionNotice { left: secs(0) } };
+        world.schedule_at(secs(25), ends);
         world.run(secs(600));
         let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
         assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
--- a/crates/plankhead-core/tests/large_fleet.rs
+++ b/crates/plankhead-core/tests/large_fleet.rs
@@ -8,18 +8,18 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{secs, Blow, Happening, Kind, Troubles, World, FLEET};
+use world::{secs, Deployment, Fault, Faults, SimEvent, World, FLEET};
 
 const MACHINES: u32 = 4_000;
-const KIND: Kind = Kind {
-    fenced: true,
-    pool: MACHINES / 4,
-    capacity: MACHINES,
-    cap: 80_000.0,
-    write_rps: 200.0,
-    cloud_rps: 40.0,
-    page: 500,
-    look: secs(1),
+const KIND: Deployment = Deployment {
+    fencing: true,
+    machines_per_pool: MACHINES / 4,
+    max_machines: MACHINES,
+    cpu_limit: 80_000.0,
+    kv_changes_per_s: 200.0,
+    cloud_requests_per_s: 40.0,
+    inventory_page: 500,
+    check_interval: secs(1),
     ..FLEET
 };
 /// Jobs of so many tasks, each of which takes a whole machine.
@@ -27,7 +27,7 @@
 
 #[test]
 fn four_thousand_machines() {
-    let mut world = World::of(KIND, 1, Troubles::default());
+    let mut world = World::with_deployment(KIND, 1, Faults::default());
     // Twice as many tasks as machines: the replays ask for the whole fleet.
     let jobs = (MACHINES * 2 / TASKS) as usize;
     world.plan(jobs, secs(1));
@@ -39,7 +39,7 @@
         (spec.zone, spec.single_zone, spec.allows_spot) = (None, false, true);
     }
     // All run when the leader ends: the next one must take up every machine.
-    world.after(secs(55), Happening::Leader(Blow::End(secs(8))));
+    world.schedule_at(secs(55), SimEvent::FaultLeader(Fault::End(secs(8))));
     world.idle(secs(50));
     let running = world.workers.len();
     world.run(secs(600));
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -10,21 +10,21 @@
 
 use plankhead_core::jobs::job::Priority;
 use std::time::Duration;
-use world::Blow::*;
-use world::{ms, secs, Happening, Kind, Moment, Troubles, World, SMALL};
+use world::Fault::*;
+use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
 /// A few machines, teams that are at their limit most of the time.
-const TIGHT: Kind = Kind { cap: 8.0, pool: 3, ..SMALL };
+const TIGHT: Deployment = Deployment { cpu_limit: 8.0, machines_per_pool: 3, ..SMALL };
 
 /// Plays the history until every job has come to its end.
-fn play(name: &str, kind: Kind, troubles: Troubles, seeds: u64, set: impl Fn(&mut World, u64)) {
+fn play(name: &str, kind: Deployment, troubles: Faults, seeds: u64, set: impl Fn(&mut World, u64)) {
     play_jobs(name, kind, troubles, 24, seeds, set);
 }
 
 fn play_jobs(
     name: &str,
-    kind: Kind,
-    troubles: Troubles,
+    kind: Deployment,
+    troubles: Faults,
     jobs: usize,
     seeds: u64,
     set: impl Fn(&mut World, u64),
@@ -32,12 +32,12 @@
     let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
     // A seed asked for may lie beyond those that are always played.
     for seed in only.map_or(0..seeds, |seed| seed..seed + 1) {
-        let mut world = World::of(kind, seed, troubles);
+        let mut world = World::with_deployment(kind, seed, troubles);
         world.plan(jobs, secs(90));
         set(&mut world, seed);
         // The longest of the scripted troubles is over by then.
-        world.calm += secs(90);
-        world.clears = true;
+        world.calm_at += secs(90);
+        world.faults_end = true;
         world.run(secs(1500));
         let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
         if only.is_some() && !left.is_empty() {
@@ -46,7 +46,7 @@
         assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
         assert!(world.starts > 0, "{name}, seed {seed}: nothing_ran");
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.aborting) {
-            let (since, began) = (job.since.unwrap().max(world.calm), job.began.unwrap());
+            let (since, began) = (job.since.unwrap().max(world.calm_at), job.began.unwrap());
             assert!(began <= since + secs(240), "{name}, seed {seed}: the large {:?} began late", job.id);
         }
     }
@@ -75,13 +75,13 @@
 #[test]
 fn the_gap() {
     for (hang, refused, outage) in [(0, 200, 1000), (0, 1300, 1700), (0, 400, 2600), (70, 200, 1000)] {
-        play("gap", SMALL, Troubles::default(), 6, |world, seed| {
+        play("gap", SMALL, Faults::default(), 6, |world, seed| {
             long(world, 70.0);
             let at = secs(30) + ms(137 * seed);
-            world.after(at, Happening::Leader(Refuse(secs(14))));
-            world.after(at + ms(refused), Happening::CancelNow { count: 12, hang: secs(hang) });
-            let until = world.now + at + SMALL.cancel + secs(18);
-            world.after(at + ms(outage), Happening::Outage { until });
+            world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(14))));
+            world.schedule_at(at + ms(refused), SimEvent::CancelNow { count: 12, hang: secs(hang) });
+            let until = world.now + at + SMALL.cancel_within + secs(18);
+            world.schedule_at(at + ms(outage), SimEvent::Outage { until });
         });
     }
 }
@@ -90,14 +90,14 @@
 #[test]
 fn the_gap_begins_with_a_confirmation() {
     for after in [0, 5, 40, 300, 1000] {
-        play("gap", SMALL, Troubles::default(), 6, |world, seed| {
+        play("gap", SMALL, Faults::default(), 6, |world, seed| {
             long(world, 50.0);
-            let until = |w: &World| w.now + secs(40) + SMALL.cancel + secs(18);
-            let outage = Happening::Outage { until: until(world) };
-            let refuse = Happening::Leader(Refuse(secs(14)));
-            world.when(Moment::Cancelled, 1 + seed as u32, vec![(ms(after), refuse)]);
-            world.after(secs(38), Happening::CancelNow { count: 6, hang: Duration::ZERO });
-            world.after(secs(40), outage);
+            let until = |w: &World| w.now + secs(40) + SMALL.cancel_within + secs(18);
+            let outage = SimEvent::Outage { until: until(world) };
+            let refuse = SimEvent::FaultLeader(Refuse(secs(14)));
+            world.when(Trigger::Cancelled, 1 + seed as u32, vec![(ms(after), refuse)]);
+            world.schedule_at(secs(38), SimEvent::CancelNow { count: 6, hang: Duration::ZERO });
+            world.schedule_at(secs(40), outage);
         });
     }
 }
@@ -109,17 +109,17 @@
     let mut lost = 0;
     for pause in [2500, 4500, 6500] {
         for seed in 0..6 {
-            let mut world = World::new(seed, Troubles::default());
+            let mut world = World::new(seed, Faults::default());
             world.plan(24, secs(20));
             long(&mut world, 100.0);
             // From here on the jobs can't be read, while elections go on.
-            world.after(secs(30), Happening::Unreadable { until: world.now + secs(90) });
-            world.after(secs(30) + ms(200), Happening::CancelNow { count: 8, hang: Duration::ZERO });
-            world.after(secs(30) + ms(600), Happening::Leader(End(secs(3))));
+            world.schedule_at(secs(30), SimEvent::RefuseLists { until: world.now + secs(90) });
+            world.schedule_at(secs(30) + ms(200), SimEvent::CancelNow { count: 8, hang: Duration::ZERO });
+            world.schedule_at(secs(30) + ms(600), SimEvent::FaultLeader(End(secs(3))));
             for n in 1..14u64 {
-                world.after(secs(30) + ms(600 + n * pause), Happening::Leader(End(secs(3))));
+                world.schedule_at(secs(30) + ms(600 + n * pause), SimEvent::FaultLeader(End(secs(3))));
             }
-            world.calm += secs(120);
+            world.calm_at += secs(120);
             world.run(secs(1500));
             assert!(world.settled(), "seed {seed}");
             lost += world.cancelled_running();
@@ -133,13 +133,13 @@
 #[test]
 fn a_leader_adrift_while_jobs_are_called_off() {
     for (last, hang) in [(15, 0), (50, 0), (50, 45)] {
-        play("adrift", SMALL, Troubles::default(), 8, |world, seed| {
+        play("adrift", SMALL, Faults::default(), 8, |world, seed| {
             long(world, 60.0);
             let at = secs(30) + ms(210 * seed);
-            world.after(at, Happening::Leader(Adrift(secs(last))));
+            world.schedule_at(at, SimEvent::FaultLeader(Adrift(secs(last))));
             for n in 0..4 {
-                let cancel = Happening::CancelNow { count: 3, hang: secs(hang) };
-                world.after(at + ms(700 + 1700 * n), cancel);
+                let cancel = SimEvent::CancelNow { count: 3, hang: secs(hang) };
+                world.schedule_at(at + ms(700 + 1700 * n), cancel);
             }
         });
     }
@@ -150,16 +150,16 @@
 #[test]
 fn cancellations_as_the_leader_changes() {
     let both = [(false, secs(4)), (true, secs(4)), (true, ms(150))];
-    for (kind, hang) in [(SMALL, secs(0)), (SMALL, SMALL.cancel + secs(8)), (TIGHT, secs(12))] {
+    for (kind, hang) in [(SMALL, secs(0)), (SMALL, SMALL.cancel_within + secs(8)), (TIGHT, secs(12))] {
         for (slow, end) in both {
-            play("handover", kind, Troubles { slow, ..Troubles::default() }, 12, |world, seed| {
+            play("handover", kind, Faults { slow_kv: slow, ..Faults::default() }, 12, |world, seed| {
                 long(world, 40.0);
                 narrow(world);
-                world.after(secs(30), Happening::Leader(End(end)));
-                world.after(secs(30) + ms(200 * seed), Happening::CancelNow { count: 2, hang });
-                let cancel = |n| (ms(n + seed), Happening::CancelNow { count: 1, hang });
+                world.schedule_at(secs(30), SimEvent::FaultLeader(End(end)));
+                world.schedule_at(secs(30) + ms(200 * seed), SimEvent::CancelNow { count: 2, hang });
+                let cancel = |n| (ms(n + seed), SimEvent::CancelNow { count: 1, hang });
                 let steps = [1, 20, 60, 150, 300, 400, 550, 700, 900, 1200, 1600, 2500];
-                world.when(Moment::Won, 2, steps.map(cancel).into());
+                world.when(Trigger::Won, 2, steps.map(cancel).into());
             });
         }
     }
@@ -170,15 +170,21 @@
 #[test]
 fn teams_at_their_limit() {
     for end in [secs(4), ms(100)] {
-        play("limit", TIGHT, Troubles { cuts: 3, deaf: 2, ..Troubles::default() }, 12, |world, seed| {
-            long(world, 15.0);
-            narrow(world);
-            for n in 0..5 {
-                let at = secs(20 + 14 * n) + ms(333 * seed);
-                world.after(at, Happening::CancelNow { count: 3, hang: secs(25) });
-                world.after(at + ms(150 * seed), Happening::Leader(End(end)));
-            }
-        });
+        play(
+            "limit",
+            TIGHT,
+            Faults { machine_cuts: 3, dropped_responses: 2, ..Faults::default() },
+            12,
+            |world, seed| {
+                long(world, 15.0);
+                narrow(world);
+                for n in 0..5 {
+                    let at = secs(20 + 14 * n) + ms(333 * seed);
+                    world.schedule_at(at, SimEvent::CancelNow { count: 3, hang: secs(25) });
+                    world.schedule_at(at + ms(150 * seed), SimEvent::FaultLeader(End(end)));
+                }
+            },
+        );
     }
 }
 
@@ -186,13 +192,13 @@
 /// written; late and lost writes beside it.
 #[test]
 fn the_leader_ends_at_every_step() {
-    let moments = [Moment::Placed, Moment::RunSent, Moment::KillSent, Moment::Finished];
+    let moments = [Trigger::Placed, Trigger::RunSent, Trigger::KillSent, Trigger::Finished];
     for moment in moments {
         for back in [ms(60), secs(5)] {
-            let troubles = Troubles { lost: 0.08, late: 0.7, ..Troubles::default() };
+            let troubles = Faults { lost_replies: 0.08, late_requests: 0.7, ..Faults::default() };
             play("steps", SMALL, troubles, 8, |world, seed| {
                 for nth in [1, 4, 9, 20, 40] {
-                    let end = Happening::Leader(End(back));
+                    let end = SimEvent::FaultLeader(End(back));
                     world.when(moment, nth + seed as u32, vec![(ms(seed % 3 * 2), end)]);
                 }
             });
@@ -205,7 +211,13 @@
 #[test]
 fn lost_answers_under_close_looks() {
     for (late, cancel_at_end) in [(0.0, 0.0), (1.0, 0.0), (0.5, 0.5)] {
-        let troubles = Troubles { lost: 0.1, late, cancel_at_end, close_looks: true, ..Troubles::default() };
+        let troubles = Faults {
+            lost_replies: 0.1,
+            late_requests: late,
+            cancel_at_end,
+            immediate_polls: true,
+            ..Faults::default()
+        };
         play("lost answers", SMALL, troubles, 10, |_, _| {});
     }
 }
@@ -214,12 +226,13 @@
 /// with no other trouble, and then while the leader changes.
 #[test]
 fn requests_meet_the_end() {
-    let troubles = Troubles { cancel_at_end: 1.0, close_looks: true, odd: 40, ..Troubles::default() };
+    let troubles =
+        Faults { cancel_at_end: 1.0, immediate_polls: true, odd_requests: 40, ..Faults::default() };
     play("end", SMALL, troubles, 10, |_, _| {});
     play("end and leader", SMALL, troubles, 10, |world, seed| {
         for nth in [2, 5, 9] {
-            let end = Happening::Leader(End(ms(400)));
-            world.when(Moment::Finished, nth, vec![(ms(3 * seed), end)]);
+            let end = SimEvent::FaultLeader(End(ms(400)));
+            world.when(Trigger::Finished, nth, vec![(ms(3 * seed), end)]);
         }
     });
 }
@@ -228,7 +241,8 @@
 /// answers, or "later" while the state service can't be read; nothing is accepted.
 #[test]
 fn odd_requests_at_any_time() {
-    let troubles = Troubles { odd: 200, crashes: 6, outages: 2, refusals: 2, ..Troubles::default() };
+    let troubles =
+        Faults { odd_requests: 200, node_crashes: 6, kv_outages: 2, kv_refusals: 2, ..Faults::default() };
     play("odd", SMALL, troubles, 12, |_, _| {});
 }
 
@@ -236,11 +250,17 @@
 /// lost or late, and the leader ends.
 #[test]
 fn quick_machines_and_lagging_writes() {
-    let troubles = Troubles { quick: true, slow: true, lost: 0.08, late: 0.8, ..Troubles::default() };
+    let troubles = Faults {
+        quick_boots: true,
+        slow_kv: true,
+        lost_replies: 0.08,
+        late_requests: 0.8,
+        ..Faults::default()
+    };
     play("quick", SMALL, troubles, 12, |world, seed| {
         for nth in [1, 3, 8, 20] {
-            let end = Happening::Leader(End(if seed % 2 == 0 { ms(200) } else { secs(5) }));
-            world.when(Moment::Placed, nth + seed as u32, vec![(ms(seed * 7), end)]);
+            let end = SimEvent::FaultLeader(End(if seed % 2 == 0 { ms(200) } else { secs(5) }));
+            world.when(Trigger::Placed, nth + seed as u32, vec![(ms(seed * 7), end)]);
         }
     });
 }
@@ -249,12 +269,18 @@
 /// leader begins; and one is held back until the new leader has acted.
 #[test]
 fn old_reports_meet_a_new_leader() {
-    let next = Troubles { copies_next: 0.05, errors: 0.2, hangs: 4, crashes: 6, ..Troubles::default() };
+    let next = Faults {
+        duplicates_for_next_leader: 0.05,
+        task_errors: 0.2,
+        machine_hangs: 4,
+        node_crashes: 6,
+        ..Faults::default()
+    };
     play("for the next", SMALL, next, 12, |_, _| {});
-    let held = Troubles { copies: 0.2, cuts: 6, hangs: 3, ..Troubles::default() };
+    let held = Faults { duplicate_heartbeats: 0.2, machine_cuts: 6, machine_hangs: 3, ..Faults::default() };
     play("held back", SMALL, held, 12, |world, seed| {
         for n in 0..4 {
-            world.after(secs(15 + 18 * n) + ms(100 * seed), Happening::Leader(Refuse(secs(4))));
+            world.schedule_at(secs(15 + 18 * n) + ms(100 * seed), SimEvent::FaultLeader(Refuse(secs(4))));
         }
     });
 }
@@ -262,26 +288,35 @@
 /// Jobs of two or three tasks that end far apart, across changes of the leader.
 #[test]
 fn tasks_that_end_far_apart() {
-    play("far apart", SMALL, Troubles { copies: 0.05, ..Troubles::default() }, 10, |world, seed| {
-        for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.tasks = 2 + n as u32 % 2;
-            job.spread = if n % 3 == 0 { 40.0 } else { 12.0 };
-        }
-        for n in 0..8 {
-            world.after(secs(8 + 9 * n) + ms(190 * seed), Happening::Leader(End(ms(100 + 900 * (n % 3)))));
-        }
-    });
+    play(
+        "far apart",
+        SMALL,
+        Faults { duplicate_heartbeats: 0.05, ..Faults::default() },
+        10,
+        |world, seed| {
+            for (n, job) in world.jobs.iter_mut().enumerate() {
+                job.spec.tasks = 2 + n as u32 % 2;
+                job.spread = if n % 3 == 0 { 40.0 } else { 12.0 };
+            }
+            for n in 0..8 {
+                world.schedule_at(
+                    secs(8 + 9 * n) + ms(190 * seed),
+                    SimEvent::FaultLeader(End(ms(100 + 900 * (n % 3)))),
+                );
+            }
+        },
+    );
 }
 
 /// Workers can't open connections to any node, while direct commands reach them; and a
 /// leader changes meanwhile, jobs are called off.
 #[test]
 fn mute_machines() {
-    let troubles = Troubles { mute: 8, cancels: 4, ..Troubles::default() };
+    let troubles = Faults { dropped_heartbeats: 8, cancel_bursts: 4, ..Faults::default() };
     play("mute", SMALL, troubles, 12, |world, seed| {
         long(world, 20.0);
         if seed % 2 == 0 {
-            world.after(secs(40), Happening::Leader(End(secs(4))));
+            world.schedule_at(secs(40), SimEvent::FaultLeader(End(secs(4))));
         }
     });
 }
@@ -291,11 +326,20 @@
 #[test]
 fn machines_out_of_reach_of_a_new_leader() {
     for (cuts, deaf, mute) in [(6, 0, 0), (0, 6, 0), (2, 2, 2)] {
-        let troubles = Troubles { cuts, deaf, mute, cancels: 3, ..Troubles::default() };
+        let troubles = Faults {
+            machine_cuts: cuts,
+            dropped_responses: deaf,
+            dropped_heartbeats: mute,
+            cancel_bursts: 3,
+            ..Faults::default()
+        };
         play("out of reach", SMALL, troubles, 10, |world, seed| {
             long(world, 30.0);
             for n in 0..3 {
-                world.after(secs(20 + 22 * n) + ms(300 * seed), Happening::Leader(End(secs(1 + 2 * n))));
+                world.schedule_at(
+                    secs(20 + 22 * n) + ms(300 * seed),
+                    SimEvent::FaultLeader(End(secs(1 + 2 * n))),
+                );
             }
         });
     }
@@ -305,7 +349,13 @@
 /// leaders change.
 #[test]
 fn commands_held_up() {
-    let troubles = Troubles { held: 0.3, hangs: 5, cancels: 3, crashes: 4, ..Troubles::default() };
+    let troubles = Faults {
+        delayed_commands: 0.3,
+        machine_hangs: 5,
+        cancel_bursts: 3,
+        node_crashes: 4,
+        ..Faults::default()
+    };
     play("held up", SMALL, troubles, 16, |_, _| {});
 }
 
@@ -313,7 +363,8 @@
 /// zone, arrays too, lose machines there.
 #[test]
 fn a_zone_cut_off() {
-    let troubles = Troubles { zone_cuts: 2, deaths: 2, cancels: 3, crashes: 1, ..Troubles::default() };
+    let troubles =
+        Faults { zone_cuts: 2, machine_deaths: 2, cancel_bursts: 3, node_crashes: 1, ..Faults::default() };
     play("zone", SMALL, troubles, 16, |world, _| {
         for (n, job) in world.jobs.iter_mut().enumerate() {
             job.spec.single_zone |= n % 2 == 0;
@@ -328,15 +379,15 @@
 /// second; jobs are called off just before and after.
 #[test]
 fn all_nodes_away() {
-    let troubles = Troubles { aways: 2, cancels: 4, ..Troubles::default() };
+    let troubles = Faults { all_nodes_away: 2, cancel_bursts: 4, ..Faults::default() };
     play("away", SMALL, troubles, 12, |world, _| long(world, 25.0));
-    play("one is back", SMALL, Troubles { cancels: 3, ..Troubles::default() }, 12, |world, seed| {
+    play("one is back", SMALL, Faults { cancel_bursts: 3, ..Faults::default() }, 12, |world, seed| {
         for n in 0..3 {
             let at = secs(15 + 25 * n) + ms(170 * seed);
             // The leader is back at once, the others seconds later.
-            world.after(at, Happening::Leader(End(ms(80 + 120 * n))));
-            world.after(at + ms(40), Happening::Away { last: secs(5) });
-            world.after(at + ms(600), Happening::Leader(End(ms(100))));
+            world.schedule_at(at, SimEvent::FaultLeader(End(ms(80 + 120 * n))));
+            world.schedule_at(at + ms(40), SimEvent::StopAllNodes { last: secs(5) });
+            world.schedule_at(at + ms(600), SimEvent::FaultLeader(End(ms(100))));
         }
     });
 }
@@ -345,16 +396,16 @@
 #[test]
 fn ten_leaders_in_two_minutes() {
     for outage in [false, true] {
-        let troubles = Troubles { copies_next: 0.01, cancels: 4, ..Troubles::default() };
+        let troubles = Faults { duplicates_for_next_leader: 0.01, cancel_bursts: 4, ..Faults::default() };
         play("ten leaders", SMALL, troubles, 10, |world, seed| {
             for n in 0..10 {
                 let back = if n % 2 == 0 { ms(100) } else { secs(6) };
-                world.after(secs(10 + 12 * n) + ms(250 * seed), Happening::Leader(End(back)));
+                world.schedule_at(secs(10 + 12 * n) + ms(250 * seed), SimEvent::FaultLeader(End(back)));
             }
             if outage {
                 for at in [33, 80] {
                     let until = world.now + secs(at + 25);
-                    world.after(secs(at), Happening::Outage { until });
+                    world.schedule_at(secs(at), SimEvent::Outage { until });
                 }
             }
         });
@@ -365,26 +416,32 @@
 /// longer than `cancel_s`, while users cancel and ask.
 #[test]
 fn slow_then_refused_then_out() {
-    let troubles =
-        Troubles { slow: true, close_looks: true, cancels: 5, cancel_at_end: 0.3, ..Troubles::default() };
+    let troubles = Faults {
+        slow_kv: true,
+        immediate_polls: true,
+        cancel_bursts: 5,
+        cancel_at_end: 0.3,
+        ..Faults::default()
+    };
     play("slow", SMALL, troubles, 8, |world, seed| {
         long(world, 20.0);
         let at = secs(35) + ms(400 * seed);
-        world.after(at, Happening::Leader(Refuse(secs(14))));
-        let until = world.now + at + SMALL.cancel + secs(12);
-        world.after(at + ms(500 + 300 * seed), Happening::Outage { until });
+        world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(14))));
+        let until = world.now + at + SMALL.cancel_within + secs(12);
+        world.schedule_at(at + ms(500 + 300 * seed), SimEvent::Outage { until });
     });
 }
 
 /// One-task jobs come four a second for two minutes, a quarter of them is called off.
 #[test]
 fn a_stream_of_small_jobs() {
-    for troubles in
-        [Troubles::default(), Troubles { crashes: 4, lost: 0.02, late: 0.5, ..Troubles::default() }]
-    {
+    for troubles in [
+        Faults::default(),
+        Faults { node_crashes: 4, lost_replies: 0.02, late_requests: 0.5, ..Faults::default() },
+    ] {
         play_jobs(
             "stream",
-            Kind { cap: 48.0, pool: 6, capacity: 20, ..SMALL },
+            Deployment { cpu_limit: 48.0, machines_per_pool: 6, max_machines: 20, ..SMALL },
             troubles,
             480,
             2,
@@ -397,9 +454,9 @@
                 for n in 0..480 {
                     world.arrive(n, ms(500 + 250 * n as u64));
                     if n % 4 == 1 {
-                        world.after(
+                        world.schedule_at(
                             ms(500 + 250 * n as u64 + 90 * (n as u64 % 50)),
-                            Happening::Abort { job: n },
+                            SimEvent::Cancel { job: n },
                         );
                     }
                 }
@@ -411,53 +468,66 @@
 /// More work than room, urgent and not, over slow and lossy calls: everybody's turn comes.
 #[test]
 fn more_work_than_room() {
-    let troubles = Troubles { slow: true, held: 0.1, lost: 0.03, late: 0.5, ..Troubles::default() };
-    play_jobs("overload", Kind { cap: 16.0, pool: 1, capacity: 4, ..SMALL }, troubles, 60, 4, |world, _| {
-        for (n, job) in world.jobs.iter_mut().enumerate() {
-            job.spec.priority = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
-            (job.runs, job.spec.estimated_runtime_s) = (4.0, 4.0);
-            if job.spec.gang {
-                job.spec.tasks = job.spec.tasks.min(4);
+    let troubles = Faults {
+        slow_kv: true,
+        delayed_commands: 0.1,
+        lost_replies: 0.03,
+        late_requests: 0.5,
+        ..Faults::default()
+    };
+    play_jobs(
+        "overload",
+        Deployment { cpu_limit: 16.0, machines_per_pool: 1, max_machines: 4, ..SMALL },
+        troubles,
+        60,
+        4,
+        |world, _| {
+            for (n, job) in world.jobs.iter_mut().enumerate() {
+                job.spec.priority = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
+                (job.runs, job.spec.estimated_runtime_s) = (4.0, 4.0);
+                if job.spec.gang {
+                    job.spec.tasks = job.spec.tasks.min(4);
+                }
             }
-        }
-    });
+        },
+    );
 }
 
 /// A process whose processor time is used up sends starts with the answers to reports
 /// alone; kills still go at once, and nothing is late by the rules for it.
 #[test]
 fn what_gives_way_when_the_process_is_behind() {
-    let troubles = Troubles { cancels: 3, hangs: 2, crashes: 2, ..Troubles::default() };
-    play("behind", SMALL, troubles, 8, |world, _| world.lag = ms(400));
+    let troubles = Faults { cancel_bursts: 3, machine_hangs: 2, node_crashes: 2, ..Faults::default() };
+    play("behind", SMALL, troubles, 8, |world, _| world.timer_lag = ms(400));
 }
 
 /// Any two or three troubles together, with cancellations and close looks.
 #[test]
 fn any_troubles_together() {
     for seed in 0..90u64 {
-        let mut t = Troubles { cancels: 2, ..Troubles::default() };
+        let mut t = Faults { cancel_bursts: 2, ..Faults::default() };
         for pick in [seed % 15, (seed / 15 * 4 + seed * 7 + 1) % 15, (seed * 11 + 5) % 15] {
             match pick {
-                0 => t.crashes = 5,
-                1 => t.outages = 2,
-                2 => t.refusals = 3,
-                3 => t.cuts = 4,
-                4 => t.hangs = 4,
-                5 => (t.lost, t.late) = (0.05, 0.7),
-                6 => t.copies = 0.1,
-                7 => t.copies_next = 0.03,
-                8 => t.deaf = 3,
-                9 => t.mute = 3,
-                10 => t.adrift = 2,
+                0 => t.node_crashes = 5,
+                1 => t.kv_outages = 2,
+                2 => t.kv_refusals = 3,
+                3 => t.machine_cuts = 4,
+                4 => t.machine_hangs = 4,
+                5 => (t.lost_replies, t.late_requests) = (0.05, 0.7),
+                6 => t.duplicate_heartbeats = 0.1,
+                7 => t.duplicates_for_next_leader = 0.03,
+                8 => t.dropped_responses = 3,
+                9 => t.dropped_heartbeats = 3,
+                10 => t.cut_from_kv_and_peers = 2,
                 11 => t.zone_cuts = 1,
-                12 => (t.close_looks, t.odd, t.cancel_at_end) = (true, 30, 0.5),
-                13 => (t.quick, t.slow, t.held) = (true, true, 0.2),
-                _ => (t.aways, t.apart) = (1, 2),
+                12 => (t.immediate_polls, t.odd_requests, t.cancel_at_end) = (true, 30, 0.5),
+                13 => (t.quick_boots, t.slow_kv, t.delayed_commands) = (true, true, 0.2),
+                _ => (t.all_nodes_away, t.worker_partitions) = (1, 2),
             }
         }
         let mut world = World::new(seed, t);
         world.plan(24, secs(90));
-        world.clears = true;
+        world.faults_end = true;
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}: {t:?}");
     }
@@ -469,11 +539,11 @@
 #[test]
 fn a_leader_comes_just_before_a_cancellation_is_due() {
     for away in [32_500, 33_500, 34_300, 35_000] {
-        play("just before", SMALL, Troubles::default(), 6, |world, seed| {
+        play("just before", SMALL, Faults::default(), 6, |world, seed| {
             long(world, 70.0);
             let at = secs(30) + ms(137 * seed);
-            world.after(at, Happening::CancelNow { count: 12, hang: secs(60) });
-            world.after(at + ms(50), Happening::Away { last: ms(away) });
+            world.schedule_at(at, SimEvent::CancelNow { count: 12, hang: secs(60) });
+            world.schedule_at(at + ms(50), SimEvent::StopAllNodes { last: ms(away) });
         });
     }
 }
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -11,11 +11,11 @@
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::{Action, Permission, PermissionTable};
 use std::time::Duration;
-use world::cuts::{How, Link, HOWS, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
-use world::Blow::*;
-use world::{ms, secs, Happening, Kind, Moment, Troubles, World, FLEET, SMALL};
+use world::cuts::{CutMode, Link, CUT_MODES, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
+use world::Fault::*;
+use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, FLEET, SMALL};
 
-const REACH: Kind = Kind { reach: true, ..SMALL };
+const REACH: Deployment = Deployment { reachability: true, ..SMALL };
 const ALL_LINKS: [Link; 10] = [
     Link::Reads,
     Link::Writes,
@@ -43,12 +43,12 @@
 ];
 
 /// Plays a history until every job has come to its end.
-fn play(name: &str, kind: Kind, troubles: Troubles, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::of(kind, seed, troubles);
+fn play(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+    let mut world = World::with_deployment(kind, seed, troubles);
     world.plan(24, secs(90));
     set(&mut world);
-    world.calm += secs(60);
-    world.clears = true;
+    world.calm_at += secs(60);
+    world.faults_end = true;
     world.run(secs(1500));
     let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
     assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
@@ -60,11 +60,11 @@
 #[test]
 fn each_link_of_the_leader_cut_alone() {
     for links in SINGLE {
-        for how in HOWS {
+        for how in CUT_MODES {
             for seed in 0..3 {
                 let name = format!("{links:?} {how:?}");
-                play(&name, REACH, Troubles { cancels: 2, ..Troubles::default() }, seed, |world| {
-                    world.after(secs(25), Happening::Leader(CutLinks(links, how, secs(25))));
+                play(&name, REACH, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
+                    world.schedule_at(secs(25), SimEvent::FaultLeader(CutLinks(links, how, secs(25))));
                 });
             }
         }
@@ -77,9 +77,9 @@
 fn links_flap() {
     for period in [ms(700), ms(1_500), ms(2_000), ms(4_000), ms(10_000), ms(20_000)] {
         for (seed, links) in [(0, &STATE_LINKS[..]), (1, &WORKER_LINKS[..]), (2, &ALL_LINKS[..])] {
-            for how in HOWS {
+            for how in CUT_MODES {
                 let name = format!("flap {period:?} {links:?} {how:?}");
-                play(&name, REACH, Troubles { cancels: 1, ..Troubles::default() }, seed, |world| {
+                play(&name, REACH, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
                     for node in 0..3 {
                         let from = 10 + 30 * node as u64;
                         world.flap(node, links, how, period, (from, from + 30));
@@ -94,11 +94,11 @@
 #[test]
 fn every_node_sees_another_half() {
     for seed in 0..8 {
-        play("halves", REACH, Troubles { cancels: 2, ..Troubles::default() }, seed, |world| {
+        play("halves", REACH, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
             let (state, workers) = (&STATE_LINKS[..], &WORKER_LINKS[..]);
-            world.cut_links((seed % 3) as usize, state, HOWS[(seed % 3) as usize], (20, 50));
-            world.cut_links(((seed + 1) % 3) as usize, workers, How::Stall, (22, 52));
-            world.cut_links(((seed + 2) % 3) as usize, &[Link::Writes], How::Refuse, (24, 48));
+            world.cut_links((seed % 3) as usize, state, CUT_MODES[(seed % 3) as usize], (20, 50));
+            world.cut_links(((seed + 1) % 3) as usize, workers, CutMode::Stall, (22, 52));
+            world.cut_links(((seed + 2) % 3) as usize, &[Link::Writes], CutMode::Refuse, (24, 48));
         });
     }
 }
@@ -107,10 +107,10 @@
 #[test]
 fn half_of_the_workers_beyond_each_of_two_nodes() {
     for seed in 0..8 {
-        let world = play("beyond", REACH, Troubles::default(), seed, |world| {
+        let world = play("beyond", REACH, Faults::default(), seed, |world| {
             world.other_half[1] = true;
             for node in 0..2 {
-                world.after(secs(20), Happening::Part { node, until: world.now + secs(70) });
+                world.schedule_at(secs(20), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
             }
         });
         assert!(world.terms <= 4, "seed {seed}: {} terms", world.terms);
@@ -119,15 +119,15 @@
 
 /// The leader hears no worker: it hands over to a node that does, soon, and only once.
 /// Gives the longest time until another leads.
-fn blind_leader(kind: Kind) -> (Duration, u32) {
+fn blind_leader(kind: Deployment) -> (Duration, u32) {
     let (mut longest, mut terms) = (Duration::ZERO, 0);
     for seed in 0..10 {
-        let mut world = World::of(kind, seed, Troubles::default());
+        let mut world = World::with_deployment(kind, seed, Faults::default());
         world.plan(24, secs(90));
         world.idle(secs(30));
         let before = world.leader().unwrap();
         let (cut_at, first) = (world.now, world.terms);
-        world.after(ms(0), Happening::Leader(CutLinks(&WORKER_LINKS, How::Stall, secs(60))));
+        world.schedule_at(ms(0), SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(60))));
         while world.leader().is_none_or(|node| node == before) && world.now < cut_at + secs(40) {
             world.idle(ms(50));
         }
@@ -151,10 +151,13 @@
 #[test]
 fn the_best_placed_node_dies_in_the_hand_over() {
     for seed in 0..8 {
-        play("dies", REACH, Troubles::default(), seed, |world| {
-            world.after(secs(25), Happening::Leader(CutLinks(&WORKER_LINKS, How::Stall, secs(40))));
+        play("dies", REACH, Faults::default(), seed, |world| {
+            world.schedule_at(
+                secs(25),
+                SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(40))),
+            );
             for nth in 2..=3 {
-                world.when(Moment::Won, nth, vec![(ms(2), Happening::Leader(End(secs(5))))]);
+                world.when(Trigger::Won, nth, vec![(ms(2), SimEvent::FaultLeader(End(secs(5))))]);
             }
         });
     }
@@ -164,12 +167,12 @@
 #[test]
 fn cuts_heal_within_elections() {
     for seed in 0..10 {
-        let how = HOWS[(seed % 3) as usize];
-        play("heals", REACH, Troubles { crashes: 6, ..Troubles::default() }, seed, |world| {
+        let how = CUT_MODES[(seed % 3) as usize];
+        play("heals", REACH, Faults { node_crashes: 6, ..Faults::default() }, seed, |world| {
             for nth in 1..=6 {
                 for after in [0, 40, 400] {
                     let blow = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
-                    world.when(Moment::Won, nth, vec![(ms(after), Happening::Leader(blow))]);
+                    world.when(Trigger::Won, nth, vec![(ms(after), SimEvent::FaultLeader(blow))]);
                 }
             }
         });
@@ -180,11 +183,14 @@
 #[test]
 fn a_paused_process_is_whole_soon_after() {
     for seed in 0..6 {
-        let mut world = World::of(REACH, seed, Troubles::default());
+        let mut world = World::with_deployment(REACH, seed, Faults::default());
         world.plan(24, secs(90));
         world.idle(secs(30));
         for node in 0..3 {
-            world.after(ms(100 * node as u64), Happening::Freeze { node, last: secs(4 + 3 * node as u64) });
+            world.schedule_at(
+                ms(100 * node as u64),
+                SimEvent::PauseProcess { node, last: secs(4 + 3 * node as u64) },
+            );
         }
         world.idle(secs(13));
         let modes: Vec<_> = (0..3).map(|node| world.mode_of(node)).collect();
@@ -204,15 +210,15 @@
         (&ALL_LINKS[..7], Mode::Isolated),
     ];
     for (links, mode) in cases {
-        for how in HOWS {
-            let mut world = World::of(REACH, 4, Troubles::default());
+        for how in CUT_MODES {
+            let mut world = World::with_deployment(REACH, 4, Faults::default());
             world.plan(24, secs(90));
             world.idle(secs(40));
             let leader = world.leader().unwrap();
             for link in links {
                 let until = world.now + secs(4);
                 let cut = world::cuts::LinkCut { node: leader, link: *link, how, until };
-                world.after(ms(0), Happening::CutLink(cut));
+                world.schedule_at(ms(0), SimEvent::CutLink(cut));
             }
             let mut seen = Vec::new();
             for _ in 0..40 {
@@ -226,10 +232,10 @@
 }
 
 /// Changes of mode in an hour of node time without any cut.
-fn wrong_changes(troubles: Troubles) -> u32 {
+fn wrong_changes(troubles: Faults) -> u32 {
     let mut changes = 0;
     for seed in 0..10 {
-        let mut world = World::of(REACH, seed, troubles);
+        let mut world = World::with_deployment(REACH, seed, troubles);
         world.plan(24, secs(90));
         let mut modes = [Some(Mode::Whole); 3];
         for _ in 0..1_200 {
@@ -247,13 +253,13 @@
 /// No link is cut: modes change by chance only. Each spell counts twice, there and back.
 #[test]
 fn jitter_alone_changes_few_modes() {
-    let lossy = Troubles { lost: 0.02, copies: 0.02, ..Troubles::default() };
+    let lossy = Faults { lost_replies: 0.02, duplicate_heartbeats: 0.02, ..Faults::default() };
     // One call in fifty is lost: two in a row are taken for a cut. 12 were seen.
     let changes = wrong_changes(lossy);
     assert!(changes <= 24, "{changes} changes in an hour, lossy");
     // Replies take up to 1.5 s, longer than calls are waited for in the service: 10, 18 and
     // 36 were seen, as the events fell. A bound for gross faults only.
-    let changes = wrong_changes(Troubles { slow: true, ..lossy });
+    let changes = wrong_changes(Faults { slow_kv: true, ..lossy });
     assert!(changes <= 60, "{changes} changes in an hour, slow and lossy");
 }
 
@@ -264,16 +270,16 @@
     const BLIND: [Link; 6] =
         [Link::Reads, Link::Writes, Link::Watch, Link::Renewal, Link::PeersIn, Link::PeersOut];
     for seed in 0..12 {
-        let how = HOWS[(seed % 3) as usize];
-        play("elsewhere", REACH, Troubles::default(), seed, |world| {
+        let how = CUT_MODES[(seed % 3) as usize];
+        play("elsewhere", REACH, Faults::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
                 (job.runs, job.spec.estimated_runtime_s) = (40.0, 40.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
-            world.after(secs(30), Happening::Leader(CutLinks(&BLIND, how, secs(45))));
+            world.schedule_at(secs(30), SimEvent::FaultLeader(CutLinks(&BLIND, how, secs(45))));
             for n in 0..4 {
                 let hang = if n % 2 == 0 { secs(0) } else { secs(20) };
-                world.after(secs(31 + 2 * n), Happening::CancelNow { count: 2, hang });
+                world.schedule_at(secs(31 + 2 * n), SimEvent::CancelNow { count: 2, hang });
             }
         });
     }
@@ -282,15 +288,15 @@
 /// The holder of open duties goes half-blind at each step of them.
 #[test]
 fn open_duties_of_a_half_blind_holder() {
-    let kind = Kind { fenced: true, capacity: 6, cloud_rps: 10.0, ..REACH };
-    for moment in [Moment::DutySent, Moment::DutyWritten, Moment::CloudCalled] {
+    let kind = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
+    for moment in [Trigger::DutySent, Trigger::DutyWritten, Trigger::CloudCalled] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
-                let how = HOWS[(seed % 3) as usize];
+                let how = CUT_MODES[(seed % 3) as usize];
                 let world =
-                    play("duties", kind, Troubles { cancels: 1, ..Troubles::default() }, seed, |world| {
+                    play("duties", kind, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
                         for nth in [2, 4, 6] {
-                            let blow = Happening::Leader(CutLinks(links, how, secs(8)));
+                            let blow = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
                             world.when(moment, nth, vec![(ms(0), blow)]);
                         }
                     });
@@ -307,17 +313,23 @@
     let factor: u64 = std::env::var("WORLD_CUTS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let mut cuts = 0;
     for seed in 0..20 * factor {
-        let troubles = Troubles { crashes: 1, cancels: 2, lost: 0.005, hangs: 1, ..Troubles::default() };
+        let troubles = Faults {
+            node_crashes: 1,
+            cancel_bursts: 2,
+            lost_replies: 0.005,
+            machine_hangs: 1,
+            ..Faults::default()
+        };
         play("many", REACH, troubles, seed, |world| {
             for n in 0..16 {
                 // A number for each choice, without a second source of chance.
                 let draw = (seed * 16 + n).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
                 let node = (draw % 3) as usize;
                 let link = ALL_LINKS[(draw / 3 % 10) as usize];
-                let how = HOWS[(draw / 30 % 3) as usize];
+                let how = CUT_MODES[(draw / 30 % 3) as usize];
                 let from = ms(8_000 + 5_000 * n + draw / 90 % 5_000);
                 let until = world.now + from + ms(200 + draw / 450 % 15_000);
-                world.after(from, Happening::CutLink(world::cuts::LinkCut { node, link, how, until }));
+                world.schedule_at(from, SimEvent::CutLink(world::cuts::LinkCut { node, link, how, until }));
             }
         });
         cuts += 16;
@@ -328,12 +340,12 @@
 /// A large fleet, half of which is beyond the leader.
 #[test]
 fn half_of_a_fleet_beyond_the_leader() {
-    let kind = Kind { reach: true, ..FLEET };
+    let kind = Deployment { reachability: true, ..FLEET };
     for seed in 0..2 {
-        play("fleet", kind, Troubles { cancels: 1, ..Troubles::default() }, seed, |world| {
+        play("fleet", kind, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
             world.other_half[2] = true;
             for node in [0, 2] {
-                world.after(secs(30), Happening::Part { node, until: world.now + secs(70) });
+                world.schedule_at(secs(30), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
             }
         });
     }
@@ -346,11 +358,17 @@
         play(
             "upgrade",
             REACH,
-            Troubles { upgrade: true, crashes: 1, ..Troubles::default() },
+            Faults { upgrade: true, node_crashes: 1, ..Faults::default() },
             seed,
             |world| {
-                world.after(secs(20), Happening::Leader(CutLinks(&WORKER_LINKS, How::Stall, secs(20))));
-                world.after(secs(60), Happening::Leader(CutLinks(&PEER_LINKS, How::Stall, secs(20))));
+                world.schedule_at(
+                    secs(20),
+                    SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(20))),
+                );
+                world.schedule_at(
+                    secs(60),
+                    SimEvent::FaultLeader(CutLinks(&PEER_LINKS, CutMode::Stall, secs(20))),
+                );
             },
         );
     }
@@ -364,15 +382,15 @@
     let play_gap = |table: &PermissionTable, seed: u64| {
         let table = table.clone();
         std::panic::catch_unwind(move || {
-            play("gap", REACH, Troubles::default(), seed, |world| {
+            play("gap", REACH, Faults::default(), seed, |world| {
                 world.table = table.clone();
                 for job in world.jobs.iter_mut() {
                     (job.runs, job.spec.estimated_runtime_s) = (60.0, 60.0);
                     job.spec.tasks = job.spec.tasks.min(4);
                 }
-                world.after(secs(30), Happening::Leader(Refuse(secs(70))));
-                world.after(ms(30_300), Happening::CancelNow { count: 3, hang: secs(0) });
-                world.after(secs(31), Happening::Outage { until: world.now + secs(90) });
+                world.schedule_at(secs(30), SimEvent::FaultLeader(Refuse(secs(70))));
+                world.schedule_at(ms(30_300), SimEvent::CancelNow { count: 3, hang: secs(0) });
+                world.schedule_at(secs(31), SimEvent::Outage { until: world.now + secs(90) });
             });
         })
     };
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -17,29 +17,29 @@
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
-use world::cuts::{How, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
-use world::shards::Whom::{self, NextHolder, OldHolder};
-use world::Blow::{self, *};
-use world::{ms, secs, Happening, Kind, Moment, Troubles, World, FLEET, SMALL};
+use world::cuts::{CutMode, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
+use world::shards::ShardParty::{self, NextHolder, OldHolder};
+use world::Fault::{self, *};
+use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, FLEET, SMALL};
 
 /// Machines divided, a shard moved every two and a half seconds.
-const MOVING: Kind = Kind { shards: true, rotate: Some(ms(2500)), ..SMALL };
+const MOVING: Deployment = Deployment { sharding: true, rotate_shards: Some(ms(2500)), ..SMALL };
 /// The same with nothing moved on purpose.
-const RESTING: Kind = Kind { rotate: None, ..MOVING };
+const RESTING: Deployment = Deployment { rotate_shards: None, ..MOVING };
 /// Teams that are at their limit most of the time.
-const TIGHT: Kind = Kind { cap: 8.0, pool: 3, ..MOVING };
+const TIGHT: Deployment = Deployment { cpu_limit: 8.0, machines_per_pool: 3, ..MOVING };
 
 /// Seeds played beside those of CI.
 fn more(seeds: u64) -> u64 {
     std::env::var("WORLD_SHARD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(seeds)
 }
 
-fn play_one(name: &str, kind: Kind, troubles: Troubles, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::of(kind, seed, troubles);
+fn play_one(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+    let mut world = World::with_deployment(kind, seed, troubles);
     world.plan(24, secs(90));
     set(&mut world);
-    world.calm += secs(90);
-    world.clears = true;
+    world.calm_at += secs(90);
+    world.faults_end = true;
     world.run(secs(1500));
     let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
     assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
@@ -48,7 +48,7 @@
 }
 
 /// Plays histories until every job has come to its end; how often a shard changed hands.
-fn play(name: &str, kind: Kind, troubles: Troubles, seeds: u64, set: impl Fn(&mut World)) -> u32 {
+fn play(name: &str, kind: Deployment, troubles: Faults, seeds: u64, set: impl Fn(&mut World)) -> u32 {
     let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
     let seeds = only.map_or(0..more(seeds), |seed| seed..seed + 1);
     seeds.map(|seed| play_one(name, kind, troubles, seed, &set).shard_moves).sum()
@@ -58,12 +58,37 @@
 /// none runs twice.
 #[test]
 fn shards_move_under_load_and_troubles() {
-    let crashes = Troubles { crashes: 6, all_crash: 1, lost: 0.02, late: 0.5, ..Troubles::default() };
-    let pauses = Troubles { refusals: 2, outages: 1, adrift: 2, lost: 0.01, ..Troubles::default() };
-    let machines = Troubles { cuts: 3, hangs: 4, deaths: 2, notices: 3, deaf: 1, ..Troubles::default() };
-    let network =
-        Troubles { node_cuts: 2, apart: 2, zone_cuts: 1, copies: 0.1, held: 0.1, ..Troubles::default() };
-    let quiet = play("quiet", MOVING, Troubles::default(), 6, |_| {});
+    let crashes = Faults {
+        node_crashes: 6,
+        all_nodes_crash: 1,
+        lost_replies: 0.02,
+        late_requests: 0.5,
+        ..Faults::default()
+    };
+    let pauses = Faults {
+        kv_refusals: 2,
+        kv_outages: 1,
+        cut_from_kv_and_peers: 2,
+        lost_replies: 0.01,
+        ..Faults::default()
+    };
+    let machines = Faults {
+        machine_cuts: 3,
+        machine_hangs: 4,
+        machine_deaths: 2,
+        preemption_notices: 3,
+        dropped_responses: 1,
+        ..Faults::default()
+    };
+    let network = Faults {
+        node_cuts: 2,
+        worker_partitions: 2,
+        zone_cuts: 1,
+        duplicate_heartbeats: 0.1,
+        delayed_commands: 0.1,
+        ..Faults::default()
+    };
+    let quiet = play("quiet", MOVING, Faults::default(), 6, |_| {});
     assert!(quiet >= 6 * 20, "{quiet} moves");
     for (name, troubles) in
         [("crashes", crashes), ("pauses", pauses), ("machines", machines), ("network", network)]
@@ -71,7 +96,10 @@
         let moves = play(name, MOVING, troubles, 6, |world| {
             for n in 0..4 {
                 let node = (n % 3) as usize;
-                world.after(secs(20 + 17 * n), Happening::Freeze { node, last: ms(1_000 + 700 * n) });
+                world.schedule_at(
+                    secs(20 + 17 * n),
+                    SimEvent::PauseProcess { node, last: ms(1_000 + 700 * n) },
+                );
             }
         });
         assert!(moves >= 6 * 10, "{name}: {moves} moves");
@@ -92,13 +120,13 @@
                     }
                 }
             };
-            play_one("urgent", kind, Troubles::default(), seed, steady).urgent_wait
+            play_one("urgent", kind, Faults::default(), seed, steady).urgent_wait
         });
         waits.max().unwrap()
     };
     let (resting, moving) = (longest(RESTING), longest(MOVING));
     println!("the longest urgent wait beside room: {resting:?} resting, {moving:?} moving");
-    let allowed = resting + MOVING.report.mul_f64(1.25) + ms(100);
+    let allowed = resting + MOVING.heartbeat_interval.mul_f64(1.25) + ms(100);
     assert!(moving <= allowed, "{moving:?} with moves, {resting:?} without");
 }
 
@@ -111,9 +139,9 @@
 
 /// From a controller's end to the next start on machines that it answered, in each of some
 /// histories of steady load, shortest first. Workers take four seconds to give it up.
-fn until_next_start(kind: Kind, ends: Ends) -> Vec<Duration> {
+fn until_next_start(kind: Deployment, ends: Ends) -> Vec<Duration> {
     let one = |seed| {
-        let mut world = World::of(kind, seed, Troubles::default());
+        let mut world = World::with_deployment(kind, seed, Faults::default());
         world.plan(120, secs(120));
         for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
             (job.spec.spread, job.spec.tasks, job.runs) = (false, job.spec.tasks.min(4), 2.0);
@@ -127,7 +155,7 @@
         };
         let machines = world.machines_held_by(node);
         let end = world.now;
-        world.after(Duration::ZERO, Happening::Crash { node });
+        world.schedule_at(Duration::ZERO, SimEvent::Crash { node });
         world.idle(secs(40));
         let there = |host| ends == Ends::Leader || machines.contains(host);
         let next = world.start_times.iter().find(|(at, host)| *at > end && there(host));
@@ -142,7 +170,7 @@
 /// answer for long while its shard moves.
 #[test]
 fn starts_go_on_soon_after_an_end() {
-    let undivided = until_next_start(Kind { shards: false, ..RESTING }, Ends::Leader);
+    let undivided = until_next_start(Deployment { sharding: false, ..RESTING }, Ends::Leader);
     let divided = until_next_start(RESTING, Ends::Leader);
     let holder = until_next_start(RESTING, Ends::Holder);
     let middle = |times: &[Duration]| times[times.len() / 2];
@@ -155,36 +183,36 @@
     }
     assert!(middle(&divided) <= middle(&undivided) + secs(1), "{divided:?}, {undivided:?}");
     assert!(middle(&holder) < secs(12), "{holder:?}");
-    let gap = |kind| play_one("gap", kind, Troubles::default(), 4, |_| {}).longest_gap;
+    let gap = |kind| play_one("gap", kind, Faults::default(), 4, |_| {}).longest_gap;
     let (resting, moving) = (gap(RESTING), gap(MOVING));
     println!("the longest time between two answers: {resting:?} resting, {moving:?} moving");
-    assert!(moving <= MOVING.report.mul_f64(1.25) + secs(4), "{moving:?}");
+    assert!(moving <= MOVING.heartbeat_interval.mul_f64(1.25) + secs(4), "{moving:?}");
 }
 
 /// What may befall a controller, shorter and longer than its lease.
-const BLOWS: [Blow; 9] = [
+const BLOWS: [Fault; 9] = [
     End(ms(300)),
     End(secs(6)),
     Freeze(secs(4)),
     FreezeHolding(secs(3)),
     Cut(secs(9)),
     Adrift(secs(12)),
-    CutLinks(&PEER_LINKS, How::Stall, secs(10)),
-    CutLinks(&STATE_LINKS, How::LoseAnswers, secs(8)),
-    CutLinks(&WORKER_LINKS, How::Stall, secs(10)),
+    CutLinks(&PEER_LINKS, CutMode::Stall, secs(10)),
+    CutLinks(&STATE_LINKS, CutMode::LoseAnswers, secs(8)),
+    CutLinks(&WORKER_LINKS, CutMode::Stall, secs(10)),
 ];
 
 /// The old holder, or the next one, fails at each step of a handover and comes back.
 #[test]
 fn holders_fail_at_each_step_of_a_handover() {
     for (moment, whom) in [
-        (Moment::MoveBegun, OldHolder),
-        (Moment::MoveBegun, NextHolder),
-        (Moment::HolderNamed, OldHolder),
-        (Moment::HolderNamed, NextHolder),
+        (Trigger::MoveBegun, OldHolder),
+        (Trigger::MoveBegun, NextHolder),
+        (Trigger::HolderNamed, OldHolder),
+        (Trigger::HolderNamed, NextHolder),
     ] {
         for (n, blow) in BLOWS.into_iter().enumerate() {
-            let moves = play("steps", MOVING, Troubles::default(), 1, |world| {
+            let moves = play("steps", MOVING, Faults::default(), 1, |world| {
                 strike(world, moment, whom, blow, n as u64);
             });
             assert!(moves >= 10, "{moment:?} {whom:?} {blow:?}: {moves} moves");
@@ -194,10 +222,10 @@
 
 /// Lets something befall a controller at several moves of a history, ever so long after the
 /// move's step.
-fn strike(world: &mut World, moment: Moment, whom: Whom, blow: Blow, n: u64) {
+fn strike(world: &mut World, moment: Trigger, whom: ShardParty, blow: Fault, n: u64) {
     for (nth, after) in [(4, 0), (9, 3), (15, 40), (22, 400)] {
         let after = ms(after + n % 3);
-        world.when(moment, nth, vec![(after, Happening::AtMove(whom, blow))]);
+        world.when(moment, nth, vec![(after, SimEvent::FaultAtMove(whom, blow))]);
     }
 }
 
@@ -207,16 +235,16 @@
 fn leaders_end_during_moves() {
     for after in [0, 3, 30, 300] {
         for back in [ms(200), secs(4)] {
-            play("leader ends", MOVING, Troubles::default(), 2, |world| {
+            play("leader ends", MOVING, Faults::default(), 2, |world| {
                 for nth in [3, 7, 12, 18] {
-                    world.when(Moment::MoveBegun, nth, vec![(ms(after), Happening::Leader(End(back)))]);
+                    world.when(Trigger::MoveBegun, nth, vec![(ms(after), SimEvent::FaultLeader(End(back)))]);
                 }
             });
         }
     }
-    play("ten leaders", MOVING, Troubles::default(), 4, |world| {
+    play("ten leaders", MOVING, Faults::default(), 4, |world| {
         for n in 0..10 {
-            world.after(secs(10 + 11 * n), Happening::Leader(End(secs(3))));
+            world.schedule_at(secs(10 + 11 * n), SimEvent::FaultLeader(End(secs(3))));
         }
     });
 }
@@ -225,13 +253,13 @@
 /// answers are lost or come seconds late.
 #[test]
 fn moves_begin_while_jobs_are_placed() {
-    let held = Troubles { held: 0.3, lost: 0.03, late: 0.5, ..Troubles::default() };
+    let held = Faults { delayed_commands: 0.3, lost_replies: 0.03, late_requests: 0.5, ..Faults::default() };
     for rotate in [1_000, 1_300, 1_900] {
-        let kind = Kind { rotate: Some(ms(rotate)), ..MOVING };
+        let kind = Deployment { rotate_shards: Some(ms(rotate)), ..MOVING };
         let moves = play("placing", kind, held, 4, |world| {
             for nth in [2, 5, 9] {
-                let cut = CutLinks(&WORKER_LINKS, How::LoseAnswers, secs(3));
-                world.when(Moment::RunSent, nth * 7, vec![(ms(0), Happening::AtMove(OldHolder, cut))]);
+                let cut = CutLinks(&WORKER_LINKS, CutMode::LoseAnswers, secs(3));
+                world.when(Trigger::RunSent, nth * 7, vec![(ms(0), SimEvent::FaultAtMove(OldHolder, cut))]);
             }
         });
         assert!(moves > 40, "{moves} moves");
@@ -241,7 +269,7 @@
 /// Records are written late, or only their answers are lost.
 #[test]
 fn records_are_written_late() {
-    let late = Troubles { lost: 0.15, late: 0.7, ..Troubles::default() };
+    let late = Faults { lost_replies: 0.15, late_requests: 0.7, ..Faults::default() };
     assert!(play("late records", MOVING, late, 6, |_| {}) > 60);
 }
 
@@ -251,15 +279,15 @@
 fn leader_and_holders_are_cut_from_each_other() {
     for links in [&PEER_LINKS[..], &PEER_LINKS[..1], &PEER_LINKS[1..]] {
         for node in 0..3 {
-            play("peers", RESTING, Troubles::default(), 1, |world| {
-                world.flap(node, links, How::Stall, secs(24), (15, 90));
+            play("peers", RESTING, Faults::default(), 1, |world| {
+                world.flap(node, links, CutMode::Stall, secs(24), (15, 90));
             });
         }
     }
     for links in [&STATE_LINKS[..], &WORKER_LINKS[..]] {
         for node in 0..3 {
-            play("other links", MOVING, Troubles::default(), 1, |world| {
-                world.flap(node, links, How::Stall, secs(24), (15, 90));
+            play("other links", MOVING, Faults::default(), 1, |world| {
+                world.flap(node, links, CutMode::Stall, secs(24), (15, 90));
             });
         }
     }
@@ -269,17 +297,17 @@
 #[test]
 fn one_controller_is_left() {
     for (first, second) in [(0, 1), (1, 2), (0, 2)] {
-        play("one left", MOVING, Troubles::default(), 2, |world| {
+        play("one left", MOVING, Faults::default(), 2, |world| {
             for n in 0..15 {
-                world.after(secs(30 + 4 * n), Happening::Crash { node: first });
-                world.after(secs(30 + 4 * n), Happening::Crash { node: second });
+                world.schedule_at(secs(30 + 4 * n), SimEvent::Crash { node: first });
+                world.schedule_at(secs(30 + 4 * n), SimEvent::Crash { node: second });
             }
         });
     }
     for zone in ["x", "y"] {
-        play("zone", MOVING, Troubles::default(), 2, |world| {
+        play("zone", MOVING, Faults::default(), 2, |world| {
             let until = world.now + secs(62);
-            world.after(secs(30), Happening::CutZone { zone, until });
+            world.schedule_at(secs(30), SimEvent::CutZone { zone, until });
         });
     }
 }
@@ -296,13 +324,13 @@
 /// that a cancellation has.
 #[test]
 fn cancellations_while_a_shard_changes_hands() {
-    for (moment, hang) in [(Moment::MoveBegun, 0), (Moment::MoveBegun, 50), (Moment::HolderNamed, 44)] {
+    for (moment, hang) in [(Trigger::MoveBegun, 0), (Trigger::MoveBegun, 50), (Trigger::HolderNamed, 44)] {
         let mut cut_short = 0;
         for seed in 0..more(4) {
-            let world = play_one("cancelled", MOVING, Troubles::default(), seed, |world| {
+            let world = play_one("cancelled", MOVING, Faults::default(), seed, |world| {
                 long(world, 40.0);
                 for nth in [8, 14, 20] {
-                    let cancel = Happening::CancelNow { count: 4, hang: secs(hang) };
+                    let cancel = SimEvent::CancelNow { count: 4, hang: secs(hang) };
                     world.when(moment, nth, vec![(ms(2), cancel)]);
                 }
             });
@@ -324,22 +352,23 @@
             if hang > 0 && (peers || ends) {
                 continue;
             }
-            play("gap", RESTING, Troubles::default(), 4, |world| {
+            play("gap", RESTING, Faults::default(), 4, |world| {
                 long(world, 70.0);
                 let leader = 0;
                 for node in (0..3).filter(|node| *node != leader) {
                     let until = world.now + secs(30) + secs(14);
-                    world.after(secs(30), Happening::Refuse { node, until });
+                    world.schedule_at(secs(30), SimEvent::RefuseNode { node, until });
                     if peers {
-                        world.cut_links(node, &PEER_LINKS, How::Stall, (30, 95));
+                        world.cut_links(node, &PEER_LINKS, CutMode::Stall, (30, 95));
                     }
                 }
                 if ends {
-                    world.after(secs(30) + ms(outage - 30), Happening::Leader(End(secs(70))));
+                    world.schedule_at(secs(30) + ms(outage - 30), SimEvent::FaultLeader(End(secs(70))));
                 }
-                world.after(secs(30) + ms(refused), Happening::CancelNow { count: 12, hang: secs(hang) });
-                let until = world.now + secs(30) + SMALL.cancel + secs(18);
-                world.after(secs(30) + ms(outage), Happening::Outage { until });
+                world
+                    .schedule_at(secs(30) + ms(refused), SimEvent::CancelNow { count: 12, hang: secs(hang) });
+                let until = world.now + secs(30) + SMALL.cancel_within + secs(18);
+                world.schedule_at(secs(30) + ms(outage), SimEvent::Outage { until });
             });
         }
     }
@@ -351,10 +380,10 @@
 fn blind_holders_let_leases_run_out() {
     let mut world = divided();
     let begin = world.now;
-    world.after(Duration::ZERO, Happening::Outage { until: begin + secs(70) });
-    world.after(ms(10), Happening::Leader(End(secs(80))));
+    world.schedule_at(Duration::ZERO, SimEvent::Outage { until: begin + secs(70) });
+    world.schedule_at(ms(10), SimEvent::FaultLeader(End(secs(80))));
     world.idle(secs(65));
-    let bound = SMALL.cancel - SMALL.lease - secs(2);
+    let bound = SMALL.cancel_within - SMALL.worker_lease - secs(2);
     let answered = world.last_answer - begin;
     assert!(answered <= bound, "a worker was answered {answered:?} after the last sight");
     assert!(answered > bound - secs(4), "only until {answered:?}");
@@ -366,7 +395,7 @@
 fn a_holder_starts_nothing_of_a_cancelled_job() {
     let mut world = divided();
     long(&mut world, 60.0);
-    world.after(secs(10), Happening::CancelNow { count: 1, hang: secs(20) });
+    world.schedule_at(secs(10), SimEvent::CancelNow { count: 1, hang: secs(20) });
     world.idle(secs(13));
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
@@ -404,7 +433,7 @@
             (job.spec.tasks, job.spec.demand.cpus) = (2, 2.0);
         }
     };
-    let crashes = Troubles { crashes: 4, hangs: 2, ..Troubles::default() };
+    let crashes = Faults { node_crashes: 4, machine_hangs: 2, ..Faults::default() };
     assert!(play("full teams", TIGHT, crashes, 4, narrow) > 40);
     let gangs = |world: &mut World| {
         for job in world.jobs.iter_mut().filter(|job| job.spec.gang) {
@@ -417,16 +446,28 @@
 /// Late copies of reports reach former holders, and leaders that have just begun.
 #[test]
 fn late_copies_reach_former_holders() {
-    let copies = Troubles { copies: 0.3, copies_next: 0.2, crashes: 3, hangs: 2, ..Troubles::default() };
+    let copies = Faults {
+        duplicate_heartbeats: 0.3,
+        duplicates_for_next_leader: 0.2,
+        node_crashes: 3,
+        machine_hangs: 2,
+        ..Faults::default()
+    };
     assert!(play("copies", MOVING, copies, 4, |_| {}) > 40);
 }
 
 /// Hundreds of machines whose shards move while dozens of them fail.
 #[test]
 fn a_fleet_moves() {
-    let kind = Kind { shards: true, rotate: Some(secs(4)), ..FLEET };
-    let troubles = Troubles { crashes: 3, cuts: 1, hangs: 1, lost: 0.005, ..Troubles::default() };
-    let mut world = World::of(kind, 3, troubles);
+    let kind = Deployment { sharding: true, rotate_shards: Some(secs(4)), ..FLEET };
+    let troubles = Faults {
+        node_crashes: 3,
+        machine_cuts: 1,
+        machine_hangs: 1,
+        lost_replies: 0.005,
+        ..Faults::default()
+    };
+    let mut world = World::with_deployment(kind, 3, troubles);
     world.plan(150, secs(90));
     world.run(secs(1500));
     assert!(world.settled());
@@ -436,13 +477,13 @@
 /// A version before, or one with machines undivided, leads and follows beside others.
 #[test]
 fn beside_the_version_before() {
-    let upgrade = Troubles { upgrade: true, crashes: 3, lost: 0.01, ..Troubles::default() };
+    let upgrade = Faults { upgrade: true, node_crashes: 3, lost_replies: 0.01, ..Faults::default() };
     play("upgrade", RESTING, upgrade, 6, |_| {});
 }
 
 /// A world in which node 0 leads and the others hold shards.
 fn divided() -> World {
-    let mut world = World::of(RESTING, 5, Troubles::default());
+    let mut world = World::with_deployment(RESTING, 5, Faults::default());
     world.plan(6, secs(20));
     world.idle(secs(15));
     assert_eq!(world.leader(), Some(0));
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -11,61 +11,62 @@
 mod world;
 
 use std::fmt::Write;
-use world::cuts::{How, STATE_LINKS, WORKER_LINKS};
-use world::{ms, secs, Blow, Happening, Kind, Moment, Troubles, World, FLEET, SMALL};
+use world::cuts::{CutMode, STATE_LINKS, WORKER_LINKS};
+use world::{ms, secs, Deployment, Fault, Faults, SimEvent, Trigger, World, FLEET, SMALL};
 
 const DIGESTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/trace-digests.txt");
 const SEEDS: std::ops::Range<u64> = 100..108;
 
-const FENCED: Kind = Kind { fenced: true, capacity: 6, cloud_rps: 10.0, ..SMALL };
-const SHARDED: Kind = Kind { fenced: true, shards: true, rotate: Some(ms(2500)), ..SMALL };
-const REACHING: Kind = Kind { fenced: true, reach: true, ..SMALL };
-const SHARDED_FLEET: Kind = Kind { fenced: true, shards: true, ..FLEET };
+const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
+const SHARDED: Deployment =
+    Deployment { fencing: true, sharding: true, rotate_shards: Some(ms(2500)), ..SMALL };
+const REACHING: Deployment = Deployment { fencing: true, reachability: true, ..SMALL };
+const SHARDED_FLEET: Deployment = Deployment { fencing: true, sharding: true, ..FLEET };
 
 /// Failures of machines, nodes and links.
-fn failures() -> Troubles {
-    Troubles {
-        lost: 0.03,
-        late: 0.5,
-        crashes: 5,
-        all_crash: 1,
-        outages: 2,
-        refusals: 2,
-        cuts: 3,
-        hangs: 3,
-        deaths: 2,
+fn failures() -> Faults {
+    Faults {
+        lost_replies: 0.03,
+        late_requests: 0.5,
+        node_crashes: 5,
+        all_nodes_crash: 1,
+        kv_outages: 2,
+        kv_refusals: 2,
+        machine_cuts: 3,
+        machine_hangs: 3,
+        machine_deaths: 2,
         node_cuts: 2,
-        deaf: 2,
-        copies: 0.02,
-        adrift: 1,
-        apart: 2,
-        errors: 0.1,
-        notices: 3,
-        ..Troubles::default()
+        dropped_responses: 2,
+        duplicate_heartbeats: 0.02,
+        cut_from_kv_and_peers: 1,
+        worker_partitions: 2,
+        task_errors: 0.1,
+        preemption_notices: 3,
+        ..Faults::default()
     }
 }
 
 /// Users and messages that come at odd times.
-fn odd_times() -> Troubles {
-    Troubles {
-        crashes: 4,
-        mute: 1,
-        copies: 0.05,
-        copies_next: 0.05,
-        held: 0.05,
+fn odd_times() -> Faults {
+    Faults {
+        node_crashes: 4,
+        dropped_heartbeats: 1,
+        duplicate_heartbeats: 0.05,
+        duplicates_for_next_leader: 0.05,
+        delayed_commands: 0.05,
         cancel_at_end: 0.1,
-        close_looks: true,
-        odd: 12,
-        cancels: 2,
-        quick: true,
-        slow: true,
-        ..Troubles::default()
+        immediate_polls: true,
+        odd_requests: 12,
+        cancel_bursts: 2,
+        quick_boots: true,
+        slow_kv: true,
+        ..Faults::default()
     }
 }
 
 /// One history's digest.
-fn digest(kind: Kind, jobs: usize, seed: u64, troubles: Troubles, set: impl Fn(&mut World)) -> String {
-    let mut world = World::of(kind, seed, troubles);
+fn digest(kind: Deployment, jobs: usize, seed: u64, troubles: Faults, set: impl Fn(&mut World)) -> String {
+    let mut world = World::with_deployment(kind, seed, troubles);
     world.trace.enable();
     world.plan(jobs, secs(90));
     set(&mut world);
@@ -77,14 +78,14 @@
 fn links_cut(world: &mut World) {
     for (n, links) in [&STATE_LINKS[..], &WORKER_LINKS].into_iter().enumerate() {
         let at = secs(15 + 30 * n as u64);
-        world.after(at, Happening::Leader(Blow::CutLinks(links, How::Stall, secs(15))));
+        world.schedule_at(at, SimEvent::FaultLeader(Fault::CutLinks(links, CutMode::Stall, secs(15))));
     }
 }
 
 fn leaders_paused(world: &mut World) {
     for nth in 1..5 {
-        let pause = Happening::Leader(Blow::Freeze(secs(4)));
-        world.when(Moment::DutyWritten, 3 * nth, vec![(ms(1), pause)]);
+        let pause = SimEvent::FaultLeader(Fault::Freeze(secs(4)));
+        world.when(Trigger::DutyWritten, 3 * nth, vec![(ms(1), pause)]);
     }
 }
 
@@ -92,9 +93,9 @@
 fn digests() -> String {
     let mut lines = String::new();
     let mut add = |name: &str, seed: u64, digest: String| writeln!(lines, "{name} {seed} {digest}").unwrap();
-    let upgrade = Troubles { upgrade: true, crashes: 2, lost: 0.01, ..Troubles::default() };
+    let upgrade = Faults { upgrade: true, node_crashes: 2, lost_replies: 0.01, ..Faults::default() };
     for seed in SEEDS {
-        add("quiet", seed, digest(SMALL, 24, seed, Troubles::default(), |_| {}));
+        add("quiet", seed, digest(SMALL, 24, seed, Faults::default(), |_| {}));
         add("failures", seed, digest(SMALL, 24, seed, failures(), |_| {}));
         add("odd times", seed, digest(SMALL, 24, seed, odd_times(), |_| {}));
         add("upgrade", seed, digest(SMALL, 24, seed, upgrade, |_| {}));
@@ -102,7 +103,14 @@
         add("sharded", seed, digest(SHARDED, 24, seed, failures(), |_| {}));
         add("reaching", seed, digest(REACHING, 24, seed, failures(), links_cut));
     }
-    let fleet = Troubles { crashes: 2, cuts: 1, hangs: 1, deaths: 1, lost: 0.01, ..Troubles::default() };
+    let fleet = Faults {
+        node_crashes: 2,
+        machine_cuts: 1,
+        machine_hangs: 1,
+        machine_deaths: 1,
+        lost_replies: 0.01,
+        ..Faults::default()
+    };
     add("fleet", 1, digest(FLEET, 60, 1, fleet, |_| {}));
     add("sharded fleet", 1, digest(SHARDED_FLEET, 60, 1, fleet, |_| {}));
     lines
@@ -130,10 +138,11 @@
 #[ignore = "records fixtures with the version that is to be read later"]
 fn record_stored_values() {
     let mut lines = String::new();
-    let upgrade = Troubles { upgrade: true, ..Troubles::default() };
-    let everything = Kind { shards: true, rotate: Some(ms(2500)), reach: true, ..FENCED };
-    for (name, kind, troubles) in [("upgrade", SMALL, upgrade), ("all", everything, Troubles::default())] {
-        let mut world = World::of(kind, 7, troubles);
+    let upgrade = Faults { upgrade: true, ..Faults::default() };
+    let everything =
+        Deployment { sharding: true, rotate_shards: Some(ms(2500)), reachability: true, ..FENCED };
+    for (name, kind, troubles) in [("upgrade", SMALL, upgrade), ("all", everything, Faults::default())] {
+        let mut world = World::with_deployment(kind, 7, troubles);
         world.plan(24, secs(90));
         for job in &mut world.jobs {
             job.runs = 30.0;
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -26,7 +26,7 @@
 
 /// How it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum CutMode {
     /// Connections are refused at once.
     Refuse,
     /// Accepted and never carried out.
@@ -35,13 +35,13 @@
     LoseAnswers,
 }
 
-pub const HOWS: [How; 3] = [How::Refuse, How::Stall, How::LoseAnswers];
+pub const CUT_MODES: [CutMode; 3] = [CutMode::Refuse, CutMode::Stall, CutMode::LoseAnswers];
 
 #[derive(Debug, Clone, Copy)]
 pub struct LinkCut {
     pub node: usize,
     pub link: Link,
-    pub how: How,
+    pub how: CutMode,
     pub until: Duration,
 }
 
@@ -61,7 +61,7 @@
 
 impl World {
     /// How the link fails just now, if it does.
-    pub(super) fn cut_of(&self, node: usize, link: Link) -> Option<How> {
+    pub(super) fn cut_of(&self, node: usize, link: Link) -> Option<CutMode> {
         let here = |cut: &&LinkCut| cut.node == node && cut.link == link && self.now < cut.until;
         self.link_cuts.iter().find(here).map(|cut| cut.how)
     }
@@ -73,19 +73,19 @@
     }
 
     /// Cuts the links of a node again and again: down for the first half of each period.
-    pub fn flap(&mut self, node: usize, links: &[Link], how: How, period: Duration, span: (u64, u64)) {
+    pub fn flap(&mut self, node: usize, links: &[Link], how: CutMode, period: Duration, span: (u64, u64)) {
         let (mut at, end) = (secs(span.0), secs(span.1));
         while at < end {
             for link in links {
                 let until = self.now + at + period / 2;
-                self.at(at, Happening::CutLink(LinkCut { node, link: *link, how, until }));
+                self.schedule_in(at, SimEvent::CutLink(LinkCut { node, link: *link, how, until }));
             }
             at += period;
         }
     }
 
     /// Cuts links of a node for some time.
-    pub fn cut_links(&mut self, node: usize, links: &[Link], how: How, span: (u64, u64)) {
+    pub fn cut_links(&mut self, node: usize, links: &[Link], how: CutMode, span: (u64, u64)) {
         self.flap(node, links, how, secs(2 * (span.1 - span.0)), span);
     }
 
@@ -96,50 +96,66 @@
             Effect::CallKv { request: op, .. } => link_of(op),
             Effect::CallCloud { .. } => Link::Cloud,
             Effect::SendCommands { .. } => Link::Commands,
-            Effect::Respond { request: ask, .. } => match self.asks.get(&(node, boot, *ask)) {
-                Some((_, Asked::Beat { .. })) => Link::Answers,
+            Effect::Respond { request: ask, .. } => match self.questions.get(&(node, boot, *ask)) {
+                Some((_, PendingQuestion::Heartbeat { .. })) => Link::Answers,
                 _ => return Some(effect),
             },
             _ => return Some(effect),
         };
         let Some(how) = self.cut_of(node, link) else { return Some(effect) };
-        let carried_out = how == How::LoseAnswers;
+        let carried_out = how == CutMode::LoseAnswers;
         let (patience, reply) = match effect {
             Effect::CallKv { call, request: op } => {
                 let follow = matches!(op, KvRequest::Watch { .. });
                 if carried_out && !follow {
-                    self.at(ms(2), Happening::StateArrives { node, boot, call, op, answered: false });
+                    self.schedule_in(
+                        ms(2),
+                        SimEvent::KvRequestArrives { node, boot, call, request: op, answered: false },
+                    );
                 }
-                let error = if how == How::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
+                let error =
+                    if how == CutMode::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
                 (STATE_PATIENCE, Event::KvReply { call, reply: Err(error) })
             }
             Effect::CallCloud { call, request: op } => {
                 if carried_out {
-                    self.at(ms(100), Happening::CloudArrives { actor, call, op, answered: false });
+                    self.schedule_in(
+                        ms(100),
+                        SimEvent::CloudRequestArrives { actor, call, request: op, answered: false },
+                    );
                 }
                 (CLOUD_PATIENCE, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
             }
             Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
-                self.sent(token, &orders);
+                self.check_commands(token, &orders);
                 let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 if carried_out {
-                    let arrives = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
-                    self.at(ms(2), arrives);
+                    let arrives = SimEvent::CommandsArrive {
+                        node,
+                        boot: 0,
+                        call,
+                        machine: host,
+                        token,
+                        incarnation: shift,
+                        commands: orders,
+                    };
+                    self.schedule_in(ms(2), arrives);
                 }
-                let reply = if how == How::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
+                let reply =
+                    if how == CutMode::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
                 (COMMAND_PATIENCE, Event::CommandReply { call, reply })
             }
             Effect::Respond { request: ask, response: answer } => {
                 if let Response::Commands { token, commands: orders } = &answer {
-                    self.sent(*token, orders);
+                    self.check_commands(*token, orders);
                 }
-                self.asks.remove(&(node, boot, ask));
+                self.questions.remove(&(node, boot, ask));
                 return None;
             }
             other => return Some(other),
         };
-        let pause = if how == How::Refuse { ms(2) } else { patience };
-        self.at(pause, Happening::ToNode { node, boot, event: reply });
+        let pause = if how == CutMode::Refuse { ms(2) } else { patience };
+        self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event: reply });
         None
     }
 
@@ -151,15 +167,15 @@
     /// What a node tells all others of its reach.
     pub(super) fn tell_coverage(&mut self, node: usize, boot: u64, coverage: Box<Coverage>) {
         for other in (0..3).filter(|other| *other != node) {
-            let alone = self.alone[node].max(self.alone[other]);
-            let open = self.now >= self.node_cut[other].max(alone) && self.peers_reach(node, other);
+            let alone = self.alone_until[node].max(self.alone_until[other]);
+            let open = self.now >= self.node_cut_until[other].max(alone) && self.peers_reach(node, other);
             let target = self.nodes[other].as_ref().filter(|_| open).map(|(boot, _)| *boot);
             if let Some(boot) = target {
                 let event = Event::Coverage(Ok(coverage.clone()));
-                self.at(ms(2), Happening::ToNode { node: other, boot, event });
+                self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
             }
             let event = Event::PeerDelivery { host: format!("plank-{other}"), confirmed: target.is_some() };
-            self.at(ms(4), Happening::ToNode { node, boot, event });
+            self.schedule_in(ms(4), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -48,14 +48,14 @@
     pub(super) fn freeze(&mut self, node: usize, last: Duration, holding: bool) {
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
-        self.freezes += 1;
-        self.frozen[node] = self.frozen[node].max(self.now + last);
+        self.pauses += 1;
+        self.paused_until[node] = self.paused_until[node].max(self.now + last);
         self.holding[node] = holding;
-        self.at(self.frozen[node] - self.now, Happening::Thaw { node, boot });
+        self.schedule_in(self.paused_until[node] - self.now, SimEvent::ResumeProcess { node, boot });
     }
 
     pub(super) fn thaw(&mut self, node: usize, boot: u64) {
-        if self.now < self.frozen[node] {
+        if self.now < self.paused_until[node] {
             return;
         }
         self.holding[node] = false;
@@ -68,7 +68,7 @@
     /// The times that a node's clocks show.
     pub(super) fn times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
-        let now = EPOCH + (self.now - EPOCH).mul_f64(rate);
+        let now = SIM_START + (self.now - SIM_START).mul_f64(rate);
         let jumps = jumps.as_millis() as u64;
         let jump = if jumps > 0 { self.between(0, jumps) } else { Duration::ZERO };
         StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
@@ -76,7 +76,7 @@
 
     /// When a time on a node's clock is.
     pub(super) fn true_time(&self, node: usize, at: Duration) -> Duration {
-        EPOCH + at.saturating_sub(EPOCH).div_f64(self.clocks[node].rate)
+        SIM_START + at.saturating_sub(SIM_START).div_f64(self.clocks[node].rate)
     }
 
     /// Who acts, if the node does so now.
@@ -93,7 +93,7 @@
         let CloudRequest::Execute(permitted) = op else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             Action::Rent(rental) => {
-                let done = self.hires.contains_key(&rental.name);
+                let done = self.rentals.contains_key(&rental.name);
                 if done {
                     Vec::new()
                 } else {
@@ -140,7 +140,7 @@
 
     /// Nobody calls a job off: clocks far beyond their bounds can't keep its time.
     pub fn without_cancellations(&mut self) {
-        self.happenings.retain(|_, happening| !matches!(happening, Happening::Abort { .. }));
+        self.happenings.retain(|_, happening| !matches!(happening, SimEvent::Cancel { .. }));
     }
 
     /// Something writes into the state service.
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -36,7 +36,7 @@
         for order in orders {
             let WorkerCommand::Run { task, attempt } = order else { continue };
             let job = &mut self.jobs[self.by_id[&task.job]];
-            if !job.spec.gang || *attempt <= job.told_run || token < self.led.0 {
+            if !job.spec.gang || *attempt <= job.told_run || token < self.latest_leader.0 {
                 continue;
             }
             job.told_run = *attempt;
@@ -48,7 +48,10 @@
     /// A task has its image: it waits, and the gang starts once nobody is missing.
     pub(super) fn gang_waits(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
         let job = self.by_id[&task.job];
-        self.at(self.kind.gang_wait, Happening::Incomplete { host, task, attempt, shift });
+        self.schedule_in(
+            self.deployment.gang_wait,
+            SimEvent::GangTimedOut { machine: host, task, attempt, incarnation: shift },
+        );
         self.gang_starts(job, attempt);
     }
 
@@ -62,7 +65,7 @@
         assert!(j.run.is_none(), "two attempts of {:?} run at once", j.id);
         j.began.get_or_insert(self.now);
         j.run = Some(Run { attempt, began: self.now, stop: None, torn: None });
-        self.at(LOOK, Happening::GangLook { job, attempt });
+        self.schedule_in(LOOK, SimEvent::CheckGang { job, attempt });
     }
 
     fn set_gang(&mut self, job: usize, attempt: u64, mates: &BTreeMap<u32, MachineName>, seen: TaskStatus) {
@@ -89,7 +92,7 @@
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
         let (tasks, save, runs) =
             (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runs);
-        let peer = self.kind.gang_peer;
+        let peer = self.deployment.gang_peer;
         let mates = self.mates(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
         let whole = mates.len() as u32 == tasks;
         if let Some((first, told)) = &run.stop {
@@ -97,13 +100,13 @@
             let due = now >= *first + Duration::from_secs_f64(save);
             if saved && due {
                 self.jobs[job].progress = self.progress(job, *first).0;
-                self.saves += 1;
+                self.checkpoints_saved += 1;
                 return self.gang_over(job, attempt, ExitReason::Stopped);
             }
             if now >= *first + peer + Duration::from_secs_f64(save) || mates.is_empty() {
                 self.jobs[job].progress = self.progress(job, *first).1;
                 // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
-                self.spoilt += u32::from((told.len() as u32) < tasks && !self.jobs[job].aborting);
+                self.checkpoints_lost += u32::from((told.len() as u32) < tasks && !self.jobs[job].aborting);
                 return self.gang_over(job, attempt, ExitReason::GangMemberLost);
             }
         } else if whole {
@@ -122,7 +125,7 @@
             }
         }
         self.jobs[job].run = Some(run);
-        self.at(LOOK, Happening::GangLook { job, attempt });
+        self.schedule_in(LOOK, SimEvent::CheckGang { job, attempt });
     }
 
     /// Who hangs notices when it goes on, and ends then, too.
@@ -148,7 +151,7 @@
             return false;
         };
         let (first, told) = run.stop.get_or_insert((now, BTreeSet::new()));
-        if enough && now <= *first + self.kind.gang_peer {
+        if enough && now <= *first + self.deployment.gang_peer {
             told.insert(task.index);
         }
         enough
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -26,86 +26,86 @@
 use plankhead_sharding::settings::Settings as Sharding;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-pub use script::{Blow, Moment, Odd};
+pub use script::{Fault, OddRequest, Trigger};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::time::{Duration, SystemTime};
 use worker::Worker;
 
-const EPOCH: Duration = Duration::from_secs(1_000_000);
+const SIM_START: Duration = Duration::from_secs(1_000_000);
 
 /// What kind of deployment a world is.
 #[derive(Debug, Clone, Copy)]
-pub struct Kind {
-    pub report: Duration,
-    pub lease: Duration,
+pub struct Deployment {
+    pub heartbeat_interval: Duration,
+    pub worker_lease: Duration,
     pub gang_wait: Duration,
     pub gang_peer: Duration,
-    pub cancel: Duration,
+    pub cancel_within: Duration,
     /// The CPUs that each team may use.
-    pub cap: f64,
+    pub cpu_limit: f64,
     /// Machines of each of the four pools.
-    pub pool: u32,
+    pub machines_per_pool: u32,
     /// U for the nodes.
-    pub capacity: u32,
-    pub write_rps: f64,
-    pub cloud_rps: f64,
+    pub max_machines: u32,
+    pub kv_changes_per_s: f64,
+    pub cloud_requests_per_s: f64,
     /// Machines that one page of the cloud's list holds.
-    pub page: usize,
+    pub inventory_page: usize,
     /// Machines that each trouble of machines befalls.
-    pub crowd: u32,
+    pub machines_per_fault: u32,
     /// How often the rules about all that runs are looked at.
-    pub look: Duration,
+    pub check_interval: Duration,
     /// Whether the nodes fence their duties.
-    pub fenced: bool,
+    pub fencing: bool,
     /// Whether the nodes judge what they reach.
-    pub reach: bool,
+    pub reachability: bool,
     /// Whether the nodes divide the machines.
-    pub shards: bool,
+    pub sharding: bool,
     /// How often a shard is moved whatever the balance.
-    pub rotate: Option<Duration>,
+    pub rotate_shards: Option<Duration>,
 }
 
 /// A few machines that report every second.
-pub const SMALL: Kind = Kind {
-    report: secs(1),
-    lease: secs(11),
+pub const SMALL: Deployment = Deployment {
+    heartbeat_interval: secs(1),
+    worker_lease: secs(11),
     gang_wait: secs(20),
     gang_peer: secs(3),
-    cancel: secs(36),
-    cap: 24.0,
-    pool: 2,
-    capacity: 8,
-    write_rps: 60.0,
-    cloud_rps: 4.0,
-    page: 500,
-    crowd: 1,
-    look: Duration::ZERO,
-    fenced: false,
-    reach: false,
-    shards: false,
-    rotate: None,
+    cancel_within: secs(36),
+    cpu_limit: 24.0,
+    machines_per_pool: 2,
+    max_machines: 8,
+    kv_changes_per_s: 60.0,
+    cloud_requests_per_s: 4.0,
+    inventory_page: 500,
+    machines_per_fault: 1,
+    check_interval: Duration::ZERO,
+    fencing: false,
+    reachability: false,
+    sharding: false,
+    rotate_shards: None,
 };
 
 /// Hundreds of machines that report seldom and fail by the dozen.
-pub const FLEET: Kind = Kind {
-    report: secs(5),
-    lease: Duration::from_millis(26_500),
+pub const FLEET: Deployment = Deployment {
+    heartbeat_interval: secs(5),
+    worker_lease: Duration::from_millis(26_500),
     gang_wait: secs(40),
     gang_peer: secs(5),
-    cancel: Duration::from_millis(56_500),
-    cap: 1600.0,
-    pool: 100,
-    capacity: 320,
-    write_rps: 80.0,
-    cloud_rps: 15.0,
-    page: 100,
-    crowd: 40,
-    look: ms(250),
-    fenced: false,
-    reach: false,
-    shards: false,
-    rotate: None,
+    cancel_within: Duration::from_millis(56_500),
+    cpu_limit: 1600.0,
+    machines_per_pool: 100,
+    max_machines: 320,
+    kv_changes_per_s: 80.0,
+    cloud_requests_per_s: 15.0,
+    inventory_page: 100,
+    machines_per_fault: 40,
+    check_interval: ms(250),
+    fencing: false,
+    reachability: false,
+    sharding: false,
+    rotate_shards: None,
 };
 
 pub const fn ms(n: u64) -> Duration {
@@ -118,105 +118,105 @@
 
 /// What goes wrong in a history.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Troubles {
+pub struct Faults {
     /// Share of state and cloud replies that are lost.
-    pub lost: f64,
+    pub lost_replies: f64,
     /// Share of lost state requests that are carried out seconds later.
-    pub late: f64,
-    pub crashes: u32,
-    pub all_crash: u32,
-    pub outages: u32,
-    pub refusals: u32,
-    pub cuts: u32,
-    pub hangs: u32,
-    pub deaths: u32,
+    pub late_requests: f64,
+    pub node_crashes: u32,
+    pub all_nodes_crash: u32,
+    pub kv_outages: u32,
+    pub kv_refusals: u32,
+    pub machine_cuts: u32,
+    pub machine_hangs: u32,
+    pub machine_deaths: u32,
     /// A node loses the whole network; what it sends arrives when that ends.
     pub node_cuts: u32,
     /// Machines whose reports arrive while they hear nothing.
-    pub deaf: u32,
+    pub dropped_responses: u32,
     /// Share of reports of which a copy comes late.
-    pub copies: f64,
+    pub duplicate_heartbeats: f64,
     /// A node loses the state service and its siblings, not its workers.
-    pub adrift: u32,
+    pub cut_from_kv_and_peers: u32,
     /// Half of the machines and a node can't reach each other.
-    pub apart: u32,
-    pub errors: f64,
+    pub worker_partitions: u32,
+    pub task_errors: f64,
     /// A cloud that lies: confirmed releases leave the machine running.
     pub lying_cloud: bool,
     /// Late copies that lie: they tell of a shift that has not begun.
     pub lying_copies: bool,
     /// Nobody hears the answers to questions about the first job.
-    pub unheard: bool,
+    pub unanswered_first_job: bool,
     /// Machines that are taken some seconds after a notice.
-    pub notices: u32,
+    pub preemption_notices: u32,
     /// The nodes begin with the version before and come back with this one, one after
     /// the other; later the state service lowers its limits. No gang comes before.
     pub upgrade: bool,
     /// Machines whose reports reach no node, while direct commands reach them.
-    pub mute: u32,
+    pub dropped_heartbeats: u32,
     /// Share of reports of which a copy reaches every node as a new leader begins.
-    pub copies_next: f64,
+    pub duplicates_for_next_leader: f64,
     /// Share of direct commands, and of their answers, that are held up for seconds.
-    pub held: f64,
+    pub delayed_commands: f64,
     /// Share of the jobs that are called off at the moment of their end.
     pub cancel_at_end: f64,
     /// Users ask all nodes within milliseconds of whatever they are told.
-    pub close_looks: bool,
+    pub immediate_polls: bool,
     /// Odd requests of users.
-    pub odd: u32,
+    pub odd_requests: u32,
     /// Zones cut off with their machines and nodes, for longer than a lease.
     pub zone_cuts: u32,
     /// Machines are up within two seconds.
-    pub quick: bool,
+    pub quick_boots: bool,
     /// Every state reply takes up to a second.
-    pub slow: bool,
+    pub slow_kv: bool,
     /// Times at which jobs that run are called off and machines of theirs hang.
-    pub cancels: u32,
+    pub cancel_bursts: u32,
     /// All nodes are away for longer than a lease.
-    pub aways: u32,
+    pub all_nodes_away: u32,
 }
 
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum SimEvent {
     CutNode {
         node: usize,
         until: Duration,
     },
     CutLink(cuts::LinkCut),
     /// Whoever got no answer by then asks again.
-    Unanswered {
+    RetryUnanswered {
         node: usize,
         boot: u64,
         ask: RequestId,
-        again: Box<Happening>,
+        again: Box<SimEvent>,
     },
     Tick {
         node: usize,
         boot: u64,
     },
-    ToNode {
+    DeliverToNode {
         node: usize,
         boot: u64,
         event: Event,
     },
-    StateArrives {
+    KvRequestArrives {
         node: usize,
         boot: u64,
         call: CallId,
-        op: KvRequest,
+        request: KvRequest,
         answered: bool,
     },
     /// A node comes back with fencing on or off.
-    Refence {
+    RestartWithFencing {
         node: usize,
         fenced: bool,
     },
     /// A process is paused, and goes on.
-    Freeze {
+    PauseProcess {
         node: usize,
         last: Duration,
     },
-    Thaw {
+    ResumeProcess {
         node: usize,
         boot: u64,
     },
@@ -225,77 +225,77 @@
         actor: fencing::Actor,
         effect: Box<Effect>,
     },
-    FollowEnds {
+    WatchEnds {
         watch: u64,
     },
-    CloudArrives {
+    CloudRequestArrives {
         actor: fencing::Actor,
         call: CallId,
-        op: CloudRequest,
+        request: CloudRequest,
         answered: bool,
     },
-    OrdersArrive {
+    CommandsArrive {
         node: usize,
         boot: u64,
         call: CallId,
-        host: MachineName,
+        machine: MachineName,
         token: u64,
-        shift: u64,
-        orders: Vec<WorkerCommand>,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
     },
-    Beat {
-        host: MachineName,
+    Heartbeat {
+        machine: MachineName,
     },
-    BeatAnswered {
-        host: MachineName,
+    HeartbeatAnswered {
+        machine: MachineName,
         sent: Duration,
-        shift: u64,
-        tick: u64,
+        incarnation: u64,
+        sequence: u64,
         answer: Response,
     },
-    BeatGivenUp {
-        host: MachineName,
-        tick: u64,
+    HeartbeatTimedOut {
+        machine: MachineName,
+        sequence: u64,
     },
-    Ends {
-        host: MachineName,
+    TaskEnds {
+        machine: MachineName,
         task: TaskId,
         attempt: u64,
-        shift: u64,
+        incarnation: u64,
     },
-    Pulled {
-        host: MachineName,
+    ImageFetched {
+        machine: MachineName,
         task: TaskId,
         attempt: u64,
-        shift: u64,
+        incarnation: u64,
     },
     /// A machine is about to be taken.
-    Notice {
+    PreemptionNotice {
         left: Duration,
     },
-    GangLook {
+    CheckGang {
         job: usize,
         attempt: u64,
     },
-    Incomplete {
-        host: MachineName,
+    GangTimedOut {
+        machine: MachineName,
         task: TaskId,
         attempt: u64,
-        shift: u64,
+        incarnation: u64,
     },
     /// A node of the version before comes back with this one.
     Upgrade {
         node: usize,
     },
     /// The state service takes no more than it said it would.
-    Lower,
+    LowerLimits,
     Submit {
         job: usize,
     },
     Poll {
         job: usize,
     },
-    Abort {
+    Cancel {
         job: usize,
     },
     Crash {
@@ -307,42 +307,42 @@
     Outage {
         until: Duration,
     },
-    Refuse {
+    RefuseNode {
         node: usize,
         until: Duration,
     },
-    Cut {
+    CutMachine {
         until: Duration,
     },
-    Hang {
+    HangMachine {
         until: Duration,
     },
-    Die,
-    Deafen {
+    KillMachine,
+    DropResponses {
         until: Duration,
     },
-    Adrift {
+    CutFromKvAndPeers {
         node: usize,
         until: Duration,
     },
-    Part {
+    PartitionWorkers {
         node: usize,
         until: Duration,
     },
     /// A late copy of a report, to whichever node.
-    Copy {
-        report: Heartbeat,
+    DuplicateHeartbeat {
+        heartbeat: Heartbeat,
     },
-    CopyTo {
+    DuplicateHeartbeatTo {
         node: usize,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     },
     /// Something befalls the leader.
-    Leader(Blow),
+    FaultLeader(Fault),
     /// Something befalls a controller that has to do with the latest move.
-    AtMove(shards::Whom, Blow),
+    FaultAtMove(shards::ShardParty, Fault),
     /// All nodes are away for this time.
-    Away {
+    StopAllNodes {
         last: Duration,
     },
     CancelNow {
@@ -353,15 +353,15 @@
         zone: &'static str,
         until: Duration,
     },
-    Mute {
+    DropHeartbeats {
         until: Duration,
     },
     /// The state service refuses lists of keys.
-    Unreadable {
+    RefuseLists {
         until: Duration,
     },
-    Odd {
-        odd: Odd,
+    SendOddRequest {
+        odd: OddRequest,
         known: Option<usize>,
     },
     PollAt {
@@ -425,22 +425,22 @@
 }
 
 #[derive(Debug, Clone)]
-enum Asked {
+enum PendingQuestion {
     Submit(usize),
     Poll(usize),
     /// `known`: the job was accepted when the user asked.
-    Abort {
+    Cancel {
         job: usize,
         known: bool,
     },
-    Odd {
-        odd: Odd,
+    SendOddRequest {
+        odd: OddRequest,
         known: Option<usize>,
     },
-    Beat {
-        host: MachineName,
+    Heartbeat {
+        machine: MachineName,
         sent: Duration,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// Another node's message about shards.
     Shard {
@@ -453,78 +453,78 @@
 pub struct World {
     pub now: Duration,
     rng: StdRng,
-    troubles: Troubles,
+    faults: Faults,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    happenings: HashMap<u64, Happening>,
+    happenings: HashMap<u64, SimEvent>,
     sequence: u64,
     nodes: Vec<Option<(u64, Node)>>,
     /// When each node is to be called next.
-    wakes: Vec<Duration>,
+    next_wakes: Vec<Duration>,
     /// Nodes are called when they asked to be, and not ten times a second: what they
     /// forget to ask for never happens.
     pub on_demand: bool,
     boots: u64,
     kv: Kv,
-    outage: Duration,
-    refused: Vec<Duration>,
-    node_cut: Vec<Duration>,
+    outage_until: Duration,
+    refused_until: Vec<Duration>,
+    node_cut_until: Vec<Duration>,
     /// Until when a node has neither the state service nor siblings.
-    alone: Vec<Duration>,
+    alone_until: Vec<Duration>,
     /// Until when a node and half of the machines can't reach each other.
-    apart: Vec<Duration>,
+    partitioned_until: Vec<Duration>,
     /// The latest leader's token, and since when it leads.
-    led: (u64, Duration),
+    latest_leader: (u64, Duration),
     /// The longest time after which a former leader was still heeded.
-    pub held: Duration,
+    pub longest_heeded: Duration,
     /// Reports that reached their leader through another node.
     pub relayed: usize,
     /// When the last trouble is over.
-    pub calm: Duration,
+    pub calm_at: Duration,
     /// Tasks that ran on machines when the cloud was told to release them.
     pub killed_by_release: usize,
     watches: Vec<Watch>,
     pub workers: BTreeMap<MachineName, Worker>,
-    hires: HashMap<String, Vec<MachineName>>,
+    rentals: HashMap<String, Vec<MachineName>>,
     /// Machines rented so far.
     pub machines: u64,
     pub jobs: Vec<Job>,
     by_id: HashMap<JobId, usize>,
-    asks: HashMap<(usize, u64, RequestId), (Duration, Asked)>,
+    questions: HashMap<(usize, u64, RequestId), (Duration, PendingQuestion)>,
     /// When the request was made whose answer is taken in.
     asked_at: Duration,
-    last_ask: RequestId,
+    last_request: RequestId,
     pub starts: u32,
     /// Gangs that saved when they were stopped, and that could not.
-    pub saves: u32,
-    pub spoilt: u32,
+    pub checkpoints_saved: u32,
+    pub checkpoints_lost: u32,
     /// Nodes of the version before.
-    old: [bool; 3],
-    pub kind: Kind,
+    runs_old_version: [bool; 3],
+    pub deployment: Deployment,
     /// U for the nodes.
     pub capacity: u32,
-    looked: Duration,
+    last_check_at: Duration,
     log: bool,
     /// What is to happen at which moment, after how many more of them.
     scripts: Vec<script::Script>,
     /// Copies of reports for the next leader.
-    kept: Vec<Heartbeat>,
+    kept_heartbeats: Vec<Heartbeat>,
     /// Whether calls are lost, slow or held up only until the last trouble is over.
-    pub clears: bool,
+    pub faults_end: bool,
     /// How far behind all nodes are.
-    pub lag: Duration,
+    pub timer_lag: Duration,
     /// Until when no keys can be listed.
-    unreadable: Duration,
+    lists_refused_until: Duration,
     /// Until when a zone is cut off.
     zone_cut: BTreeMap<&'static str, Duration>,
     /// Until when each process is paused, and what came for it meanwhile.
-    frozen: [Duration; 3],
+    paused_until: [Duration; 3],
     holding: [bool; 3],
     backlog: [Vec<Event>; 3],
-    pub freezes: u32,
+    pub pauses: u32,
     /// Open records that stood there when another term began.
-    pub inherited: usize,
+    pub inherited_intents: usize,
     /// Which nodes fence their duties, from their next start on.
-    pub fenced: [bool; 3],
+    pub fencing: [bool; 3],
     /// What nodes may do, from their next start on.
     pub table: PermissionTable,
     link_cuts: Vec<cuts::LinkCut>,
@@ -575,7 +575,7 @@
 }
 
 fn settings(
-    kind: &Kind,
+    kind: &Deployment,
     node: usize,
     boot: u64,
     capacity: u32,
@@ -584,8 +584,8 @@
 ) -> Settings {
     let name = |n: usize| format!("plank-{n}");
     let team = Team {
-        guaranteed_cpus: kind.cap * 2.0 / 3.0,
-        max_cpus: kind.cap,
+        guaranteed_cpus: kind.cpu_limit * 2.0 / 3.0,
+        max_cpus: kind.cpu_limit,
         guaranteed_gpus: 0.0,
         max_gpus: 0.0,
     };
@@ -597,92 +597,96 @@
         peers: (0..3).filter(|n| *n != node).map(name).collect(),
         teams: BTreeMap::from([("a".into(), team), ("b".into(), team)]),
         objectives: BTreeMap::new(),
-        heartbeat_interval: kind.report,
-        worker_lease: kind.lease,
-        cancel_within: kind.cancel,
+        heartbeat_interval: kind.heartbeat_interval,
+        worker_lease: kind.worker_lease,
+        cancel_within: kind.cancel_within,
         kv_requests_per_s: 250.0,
-        kv_changes_per_s: kind.write_rps,
-        next_kv_changes_per_s: kind.write_rps * 0.75,
+        kv_changes_per_s: kind.kv_changes_per_s,
+        next_kv_changes_per_s: kind.kv_changes_per_s * 0.75,
         cpu_share: 1.0,
         max_value_bytes: if old { 8192 } else { 1024 },
         max_txn_changes: if old { 8 } else { 4 },
-        cloud_requests_per_s: kind.cloud_rps,
+        cloud_requests_per_s: kind.cloud_requests_per_s,
         inventory_lag: secs(3),
         clock_error: ms(100),
         sizing: Sizing { max_slowdown: 1.5, interval: Some(secs(20)), max_machines: Some(capacity) },
         fencing: Fencing { enabled: fenced, ..Fencing::default() },
         reachability: Reachability {
-            enabled: kind.reach && !old,
+            enabled: kind.reachability && !old,
             table: table.clone(),
             ..Reachability::default()
         },
-        sharding: Sharding { enabled: kind.shards && !old, rotate: kind.rotate, ..Sharding::default() },
+        sharding: Sharding {
+            enabled: kind.sharding && !old,
+            rotate: kind.rotate_shards,
+            ..Sharding::default()
+        },
     }
 }
 
 impl World {
-    pub fn new(seed: u64, troubles: Troubles) -> Self {
-        Self::of(SMALL, seed, troubles)
+    pub fn new(seed: u64, troubles: Faults) -> Self {
+        Self::with_deployment(SMALL, seed, troubles)
     }
 
-    pub fn of(mut kind: Kind, seed: u64, troubles: Troubles) -> Self {
-        kind.fenced |= std::env::var_os("WORLD_FENCED").is_some();
-        kind.reach |= std::env::var_os("WORLD_REACH").is_some();
-        kind.shards |= std::env::var_os("WORLD_SHARDS").is_some();
+    pub fn with_deployment(mut kind: Deployment, seed: u64, troubles: Faults) -> Self {
+        kind.fencing |= std::env::var_os("WORLD_FENCED").is_some();
+        kind.reachability |= std::env::var_os("WORLD_REACH").is_some();
+        kind.sharding |= std::env::var_os("WORLD_SHARDS").is_some();
         if let Some(every) = std::env::var("WORLD_MOVES").ok().and_then(|ms| ms.parse().ok()) {
-            kind.rotate = Some(ms(every));
+            kind.rotate_shards = Some(ms(every));
         }
         let mut world = Self {
-            now: EPOCH,
+            now: SIM_START,
             rng: StdRng::seed_from_u64(seed),
-            troubles,
+            faults: troubles,
             queue: BinaryHeap::new(),
             happenings: HashMap::new(),
             sequence: 0,
             nodes: (0..3).map(|_| None).collect(),
-            wakes: vec![Duration::ZERO; 3],
+            next_wakes: vec![Duration::ZERO; 3],
             on_demand: false,
             boots: 0,
             kv: Kv::new(troubles.upgrade),
-            outage: Duration::ZERO,
-            refused: vec![Duration::ZERO; 3],
-            node_cut: vec![Duration::ZERO; 3],
-            alone: vec![Duration::ZERO; 3],
-            apart: vec![Duration::ZERO; 3],
-            led: (0, Duration::ZERO),
-            held: Duration::ZERO,
+            outage_until: Duration::ZERO,
+            refused_until: vec![Duration::ZERO; 3],
+            node_cut_until: vec![Duration::ZERO; 3],
+            alone_until: vec![Duration::ZERO; 3],
+            partitioned_until: vec![Duration::ZERO; 3],
+            latest_leader: (0, Duration::ZERO),
+            longest_heeded: Duration::ZERO,
             relayed: 0,
-            calm: EPOCH,
+            calm_at: SIM_START,
             killed_by_release: 0,
             watches: Vec::new(),
             workers: BTreeMap::new(),
-            hires: HashMap::new(),
+            rentals: HashMap::new(),
             machines: 0,
             jobs: Vec::new(),
             by_id: HashMap::new(),
-            asks: HashMap::new(),
+            questions: HashMap::new(),
             asked_at: Duration::ZERO,
-            last_ask: 0,
+            last_request: 0,
             starts: 0,
-            saves: 0,
-            spoilt: 0,
-            old: [troubles.upgrade; 3],
-            kind,
-            capacity: kind.capacity,
-            looked: Duration::ZERO,
+            checkpoints_saved: 0,
+            checkpoints_lost: 0,
+            runs_old_version: [troubles.upgrade; 3],
+            deployment: kind,
+            capacity: kind.max_machines,
+            last_check_at: Duration::ZERO,
             log: std::env::var_os("WORLD_LOG").is_some(),
             scripts: Vec::new(),
-            kept: Vec::new(),
+            kept_heartbeats: Vec::new(),
             zone_cut: BTreeMap::new(),
-            unreadable: Duration::ZERO,
-            clears: false,
-            lag: Duration::ZERO,
-            frozen: [Duration::ZERO; 3],
+            lists_refused_until: Duration::ZERO,
+            faults_end: false,
+            timer_lag: Duration::ZERO,
+            paused_until: [Duration::ZERO; 3],
             holding: [false; 3],
             backlog: Default::default(),
-            freezes: 0,
-            inherited: 0,
-            fenced: [kind.fenced; 3],
+            pauses: 0,
+            inherited_intents: 0,
+            fencing: [kind.fencing; 3],
             table: PermissionTable::standard(),
             link_cuts: Vec::new(),
             terms: 0,
@@ -703,12 +707,12 @@
             trace: digest::TraceDigest::default(),
         };
         for node in 0..3 {
-            world.at(ms(10 * node as u64), Happening::Start { node });
+            world.schedule_in(ms(10 * node as u64), SimEvent::Start { node });
         }
         world
     }
 
-    fn at(&mut self, after: Duration, happening: Happening) {
+    fn schedule_in(&mut self, after: Duration, happening: SimEvent) {
         self.sequence += 1;
         self.happenings.insert(self.sequence, happening);
         self.queue.push(Reverse((self.now + after, self.sequence)));
@@ -782,146 +786,146 @@
             };
             self.jobs.push(job);
             let at = self.between(500, span);
-            let at = if gang && self.troubles.upgrade { at.max(secs(45)) } else { at };
-            self.at(at, Happening::Submit { job: n });
+            let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
+            self.schedule_in(at, SimEvent::Submit { job: n });
             if n % 4 == 1 || n % 24 == 2 {
                 let later = at + self.between(0, 15_000);
-                self.at(later, Happening::Abort { job: n });
+                self.schedule_in(later, SimEvent::Cancel { job: n });
             }
         }
-        let t = self.troubles;
-        for _ in 0..t.crashes {
+        let t = self.faults;
+        for _ in 0..t.node_crashes {
             let (at, node) = (self.between(1000, span), self.rng.random_range(0..3));
-            self.at(at, Happening::Crash { node });
+            self.schedule_in(at, SimEvent::Crash { node });
         }
-        for _ in 0..t.all_crash {
+        for _ in 0..t.all_nodes_crash {
             let at = self.between(1000, span);
             for node in 0..3 {
-                self.at(at, Happening::Crash { node });
+                self.schedule_in(at, SimEvent::Crash { node });
             }
         }
-        for _ in 0..t.outages {
+        for _ in 0..t.kv_outages {
             let (at, last) = (self.between(1000, span), self.between(3000, 25_000));
             let until = self.now + at + last;
-            self.at(at, Happening::Outage { until });
+            self.schedule_in(at, SimEvent::Outage { until });
         }
-        for _ in 0..t.refusals {
+        for _ in 0..t.kv_refusals {
             let (at, last, node) =
                 (self.between(1000, span), self.between(3000, 25_000), self.rng.random_range(0..3));
             let until = self.now + at + last;
-            self.at(at, Happening::Refuse { node, until });
+            self.schedule_in(at, SimEvent::RefuseNode { node, until });
         }
-        for _ in 0..t.cuts {
+        for _ in 0..t.machine_cuts {
             let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
             let until = self.now + at + last;
-            self.at(at, Happening::Cut { until });
+            self.schedule_in(at, SimEvent::CutMachine { until });
         }
-        for _ in 0..t.hangs {
+        for _ in 0..t.machine_hangs {
             let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
             let until = self.now + at + last;
-            self.at(at, Happening::Hang { until });
+            self.schedule_in(at, SimEvent::HangMachine { until });
         }
         for _ in 0..t.node_cuts {
             let (at, last, node) =
                 (self.between(10_000, span), self.between(15_000, 50_000), self.rng.random_range(0..3));
             let until = self.now + at + last;
-            self.at(at, Happening::CutNode { node, until });
+            self.schedule_in(at, SimEvent::CutNode { node, until });
         }
-        for _ in 0..t.deaths {
+        for _ in 0..t.machine_deaths {
             let at = self.between(10_000, span);
-            self.at(at, Happening::Die);
+            self.schedule_in(at, SimEvent::KillMachine);
         }
-        for _ in 0..t.deaf {
+        for _ in 0..t.dropped_responses {
             let (at, last) = (self.between(10_000, span), self.between(5000, 60_000));
             let until = self.now + at + last;
-            self.at(at, Happening::Deafen { until });
+            self.schedule_in(at, SimEvent::DropResponses { until });
         }
-        for _ in 0..t.adrift {
+        for _ in 0..t.cut_from_kv_and_peers {
             let (at, last, node) =
                 (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
             let until = self.now + at + last;
-            self.at(at, Happening::Adrift { node, until });
+            self.schedule_in(at, SimEvent::CutFromKvAndPeers { node, until });
         }
-        for _ in 0..t.apart {
+        for _ in 0..t.worker_partitions {
             let (at, last, node) =
                 (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
             let until = self.now + at + last;
-            self.at(at, Happening::Part { node, until });
+            self.schedule_in(at, SimEvent::PartitionWorkers { node, until });
         }
-        for _ in 0..t.notices {
+        for _ in 0..t.preemption_notices {
             let (at, left) = (self.between(5000, span), self.between(5000, 20_000));
-            self.at(at, Happening::Notice { left });
+            self.schedule_in(at, SimEvent::PreemptionNotice { left });
         }
-        for _ in 0..t.mute {
+        for _ in 0..t.dropped_heartbeats {
             let (at, last) = (self.between(5000, span), self.between(5000, 60_000));
             let until = self.now + at + last;
-            self.at(at, Happening::Mute { until });
+            self.schedule_in(at, SimEvent::DropHeartbeats { until });
         }
-        for n in 0..t.odd {
+        for n in 0..t.odd_requests {
             let (at, job) = (self.between(500, span), self.rng.random_range(0..jobs));
-            let odd = [Odd::Malformed, Odd::Impossible, Odd::Unknown][n as usize % 3];
-            let known = (n % 2 == 0 && !matches!(odd, Odd::Unknown)).then_some(job);
-            self.at(at, Happening::Odd { odd, known });
+            let odd = [OddRequest::Malformed, OddRequest::Impossible, OddRequest::Unknown][n as usize % 3];
+            let known = (n % 2 == 0 && !matches!(odd, OddRequest::Unknown)).then_some(job);
+            self.schedule_in(at, SimEvent::SendOddRequest { odd, known });
         }
         for _ in 0..t.zone_cuts {
             let at = self.between(5000, span);
-            let until = self.now + at + self.kind.lease + self.between(1000, 30_000);
+            let until = self.now + at + self.deployment.worker_lease + self.between(1000, 30_000);
             let zone = if self.chance(0.5) { "x" } else { "y" };
-            self.at(at, Happening::CutZone { zone, until });
+            self.schedule_in(at, SimEvent::CutZone { zone, until });
         }
-        for _ in 0..t.cancels {
+        for _ in 0..t.cancel_bursts {
             let (at, hang) = (self.between(5000, span), self.between(0, 40_000));
-            self.at(at, Happening::CancelNow { count: 4, hang });
+            self.schedule_in(at, SimEvent::CancelNow { count: 4, hang });
         }
-        for _ in 0..t.aways {
+        for _ in 0..t.all_nodes_away {
             let at = self.between(5000, span);
-            let last = self.kind.lease + self.between(1000, 10_000);
-            self.at(at, Happening::Away { last });
+            let last = self.deployment.worker_lease + self.between(1000, 10_000);
+            self.schedule_in(at, SimEvent::StopAllNodes { last });
         }
         if t.upgrade {
             for node in 0..3 {
-                self.at(secs(15 + 10 * node as u64), Happening::Upgrade { node });
+                self.schedule_in(secs(15 + 10 * node as u64), SimEvent::Upgrade { node });
             }
-            self.at(secs(55), Happening::Lower);
+            self.schedule_in(secs(55), SimEvent::LowerLimits);
         }
         // The longest trouble, and what a process needs to be back.
-        self.calm = self.now + Duration::from_millis(span) + secs(60 + 6);
+        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
     }
 
     /// Runs until the time, or until every user has a final answer.
     pub fn run(&mut self, span: Duration) {
-        let end = EPOCH + span;
-        while !self.settled() && self.next(end) {}
+        let end = SIM_START + span;
+        while !self.settled() && self.step_event(end) {}
     }
 
     /// Goes on for the given time, whatever the users have.
     pub fn idle(&mut self, span: Duration) {
         let end = self.now + span;
-        while self.next(end) {}
+        while self.step_event(end) {}
         self.now = end;
     }
 
     /// The next happening, if it is not after `end`.
-    fn next(&mut self, end: Duration) -> bool {
+    fn step_event(&mut self, end: Duration) -> bool {
         let Some(Reverse((at, id))) = self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end) else {
             return false;
         };
         self.queue.pop();
         self.now = self.now.max(at);
         if let Some(happening) = self.happenings.remove(&id) {
-            self.happen(happening);
+            self.handle(happening);
         }
         true
     }
 
     /// Has a planned job come at this time instead, and not be cancelled.
     pub fn arrive(&mut self, job: usize, after: Duration) {
-        let of = |h: &Happening| match h {
-            Happening::Submit { job } | Happening::Abort { job } => Some(*job),
+        let of = |h: &SimEvent| match h {
+            SimEvent::Submit { job } | SimEvent::Cancel { job } => Some(*job),
             _ => None,
         };
         self.happenings.retain(|_, h| of(h) != Some(job));
-        self.at(after, Happening::Submit { job });
+        self.schedule_in(after, SimEvent::Submit { job });
     }
 
     /// Changes that the state service has carried out.
@@ -949,63 +953,63 @@
         !self.jobs.is_empty() && self.jobs.iter().all(Job::done_or_cancelled)
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle(&mut self, happening: SimEvent) {
         match happening {
-            Happening::Start { node } => {
+            SimEvent::Start { node } => {
                 self.boots += 1;
                 let boot = self.boots;
-                let kinds = (self.old[node], self.fenced[node]);
+                let kinds = (self.runs_old_version[node], self.fencing[node]);
                 self.nodes[node] = Some((
                     boot,
-                    Node::new(settings(&self.kind, node, boot, self.capacity, kinds, &self.table)),
+                    Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.table)),
                 ));
-                self.wakes[node] = self.now + ms(1);
-                self.frozen[node] = Duration::ZERO;
+                self.next_wakes[node] = self.now + ms(1);
+                self.paused_until[node] = Duration::ZERO;
                 self.backlog[node].clear();
-                self.at(ms(1), Happening::Tick { node, boot });
+                self.schedule_in(ms(1), SimEvent::Tick { node, boot });
             }
-            Happening::Crash { node } => {
+            SimEvent::Crash { node } => {
                 if self.nodes[node].take().is_some() {
                     self.watches.retain(|w| w.node != node);
                     let pause =
                         if self.chance(0.3) { self.between(20, 300) } else { self.between(3000, 6000) };
-                    self.at(pause, Happening::Start { node });
+                    self.schedule_in(pause, SimEvent::Start { node });
                 }
             }
-            Happening::Upgrade { node } => {
-                self.old[node] = false;
-                self.kv.mixed = self.old.contains(&true);
-                self.happen(Happening::Crash { node });
+            SimEvent::Upgrade { node } => {
+                self.runs_old_version[node] = false;
+                self.kv.mixed = self.runs_old_version.contains(&true);
+                self.handle(SimEvent::Crash { node });
             }
-            Happening::Lower => self.kv.lower(),
-            Happening::GangLook { job, attempt } => self.gang_look(job, attempt),
-            Happening::Incomplete { host, task, attempt, shift } => {
+            SimEvent::LowerLimits => self.kv.lower(),
+            SimEvent::CheckGang { job, attempt } => self.gang_look(job, attempt),
+            SimEvent::GangTimedOut { machine: host, task, attempt, incarnation: shift } => {
                 self.incomplete(host, task, attempt, shift);
             }
-            Happening::Notice { left } => {
+            SimEvent::PreemptionNotice { left } => {
                 let at = self.now + left;
-                self.someone(|w| w.taken = w.taken.or(Some(at)));
+                self.change_some_machines(|w| w.taken = w.taken.or(Some(at)));
             }
-            Happening::Tick { node, boot } => {
+            SimEvent::Tick { node, boot } => {
                 // An earlier wake may have been asked for since.
-                if self.alive(node, boot) && self.now == self.wakes[node] {
+                if self.alive(node, boot) && self.now == self.next_wakes[node] {
                     self.step(node, Vec::new());
                 }
             }
-            Happening::ToNode { node, boot, event } => {
+            SimEvent::DeliverToNode { node, boot, event } => {
                 if self.alive(node, boot) {
                     self.step(node, vec![event]);
                 }
             }
-            Happening::StateArrives { node, boot, call, op, answered } => {
+            SimEvent::KvRequestArrives { node, boot, call, request: op, answered } => {
                 self.state(node, boot, call, op, answered);
             }
-            Happening::FollowEnds { watch } => {
+            SimEvent::WatchEnds { watch } => {
                 if let Some(at) = self.watches.iter().position(|w| w.id == watch) {
                     let watch = self.watches.swap_remove(at);
-                    let cut = self.node_cut[watch.node].max(self.refused[watch.node]);
+                    let cut = self.node_cut_until[watch.node].max(self.refused_until[watch.node]);
                     let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
-                    let down = watch_cut || self.now < self.outage.max(cut);
+                    let down = watch_cut || self.now < self.outage_until.max(cut);
                     let reply = match down {
                         true => Err(CallError::OutcomeUnknown),
                         false => Ok(self.kv.changes(&watch.prefix, watch.after)),
@@ -1013,7 +1017,7 @@
                     self.reply_state(watch.node, watch.boot, watch.call, reply);
                 }
             }
-            Happening::CloudArrives { actor, call, op, answered } => {
+            SimEvent::CloudRequestArrives { actor, call, request: op, answered } => {
                 let fencing::Actor { node, boot, .. } = actor;
                 self.count_effects(actor, &op);
                 let reply = self.cloud(op);
@@ -1022,138 +1026,160 @@
                     reply: if answered { reply } else { Err(CallError::OutcomeUnknown) },
                 };
                 let pause = if answered { ms(50) } else { secs(3) };
-                self.at(pause, Happening::ToNode { node, boot, event });
+                self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event });
             }
-            Happening::OrdersArrive { node, boot, call, host, token, shift, orders } => {
+            SimEvent::CommandsArrive {
+                node,
+                boot,
+                call,
+                machine: host,
+                token,
+                incarnation: shift,
+                commands: orders,
+            } => {
                 self.orders_arrive(node, boot, call, host, token, shift, orders);
             }
-            Happening::Refence { node, fenced } => {
-                self.fenced[node] = fenced;
-                self.happen(Happening::Crash { node });
+            SimEvent::RestartWithFencing { node, fenced } => {
+                self.fencing[node] = fenced;
+                self.handle(SimEvent::Crash { node });
             }
-            Happening::Freeze { node, last } => self.freeze(node, last, false),
-            Happening::Thaw { node, boot } => self.thaw(node, boot),
-            Happening::Perform { actor, effect } => {
+            SimEvent::PauseProcess { node, last } => self.freeze(node, last, false),
+            SimEvent::ResumeProcess { node, boot } => self.thaw(node, boot),
+            SimEvent::Perform { actor, effect } => {
                 if self.alive(actor.node, actor.boot) {
                     self.perform(actor, *effect);
                 }
             }
-            Happening::Beat { host } => self.beat(host),
-            Happening::BeatAnswered { host, sent, shift, tick, answer } => {
+            SimEvent::Heartbeat { machine: host } => self.beat(host),
+            SimEvent::HeartbeatAnswered {
+                machine: host,
+                sent,
+                incarnation: shift,
+                sequence: tick,
+                answer,
+            } => {
                 self.beat_answered(host, sent, shift, tick, answer);
             }
-            Happening::BeatGivenUp { host, tick } => {
+            SimEvent::HeartbeatTimedOut { machine: host, sequence: tick } => {
                 if let Some(w) = self.workers.get_mut(&host).filter(|w| w.waiting == Some(tick)) {
                     w.waiting = None;
                     w.node = (w.node + 1) % 3;
-                    self.at(secs(1), Happening::Beat { host });
+                    self.schedule_in(secs(1), SimEvent::Heartbeat { machine: host });
                 }
             }
-            Happening::Pulled { host, task, attempt, shift } => self.pulled(host, task, attempt, shift),
-            Happening::Ends { host, task, attempt, shift } => self.task_ends(host, task, attempt, shift),
-            Happening::Unanswered { node, boot, ask, again } => {
-                if self.asks.remove(&(node, boot, ask)).is_some() {
-                    self.happen(*again);
+            SimEvent::ImageFetched { machine: host, task, attempt, incarnation: shift } => {
+                self.pulled(host, task, attempt, shift)
+            }
+            SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift } => {
+                self.task_ends(host, task, attempt, shift)
+            }
+            SimEvent::RetryUnanswered { node, boot, ask, again } => {
+                if self.questions.remove(&(node, boot, ask)).is_some() {
+                    self.handle(*again);
                 }
             }
-            Happening::Submit { job } => {
+            SimEvent::Submit { job } => {
                 let j = &mut self.jobs[job];
                 j.submitted = true;
                 let (id, spec) = (j.id.clone(), j.spec.clone());
                 self.ask(
-                    Asked::Submit(job),
+                    PendingQuestion::Submit(job),
                     |ask| Event::Submit { request: ask, id, job: Ok(spec) },
-                    Happening::Submit { job },
+                    SimEvent::Submit { job },
                 );
             }
-            Happening::Poll { job } => {
+            SimEvent::Poll { job } => {
                 let id = self.jobs[job].id.clone();
-                self.ask(Asked::Poll(job), |ask| Event::Poll { request: ask, id }, Happening::Poll { job });
+                self.ask(
+                    PendingQuestion::Poll(job),
+                    |ask| Event::Poll { request: ask, id },
+                    SimEvent::Poll { job },
+                );
             }
-            Happening::Abort { job } => {
+            SimEvent::Cancel { job } => {
                 if self.jobs[job].submitted {
                     self.jobs[job].aborting = true;
                 }
                 let known = self.jobs[job].accepted;
                 let id = self.jobs[job].id.clone();
                 self.ask(
-                    Asked::Abort { job, known },
+                    PendingQuestion::Cancel { job, known },
                     |ask| Event::Cancel { request: ask, id },
-                    Happening::Abort { job },
+                    SimEvent::Cancel { job },
                 );
             }
-            Happening::Outage { until } => self.outage = self.outage.max(until),
-            Happening::Refuse { node, until } => self.refused[node] = until,
-            Happening::Leader(blow) => self.blow(blow),
-            Happening::AtMove(whom, blow) => self.blow_at_move(whom, blow),
-            Happening::Away { last } => self.away(last),
-            Happening::CancelNow { count, hang } => self.cancel_now(count, hang),
-            Happening::CutZone { zone, until } => {
+            SimEvent::Outage { until } => self.outage_until = self.outage_until.max(until),
+            SimEvent::RefuseNode { node, until } => self.refused_until[node] = until,
+            SimEvent::FaultLeader(blow) => self.fault_leader(blow),
+            SimEvent::FaultAtMove(whom, blow) => self.blow_at_move(whom, blow),
+            SimEvent::StopAllNodes { last } => self.away(last),
+            SimEvent::CancelNow { count, hang } => self.cancel_now(count, hang),
+            SimEvent::CutZone { zone, until } => {
                 self.zone_cut.insert(zone, until);
                 for node in (0..3).filter(|n| zone_of(*n) == zone) {
-                    self.node_cut[node] = self.node_cut[node].max(until);
+                    self.node_cut_until[node] = self.node_cut_until[node].max(until);
                 }
             }
-            Happening::Mute { until } => self.someone(|w| w.mute = until),
-            Happening::Unreadable { until } => self.unreadable = until,
-            Happening::Odd { odd, known } => self.ask_oddly(odd, known),
-            Happening::PollAt { job, node } => {
+            SimEvent::DropHeartbeats { until } => self.change_some_machines(|w| w.mute = until),
+            SimEvent::RefuseLists { until } => self.lists_refused_until = until,
+            SimEvent::SendOddRequest { odd, known } => self.ask_oddly(odd, known),
+            SimEvent::PollAt { job, node } => {
                 let id = self.jobs[job].id.clone();
-                self.ask_at(node, Asked::Poll(job), |ask| Event::Poll { request: ask, id }, None);
+                self.ask_at(node, PendingQuestion::Poll(job), |ask| Event::Poll { request: ask, id }, None);
             }
-            Happening::SubmitAt { job, node } => {
+            SimEvent::SubmitAt { job, node } => {
                 let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
                 self.ask_at(
                     node,
-                    Asked::Submit(job),
+                    PendingQuestion::Submit(job),
                     |ask| Event::Submit { request: ask, id, job: Ok(spec) },
                     None,
                 );
             }
-            Happening::CopyTo { node, report } => self.copy_to(node, report),
-            Happening::Cut { until } => self.someone(|w| w.cut = until),
-            Happening::CutNode { node, until } => self.node_cut[node] = until,
-            Happening::CutLink(cut) => self.cut_link(cut),
-            Happening::Hang { until } => self.someone(|w| w.hung = until),
-            Happening::Die => self.someone(|w| w.dead = true),
-            Happening::Deafen { until } => self.someone(|w| w.deaf = until),
-            Happening::Adrift { node, until } => {
-                self.refused[node] = until;
-                self.alone[node] = until;
+            SimEvent::DuplicateHeartbeatTo { node, heartbeat: report } => self.copy_to(node, report),
+            SimEvent::CutMachine { until } => self.change_some_machines(|w| w.cut = until),
+            SimEvent::CutNode { node, until } => self.node_cut_until[node] = until,
+            SimEvent::CutLink(cut) => self.cut_link(cut),
+            SimEvent::HangMachine { until } => self.change_some_machines(|w| w.hung = until),
+            SimEvent::KillMachine => self.change_some_machines(|w| w.dead = true),
+            SimEvent::DropResponses { until } => self.change_some_machines(|w| w.deaf = until),
+            SimEvent::CutFromKvAndPeers { node, until } => {
+                self.refused_until[node] = until;
+                self.alone_until[node] = until;
             }
-            Happening::Part { node, until } => self.apart[node] = until,
-            Happening::Copy { mut report } => {
-                report.incarnation += u64::from(self.troubles.lying_copies);
+            SimEvent::PartitionWorkers { node, until } => self.partitioned_until[node] = until,
+            SimEvent::DuplicateHeartbeat { heartbeat: mut report } => {
+                report.incarnation += u64::from(self.faults.lying_copies);
                 let node = self.rng.random_range(0..3);
                 self.copy_to(node, report);
             }
         }
         self.expire();
         match self.kv.stamp("lead") {
-            Some(token) if token > self.led.0 => {
-                self.led = (token, self.now);
+            Some(token) if token > self.latest_leader.0 => {
+                self.latest_leader = (token, self.now);
                 self.terms += 1;
-                self.inherited += self.records();
+                self.inherited_intents += self.records();
                 self.deliver_kept();
-                self.moment(Moment::Won);
+                self.trigger(Trigger::Won);
             }
             _ => {}
         }
-        if self.now >= self.looked + self.kind.look {
-            self.looked = self.now;
+        if self.now >= self.last_check_at + self.deployment.check_interval {
+            self.last_check_at = self.now;
             self.check();
             self.check_waits();
             self.look_at_urgent_waits();
         }
     }
 
-    fn someone(&mut self, change: impl Fn(&mut Worker)) {
-        for _ in 0..self.kind.crowd {
-            self.one(&change);
+    fn change_some_machines(&mut self, change: impl Fn(&mut Worker)) {
+        for _ in 0..self.deployment.machines_per_fault {
+            self.change_one_machine(&change);
         }
     }
 
-    fn one(&mut self, change: &impl Fn(&mut Worker)) {
+    fn change_one_machine(&mut self, change: &impl Fn(&mut Worker)) {
         let up: Vec<MachineName> =
             self.workers.values().filter(|w| w.up(self.now)).map(|w| w.name.clone()).collect();
         if up.is_empty() {
@@ -1166,9 +1192,9 @@
     }
 
     /// Whether the node and the machine reach each other.
-    fn reach(&self, node: usize, host: &str) -> bool {
+    fn zones_connected(&self, node: usize, host: &str) -> bool {
         let odd = host.ends_with(['1', '3', '5', '7', '9']);
-        let apart = self.now < self.apart[node] && odd == self.other_half[node];
+        let apart = self.now < self.partitioned_until[node] && odd == self.other_half[node];
         !apart && (self.zone_mates(node, host) || !self.zone_apart(node, host))
     }
 
@@ -1189,9 +1215,9 @@
     fn copy_to(&mut self, node: usize, report: Heartbeat) {
         if let Some((boot, _)) = &self.nodes[node] {
             let boot = *boot;
-            self.last_ask += 1;
-            let event = Event::Heartbeat { request: self.last_ask, heartbeat: report, relayed: false };
-            self.at(ms(1), Happening::ToNode { node, boot, event });
+            self.last_request += 1;
+            let event = Event::Heartbeat { request: self.last_request, heartbeat: report, relayed: false };
+            self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
@@ -1201,7 +1227,7 @@
 
     /// Puts a user's or worker's request to a random living node; `again` is
     /// what the user does if nobody answers.
-    fn ask(&mut self, asked: Asked, event: impl FnOnce(RequestId) -> Event, again: Happening) {
+    fn ask(&mut self, asked: PendingQuestion, event: impl FnOnce(RequestId) -> Event, again: SimEvent) {
         let node = self.rng.random_range(0..3);
         self.ask_at(node, asked, event, Some(again));
     }
@@ -1210,50 +1236,50 @@
     fn ask_at(
         &mut self,
         node: usize,
-        asked: Asked,
+        asked: PendingQuestion,
         event: impl FnOnce(RequestId) -> Event,
-        again: Option<Happening>,
+        again: Option<SimEvent>,
     ) {
-        let reached = self.now >= self.node_cut[node];
+        let reached = self.now >= self.node_cut_until[node];
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
             if let Some(again) = again {
-                self.at(secs(1), again);
+                self.schedule_in(secs(1), again);
             }
             return;
         };
         let boot = *boot;
-        self.last_ask += 1;
-        let ask = self.last_ask;
-        self.asks.insert((node, boot, ask), (self.now, asked));
+        self.last_request += 1;
+        let ask = self.last_request;
+        self.questions.insert((node, boot, ask), (self.now, asked));
         self.step(node, vec![event(ask)]);
         if let Some(again) = again.map(Box::new) {
-            self.at(secs(3), Happening::Unanswered { node, boot, ask, again });
+            self.schedule_in(secs(3), SimEvent::RetryUnanswered { node, boot, ask, again });
         }
     }
 
     fn step(&mut self, node: usize, batch: Vec<Event>) {
         let now = self.now;
-        if now < self.frozen[node] {
+        if now < self.paused_until[node] {
             return self.backlog[node].extend(batch);
         }
         let times = self.times(node);
         let Some((boot, core)) = &mut self.nodes[node] else { return };
         let boot = *boot;
-        core.set_timer_lag(self.lag);
+        core.set_timer_lag(self.timer_lag);
         let effects = core.step(times, batch);
         self.trace.absorb(now, node, &effects);
         let asked = core.next_wake(times.now);
         let wake = if self.on_demand { self.true_time(node, asked) } else { now + ms(100) };
-        let due = self.wakes[node] <= now;
-        if due || (self.on_demand && wake < self.wakes[node]) {
-            self.wakes[node] = wake;
-            self.at(wake - now, Happening::Tick { node, boot });
+        let due = self.next_wakes[node] <= now;
+        if due || (self.on_demand && wake < self.next_wakes[node]) {
+            self.next_wakes[node] = wake;
+            self.schedule_in(wake - now, SimEvent::Tick { node, boot });
         }
         let actor = self.actor(node, boot);
         for effect in effects {
-            if self.holding[node] && now < self.frozen[node] {
+            if self.holding[node] && now < self.paused_until[node] {
                 let effect = Box::new(effect);
-                self.at(self.frozen[node] - now, Happening::Perform { actor, effect });
+                self.schedule_in(self.paused_until[node] - now, SimEvent::Perform { actor, effect });
             } else {
                 self.perform(actor, effect);
             }
@@ -1267,18 +1293,32 @@
         let reply = match effect {
             Effect::CallKv { call, request: op } => {
                 if !matches!(op, KvRequest::Watch { .. }) {
-                    self.at(held, Happening::StateArrives { node, boot, call, op, answered: false });
+                    self.schedule_in(
+                        held,
+                        SimEvent::KvRequestArrives { node, boot, call, request: op, answered: false },
+                    );
                 }
                 Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
             Effect::CallCloud { call, request: op } => {
-                self.at(held, Happening::CloudArrives { actor, call, op, answered: false });
+                self.schedule_in(
+                    held,
+                    SimEvent::CloudRequestArrives { actor, call, request: op, answered: false },
+                );
                 Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
             Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 let host: MachineName = address.as_ref().trim_start_matches("at-").into();
-                let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
-                self.at(held, late);
+                let late = SimEvent::CommandsArrive {
+                    node,
+                    boot: 0,
+                    call,
+                    machine: host,
+                    token,
+                    incarnation: shift,
+                    commands: orders,
+                };
+                self.schedule_in(held, late);
                 Event::CommandReply { call, reply: CommandReply::Unanswered }
             }
             Effect::SendShardMessage { call, to, message } => {
@@ -1287,61 +1327,69 @@
             }
             _ => return,
         };
-        self.at(ms(1200), Happening::ToNode { node, boot, event: reply });
+        self.schedule_in(ms(1200), SimEvent::DeliverToNode { node, boot, event: reply });
     }
 
     fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let inside = match &effect {
-            Effect::Respond { request: ask, .. } => match self.asks.get(&(node, boot, *ask)) {
-                Some((_, Asked::Beat { host, .. })) => self.inside(node, host),
+            Effect::Respond { request: ask, .. } => match self.questions.get(&(node, boot, *ask)) {
+                Some((_, PendingQuestion::Heartbeat { machine: host, .. })) => self.inside(node, host),
                 _ => false,
             },
             Effect::SendCommands { address, .. } => self.inside(node, address.trim_start_matches("at-")),
             Effect::Log(..) => true,
             _ => false,
         };
-        if self.now < self.node_cut[node] && !inside {
-            let held = self.node_cut[node] - self.now;
+        if self.now < self.node_cut_until[node] && !inside {
+            let held = self.node_cut_until[node] - self.now;
             return self.perform_cut(actor, effect, held);
         }
-        if self.clears && self.now > self.calm {
-            let t = &mut self.troubles;
-            (t.lost, t.slow, t.held, t.copies, t.copies_next) = (0.0, false, 0.0, 0.0, 0.0);
+        if self.faults_end && self.now > self.calm_at {
+            let t = &mut self.faults;
+            (
+                t.lost_replies,
+                t.slow_kv,
+                t.delayed_commands,
+                t.duplicate_heartbeats,
+                t.duplicates_for_next_leader,
+            ) = (0.0, false, 0.0, 0.0, 0.0);
         }
         let Some(effect) = self.pass_cuts(actor, effect) else { return };
         match effect {
             Effect::Respond { request: ask, response: answer } => {
                 if let Response::Commands { token, commands: orders } = &answer {
-                    if let Some((_, Asked::Beat { host, .. })) = self.asks.get(&(node, boot, ask)) {
+                    if let Some((_, PendingQuestion::Heartbeat { machine: host, .. })) =
+                        self.questions.get(&(node, boot, ask))
+                    {
                         let host = host.clone();
                         self.last_answer = self.now;
                         self.acts(actor, host, *token);
                     }
-                    self.sent(*token, orders);
+                    self.check_commands(*token, orders);
                 }
-                if let Some((since, asked)) = self.asks.remove(&(node, boot, ask)) {
+                if let Some((since, asked)) = self.questions.remove(&(node, boot, ask)) {
                     self.asked_at = since;
                     self.answered(asked, answer);
                 }
             }
             // The version before knows nothing of this.
-            Effect::CallKv { request: op, .. } if self.old[node] && touches(&op, "node/") => {}
+            Effect::CallKv { request: op, .. } if self.runs_old_version[node] && touches(&op, "node/") => {}
             Effect::CallKv { call, request: op } => {
                 self.duty_sent(&op);
-                let listed = matches!(op, KvRequest::List { .. }) && self.now < self.unreadable;
-                let refused = self.now < self.outage || self.now < self.refused[node] || listed;
+                let listed = matches!(op, KvRequest::List { .. }) && self.now < self.lists_refused_until;
+                let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
                 if refused && !matches!(op, KvRequest::Watch { .. }) {
                     return self.reply_state(node, boot, call, Err(CallError::Refused));
                 }
-                let lost = self.chance(self.troubles.lost);
-                let late = lost && self.chance(self.troubles.late);
-                let slowest = if self.troubles.slow { 900 } else { 15 };
+                let lost = self.chance(self.faults.lost_replies);
+                let late = lost && self.chance(self.faults.late_requests);
+                let slowest = if self.faults.slow_kv { 900 } else { 15 };
                 let delay = if late { self.between(2000, 20_000) } else { self.between(2, slowest) };
                 if lost {
-                    self.at(
+                    self.schedule_in(
                         ms(1200),
-                        Happening::ToNode {
+                        SimEvent::DeliverToNode {
                             node,
                             boot,
                             event: Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) },
@@ -1351,46 +1399,71 @@
                         return;
                     }
                 }
-                self.at(delay, Happening::StateArrives { node, boot, call, op, answered: !lost });
+                self.schedule_in(
+                    delay,
+                    SimEvent::KvRequestArrives { node, boot, call, request: op, answered: !lost },
+                );
             }
             Effect::CallCloud { call, request: op } => {
                 if matches!(op, CloudRequest::Execute(_)) {
-                    self.moment(Moment::CloudCalled);
+                    self.trigger(Trigger::CloudCalled);
                 }
-                if self.holding[node] && self.now < self.frozen[node] {
+                if self.holding[node] && self.now < self.paused_until[node] {
                     let effect = Box::new(Effect::CallCloud { call, request: op });
-                    return self.at(self.frozen[node] - self.now, Happening::Perform { actor, effect });
+                    return self.schedule_in(
+                        self.paused_until[node] - self.now,
+                        SimEvent::Perform { actor, effect },
+                    );
                 }
-                let answered = !self.chance(self.troubles.lost);
+                let answered = !self.chance(self.faults.lost_replies);
                 let delay = if answered { ms(100) } else { self.between(100, 20_000) };
-                self.at(delay, Happening::CloudArrives { actor, call, op, answered });
+                self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request: op, answered });
             }
             Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
                 let starts = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-                assert!(!starts || self.lag.is_zero(), "a start of its own while behind");
-                self.sent(token, &orders);
+                assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
+                self.check_commands(token, &orders);
                 let host: MachineName = address.as_ref().trim_start_matches("at-").into();
                 self.acts(actor, host.clone(), token);
-                let held = self.troubles.held > 0.0 && self.chance(self.troubles.held);
+                let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
                 let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
                 if delay > secs(2) {
                     // Given up by the sender, and carried out all the same.
                     let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
-                    self.at(secs(2), Happening::ToNode { node, boot, event });
+                    self.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
                     let boot = 0;
-                    let late = Happening::OrdersArrive { node, boot, call, host, token, shift, orders };
-                    return self.at(delay, late);
+                    let late = SimEvent::CommandsArrive {
+                        node,
+                        boot,
+                        call,
+                        machine: host,
+                        token,
+                        incarnation: shift,
+                        commands: orders,
+                    };
+                    return self.schedule_in(delay, late);
                 }
-                self.at(delay, Happening::OrdersArrive { node, boot, call, host, token, shift, orders });
+                self.schedule_in(
+                    delay,
+                    SimEvent::CommandsArrive {
+                        node,
+                        boot,
+                        call,
+                        machine: host,
+                        token,
+                        incarnation: shift,
+                        commands: orders,
+                    },
+                );
             }
             Effect::SendPeerHeartbeat(pulse) => {
                 for other in (0..3).filter(|n| *n != node) {
-                    let alone = self.alone[node].max(self.alone[other]);
-                    let open = self.now >= self.node_cut[other].max(alone);
+                    let alone = self.alone_until[node].max(self.alone_until[other]);
+                    let open = self.now >= self.node_cut_until[other].max(alone);
                     let reached = open && self.peers_reach(node, other);
                     if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
                         let (boot, event) = (*boot, Event::PeerHeartbeat(pulse.clone()));
-                        self.at(ms(2), Happening::ToNode { node: other, boot, event });
+                        self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
                     }
                 }
             }
@@ -1400,7 +1473,7 @@
             }
             Effect::Log(_, text) => {
                 if self.log {
-                    println!("{:.3} plank-{node} {text}", (self.now - EPOCH).as_secs_f64());
+                    println!("{:.3} plank-{node} {text}", (self.now - SIM_START).as_secs_f64());
                 }
             }
         }
@@ -1408,12 +1481,12 @@
 
     fn reply_state(&mut self, node: usize, boot: u64, call: CallId, reply: Result<KvReply, CallError>) {
         // A slow service answers late, too, what it has read long before.
-        let way = if self.troubles.slow { self.between(2, 600) } else { ms(2) };
-        self.at(way, Happening::ToNode { node, boot, event: Event::KvReply { call, reply } });
+        let way = if self.faults.slow_kv { self.between(2, 600) } else { ms(2) };
+        self.schedule_in(way, SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } });
     }
 
     fn state(&mut self, node: usize, boot: u64, call: CallId, op: KvRequest, answered: bool) {
-        if self.now < self.outage && !matches!(op, KvRequest::Watch { .. }) {
+        if self.now < self.outage_until && !matches!(op, KvRequest::Watch { .. }) {
             if answered {
                 self.reply_state(node, boot, call, Err(CallError::Refused));
             }
@@ -1424,7 +1497,7 @@
                 self.sequence += 1;
                 let id = self.sequence;
                 self.watches.push(Watch { id, node, boot, call, prefix, after });
-                self.at(wait, Happening::FollowEnds { watch: id });
+                self.schedule_in(wait, SimEvent::WatchEnds { watch: id });
                 self.notify();
             }
             return;
@@ -1435,7 +1508,7 @@
         };
         let reply = self.kv.apply(self.now, op);
         if matches!(reply, Ok(KvReply::Committed { .. })) {
-            self.carried_out(&changes);
+            self.on_committed(&changes);
         }
         if answered {
             self.reply_state(node, boot, call, reply);
@@ -1444,11 +1517,11 @@
     }
 
     fn notify(&mut self) {
-        if self.now < self.outage {
+        if self.now < self.outage_until {
             return;
         }
-        let (now, refused, kv) = (self.now, self.refused.clone(), &self.kv);
-        let cut = self.node_cut.clone();
+        let (now, refused, kv) = (self.now, self.refused_until.clone(), &self.kv);
+        let cut = self.node_cut_until.clone();
         let watch_cut: Vec<bool> =
             (0..3).map(|node| self.cut_of(node, cuts::Link::Watch).is_some()).collect();
         let open = |node: usize| now >= refused[node].max(cut[node]) && !watch_cut[node];
@@ -1464,7 +1537,7 @@
 
     /// What passes with time alone: grants and workers' leases.
     fn expire(&mut self) {
-        if self.now < self.outage {
+        if self.now < self.outage_until {
             self.kv.postpone(self.now);
         } else if self.kv.expire(self.now) {
             self.notify();
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -5,7 +5,7 @@
 
 /// An instant inside a history, seen by the model alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
+pub enum Trigger {
     /// A node has won the leader's key.
     Won,
     /// The leader told a worker to run something.
@@ -33,11 +33,11 @@
 }
 
 /// A moment, how many more of them until it counts, and what happens so long after.
-pub type Script = (Moment, u32, Vec<(Duration, Happening)>);
+pub type Script = (Trigger, u32, Vec<(Duration, SimEvent)>);
 
 /// What befalls the node that leads just then.
 #[derive(Debug, Clone, Copy)]
-pub enum Blow {
+pub enum Fault {
     /// The state service refuses it alone.
     Refuse(Duration),
     /// It loses the state service and the other nodes, not its workers or users.
@@ -49,14 +49,14 @@
     /// It loses the network.
     Cut(Duration),
     /// Some of its links fail.
-    CutLinks(&'static [cuts::Link], cuts::How, Duration),
+    CutLinks(&'static [cuts::Link], cuts::CutMode, Duration),
     /// It ends and is back after this time.
     End(Duration),
 }
 
 /// A user's odd request, and what may be answered beside "later".
 #[derive(Debug, Clone, Copy)]
-pub enum Odd {
+pub enum OddRequest {
     Malformed,
     Impossible,
     Unknown,
@@ -74,13 +74,13 @@
 
 impl World {
     /// Has something happen when the moment comes for the `nth` time.
-    pub fn when(&mut self, moment: Moment, nth: u32, then: Vec<(Duration, Happening)>) {
+    pub fn when(&mut self, moment: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
         self.scripts.push((moment, nth, then));
     }
 
     /// Has something happen at a time of the history.
-    pub fn after(&mut self, at: Duration, happening: Happening) {
-        self.at(at, happening);
+    pub fn schedule_at(&mut self, at: Duration, happening: SimEvent) {
+        self.schedule_in(at, happening);
     }
 
     pub(super) fn duty_sent(&mut self, op: &KvRequest) {
@@ -88,11 +88,11 @@
         let duty =
             |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
-            self.moment(Moment::DutySent);
+            self.trigger(Trigger::DutySent);
         }
     }
 
-    pub(super) fn moment(&mut self, moment: Moment) {
+    pub(super) fn trigger(&mut self, moment: Trigger) {
         let mut due = Vec::new();
         for (which, left, then) in &mut self.scripts {
             if *which == moment && *left > 0 {
@@ -104,16 +104,18 @@
         }
         for (after, happening) in due {
             // Between a decision and its call there is no later moment.
-            if let (true, Happening::Leader(blow @ Blow::FreezeHolding(_))) = (after.is_zero(), &happening) {
-                self.blow(*blow);
+            if let (true, SimEvent::FaultLeader(blow @ Fault::FreezeHolding(_))) =
+                (after.is_zero(), &happening)
+            {
+                self.fault_leader(*blow);
                 continue;
             }
-            self.at(after, happening);
+            self.schedule_in(after, happening);
         }
     }
 
     /// What the leader tells its workers.
-    pub(super) fn sent(&mut self, token: u64, orders: &[WorkerCommand]) {
+    pub(super) fn check_commands(&mut self, token: u64, orders: &[WorkerCommand]) {
         self.gang_sent(token, orders);
         for order in orders {
             match order {
@@ -124,61 +126,61 @@
                     assert!(
                         !late || orders.iter().any(killed),
                         "ran_cancelled: {task:?} is told to run under {token} at {:?}, cancelled at {:?}",
-                        self.now - EPOCH,
-                        job.cancelled.map(|at| at - EPOCH),
+                        self.now - SIM_START,
+                        job.cancelled.map(|at| at - SIM_START),
                     );
-                    self.moment(Moment::RunSent);
+                    self.trigger(Trigger::RunSent);
                 }
-                WorkerCommand::Kill { .. } => self.moment(Moment::KillSent),
+                WorkerCommand::Kill { .. } => self.trigger(Trigger::KillSent),
                 WorkerCommand::Acknowledge { .. } => {}
             }
         }
     }
 
     /// What a transaction that the state service has carried out means.
-    pub(super) fn carried_out(&mut self, changes: &[KvChange]) {
+    pub(super) fn on_committed(&mut self, changes: &[KvChange]) {
         for change in changes {
             let KvChange::Put { key, value, .. } = change else { continue };
             if key.starts_with("duty/") {
                 let holder = key.split('/').nth(1).and_then(|token| token.parse().ok());
                 assert_eq!(self.kv.stamp("lead"), holder, "{key} was written without its holder's lease");
-                self.moment(Moment::DutyWritten);
+                self.trigger(Trigger::DutyWritten);
             } else if key.starts_with("shard/") {
                 self.record_written(key, value);
             } else if key.starts_with("run/") {
-                self.moment(Moment::Placed);
+                self.trigger(Trigger::Placed);
             } else if key.starts_with("job/") && value.contains("\"phase\":\"done\"") {
-                self.moment(Moment::Finished);
+                self.trigger(Trigger::Finished);
             }
         }
     }
 
-    pub(super) fn blow(&mut self, blow: Blow) {
+    pub(super) fn fault_leader(&mut self, blow: Fault) {
         if let Some(node) = self.leader() {
-            self.befall(node, blow);
+            self.apply_fault(node, blow);
         }
     }
 
-    pub(super) fn befall(&mut self, node: usize, blow: Blow) {
+    pub(super) fn apply_fault(&mut self, node: usize, blow: Fault) {
         let now = self.now;
         match blow {
-            Blow::Refuse(last) => self.refused[node] = now + last,
-            Blow::Adrift(last) => {
-                self.refused[node] = now + last;
-                self.alone[node] = now + last;
+            Fault::Refuse(last) => self.refused_until[node] = now + last,
+            Fault::Adrift(last) => {
+                self.refused_until[node] = now + last;
+                self.alone_until[node] = now + last;
             }
-            Blow::Freeze(last) => self.freeze(node, last, false),
-            Blow::FreezeHolding(last) => self.freeze(node, last, true),
-            Blow::Cut(last) => self.node_cut[node] = now + last,
-            Blow::CutLinks(links, how, last) => {
+            Fault::Freeze(last) => self.freeze(node, last, false),
+            Fault::FreezeHolding(last) => self.freeze(node, last, true),
+            Fault::Cut(last) => self.node_cut_until[node] = now + last,
+            Fault::CutLinks(links, how, last) => {
                 for link in links {
                     self.cut_link(cuts::LinkCut { node, link: *link, how, until: now + last });
                 }
             }
-            Blow::End(last) => {
+            Fault::End(last) => {
                 if self.nodes[node].take().is_some() {
                     self.watches.retain(|w| w.node != node);
-                    self.at(last, Happening::Start { node });
+                    self.schedule_in(last, SimEvent::Start { node });
                 }
             }
         }
@@ -195,7 +197,7 @@
     pub(super) fn away(&mut self, last: Duration) {
         for node in 0..3 {
             if self.nodes[node].take().is_some() {
-                self.at(last, Happening::Start { node });
+                self.schedule_in(last, SimEvent::Start { node });
             }
         }
         self.watches.clear();
@@ -212,7 +214,7 @@
         let ids: Vec<JobId> = jobs.iter().map(|n| self.jobs[*n].id.clone()).collect();
         for job in jobs {
             let within = self.between(0, 200);
-            self.at(within, Happening::Abort { job });
+            self.schedule_in(within, SimEvent::Cancel { job });
         }
         let until = self.now + hang;
         let holds = |w: &&mut Worker| w.runs().any(|(t, _)| ids.contains(&t.job));
@@ -223,10 +225,10 @@
 
     /// Copies kept for the next leader reach every node.
     pub(super) fn deliver_kept(&mut self) {
-        for report in std::mem::take(&mut self.kept) {
+        for report in std::mem::take(&mut self.kept_heartbeats) {
             let late = self.between(0, 1500);
             for node in 0..3 {
-                self.at(late, Happening::CopyTo { node, report: report.clone() });
+                self.schedule_in(late, SimEvent::DuplicateHeartbeatTo { node, heartbeat: report.clone() });
             }
         }
     }
@@ -234,51 +236,53 @@
     /// Users ask every node within milliseconds, some repeat the submission, and some
     /// call off what was accepted just now.
     pub(super) fn look_closely(&mut self, job: usize, status: JobStatus) {
-        if !self.troubles.close_looks {
+        if !self.faults.immediate_polls {
             return;
         }
         for node in 0..3 {
             for after in [1, 4, 12] {
-                self.at(ms(after), Happening::PollAt { job, node });
+                self.schedule_in(ms(after), SimEvent::PollAt { job, node });
             }
-            self.at(ms(2 + node as u64), Happening::SubmitAt { job, node });
+            self.schedule_in(ms(2 + node as u64), SimEvent::SubmitAt { job, node });
         }
         if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].told.is_none() {
-            self.at(ms(3), Happening::Abort { job });
+            self.schedule_in(ms(3), SimEvent::Cancel { job });
         }
     }
 
     /// Submissions that can't be taken, and questions about jobs that nobody knows.
-    pub(super) fn ask_oddly(&mut self, odd: Odd, known: Option<usize>) {
+    pub(super) fn ask_oddly(&mut self, odd: OddRequest, known: Option<usize>) {
         let node = self.rng.random_range(0..3);
         let job = known.unwrap_or(0);
         let id = match known {
             Some(job) => self.jobs[job].id.clone(),
-            None => JobId::parse(&format!("job-odd-{}", self.last_ask)).unwrap(),
+            None => JobId::parse(&format!("job-odd-{}", self.last_request)).unwrap(),
         };
         let accepted = known.is_some_and(|j| self.jobs[j].accepted);
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
         let event = |ask| match odd {
-            Odd::Malformed => Event::Submit { request: ask, id, job: Err("a field is missing".into()) },
-            Odd::Impossible => Event::Submit { request: ask, id, job: Ok(spec) },
-            Odd::Unknown if ask % 2 == 0 => Event::Poll { request: ask, id },
-            Odd::Unknown => Event::Cancel { request: ask, id },
+            OddRequest::Malformed => {
+                Event::Submit { request: ask, id, job: Err("a field is missing".into()) }
+            }
+            OddRequest::Impossible => Event::Submit { request: ask, id, job: Ok(spec) },
+            OddRequest::Unknown if ask % 2 == 0 => Event::Poll { request: ask, id },
+            OddRequest::Unknown => Event::Cancel { request: ask, id },
         };
-        let asked = Asked::Odd { odd, known: known.filter(|_| accepted) };
+        let asked = PendingQuestion::SendOddRequest { odd, known: known.filter(|_| accepted) };
         self.ask_at(node, asked, event, None);
     }
 
-    pub(super) fn odd_answered(&mut self, odd: Odd, known: Option<usize>, answer: Response) {
+    pub(super) fn odd_answered(&mut self, odd: OddRequest, known: Option<usize>, answer: Response) {
         match (odd, known, answer) {
             (_, _, Response::Unavailable { .. }) => {}
             // A known id is answered with the job's state, whatever else was sent.
-            (Odd::Malformed | Odd::Impossible, Some(job), Response::Job { status, .. }) => {
+            (OddRequest::Malformed | OddRequest::Impossible, Some(job), Response::Job { status, .. }) => {
                 self.tell(job, status);
             }
-            (Odd::Malformed, None, Response::BadRequest(_)) => {}
-            (Odd::Impossible, None, Response::Unprocessable(_)) => {}
-            (Odd::Unknown, None, Response::NotFound) => {}
+            (OddRequest::Malformed, None, Response::BadRequest(_)) => {}
+            (OddRequest::Impossible, None, Response::Unprocessable(_)) => {}
+            (OddRequest::Unknown, None, Response::NotFound) => {}
             (odd, known, answer) => panic!("{odd:?} of {known:?} gets {answer:?}"),
         }
     }
@@ -286,7 +290,7 @@
     /// Once troubles are over, no job waits while a machine that fits has room and its
     /// team may use it.
     pub(super) fn check_waits(&mut self) {
-        if self.now < self.calm {
+        if self.now < self.calm_at {
             return;
         }
         let now = self.now;
@@ -346,7 +350,7 @@
             // Zones that other tasks of the job decide about are left out.
             let bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
             let needs = open && !bound && placed + done < spec.tasks;
-            let most = self.kind.cap - used.get(spec.team.as_str()).copied().unwrap_or_default();
+            let most = self.deployment.cpu_limit - used.get(spec.team.as_str()).copied().unwrap_or_default();
             let fits = |(w, free): &(&Worker, f64)| {
                 spec.demand.cpus <= *free
                     && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
