--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -9,7 +9,7 @@
 
 /// A controller that has to do with the latest move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Whom {
+pub enum ShardParty {
     OldHolder,
     NextHolder,
 }
@@ -31,37 +31,38 @@
         if let ShardMessage::HolderStatus(report) = &message {
             self.latest_stamps.insert(node, report.stamp);
         }
-        let told = |delivery| Happening::ToNode {
+        let told = |delivery| SimEvent::DeliverToNode {
             node,
             boot,
             event: Event::ShardMessageDelivery { call, delivery },
         };
-        let alone = self.alone[node].max(self.alone[other]);
-        let open = self.now >= self.node_cut[other].max(alone) && self.peers_reach(node, other);
+        let alone = self.alone_until[node].max(self.alone_until[other]);
+        let open = self.now >= self.node_cut_until[other].max(alone) && self.peers_reach(node, other);
         if !open {
-            return self.at(PATIENCE, told(Delivery::NoResponse));
+            return self.schedule_in(PATIENCE, told(Delivery::NoResponse));
         }
         let Some((peer_boot, _)) = &self.nodes[other] else {
-            return self.at(ms(4), told(Delivery::NoResponse));
+            return self.schedule_in(ms(4), told(Delivery::NoResponse));
         };
         let peer_boot = *peer_boot;
-        if self.old[other] {
-            return self.at(ms(4), told(Delivery::Unsupported));
+        if self.runs_old_version[other] {
+            return self.schedule_in(ms(4), told(Delivery::Unsupported));
         }
-        let troubles = self.troubles;
-        if troubles.held > 0.0 && self.chance(troubles.held) {
+        let troubles = self.faults;
+        if troubles.delayed_commands > 0.0 && self.chance(troubles.delayed_commands) {
             let late = self.between(1000, 9000);
             self.late_shard_message(late, to, message);
-            return self.at(PATIENCE, told(Delivery::NoResponse));
+            return self.schedule_in(PATIENCE, told(Delivery::NoResponse));
         }
-        let way = if self.chance(troubles.lost) { self.between(200, 900) } else { ms(2) };
-        self.last_ask += 1;
-        let ask = self.last_ask;
-        self.asks.insert((other, peer_boot, ask), (self.now, Asked::Shard { node, boot, call }));
+        let way = if self.chance(troubles.lost_replies) { self.between(200, 900) } else { ms(2) };
+        self.last_request += 1;
+        let ask = self.last_request;
+        self.questions
+            .insert((other, peer_boot, ask), (self.now, PendingQuestion::Shard { node, boot, call }));
         let event = Event::ShardMessage { request: ask, message: Ok(message) };
-        self.at(way, Happening::ToNode { node: other, boot: peer_boot, event });
+        self.schedule_in(way, SimEvent::DeliverToNode { node: other, boot: peer_boot, event });
         let again = Box::new(told(Delivery::NoResponse));
-        self.at(PATIENCE, Happening::Unanswered { node: other, boot: peer_boot, ask, again });
+        self.schedule_in(PATIENCE, SimEvent::RetryUnanswered { node: other, boot: peer_boot, ask, again });
     }
 
     /// A message arrives when its sender has long given it up.
@@ -69,18 +70,18 @@
         let other = node_of(to);
         let Some((boot, _)) = &self.nodes[other] else { return };
         let boot = *boot;
-        self.last_ask += 1;
-        let event = Event::ShardMessage { request: self.last_ask, message: Ok(message) };
-        self.at(late, Happening::ToNode { node: other, boot, event });
+        self.last_request += 1;
+        let event = Event::ShardMessage { request: self.last_request, message: Ok(message) };
+        self.schedule_in(late, SimEvent::DeliverToNode { node: other, boot, event });
     }
 
     pub(super) fn shard_answered(&mut self, (node, boot, call): (usize, u64, CallId), answer: Response) {
         let Response::ShardMessageDelivery(delivery) = answer else {
             panic!("a message about shards gets {answer:?}")
         };
-        self.at(
+        self.schedule_in(
             ms(2),
-            Happening::ToNode { node, boot, event: Event::ShardMessageDelivery { call, delivery } },
+            SimEvent::DeliverToNode { node, boot, event: Event::ShardMessageDelivery { call, delivery } },
         );
     }
 
@@ -96,9 +97,9 @@
 }
 
 impl World {
-    pub(super) fn blow_at_move(&mut self, whom: Whom, blow: Blow) {
+    pub(super) fn blow_at_move(&mut self, whom: ShardParty, blow: Fault) {
         let Some((old, next)) = self.latest_move else { return };
-        self.befall(if whom == Whom::OldHolder { old } else { next }, blow);
+        self.apply_fault(if whom == ShardParty::OldHolder { old } else { next }, blow);
     }
 
     /// The machines of the shards that a node holds, by the records.
@@ -129,8 +130,8 @@
     /// What a node does with a message that it gets from somewhere.
     pub fn deliver(&mut self, node: usize, message: ShardMessage) -> (Delivery, Vec<Effect>) {
         let times = self.times(node);
-        self.last_ask += 1;
-        let ask = self.last_ask;
+        self.last_request += 1;
+        let ask = self.last_request;
         let (_, core) = self.nodes[node].as_mut().unwrap();
         let effects = core.step(times, vec![Event::ShardMessage { request: ask, message: Ok(message) }]);
         let answer = effects.iter().find_map(|effect| match effect {
@@ -161,6 +162,6 @@
         }
         let before = self.shard_holders.insert(key.to_owned(), record.holder.clone());
         self.shard_moves += u32::from(before.is_some_and(|before| before != record.holder));
-        self.moment(if record.moving.is_some() { Moment::MoveBegun } else { Moment::HolderNamed });
+        self.trigger(if record.moving.is_some() { Trigger::MoveBegun } else { Trigger::HolderNamed });
     }
 }
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -126,8 +126,8 @@
                         age: now - w.hired,
                     })
                     .collect();
-                let truncated = hosts.len() > self.kind.page;
-                hosts.truncate(self.kind.page);
+                let truncated = hosts.len() > self.deployment.inventory_page;
+                hosts.truncate(self.deployment.inventory_page);
                 CloudReply::Instances { instances: hosts, truncated }
             }
             CloudRequest::Execute(permitted) => return self.act(permitted.action().clone()),
@@ -137,11 +137,11 @@
     fn act(&mut self, action: Action) -> Result<CloudReply, CallError> {
         Ok(match action {
             Action::Rent(Rental { name, zone, spot, count, .. }) => {
-                if let Some(hosts) = self.hires.get(&name) {
+                if let Some(hosts) = self.rentals.get(&name) {
                     return Ok(CloudReply::Rented(hosts.clone()));
                 }
                 let held = self.workers.values().filter(|w| w.zone == zone && w.spot == spot).count() as u32;
-                let given = count.min(self.kind.pool.saturating_sub(held));
+                let given = count.min(self.deployment.machines_per_pool.saturating_sub(held));
                 if given == 0 {
                     return Ok(CloudReply::NoCapacity);
                 }
@@ -149,7 +149,7 @@
                 for _ in 0..given {
                     self.machines += 1;
                     let host: MachineName = format!("i-{:06}", self.machines).into();
-                    let slowest = if self.troubles.quick { 2000 } else { 9000 };
+                    let slowest = if self.faults.quick_boots { 2000 } else { 9000 };
                     let boot = if self.chance(0.05) { secs(100_000) } else { self.between(300, slowest) };
                     let up_at = self.now + boot;
                     let worker = Worker {
@@ -168,22 +168,22 @@
                         tick: 0,
                         token: 0,
                         leased: up_at,
-                        lease: self.kind.lease,
+                        lease: self.deployment.worker_lease,
                         tasks: BTreeMap::new(),
                         node: self.rng.random_range(0..3),
                         waiting: None,
-                        faulty: self.rng.random_range(0.0..1.0) < self.troubles.errors,
+                        faulty: self.rng.random_range(0.0..1.0) < self.faults.task_errors,
                         hired: self.now,
                     };
                     self.workers.insert(host.clone(), worker);
-                    self.at(boot, Happening::Beat { host: host.clone() });
+                    self.schedule_in(boot, SimEvent::Heartbeat { machine: host.clone() });
                     hosts.push(host);
                 }
-                self.hires.insert(name, hosts.clone());
+                self.rentals.insert(name, hosts.clone());
                 CloudReply::Rented(hosts)
             }
             Action::Return(back) => {
-                for host in back.hosts.iter().filter(|_| !self.troubles.lying_cloud) {
+                for host in back.hosts.iter().filter(|_| !self.faults.lying_cloud) {
                     let worker = self.workers.remove(host).filter(|w| w.up(self.now));
                     self.killed_by_release += worker.map_or(0, |w| w.runs().count());
                 }
@@ -202,58 +202,75 @@
         }
         if now < worker.hung {
             let pause = worker.hung - now;
-            return self.at(pause, Happening::Beat { host });
+            return self.schedule_in(pause, SimEvent::Heartbeat { machine: host });
         }
         worker.expire(now);
         let report = worker.report(now);
         let (node, tick, cut) = (worker.node, worker.tick, now < worker.cut);
         worker.waiting = Some(tick);
-        if self.chance(self.troubles.copies) {
+        if self.chance(self.faults.duplicate_heartbeats) {
             let late = self.between(500, 40_000);
-            self.at(late, Happening::Copy { report: report.clone() });
+            self.schedule_in(late, SimEvent::DuplicateHeartbeat { heartbeat: report.clone() });
         }
-        if self.troubles.copies_next > 0.0 && self.chance(self.troubles.copies_next) {
-            self.kept.push(report.clone());
+        if self.faults.duplicates_for_next_leader > 0.0 && self.chance(self.faults.duplicates_for_next_leader)
+        {
+            self.kept_heartbeats.push(report.clone());
         }
-        self.at(secs(4), Happening::BeatGivenUp { host: host.clone(), tick });
+        self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: host.clone(), sequence: tick });
         let mute = self.workers.get(&host).is_some_and(|w| now < w.mute);
         let mute = mute || self.cut_of(node, cuts::Link::Reports).is_some();
-        if mute || now < self.node_cut[node] && !self.inside(node, &host) {
+        if mute || now < self.node_cut_until[node] && !self.inside(node, &host) {
             return;
         }
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
-        self.last_ask += 1;
-        let ask = self.last_ask;
+        self.last_request += 1;
+        let ask = self.last_request;
         let again = Box::new(report.clone());
         let event = Event::Heartbeat { request: ask, heartbeat: report, relayed: false };
         let held = if cut { self.workers[&host].cut - now } else { Duration::ZERO };
-        if !self.reach(node, &host) {
+        if !self.zones_connected(node, &host) {
             return;
         }
-        self.asks.insert((node, boot, ask), (now, Asked::Beat { host, sent: now, report: again }));
+        self.questions.insert(
+            (node, boot, ask),
+            (now, PendingQuestion::Heartbeat { machine: host, sent: now, heartbeat: again }),
+        );
         // A cut holds the report back and delivers it late.
-        self.at(held + ms(1), Happening::ToNode { node, boot, event });
+        self.schedule_in(held + ms(1), SimEvent::DeliverToNode { node, boot, event });
     }
 
-    pub(super) fn answered(&mut self, asked: Asked, answer: Response) {
+    pub(super) fn answered(&mut self, asked: PendingQuestion, answer: Response) {
         match asked {
-            Asked::Beat { sent, report, .. } if matches!(answer, Response::Relay { .. }) => {
+            PendingQuestion::Heartbeat { sent, heartbeat: report, .. }
+                if matches!(answer, Response::Relay { .. }) =>
+            {
                 self.relay(sent, report, answer);
             }
-            Asked::Beat { host, sent, report } => {
+            PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report } => {
                 let (shift, tick) = (report.incarnation, report.sequence);
                 let away = self.workers.get(&host).is_some_and(|w| self.now < w.cut.max(w.deaf));
                 if !away {
-                    self.at(ms(1), Happening::BeatAnswered { host, sent, shift, tick, answer });
+                    self.schedule_in(
+                        ms(1),
+                        SimEvent::HeartbeatAnswered {
+                            machine: host,
+                            sent,
+                            incarnation: shift,
+                            sequence: tick,
+                            answer,
+                        },
+                    );
                 }
             }
-            Asked::Shard { node, boot, call } => self.shard_answered((node, boot, call), answer),
-            Asked::Submit(job) => self.submit_answered(job, answer),
-            Asked::Odd { odd, known } => self.odd_answered(odd, known, answer),
-            Asked::Poll(0) if self.troubles.unheard => self.at(secs(2), Happening::Poll { job: 0 }),
-            Asked::Poll(job) => self.poll_answered(job, answer),
-            Asked::Abort { job, known } => self.abort_answered(job, known, answer),
+            PendingQuestion::Shard { node, boot, call } => self.shard_answered((node, boot, call), answer),
+            PendingQuestion::Submit(job) => self.submit_answered(job, answer),
+            PendingQuestion::SendOddRequest { odd, known } => self.odd_answered(odd, known, answer),
+            PendingQuestion::Poll(0) if self.faults.unanswered_first_job => {
+                self.schedule_in(secs(2), SimEvent::Poll { job: 0 })
+            }
+            PendingQuestion::Poll(job) => self.poll_answered(job, answer),
+            PendingQuestion::Cancel { job, known } => self.abort_answered(job, known, answer),
         }
     }
 
@@ -263,18 +280,22 @@
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
         let host = report.machine.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
-        let reached = !cut && self.now >= self.node_cut[node].max(self.alone[node]);
+        let reached = !cut && self.now >= self.node_cut_until[node].max(self.alone_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
             let nobody = Response::Redirect { leader: None };
-            return self.answered(Asked::Beat { host, sent, report }, nobody);
+            return self
+                .answered(PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report }, nobody);
         };
         let boot = *boot;
-        self.last_ask += 1;
-        let ask = self.last_ask;
+        self.last_request += 1;
+        let ask = self.last_request;
         let event = Event::Heartbeat { request: ask, heartbeat: (*report).clone(), relayed: true };
-        self.asks.insert((node, boot, ask), (self.now, Asked::Beat { host, sent, report }));
+        self.questions.insert(
+            (node, boot, ask),
+            (self.now, PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report }),
+        );
         self.relayed += 1;
-        self.at(ms(2), Happening::ToNode { node, boot, event });
+        self.schedule_in(ms(2), SimEvent::DeliverToNode { node, boot, event });
     }
 
     pub(super) fn beat_answered(
@@ -293,8 +314,8 @@
         worker.waiting = None;
         let pause = match answer {
             Response::Commands { token, commands: orders } => {
-                if token < self.led.0 && token >= worker.token {
-                    self.held = self.held.max(now.saturating_sub(self.led.1));
+                if token < self.latest_leader.0 && token >= worker.token {
+                    self.longest_heeded = self.longest_heeded.max(now.saturating_sub(self.latest_leader.1));
                 }
                 worker.expire(now);
                 if worker.shift == shift && token >= worker.token {
@@ -306,7 +327,7 @@
                     }
                 }
                 // Give or take a quarter.
-                let report = self.kind.report.as_millis() as u64;
+                let report = self.deployment.heartbeat_interval.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
             Response::Redirect { leader: Some(name) } => {
@@ -318,7 +339,7 @@
                 secs(1)
             }
         };
-        self.at(pause, Happening::Beat { host });
+        self.schedule_in(pause, SimEvent::Heartbeat { machine: host });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -335,11 +356,11 @@
         let now = self.now;
         let unanswered = |world: &mut Self| {
             let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
-            world.at(secs(2), Happening::ToNode { node, boot, event });
+            world.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
         };
         let Some(worker) = self.workers.get_mut(&host) else { return unanswered(self) };
         let away = worker.dead || now < worker.deaf;
-        if away || !self.reach(node, &host) {
+        if away || !self.zones_connected(node, &host) {
             return unanswered(self);
         }
         let Some(worker) = self.workers.get_mut(&host) else { return };
@@ -347,8 +368,16 @@
         if now < held {
             // Given up by the sender, and carried out when the worker is back.
             unanswered(self);
-            let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
-            return self.at(held - now, late);
+            let late = SimEvent::CommandsArrive {
+                node,
+                boot: 0,
+                call,
+                machine: host,
+                token,
+                incarnation: shift,
+                commands: orders,
+            };
+            return self.schedule_in(held - now, late);
         }
         worker.expire(now);
         if token >= worker.token && shift == worker.shift {
@@ -361,7 +390,7 @@
         let report = worker.report(now);
         if boot != 0 {
             let event = Event::CommandReply { call, reply: CommandReply::Answered(report) };
-            self.at(ms(1), Happening::ToNode { node, boot, event });
+            self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
@@ -387,7 +416,10 @@
                 let shift = worker.shift;
                 if seen == TaskStatus::FetchingImage {
                     let pull = self.between(0, 1500);
-                    self.at(pull, Happening::Pulled { host: host.clone(), task, attempt, shift });
+                    self.schedule_in(
+                        pull,
+                        SimEvent::ImageFetched { machine: host.clone(), task, attempt, incarnation: shift },
+                    );
                 }
             }
             WorkerCommand::Kill { task, attempt, grace: leeway } => {
@@ -425,7 +457,10 @@
         };
         if now < worker.hung {
             let pause = worker.hung - now;
-            return self.at(pause, Happening::Pulled { host, task, attempt, shift });
+            return self.schedule_in(
+                pause,
+                SimEvent::ImageFetched { machine: host, task, attempt, incarnation: shift },
+            );
         }
         worker.expire(now);
         let key = (task.clone(), attempt);
@@ -440,7 +475,7 @@
         let (zone, spot, faulty) = (worker.zone.clone(), worker.spot, worker.faulty);
         let job = &self.jobs[self.by_id[&task.job]];
         let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
-        assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - EPOCH);
+        assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - SIM_START);
         assert!(job.spec.zone.as_ref().is_none_or(|z| *z == zone), "wrong_place: zone");
         assert!(job.spec.allows_spot || !spot, "wrong_place: spot");
         let here = |w: &&Worker| w.zone == zone;
@@ -449,7 +484,7 @@
         let all: u32 = self.workers.values().map(of_job).sum();
         assert!(!job.spec.single_zone || in_zone == all, "wrong_place: samePlace");
         assert!(!job.spec.spread || in_zone <= job.spec.tasks.div_ceil(2), "wrong_place: scatter");
-        let late = job.cancelled.is_some_and(|at| now > at + self.kind.cancel);
+        let late = job.cancelled.is_some_and(|at| now > at + self.deployment.cancel_within);
         assert!(!late, "ran_cancelled: {task:?} starts");
         let last = f64::from(task.index) / f64::from(job.spec.tasks.max(2) - 1);
         let runs = Duration::from_secs_f64(job.runs + job.spread * last);
@@ -461,7 +496,7 @@
         let began = &mut self.jobs[self.by_id[&task.job]].began;
         began.get_or_insert(now);
         let pause = if faulty { ms(500) } else { runs };
-        self.at(pause, Happening::Ends { host, task, attempt, shift });
+        self.schedule_in(pause, SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift });
     }
 
     pub(super) fn task_ends(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
@@ -471,7 +506,8 @@
         };
         if now < worker.hung {
             let pause = worker.hung - now + ms(500);
-            return self.at(pause, Happening::Ends { host, task, attempt, shift });
+            return self
+                .schedule_in(pause, SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift });
         }
         let faulty = worker.faulty;
         let Some(seen) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
@@ -483,10 +519,10 @@
             let job = self.by_id[&task.job];
             self.jobs[job].done.insert(task.index);
             let last = self.jobs[job].done.len() as u32 == self.jobs[job].spec.tasks;
-            let share = self.troubles.cancel_at_end;
+            let share = self.faults.cancel_at_end;
             if last && share > 0.0 && self.chance(share) {
                 let around = self.between(0, 400);
-                self.at(around, Happening::Abort { job });
+                self.schedule_in(around, SimEvent::Cancel { job });
             }
         }
     }
@@ -499,21 +535,21 @@
                 let first = !self.jobs[job].accepted;
                 if first {
                     self.look_closely(job, status);
-                    self.moment(Moment::Accepted);
+                    self.trigger(Trigger::Accepted);
                 }
                 self.jobs[job].accepted = true;
                 self.jobs[job].since.get_or_insert(self.now);
                 self.tell(job, status);
                 if first {
-                    self.at(secs(1), Happening::Poll { job });
+                    self.schedule_in(secs(1), SimEvent::Poll { job });
                     // Some users are not sure that they were understood.
                     if self.chance(0.2) {
                         let later = self.between(100, 30_000);
-                        self.at(later, Happening::Submit { job });
+                        self.schedule_in(later, SimEvent::Submit { job });
                     }
                 }
             }
-            Response::Unavailable { retry_after: retry } => self.at(retry, Happening::Submit { job }),
+            Response::Unavailable { retry_after: retry } => self.schedule_in(retry, SimEvent::Submit { job }),
             other => panic!("forgotten: a good submission gets {other:?}"),
         }
     }
@@ -523,14 +559,14 @@
             Response::Job { status, .. } => {
                 self.tell(job, status);
                 if !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
-                    self.at(secs(2), Happening::Poll { job });
+                    self.schedule_in(secs(2), SimEvent::Poll { job });
                 } else if self.chance(0.5) {
                     // Users may ask again at any later time.
                     let later = self.between(100, 60_000);
-                    self.at(later, Happening::Poll { job });
+                    self.schedule_in(later, SimEvent::Poll { job });
                 }
             }
-            Response::Unavailable { .. } => self.at(secs(2), Happening::Poll { job }),
+            Response::Unavailable { .. } => self.schedule_in(secs(2), SimEvent::Poll { job }),
             Response::NotFound => assert!(!self.jobs[job].accepted, "forgotten: {:?}", self.jobs[job].id),
             other => panic!("a poll gets {other:?}"),
         }
@@ -545,9 +581,9 @@
             Response::NotFound => {
                 assert!(!known, "forgotten: {:?}", self.jobs[job].id);
                 // Not accepted yet: the user tries again once it is.
-                self.at(secs(2), Happening::Abort { job });
+                self.schedule_in(secs(2), SimEvent::Cancel { job });
             }
-            _ => self.at(secs(1), Happening::Abort { job }),
+            _ => self.schedule_in(secs(1), SimEvent::Cancel { job }),
         }
     }
 
@@ -559,7 +595,7 @@
                 let id = &self.jobs[job].id;
                 let here = |w: &Worker| w.runs().any(|(t, _)| t.job == *id);
                 self.jobs[job].cut_short = self.workers.values().any(here);
-                self.moment(Moment::Cancelled);
+                self.trigger(Trigger::Cancelled);
             }
         }
         let j = &mut self.jobs[job];
@@ -593,20 +629,24 @@
             for (task, _) in worker.runs() {
                 let job = &self.jobs[self.by_id[&task.job]];
                 *cpus.entry(&job.spec.team).or_default() += job.spec.demand.cpus;
-                let late = job.cancelled.is_some_and(|at| self.now > at + self.kind.cancel);
+                let late = job.cancelled.is_some_and(|at| self.now > at + self.deployment.cancel_within);
                 if late && std::env::var_os("WORLD_DUMP").is_some() {
-                    println!("{:?} cancelled {:?}", self.now - EPOCH, job.cancelled.map(|at| at - EPOCH));
+                    println!(
+                        "{:?} cancelled {:?}",
+                        self.now - SIM_START,
+                        job.cancelled.map(|at| at - SIM_START)
+                    );
                     self.dump();
                 }
                 assert!(!late, "ran_cancelled: {task:?} is still on {}", worker.name);
             }
         }
         for job in self.jobs.iter().filter(|j| j.accepted && !j.aborting && !j.done_or_cancelled()) {
-            let silent = self.now.saturating_sub(job.heard.max(self.calm));
+            let silent = self.now.saturating_sub(job.heard.max(self.calm_at));
             assert!(silent <= secs(75), "forgotten: nothing is told of {:?}", job.id);
         }
         for (team, used) in cpus {
-            assert!(used <= self.kind.cap + 1e-9, "quota: {team} uses {used}");
+            assert!(used <= self.deployment.cpu_limit + 1e-9, "quota: {team} uses {used}");
         }
     }
 }
