--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -11,10 +11,9 @@
 #[allow(dead_code)]
 mod world;
 
+use world::deployment::FLEET;
 use world::Fault::*;
-use world::{
-    ms, secs, Clock, Deployment, Effects, Faults, SimEvent, Trigger, World, FLEET, SMALL, TRUE_CLOCK,
-};
+use world::{ms, secs, Clock, Deployment, Effects, Faults, SimEvent, Trigger, World, SMALL, TRUE_CLOCK};
 
 /// A few machines that come and go, under leaders that record what they ask for.
 const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -9,7 +9,8 @@
 
 use plankhead_core::jobs::job::Priority;
 use std::time::Duration;
-use world::{secs, Deployment, Faults, SimEvent, World, FLEET, SMALL};
+use world::deployment::FLEET;
+use world::{secs, Deployment, Faults, SimEvent, World, SMALL};
 
 /// Plays histories and expects every job to come to its end.
 fn play(seeds: std::ops::Range<u64>, troubles: Faults) {
--- a/crates/plankhead-core/tests/large_fleet.rs
+++ b/crates/plankhead-core/tests/large_fleet.rs
@@ -8,7 +8,8 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{secs, Deployment, Fault, Faults, SimEvent, World, FLEET};
+use world::deployment::FLEET;
+use world::{secs, Deployment, Fault, Faults, SimEvent, World};
 
 const MACHINES: u32 = 4_000;
 const KIND: Deployment = Deployment {
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -12,8 +12,9 @@
 use plankhead_reachability::permission::{Action, Permission, PermissionTable};
 use std::time::Duration;
 use world::cuts::{CutMode, Link, CUT_MODES, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
+use world::deployment::FLEET;
 use world::Fault::*;
-use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, FLEET, SMALL};
+use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
 const REACH: Deployment = Deployment { reachability: true, ..SMALL };
 const ALL_LINKS: [Link; 10] = [
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -18,9 +18,10 @@
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
 use world::cuts::{CutMode, PEER_LINKS, STATE_LINKS, WORKER_LINKS};
+use world::deployment::FLEET;
 use world::shards::ShardParty::{self, NextHolder, OldHolder};
 use world::Fault::{self, *};
-use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, FLEET, SMALL};
+use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
 /// Machines divided, a shard moved every two and a half seconds.
 const MOVING: Deployment = Deployment { sharding: true, rotate_shards: Some(ms(2500)), ..SMALL };
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -12,7 +12,8 @@
 
 use std::fmt::Write;
 use world::cuts::{CutMode, STATE_LINKS, WORKER_LINKS};
-use world::{ms, secs, Deployment, Fault, Faults, SimEvent, Trigger, World, FLEET, SMALL};
+use world::deployment::FLEET;
+use world::{ms, secs, Deployment, Fault, Faults, SimEvent, Trigger, World, SMALL};
 
 const DIGESTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/trace-digests.txt");
 const SEEDS: std::ops::Range<u64> = 100..108;
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -1,6 +1,13 @@
 //! Half-open cuts: one link of one node fails in one direction, while the others hold.
 
-use super::*;
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::requests::PendingQuestion;
+use super::{fencing, World};
+use plankhead_core::protocol::{CallError, CommandReply, Effect, Event, KvRequest, MachineName, Response};
+use plankhead_reachability::coverage::Coverage;
+use plankhead_reachability::mode::Mode;
+use std::time::Duration;
 
 /// Which link of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -4,7 +4,10 @@
 //! fields, so that renaming and moving code leaves it as it is. Left out are what people
 //! read: the text of log lines, reasons of refusals, and the operators' view.
 
-use plankhead_core::protocol::*;
+use plankhead_core::protocol::{
+    CloudRequest, Effect, Heartbeat, JobStatus, KvChange, KvRequest, Response, TaskId, TaskStatus,
+    WorkerCommand,
+};
 use plankhead_core::shards::messages::{HolderStatus, LeaderCommands, ShardMessage};
 use plankhead_fencing::gate::Basis;
 use plankhead_reachability::coverage::Coverage;
--- /dev/null
+++ b/crates/plankhead-core/tests/world/effects.rs
@@ -0,0 +1,296 @@
+//! What the nodes decide, carried out on the model: calls, answers, messages.
+
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::requests::{PendingQuestion, Watch};
+use super::script::Trigger;
+use super::{cuts, fencing, World, SIM_START};
+use plankhead_core::protocol::{
+    CallError, CallId, CloudRequest, CommandReply, Effect, Event, KvChange, KvReply, KvRequest, MachineName,
+    Response, WorkerCommand,
+};
+use plankhead_core::shards::messages::Delivery;
+use std::time::Duration;
+
+pub(super) fn touches(op: &KvRequest, prefix: &str) -> bool {
+    match op {
+        KvRequest::List { prefix: p, .. } => p == prefix,
+        KvRequest::Txn { changes, .. } => {
+            changes.iter().any(|c| matches!(c, KvChange::Put { key, .. } if key.starts_with(prefix)))
+        }
+        _ => false,
+    }
+}
+
+impl World {
+    /// What a cut node sends is held, carried out when the cut ends, and never
+    /// answered.
+    pub(super) fn perform_cut(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
+        let fencing::Actor { node, boot, .. } = actor;
+        let reply = match effect {
+            Effect::CallKv { call, request: op } => {
+                if !matches!(op, KvRequest::Watch { .. }) {
+                    self.schedule_in(
+                        held,
+                        SimEvent::KvRequestArrives { node, boot, call, request: op, answered: false },
+                    );
+                }
+                Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
+            }
+            Effect::CallCloud { call, request: op } => {
+                self.schedule_in(
+                    held,
+                    SimEvent::CloudRequestArrives { actor, call, request: op, answered: false },
+                );
+                Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
+            }
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
+                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
+                let late = SimEvent::CommandsArrive {
+                    node,
+                    boot: 0,
+                    call,
+                    machine: host,
+                    token,
+                    incarnation: shift,
+                    commands: orders,
+                };
+                self.schedule_in(held, late);
+                Event::CommandReply { call, reply: CommandReply::Unanswered }
+            }
+            Effect::SendShardMessage { call, to, message } => {
+                self.late_shard_message(held, &to, message);
+                Event::ShardMessageDelivery { call, delivery: Delivery::NoResponse }
+            }
+            _ => return,
+        };
+        self.schedule_in(ms(1200), SimEvent::DeliverToNode { node, boot, event: reply });
+    }
+
+    pub(super) fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
+        let fencing::Actor { node, boot, .. } = actor;
+        let inside = match &effect {
+            Effect::Respond { request: ask, .. } => match self.questions.get(&(node, boot, *ask)) {
+                Some((_, PendingQuestion::Heartbeat { machine: host, .. })) => self.inside(node, host),
+                _ => false,
+            },
+            Effect::SendCommands { address, .. } => self.inside(node, address.trim_start_matches("at-")),
+            Effect::Log(..) => true,
+            _ => false,
+        };
+        if self.now < self.node_cut_until[node] && !inside {
+            let held = self.node_cut_until[node] - self.now;
+            return self.perform_cut(actor, effect, held);
+        }
+        if self.faults_end && self.now > self.calm_at {
+            let t = &mut self.faults;
+            (
+                t.lost_replies,
+                t.slow_kv,
+                t.delayed_commands,
+                t.duplicate_heartbeats,
+                t.duplicates_for_next_leader,
+            ) = (0.0, false, 0.0, 0.0, 0.0);
+        }
+        let Some(effect) = self.pass_cuts(actor, effect) else { return };
+        match effect {
+            Effect::Respond { request: ask, response: answer } => {
+                if let Response::Commands { token, commands: orders } = &answer {
+                    if let Some((_, PendingQuestion::Heartbeat { machine: host, .. })) =
+                        self.questions.get(&(node, boot, ask))
+                    {
+                        let host = host.clone();
+                        self.last_answer = self.now;
+                        self.acts(actor, host, *token);
+                    }
+                    self.check_commands(*token, orders);
+                }
+                if let Some((since, asked)) = self.questions.remove(&(node, boot, ask)) {
+                    self.asked_at = since;
+                    self.answered(asked, answer);
+                }
+            }
+            // The version before knows nothing of this.
+            Effect::CallKv { request: op, .. } if self.runs_old_version[node] && touches(&op, "node/") => {}
+            Effect::CallKv { call, request: op } => {
+                self.duty_sent(&op);
+                let listed = matches!(op, KvRequest::List { .. }) && self.now < self.lists_refused_until;
+                let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
+                if refused && !matches!(op, KvRequest::Watch { .. }) {
+                    return self.reply_state(node, boot, call, Err(CallError::Refused));
+                }
+                let lost = self.chance(self.faults.lost_replies);
+                let late = lost && self.chance(self.faults.late_requests);
+                let slowest = if self.faults.slow_kv { 900 } else { 15 };
+                let delay = if late { self.between(2000, 20_000) } else { self.between(2, slowest) };
+                if lost {
+                    self.schedule_in(
+                        ms(1200),
+                        SimEvent::DeliverToNode {
+                            node,
+                            boot,
+                            event: Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) },
+                        },
+                    );
+                    if self.chance(0.3) {
+                        return;
+                    }
+                }
+                self.schedule_in(
+                    delay,
+                    SimEvent::KvRequestArrives { node, boot, call, request: op, answered: !lost },
+                );
+            }
+            Effect::CallCloud { call, request: op } => {
+                if matches!(op, CloudRequest::Execute(_)) {
+                    self.trigger(Trigger::CloudCalled);
+                }
+                if self.holding[node] && self.now < self.paused_until[node] {
+                    let effect = Box::new(Effect::CallCloud { call, request: op });
+                    return self.schedule_in(
+                        self.paused_until[node] - self.now,
+                        SimEvent::Perform { actor, effect },
+                    );
+                }
+                let answered = !self.chance(self.faults.lost_replies);
+                let delay = if answered { ms(100) } else { self.between(100, 20_000) };
+                self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request: op, answered });
+            }
+            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
+                let starts = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
+                assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
+                self.check_commands(token, &orders);
+                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
+                self.acts(actor, host.clone(), token);
+                let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
+                let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
+                if delay > secs(2) {
+                    // Given up by the sender, and carried out all the same.
+                    let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
+                    self.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
+                    let boot = 0;
+                    let late = SimEvent::CommandsArrive {
+                        node,
+                        boot,
+                        call,
+                        machine: host,
+                        token,
+                        incarnation: shift,
+                        commands: orders,
+                    };
+                    return self.schedule_in(delay, late);
+                }
+                self.schedule_in(
+                    delay,
+                    SimEvent::CommandsArrive {
+                        node,
+                        boot,
+                        call,
+                        machine: host,
+                        token,
+                        incarnation: shift,
+                        commands: orders,
+                    },
+                );
+            }
+            Effect::SendPeerHeartbeat(pulse) => {
+                for other in (0..3).filter(|n| *n != node) {
+                    let alone = self.alone_until[node].max(self.alone_until[other]);
+                    let open = self.now >= self.node_cut_until[other].max(alone);
+                    let reached = open && self.peers_reach(node, other);
+                    if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
+                        let (boot, event) = (*boot, Event::PeerHeartbeat(pulse.clone()));
+                        self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
+                    }
+                }
+            }
+            Effect::SendCoverage(coverage) => self.tell_coverage(node, boot, coverage),
+            Effect::SendShardMessage { call, to, message } => {
+                self.shard_message((node, boot, call), &to, message)
+            }
+            Effect::Log(_, text) => {
+                if self.log {
+                    println!("{:.3} plank-{node} {text}", (self.now - SIM_START).as_secs_f64());
+                }
+            }
+        }
+    }
+
+    pub(super) fn reply_state(
+        &mut self,
+        node: usize,
+        boot: u64,
+        call: CallId,
+        reply: Result<KvReply, CallError>,
+    ) {
+        // A slow service answers late, too, what it has read long before.
+        let way = if self.faults.slow_kv { self.between(2, 600) } else { ms(2) };
+        self.schedule_in(way, SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } });
+    }
+
+    pub(super) fn state(&mut self, node: usize, boot: u64, call: CallId, op: KvRequest, answered: bool) {
+        if self.now < self.outage_until && !matches!(op, KvRequest::Watch { .. }) {
+            if answered {
+                self.reply_state(node, boot, call, Err(CallError::Refused));
+            }
+            return;
+        }
+        if let KvRequest::Watch { prefix, after, wait } = op {
+            if answered && self.alive(node, boot) {
+                self.sequence += 1;
+                let id = self.sequence;
+                self.watches.push(Watch { id, node, boot, call, prefix, after });
+                self.schedule_in(wait, SimEvent::WatchEnds { watch: id });
+                self.notify();
+            }
+            return;
+        }
+        let changes = match &op {
+            KvRequest::Txn { changes, .. } => changes.clone(),
+            _ => Vec::new(),
+        };
+        let reply = self.kv.apply(self.now, op);
+        if matches!(reply, Ok(KvReply::Committed { .. })) {
+            self.on_committed(&changes);
+        }
+        if answered {
+            self.reply_state(node, boot, call, reply);
+        }
+        self.notify();
+    }
+
+    pub(super) fn notify(&mut self) {
+        if self.now < self.outage_until {
+            return;
+        }
+        let (now, refused, kv) = (self.now, self.refused_until.clone(), &self.kv);
+        let cut = self.node_cut_until.clone();
+        let watch_cut: Vec<bool> =
+            (0..3).map(|node| self.cut_of(node, cuts::Link::Watch).is_some()).collect();
+        let open = |node: usize| now >= refused[node].max(cut[node]) && !watch_cut[node];
+        let news = |w: &Watch| open(w.node) && kv.news(&w.prefix, w.after);
+        let (ready, waiting): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.watches).into_iter().partition(news);
+        self.watches = waiting;
+        for watch in ready {
+            let reply = Ok(self.kv.changes(&watch.prefix, watch.after));
+            self.reply_state(watch.node, watch.boot, watch.call, reply);
+        }
+    }
+
+    /// What passes with time alone: grants and workers' leases.
+    pub(super) fn expire(&mut self) {
+        if self.now < self.outage_until {
+            self.kv.postpone(self.now);
+        } else if self.kv.expire(self.now) {
+            self.notify();
+        }
+        for worker in self.workers.values_mut() {
+            worker.dead |= worker.taken.is_some_and(|at| self.now >= at);
+            if worker.dead {
+                worker.ended.get_or_insert(self.now);
+            }
+            worker.expire(self.now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/tests/world/events.rs
@@ -0,0 +1,452 @@
+//! The events of a simulation, in the order of their times.
+
+use super::deployment::{ms, secs, settings, zone_of};
+use super::requests::PendingQuestion;
+use super::script::{Fault, OddRequest, Trigger};
+use super::worker::Worker;
+use super::{cuts, fencing, shards, World};
+use plankhead_core::node::Node;
+use plankhead_core::protocol::{
+    CallError, CallId, CloudRequest, Effect, Event, Heartbeat, KvRequest, MachineName, RequestId, Response,
+    TaskId, WorkerCommand,
+};
+use rand::RngExt;
+use std::time::Duration;
+
+#[derive(Debug, Clone)]
+pub enum SimEvent {
+    CutNode {
+        node: usize,
+        until: Duration,
+    },
+    CutLink(cuts::LinkCut),
+    /// Whoever got no answer by then asks again.
+    RetryUnanswered {
+        node: usize,
+        boot: u64,
+        ask: RequestId,
+        again: Box<SimEvent>,
+    },
+    Tick {
+        node: usize,
+        boot: u64,
+    },
+    DeliverToNode {
+        node: usize,
+        boot: u64,
+        event: Event,
+    },
+    KvRequestArrives {
+        node: usize,
+        boot: u64,
+        call: CallId,
+        request: KvRequest,
+        answered: bool,
+    },
+    /// A node comes back with fencing on or off.
+    RestartWithFencing {
+        node: usize,
+        fenced: bool,
+    },
+    /// A process is paused, and goes on.
+    PauseProcess {
+        node: usize,
+        last: Duration,
+    },
+    ResumeProcess {
+        node: usize,
+        boot: u64,
+    },
+    /// What a process had decided when it was paused.
+    Perform {
+        actor: fencing::Actor,
+        effect: Box<Effect>,
+    },
+    WatchEnds {
+        watch: u64,
+    },
+    CloudRequestArrives {
+        actor: fencing::Actor,
+        call: CallId,
+        request: CloudRequest,
+        answered: bool,
+    },
+    CommandsArrive {
+        node: usize,
+        boot: u64,
+        call: CallId,
+        machine: MachineName,
+        token: u64,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
+    },
+    Heartbeat {
+        machine: MachineName,
+    },
+    HeartbeatAnswered {
+        machine: MachineName,
+        sent: Duration,
+        incarnation: u64,
+        sequence: u64,
+        answer: Response,
+    },
+    HeartbeatTimedOut {
+        machine: MachineName,
+        sequence: u64,
+    },
+    TaskEnds {
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    },
+    ImageFetched {
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    },
+    /// A machine is about to be taken.
+    PreemptionNotice {
+        left: Duration,
+    },
+    CheckGang {
+        job: usize,
+        attempt: u64,
+    },
+    GangTimedOut {
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    },
+    /// A node of the version before comes back with this one.
+    Upgrade {
+        node: usize,
+    },
+    /// The state service takes no more than it said it would.
+    LowerLimits,
+    Submit {
+        job: usize,
+    },
+    Poll {
+        job: usize,
+    },
+    Cancel {
+        job: usize,
+    },
+    Crash {
+        node: usize,
+    },
+    Start {
+        node: usize,
+    },
+    Outage {
+        until: Duration,
+    },
+    RefuseNode {
+        node: usize,
+        until: Duration,
+    },
+    CutMachine {
+        until: Duration,
+    },
+    HangMachine {
+        until: Duration,
+    },
+    KillMachine,
+    DropResponses {
+        until: Duration,
+    },
+    CutFromKvAndPeers {
+        node: usize,
+        until: Duration,
+    },
+    PartitionWorkers {
+        node: usize,
+        until: Duration,
+    },
+    /// A late copy of a report, to whichever node.
+    DuplicateHeartbeat {
+        heartbeat: Heartbeat,
+    },
+    DuplicateHeartbeatTo {
+        node: usize,
+        heartbeat: Heartbeat,
+    },
+    /// Something befalls the leader.
+    FaultLeader(Fault),
+    /// Something befalls a controller that has to do with the latest move.
+    FaultAtMove(shards::ShardParty, Fault),
+    /// All nodes are away for this time.
+    StopAllNodes {
+        last: Duration,
+    },
+    CancelNow {
+        count: usize,
+        hang: Duration,
+    },
+    CutZone {
+        zone: &'static str,
+        until: Duration,
+    },
+    DropHeartbeats {
+        until: Duration,
+    },
+    /// The state service refuses lists of keys.
+    RefuseLists {
+        until: Duration,
+    },
+    SendOddRequest {
+        odd: OddRequest,
+        known: Option<usize>,
+    },
+    PollAt {
+        job: usize,
+        node: usize,
+    },
+    SubmitAt {
+        job: usize,
+        node: usize,
+    },
+}
+
+impl World {
+    pub(super) fn handle(&mut self, happening: SimEvent) {
+        match happening {
+            SimEvent::Start { node } => {
+                self.boots += 1;
+                let boot = self.boots;
+                let kinds = (self.runs_old_version[node], self.fencing[node]);
+                self.nodes[node] = Some((
+                    boot,
+                    Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.table)),
+                ));
+                self.next_wakes[node] = self.now + ms(1);
+                self.paused_until[node] = Duration::ZERO;
+                self.backlog[node].clear();
+                self.schedule_in(ms(1), SimEvent::Tick { node, boot });
+            }
+            SimEvent::Crash { node } => {
+                if self.nodes[node].take().is_some() {
+                    self.watches.retain(|w| w.node != node);
+                    let pause =
+                        if self.chance(0.3) { self.between(20, 300) } else { self.between(3000, 6000) };
+                    self.schedule_in(pause, SimEvent::Start { node });
+                }
+            }
+            SimEvent::Upgrade { node } => {
+                self.runs_old_version[node] = false;
+                self.kv.mixed = self.runs_old_version.contains(&true);
+                self.handle(SimEvent::Crash { node });
+            }
+            SimEvent::LowerLimits => self.kv.lower(),
+            SimEvent::CheckGang { job, attempt } => self.gang_look(job, attempt),
+            SimEvent::GangTimedOut { machine: host, task, attempt, incarnation: shift } => {
+                self.incomplete(host, task, attempt, shift);
+            }
+            SimEvent::PreemptionNotice { left } => {
+                let at = self.now + left;
+                self.change_some_machines(|w| w.taken = w.taken.or(Some(at)));
+            }
+            SimEvent::Tick { node, boot } => {
+                // An earlier wake may have been asked for since.
+                if self.alive(node, boot) && self.now == self.next_wakes[node] {
+                    self.step(node, Vec::new());
+                }
+            }
+            SimEvent::DeliverToNode { node, boot, event } => {
+                if self.alive(node, boot) {
+                    self.step(node, vec![event]);
+                }
+            }
+            SimEvent::KvRequestArrives { node, boot, call, request: op, answered } => {
+                self.state(node, boot, call, op, answered);
+            }
+            SimEvent::WatchEnds { watch } => {
+                if let Some(at) = self.watches.iter().position(|w| w.id == watch) {
+                    let watch = self.watches.swap_remove(at);
+                    let cut = self.node_cut_until[watch.node].max(self.refused_until[watch.node]);
+                    let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
+                    let down = watch_cut || self.now < self.outage_until.max(cut);
+                    let reply = match down {
+                        true => Err(CallError::OutcomeUnknown),
+                        false => Ok(self.kv.changes(&watch.prefix, watch.after)),
+                    };
+                    self.reply_state(watch.node, watch.boot, watch.call, reply);
+                }
+            }
+            SimEvent::CloudRequestArrives { actor, call, request: op, answered } => {
+                let fencing::Actor { node, boot, .. } = actor;
+                self.count_effects(actor, &op);
+                let reply = self.cloud(op);
+                let event = Event::CloudReply {
+                    call,
+                    reply: if answered { reply } else { Err(CallError::OutcomeUnknown) },
+                };
+                let pause = if answered { ms(50) } else { secs(3) };
+                self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event });
+            }
+            SimEvent::CommandsArrive {
+                node,
+                boot,
+                call,
+                machine: host,
+                token,
+                incarnation: shift,
+                commands: orders,
+            } => {
+                self.orders_arrive(node, boot, call, host, token, shift, orders);
+            }
+            SimEvent::RestartWithFencing { node, fenced } => {
+                self.fencing[node] = fenced;
+                self.handle(SimEvent::Crash { node });
+            }
+            SimEvent::PauseProcess { node, last } => self.freeze(node, last, false),
+            SimEvent::ResumeProcess { node, boot } => self.thaw(node, boot),
+            SimEvent::Perform { actor, effect } => {
+                if self.alive(actor.node, actor.boot) {
+                    self.perform(actor, *effect);
+                }
+            }
+            SimEvent::Heartbeat { machine: host } => self.beat(host),
+            SimEvent::HeartbeatAnswered {
+                machine: host,
+                sent,
+                incarnation: shift,
+                sequence: tick,
+                answer,
+            } => {
+                self.beat_answered(host, sent, shift, tick, answer);
+            }
+            SimEvent::HeartbeatTimedOut { machine: host, sequence: tick } => {
+                if let Some(w) = self.workers.get_mut(&host).filter(|w| w.waiting == Some(tick)) {
+                    w.waiting = None;
+                    w.node = (w.node + 1) % 3;
+                    self.schedule_in(secs(1), SimEvent::Heartbeat { machine: host });
+                }
+            }
+            SimEvent::ImageFetched { machine: host, task, attempt, incarnation: shift } => {
+                self.pulled(host, task, attempt, shift)
+            }
+            SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift } => {
+                self.task_ends(host, task, attempt, shift)
+            }
+            SimEvent::RetryUnanswered { node, boot, ask, again } => {
+                if self.questions.remove(&(node, boot, ask)).is_some() {
+                    self.handle(*again);
+                }
+            }
+            SimEvent::Submit { job } => {
+                let j = &mut self.jobs[job];
+                j.submitted = true;
+                let (id, spec) = (j.id.clone(), j.spec.clone());
+                self.ask(
+                    PendingQuestion::Submit(job),
+                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
+                    SimEvent::Submit { job },
+                );
+            }
+            SimEvent::Poll { job } => {
+                let id = self.jobs[job].id.clone();
+                self.ask(
+                    PendingQuestion::Poll(job),
+                    |ask| Event::Poll { request: ask, id },
+                    SimEvent::Poll { job },
+                );
+            }
+            SimEvent::Cancel { job } => {
+                if self.jobs[job].submitted {
+                    self.jobs[job].aborting = true;
+                }
+                let known = self.jobs[job].accepted;
+                let id = self.jobs[job].id.clone();
+                self.ask(
+                    PendingQuestion::Cancel { job, known },
+                    |ask| Event::Cancel { request: ask, id },
+                    SimEvent::Cancel { job },
+                );
+            }
+            SimEvent::Outage { until } => self.outage_until = self.outage_until.max(until),
+            SimEvent::RefuseNode { node, until } => self.refused_until[node] = until,
+            SimEvent::FaultLeader(blow) => self.fault_leader(blow),
+            SimEvent::FaultAtMove(whom, blow) => self.blow_at_move(whom, blow),
+            SimEvent::StopAllNodes { last } => self.away(last),
+            SimEvent::CancelNow { count, hang } => self.cancel_now(count, hang),
+            SimEvent::CutZone { zone, until } => {
+                self.zone_cut.insert(zone, until);
+                for node in (0..3).filter(|n| zone_of(*n) == zone) {
+                    self.node_cut_until[node] = self.node_cut_until[node].max(until);
+                }
+            }
+            SimEvent::DropHeartbeats { until } => self.change_some_machines(|w| w.mute = until),
+            SimEvent::RefuseLists { until } => self.lists_refused_until = until,
+            SimEvent::SendOddRequest { odd, known } => self.ask_oddly(odd, known),
+            SimEvent::PollAt { job, node } => {
+                let id = self.jobs[job].id.clone();
+                self.ask_at(node, PendingQuestion::Poll(job), |ask| Event::Poll { request: ask, id }, None);
+            }
+            SimEvent::SubmitAt { job, node } => {
+                let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
+                self.ask_at(
+                    node,
+                    PendingQuestion::Submit(job),
+                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
+                    None,
+                );
+            }
+            SimEvent::DuplicateHeartbeatTo { node, heartbeat: report } => self.copy_to(node, report),
+            SimEvent::CutMachine { until } => self.change_some_machines(|w| w.cut = until),
+            SimEvent::CutNode { node, until } => self.node_cut_until[node] = until,
+            SimEvent::CutLink(cut) => self.cut_link(cut),
+            SimEvent::HangMachine { until } => self.change_some_machines(|w| w.hung = until),
+            SimEvent::KillMachine => self.change_some_machines(|w| w.dead = true),
+            SimEvent::DropResponses { until } => self.change_some_machines(|w| w.deaf = until),
+            SimEvent::CutFromKvAndPeers { node, until } => {
+                self.refused_until[node] = until;
+                self.alone_until[node] = until;
+            }
+            SimEvent::PartitionWorkers { node, until } => self.partitioned_until[node] = until,
+            SimEvent::DuplicateHeartbeat { heartbeat: mut report } => {
+                report.incarnation += u64::from(self.faults.lying_copies);
+                let node = self.rng.random_range(0..3);
+                self.copy_to(node, report);
+            }
+        }
+        self.expire();
+        match self.kv.stamp("lead") {
+            Some(token) if token > self.latest_leader.0 => {
+                self.latest_leader = (token, self.now);
+                self.terms += 1;
+                self.inherited_intents += self.records();
+                self.deliver_kept();
+                self.trigger(Trigger::Won);
+            }
+            _ => {}
+        }
+        if self.now >= self.last_check_at + self.deployment.check_interval {
+            self.last_check_at = self.now;
+            self.check();
+            self.check_waits();
+            self.look_at_urgent_waits();
+        }
+    }
+
+    pub(super) fn change_some_machines(&mut self, change: impl Fn(&mut Worker)) {
+        for _ in 0..self.deployment.machines_per_fault {
+            self.change_one_machine(&change);
+        }
+    }
+
+    pub(super) fn change_one_machine(&mut self, change: &impl Fn(&mut Worker)) {
+        let up: Vec<MachineName> =
+            self.workers.values().filter(|w| w.up(self.now)).map(|w| w.name.clone()).collect();
+        if up.is_empty() {
+            return;
+        }
+        let which = self.rng.random_range(0..up.len());
+        if let Some(worker) = self.workers.get_mut(&up[which]) {
+            change(worker);
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -0,0 +1,239 @@
+//! What goes wrong in a history, and the jobs that come meanwhile.
+
+use super::deployment::secs;
+use super::events::SimEvent;
+use super::jobs::Job;
+use super::script::OddRequest;
+use super::World;
+use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
+use rand::RngExt;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// What goes wrong in a history.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Faults {
+    /// Share of state and cloud replies that are lost.
+    pub lost_replies: f64,
+    /// Share of lost state requests that are carried out seconds later.
+    pub late_requests: f64,
+    pub node_crashes: u32,
+    pub all_nodes_crash: u32,
+    pub kv_outages: u32,
+    pub kv_refusals: u32,
+    pub machine_cuts: u32,
+    pub machine_hangs: u32,
+    pub machine_deaths: u32,
+    /// A node loses the whole network; what it sends arrives when that ends.
+    pub node_cuts: u32,
+    /// Machines whose reports arrive while they hear nothing.
+    pub dropped_responses: u32,
+    /// Share of reports of which a copy comes late.
+    pub duplicate_heartbeats: f64,
+    /// A node loses the state service and its siblings, not its workers.
+    pub cut_from_kv_and_peers: u32,
+    /// Half of the machines and a node can't reach each other.
+    pub worker_partitions: u32,
+    pub task_errors: f64,
+    /// A cloud that lies: confirmed releases leave the machine running.
+    pub lying_cloud: bool,
+    /// Late copies that lie: they tell of a shift that has not begun.
+    pub lying_copies: bool,
+    /// Nobody hears the answers to questions about the first job.
+    pub unanswered_first_job: bool,
+    /// Machines that are taken some seconds after a notice.
+    pub preemption_notices: u32,
+    /// The nodes begin with the version before and come back with this one, one after
+    /// the other; later the state service lowers its limits. No gang comes before.
+    pub upgrade: bool,
+    /// Machines whose reports reach no node, while direct commands reach them.
+    pub dropped_heartbeats: u32,
+    /// Share of reports of which a copy reaches every node as a new leader begins.
+    pub duplicates_for_next_leader: f64,
+    /// Share of direct commands, and of their answers, that are held up for seconds.
+    pub delayed_commands: f64,
+    /// Share of the jobs that are called off at the moment of their end.
+    pub cancel_at_end: f64,
+    /// Users ask all nodes within milliseconds of whatever they are told.
+    pub immediate_polls: bool,
+    /// Odd requests of users.
+    pub odd_requests: u32,
+    /// Zones cut off with their machines and nodes, for longer than a lease.
+    pub zone_cuts: u32,
+    /// Machines are up within two seconds.
+    pub quick_boots: bool,
+    /// Every state reply takes up to a second.
+    pub slow_kv: bool,
+    /// Times at which jobs that run are called off and machines of theirs hang.
+    pub cancel_bursts: u32,
+    /// All nodes are away for longer than a lease.
+    pub all_nodes_away: u32,
+}
+
+impl World {
+    /// Jobs and troubles at random times within the given span.
+    pub fn plan(&mut self, jobs: usize, span: Duration) {
+        let span = span.as_millis() as u64;
+        for n in 0..jobs {
+            let gang = n % 4 == 2;
+            // Some gangs are wider than a chunk of placements.
+            let wide = n % 12 == 2;
+            let many = if n % 9 == 0 && !gang { 120 } else { 6 };
+            let many = if wide { 22 } else { many };
+            let tasks = self.rng.random_range(1..=many);
+            let spec = JobSpec {
+                class: format!("c{}", n % 3),
+                team: if n % 2 == 0 { "a".into() } else { "b".into() },
+                priority: if n % 3 == 0 { Priority::Urgent } else { Priority::Standard },
+                tasks,
+                demand: Resources {
+                    cpus: if wide { 1.0 } else { [1.0, 2.0, 4.0][n % 3] },
+                    gpus: 0.0,
+                    ram_gb: 4.0,
+                },
+                image: format!("img-{}", n % 4),
+                image_gb: 1.0,
+                machine_types: None,
+                zone: if n % 7 == 3 { Some("y".into()) } else { None },
+                single_zone: n % 5 == 1,
+                spread: n % 5 == 2 && !gang,
+                allows_spot: n % 4 != 3,
+                estimated_runtime_s: 5.0,
+                checkpoint_interval_s: if gang { 2.0 } else { 0.0 },
+                checkpoint_duration_s: if gang { 1.0 } else { 0.0 },
+                deadline_s: None,
+                gang,
+            };
+            let id = JobId::parse(&format!("job-{n:06}")).unwrap();
+            self.by_id.insert(id.clone(), n);
+            let runs = self.rng.random_range(1.0..8.0);
+            let job = Job {
+                id,
+                spec,
+                accepted: false,
+                submitted: false,
+                aborting: false,
+                cancelled: None,
+                told: None,
+                told_over: Duration::ZERO,
+                done: BTreeSet::new(),
+                runs,
+                spread: 0.0,
+                cut_short: false,
+                progress: 0.0,
+                run: None,
+                told_run: 0,
+                heard: Duration::ZERO,
+                since: None,
+                began: None,
+                waiting: None,
+                urgent_waiting: None,
+            };
+            self.jobs.push(job);
+            let at = self.between(500, span);
+            let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
+            self.schedule_in(at, SimEvent::Submit { job: n });
+            if n % 4 == 1 || n % 24 == 2 {
+                let later = at + self.between(0, 15_000);
+                self.schedule_in(later, SimEvent::Cancel { job: n });
+            }
+        }
+        let t = self.faults;
+        for _ in 0..t.node_crashes {
+            let (at, node) = (self.between(1000, span), self.rng.random_range(0..3));
+            self.schedule_in(at, SimEvent::Crash { node });
+        }
+        for _ in 0..t.all_nodes_crash {
+            let at = self.between(1000, span);
+            for node in 0..3 {
+                self.schedule_in(at, SimEvent::Crash { node });
+            }
+        }
+        for _ in 0..t.kv_outages {
+            let (at, last) = (self.between(1000, span), self.between(3000, 25_000));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::Outage { until });
+        }
+        for _ in 0..t.kv_refusals {
+            let (at, last, node) =
+                (self.between(1000, span), self.between(3000, 25_000), self.rng.random_range(0..3));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::RefuseNode { node, until });
+        }
+        for _ in 0..t.machine_cuts {
+            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::CutMachine { until });
+        }
+        for _ in 0..t.machine_hangs {
+            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::HangMachine { until });
+        }
+        for _ in 0..t.node_cuts {
+            let (at, last, node) =
+                (self.between(10_000, span), self.between(15_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::CutNode { node, until });
+        }
+        for _ in 0..t.machine_deaths {
+            let at = self.between(10_000, span);
+            self.schedule_in(at, SimEvent::KillMachine);
+        }
+        for _ in 0..t.dropped_responses {
+            let (at, last) = (self.between(10_000, span), self.between(5000, 60_000));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::DropResponses { until });
+        }
+        for _ in 0..t.cut_from_kv_and_peers {
+            let (at, last, node) =
+                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::CutFromKvAndPeers { node, until });
+        }
+        for _ in 0..t.worker_partitions {
+            let (at, last, node) =
+                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::PartitionWorkers { node, until });
+        }
+        for _ in 0..t.preemption_notices {
+            let (at, left) = (self.between(5000, span), self.between(5000, 20_000));
+            self.schedule_in(at, SimEvent::PreemptionNotice { left });
+        }
+        for _ in 0..t.dropped_heartbeats {
+            let (at, last) = (self.between(5000, span), self.between(5000, 60_000));
+            let until = self.now + at + last;
+            self.schedule_in(at, SimEvent::DropHeartbeats { until });
+        }
+        for n in 0..t.odd_requests {
+            let (at, job) = (self.between(500, span), self.rng.random_range(0..jobs));
+            let odd = [OddRequest::Malformed, OddRequest::Impossible, OddRequest::Unknown][n as usize % 3];
+            let known = (n % 2 == 0 && !matches!(odd, OddRequest::Unknown)).then_some(job);
+            self.schedule_in(at, SimEvent::SendOddRequest { odd, known });
+        }
+        for _ in 0..t.zone_cuts {
+            let at = self.between(5000, span);
+            let until = self.now + at + self.deployment.worker_lease + self.between(1000, 30_000);
+            let zone = if self.chance(0.5) { "x" } else { "y" };
+            self.schedule_in(at, SimEvent::CutZone { zone, until });
+        }
+        for _ in 0..t.cancel_bursts {
+            let (at, hang) = (self.between(5000, span), self.between(0, 40_000));
+            self.schedule_in(at, SimEvent::CancelNow { count: 4, hang });
+        }
+        for _ in 0..t.all_nodes_away {
+            let at = self.between(5000, span);
+            let last = self.deployment.worker_lease + self.between(1000, 10_000);
+            self.schedule_in(at, SimEvent::StopAllNodes { last });
+        }
+        if t.upgrade {
+            for node in 0..3 {
+                self.schedule_in(secs(15 + 10 * node as u64), SimEvent::Upgrade { node });
+            }
+            self.schedule_in(secs(55), SimEvent::LowerLimits);
+        }
+        // The longest trouble, and what a process needs to be back.
+        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
+    }
+}
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -3,10 +3,14 @@
 //! The check is independent of the code under test: it reads the stored records as plain
 //! JSON, and knows from the model itself who held the lease when.
 
-use super::*;
+use super::events::SimEvent;
+use super::{World, SIM_START};
+use plankhead_core::effects::StepTime;
+use plankhead_core::protocol::{CloudRequest, KvChange, KvReply, KvRequest};
 use plankhead_fencing::action::Action;
 use plankhead_fencing::gate::Basis;
 use serde_json::Value;
+use std::time::{Duration, SystemTime};
 
 /// Who decided on a call: which process, and the lease's revision that it held then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -1,6 +1,11 @@
 //! Gangs, as the model's workers run them.
 
-use super::*;
+use super::deployment::ms;
+use super::events::SimEvent;
+use super::World;
+use plankhead_core::protocol::{ExitReason, MachineName, TaskId, TaskStatus, WorkerCommand};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// The attempt of a gang that all its tasks have begun.
 #[derive(Debug, Clone)]
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -1,7 +1,7 @@
 //! The state service of the model.
 
 use crate::before;
-use plankhead_core::protocol::*;
+use plankhead_core::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, WatchEvent};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
--- /dev/null
+++ b/crates/plankhead-core/tests/world/requests.rs
@@ -0,0 +1,126 @@
+//! Requests of users and workers to nodes, and the nodes' steps.
+
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::script::OddRequest;
+use super::World;
+use plankhead_core::protocol::{CallId, Event, Heartbeat, MachineName, RequestId};
+use rand::RngExt;
+use std::time::Duration;
+
+#[derive(Debug, Clone)]
+pub(super) enum PendingQuestion {
+    Submit(usize),
+    Poll(usize),
+    /// `known`: the job was accepted when the user asked.
+    Cancel {
+        job: usize,
+        known: bool,
+    },
+    SendOddRequest {
+        odd: OddRequest,
+        known: Option<usize>,
+    },
+    Heartbeat {
+        machine: MachineName,
+        sent: Duration,
+        heartbeat: Box<Heartbeat>,
+    },
+    /// Another node's message about shards.
+    Shard {
+        node: usize,
+        boot: u64,
+        call: CallId,
+    },
+}
+
+#[derive(Debug)]
+pub(super) struct Watch {
+    pub(super) id: u64,
+    pub(super) node: usize,
+    pub(super) boot: u64,
+    pub(super) call: CallId,
+    pub(super) prefix: String,
+    pub(super) after: u64,
+}
+
+impl World {
+    pub(super) fn copy_to(&mut self, node: usize, report: Heartbeat) {
+        if let Some((boot, _)) = &self.nodes[node] {
+            let boot = *boot;
+            self.last_request += 1;
+            let event = Event::Heartbeat { request: self.last_request, heartbeat: report, relayed: false };
+            self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
+        }
+    }
+
+    pub(super) fn alive(&self, node: usize, boot: u64) -> bool {
+        self.nodes[node].as_ref().is_some_and(|(b, _)| *b == boot)
+    }
+
+    /// Puts a user's or worker's request to a random living node; `again` is
+    /// what the user does if nobody answers.
+    pub(super) fn ask(
+        &mut self,
+        asked: PendingQuestion,
+        event: impl FnOnce(RequestId) -> Event,
+        again: SimEvent,
+    ) {
+        let node = self.rng.random_range(0..3);
+        self.ask_at(node, asked, event, Some(again));
+    }
+
+    /// The same of a certain node; without `again` the user leaves it at that.
+    pub(super) fn ask_at(
+        &mut self,
+        node: usize,
+        asked: PendingQuestion,
+        event: impl FnOnce(RequestId) -> Event,
+        again: Option<SimEvent>,
+    ) {
+        let reached = self.now >= self.node_cut_until[node];
+        let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
+            if let Some(again) = again {
+                self.schedule_in(secs(1), again);
+            }
+            return;
+        };
+        let boot = *boot;
+        self.last_request += 1;
+        let ask = self.last_request;
+        self.questions.insert((node, boot, ask), (self.now, asked));
+        self.step(node, vec![event(ask)]);
+        if let Some(again) = again.map(Box::new) {
+            self.schedule_in(secs(3), SimEvent::RetryUnanswered { node, boot, ask, again });
+        }
+    }
+
+    pub(super) fn step(&mut self, node: usize, batch: Vec<Event>) {
+        let now = self.now;
+        if now < self.paused_until[node] {
+            return self.backlog[node].extend(batch);
+        }
+        let times = self.times(node);
+        let Some((boot, core)) = &mut self.nodes[node] else { return };
+        let boot = *boot;
+        core.set_timer_lag(self.timer_lag);
+        let effects = core.step(times, batch);
+        self.trace.absorb(now, node, &effects);
+        let asked = core.next_wake(times.now);
+        let wake = if self.on_demand { self.true_time(node, asked) } else { now + ms(100) };
+        let due = self.next_wakes[node] <= now;
+        if due || (self.on_demand && wake < self.next_wakes[node]) {
+            self.next_wakes[node] = wake;
+            self.schedule_in(wake - now, SimEvent::Tick { node, boot });
+        }
+        let actor = self.actor(node, boot);
+        for effect in effects {
+            if self.holding[node] && now < self.paused_until[node] {
+                let effect = Box::new(effect);
+                self.schedule_in(self.paused_until[node] - now, SimEvent::Perform { actor, effect });
+            } else {
+                self.perform(actor, effect);
+            }
+        }
+    }
+}
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -1,7 +1,19 @@
 //! Troubles set at the instant that hurts: scripted histories, and what users do
 //! beyond asking for their jobs.
 
-use super::*;
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::jobs::Job;
+use super::requests::PendingQuestion;
+use super::worker::Worker;
+use super::{cuts, World, SIM_START};
+use plankhead_core::jobs::job::{JobId, Priority};
+use plankhead_core::protocol::{
+    Event, JobStatus, KvChange, KvRequest, Response, TaskId, TaskStatus, WorkerCommand,
+};
+use rand::RngExt;
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
 
 /// An instant inside a history, seen by the model alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -1,8 +1,16 @@
 //! Messages between controllers about shards, as the network has them: lost, late, refused.
 
-use super::*;
-use plankhead_core::shards::messages::ShardMessage;
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::requests::PendingQuestion;
+use super::script::{Fault, Trigger};
+use super::worker::Worker;
+use super::{fencing, World};
+use plankhead_core::protocol::{CallId, Effect, Event, MachineName, Response};
+use plankhead_core::shards::messages::{Delivery, ShardMessage};
 use plankhead_sharding::sequence::MessageStamp;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Until a message without an answer is given up.
 const PATIENCE: Duration = secs(1);
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -1,8 +1,20 @@
 //! Machines, their workers, the cloud that rents them, and users, as the model
 //! has them; and the rules.
 
-use super::*;
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::requests::PendingQuestion;
+use super::script::Trigger;
+use super::{cuts, World, SIM_START};
+use plankhead_core::protocol::{
+    CallError, CallId, CloudReply, CloudRequest, CommandReply, Event, ExitReason, Heartbeat, Instance,
+    InstanceStatus, JobStatus, MachineName, MachineType, ReportedTask, Response, TaskId, TaskStatus,
+    WorkerCommand,
+};
 use plankhead_fencing::action::{Action, Rental};
+use rand::RngExt;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 
 /// How long a machine that ended is listed as running.
 const LISTED_RUNNING: Duration = secs(30);
