--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -36,15 +36,7 @@
         world.plan(jobs, secs(90));
         set(&mut world, seed);
         // The longest of the scripted troubles is over by then.
-        world.calm_at += secs(90);
-        world.faults_end = true;
-        world.run(secs(1500));
-        let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
-        if only.is_some() && !left.is_empty() {
-            world.dump();
-        }
-        assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
-        assert!(world.starts > 0, "{name}, seed {seed}: nothing_ran");
+        world.run_to_end(name, seed, secs(90));
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.aborting) {
             let (since, began) = (job.since.unwrap().max(world.calm_at), job.began.unwrap());
             assert!(began <= since + secs(240), "{name}, seed {seed}: the large {:?} began late", job.id);
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -39,12 +39,7 @@
     let mut world = World::with_deployment(kind, seed, troubles);
     world.plan(24, secs(90));
     set(&mut world);
-    world.calm_at += secs(90);
-    world.faults_end = true;
-    world.run(secs(1500));
-    let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
-    assert!(left.is_empty(), "{name}, seed {seed}: unfinished {left:?}");
-    assert!(world.starts > 0, "{name}, seed {seed}: nothing_ran");
+    world.run_to_end(name, seed, secs(90));
     world
 }
 
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -258,6 +258,21 @@
         while !self.settled() && self.step_event(end) {}
     }
 
+    /// Runs until every job has ended for its user, at the latest a while after `settle`
+    /// has passed since the last planned fault; fails with the jobs that have not.
+    pub fn run_to_end(&mut self, name: &str, seed: u64, settle: Duration) {
+        self.calm_at += settle;
+        self.faults_end = true;
+        self.run(secs(1500));
+        let unfinished: Vec<_> =
+            self.jobs.iter().filter(|job| !job.done_or_cancelled()).map(|job| &job.id).collect();
+        if self.log && !unfinished.is_empty() {
+            self.dump();
+        }
+        assert!(unfinished.is_empty(), "{name}, seed {seed}: unfinished {unfinished:?}");
+        assert!(self.starts > 0, "{name}, seed {seed}: nothing_ran");
+    }
+
     /// Goes on for the given time, whatever the users have.
     pub fn idle(&mut self, span: Duration) {
         let end = self.now + span;
