--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -45,31 +45,31 @@
 
 /// A ledger with `placed` of ten tasks on one machine, all durable.
 fn ledger(placed: usize) -> JobTable {
-    let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
+    let mut job_table = JobTable::default();
+    job_table.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
     for _ in 0..placed {
-        ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
+        job_table.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     }
-    commit(&mut ledger);
-    ledger
+    commit(&mut job_table);
+    job_table
 }
 
-fn commit(ledger: &mut JobTable) {
-    for (id, chunk) in ledger.dirty_chunks.clone() {
-        let (_, version) = ledger.encode_chunk(&id, chunk).unwrap();
-        ledger.chunk_committed(&id, chunk, version, 7);
+fn commit(job_table: &mut JobTable) {
+    for (id, chunk) in job_table.dirty_chunks.clone() {
+        let (_, version) = job_table.encode_chunk(&id, chunk).unwrap();
+        job_table.chunk_committed(&id, chunk, version, 7);
     }
 }
 
-fn report(shift: u64, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+fn report(incarnation: u64, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
     Heartbeat {
         machine: "i-1".into(),
         address: "10.0.0.9:1".into(),
         machine_type: "r".into(),
         zone: "z".into(),
         spot: true,
-        incarnation: shift,
-        sequence: tick,
+        incarnation,
+        sequence,
         token: 0,
         preemption_notice: None,
         tasks: tasks
@@ -112,60 +112,76 @@
     }
 }
 
-fn placed(ledger: &JobTable) -> u32 {
-    ledger.jobs[&id()].placed
+fn placed(job_table: &JobTable) -> u32 {
+    job_table.jobs[&id()].placed
 }
 
 #[test]
 fn absence_from_a_report_is_no_evidence() {
-    let mut ledger = ledger(2);
+    let mut job_table = ledger(2);
     assert_eq!(
-        ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
+        job_table.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
         (vec![], 0)
     );
     // What was there and is missing is neither running nor proven gone.
-    assert_eq!(ledger.observe_heartbeat(&report(3, 2, &[]), false, NOW), (vec![], 1));
-    assert_eq!(placed(&ledger), 2);
+    assert_eq!(job_table.observe_heartbeat(&report(3, 2, &[]), false, NOW), (vec![], 1));
+    assert_eq!(placed(&job_table), 2);
 }
 
 #[test]
 fn a_later_shift_an_end_and_a_release_are_evidence() {
-    let mut ledger = ledger(3);
-    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
-    assert_eq!((placed(&ledger), ledger.jobs[&id()].done), (2, 1));
+    let mut job_table = ledger(3);
+    job_table.observe_heartbeat(
+        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        false,
+        NOW,
+    );
+    assert_eq!((placed(&job_table), job_table.jobs[&id()].done), (2, 1));
     // The end of another attempt of the same task says nothing of this one.
-    ledger.observe_heartbeat(&report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
-    assert_eq!(placed(&ledger), 2);
-    ledger.observe_heartbeat(&report(4, 3, &[]), false, NOW);
-    assert_eq!((placed(&ledger), ledger.jobs[&id()].to_restart.len()), (0, 2));
-    ledger.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
-    assert_eq!(ledger.machine_gone("i-2", NOW), 1);
-    assert_eq!(placed(&ledger), 0);
+    job_table.observe_heartbeat(
+        &report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]),
+        false,
+        NOW,
+    );
+    assert_eq!(placed(&job_table), 2);
+    job_table.observe_heartbeat(&report(4, 3, &[]), false, NOW);
+    assert_eq!((placed(&job_table), job_table.jobs[&id()].to_restart.len()), (0, 2));
+    job_table.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
+    assert_eq!(job_table.machine_gone("i-2", NOW), 1);
+    assert_eq!(placed(&job_table), 0);
 }
 
 /// A worker may forget an end only once it is durable, since a later leader
 /// would take the attempt for a live one.
 #[test]
 fn reap_waits_for_the_write() {
-    let mut ledger = ledger(1);
+    let mut job_table = ledger(1);
     let task = TaskId { job: id(), index: 0 };
-    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]), false, NOW);
-    assert!(!ledger.may_acknowledge(&task, 1));
-    commit(&mut ledger);
-    assert!(ledger.may_acknowledge(&task, 1));
+    job_table.observe_heartbeat(
+        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        false,
+        NOW,
+    );
+    assert!(!job_table.may_acknowledge(&task, 1));
+    commit(&mut job_table);
+    assert!(job_table.may_acknowledge(&task, 1));
 }
 
 /// A placement that no worker was told of goes with the cancellation; a durable
 /// one, whose `run` may be under way, stays until there is proof.
 #[test]
 fn cancelling_drops_only_what_nobody_was_told() {
-    let mut ledger = ledger(1);
-    ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
-    ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
-    assert_eq!(placed(&ledger), 1);
-    assert!(ledger.ended_jobs.is_empty());
-    ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
-    assert!(ledger.ended_jobs.contains(&id()));
+    let mut job_table = ledger(1);
+    job_table.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
+    job_table.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    assert_eq!(placed(&job_table), 1);
+    assert!(job_table.ended_jobs.is_empty());
+    job_table.observe_heartbeat(
+        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        false,
+        NOW,
+    );
+    assert!(job_table.ended_jobs.contains(&id()));
 }
 
 /// After a takeover, attempts of a job cancelled long ago stood in its chunks;
@@ -174,8 +190,8 @@
 /// unless this leader itself has sent them.
 #[test]
 fn the_own_token_fences_cancelled_attempts_of_earlier_leaders() {
-    let cancel = |ledger: &mut JobTable| {
-        ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    let cancel = |job_table: &mut JobTable| {
+        job_table.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
     };
     let mut live = ledger(2);
     assert!(
@@ -198,7 +214,7 @@
 /// token: a report with that one that does not list a cancelled attempt shows it gone.
 #[test]
 fn a_later_epoch_fences_what_a_former_holder_was_ordered() {
-    let under = |token, tick| Heartbeat { token, ..report(3, tick, &[]) };
+    let under = |token, sequence| Heartbeat { token, ..report(3, sequence, &[]) };
     let mut offered = ledger(2);
     for index in 0..2 {
         offered.attempt_mut(&TaskId { job: id(), index }).unwrap().offered_under_token =
@@ -260,13 +276,13 @@
 fn a_full_chunk_fits() {
     use plankhead_core::jobs::job_table::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
-    let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(JobPhase::Active, 100_000), 5, NOW, None, per_chunk);
+    let mut job_table = JobTable::default();
+    job_table.upsert(&id(), record(JobPhase::Active, 100_000), 5, NOW, None, per_chunk);
     for n in 0..per_chunk {
-        let host: MachineName = format!("i-{n:012}").into();
-        ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
+        let machine: MachineName = format!("i-{n:012}").into();
+        job_table.place(&id(), &machine, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
     }
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let (text, _) = job_table.encode_chunk(&id(), 0).unwrap();
     assert!(text.len() <= 8 * 1024, "{}", text.len());
 }
 
@@ -274,7 +290,8 @@
 #[test]
 fn late_reports_are_ignored() {
     let mut fleet = Fleet::default();
-    let mut heard = |shift, tick| fleet.observe_heartbeat(&report(shift, tick, &[]), 0, NOW);
+    let mut heard =
+        |incarnation, sequence| fleet.observe_heartbeat(&report(incarnation, sequence, &[]), 0, NOW);
     assert_eq!(heard(3, 5), HeartbeatNews::Changed);
     assert_eq!(heard(3, 6), HeartbeatNews::Unchanged);
     assert_eq!(heard(3, 4), HeartbeatNews::Stale);
@@ -366,29 +383,29 @@
 #[test]
 fn deaf_machines_go_back() {
     let second = Duration::from_secs(1);
-    let heard = |shift, answered: u64| {
+    let heard = |incarnation, answered: u64| {
         let mut fleet = Fleet::default();
         fleet.observe_heartbeat(&report(3, 1, &[]), 0, NOW);
         fleet.machines.get_mut("i-1").unwrap().answered_at = Some(NOW + second * answered as u32);
-        fleet.observe_heartbeat(&report(shift, 2, &[]), 0, NOW + second * 11);
+        fleet.observe_heartbeat(&report(incarnation, 2, &[]), 0, NOW + second * 11);
         fleet.machines["i-1"].removal
     };
     assert_eq!(heard(4, 9), Some(RemovalReason::IgnoresCommands));
     assert_eq!(heard(4, 0), None, "it was silent, or hung");
     assert_eq!(heard(3, 9), None);
     // Three answers in a row asked for a task that the reports do not show.
-    let asked = |shown: &[(u32, u64, TaskStatus)]| {
+    let question = |shown: &[(u32, u64, TaskStatus)]| {
         let mut fleet = Fleet::default();
-        for tick in 1..=5 {
-            fleet.observe_heartbeat(&report(3, tick, shown), 0, NOW);
+        for sequence in 1..=5 {
+            fleet.observe_heartbeat(&report(3, sequence, shown), 0, NOW);
             let machine = fleet.machines.get_mut("i-1").unwrap();
             machine.expected_effects = vec![(TaskId { job: id(), index: 0 }, 1, true)];
         }
         let machine = &fleet.machines["i-1"];
         (machine.removal, machine.is_start_doubtful(NOW, second))
     };
-    assert_eq!(asked(&[]), (Some(RemovalReason::IgnoresCommands), true));
-    assert_eq!(asked(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
+    assert_eq!(question(&[]), (Some(RemovalReason::IgnoresCommands), true));
+    assert_eq!(question(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
 }
 
 /// Only when every pool has refused is the type's size known.
@@ -420,94 +437,106 @@
 
 /// A gang of three on machines i-1, i-2 and i-3, durable and offered.
 fn gang() -> JobTable {
-    let mut ledger = JobTable::default();
+    let mut job_table = JobTable::default();
     let mut record = record(JobPhase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
-    ledger.upsert(&id(), record, 5, NOW, None, 4);
-    place_gang(&mut ledger);
-    ledger
+    job_table.upsert(&id(), record, 5, NOW, None, 4);
+    place_gang(&mut job_table);
+    job_table
 }
 
-fn place_gang(ledger: &mut JobTable) {
-    for host in ["i-1", "i-2", "i-3"] {
-        let task = ledger.place(&id(), &host.into(), 3, &"z".into(), NOW).unwrap();
-        assert!(!ledger.may_start(&task), "not all are placed and durable");
+fn place_gang(job_table: &mut JobTable) {
+    for machine in ["i-1", "i-2", "i-3"] {
+        let task = job_table.place(&id(), &machine.into(), 3, &"z".into(), NOW).unwrap();
+        assert!(!job_table.may_start(&task), "not all are placed and durable");
     }
-    commit(ledger);
+    commit(job_table);
     for index in 0..3 {
         let task = TaskId { job: id(), index };
-        assert!(ledger.may_start(&task));
-        ledger.attempt_mut(&task).unwrap().offered_under_token = Some(0);
+        assert!(job_table.may_start(&task));
+        job_table.attempt_mut(&task).unwrap().offered_under_token = Some(0);
     }
 }
 
-fn from(host: &str, tick: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
-    Heartbeat { machine: host.into(), ..report(3, tick, tasks) }
+fn from(machine: &str, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+    Heartbeat { machine: machine.into(), ..report(3, sequence, tasks) }
 }
 
 /// Once a task is gone the others are told to end at once, and none is placed again
 /// before all are proven gone; then all have the next number.
 #[test]
 fn a_gang_that_lost_a_task_ends_as_a_whole() {
-    let mut ledger = gang();
-    for (index, host) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
-        ledger.observe_heartbeat(&from(host, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]), true, NOW);
+    let mut job_table = gang();
+    for (index, machine) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
+        job_table.observe_heartbeat(
+            &from(machine, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]),
+            true,
+            NOW,
+        );
     }
-    assert!(ledger.machines_to_stop.is_empty());
-    ledger.machine_gone("i-2", NOW);
-    let told: Vec<&str> = ledger.machines_to_stop.iter().map(|h| h.as_ref()).collect();
+    assert!(job_table.machines_to_stop.is_empty());
+    job_table.machine_gone("i-2", NOW);
+    let told: Vec<&str> = job_table.machines_to_stop.iter().map(|h| h.as_ref()).collect();
     assert_eq!(told, ["i-1", "i-3"]);
     let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop_requested);
     assert_eq!(
-        (stopped(&ledger, 0), stopped(&ledger, 1), stopped(&ledger, 2)),
+        (stopped(&job_table, 0), stopped(&job_table, 1), stopped(&job_table, 2)),
         (Some(true), None, Some(true))
     );
-    ledger.observe_heartbeat(&from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
-    assert!(!ledger.jobs[&id()].is_placeable());
-    assert_eq!(ledger.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
+    job_table.observe_heartbeat(
+        &from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        true,
+        NOW,
+    );
+    assert!(!job_table.jobs[&id()].is_placeable());
+    assert_eq!(job_table.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
     // What the task says by itself is no worse than what it was told.
-    ledger.observe_heartbeat(
+    job_table.observe_heartbeat(
         &from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
         true,
         NOW,
     );
-    assert!(ledger.jobs[&id()].is_placeable());
-    place_gang(&mut ledger);
-    let number = |index| ledger.attempt(&TaskId { job: id(), index }).unwrap().number;
+    assert!(job_table.jobs[&id()].is_placeable());
+    place_gang(&mut job_table);
+    let number = |index| job_table.attempt(&TaskId { job: id(), index }).unwrap().number;
     assert_eq!([number(0), number(1), number(2)], [2, 2, 2]);
 }
 
 /// One task that is done is all of them; but none is gone before it has said so.
 #[test]
 fn one_done_task_of_a_gang_is_all() {
-    let mut ledger = gang();
-    ledger.observe_heartbeat(
+    let mut job_table = gang();
+    job_table.observe_heartbeat(
         &from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]),
         true,
         NOW,
     );
-    assert!(ledger.ended_jobs.contains(&id()));
-    assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 2));
-    assert!(ledger.job_finished(&id()) && !ledger.job_finished(&id()));
-    assert_eq!((ledger.jobs[&id()].phase, placed(&ledger)), (JobPhase::Done, 2));
-    ledger.machine_gone("i-1", NOW);
-    ledger.observe_heartbeat(
+    assert!(job_table.ended_jobs.contains(&id()));
+    assert_eq!((job_table.jobs[&id()].done, placed(&job_table)), (3, 2));
+    assert!(job_table.job_finished(&id()) && !job_table.job_finished(&id()));
+    assert_eq!((job_table.jobs[&id()].phase, placed(&job_table)), (JobPhase::Done, 2));
+    job_table.machine_gone("i-1", NOW);
+    job_table.observe_heartbeat(
         &from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
         true,
         NOW,
     );
-    assert_eq!((ledger.jobs[&id()].done, placed(&ledger)), (3, 0));
+    assert_eq!((job_table.jobs[&id()].done, placed(&job_table)), (3, 0));
 }
 
 /// A new leader finds one task of the attempt ended: the rest is not to go on. What
 /// the earlier one placed and a report with the own token does not list is gone.
 #[test]
 fn a_new_leader_ends_a_torn_gang() {
-    let mut ledger = gang();
-    ledger.observe_heartbeat(&from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]), true, NOW);
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let mut job_table = gang();
+    job_table.observe_heartbeat(
+        &from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]),
+        true,
+        NOW,
+    );
+    let (text, _) = job_table.encode_chunk(&id(), 0).unwrap();
     let mut next = gang();
     next.remove(&id());
     let mut record = record(JobPhase::Active, 3);
@@ -532,10 +561,14 @@
 /// Whoever saves under a new leader has the others told with time to save, too.
 #[test]
 fn a_new_leader_finishes_an_orderly_stop() {
-    let mut ledger = gang();
-    ledger.observe_heartbeat(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
-    assert!(ledger.jobs[&id()].is_gang_ending() && !ledger.jobs[&id()].is_gang_broken());
-    assert_eq!(ledger.machines_to_stop.len(), 3);
-    ledger.observe_heartbeat(&from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]), true, NOW);
-    assert!(!ledger.jobs[&id()].is_gang_broken(), "the others keep their time to save");
+    let mut job_table = gang();
+    job_table.observe_heartbeat(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
+    assert!(job_table.jobs[&id()].is_gang_ending() && !job_table.jobs[&id()].is_gang_broken());
+    assert_eq!(job_table.machines_to_stop.len(), 3);
+    job_table.observe_heartbeat(
+        &from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        true,
+        NOW,
+    );
+    assert!(!job_table.jobs[&id()].is_gang_broken(), "the others keep their time to save");
 }
--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -22,8 +22,8 @@
 const PAUSE: u64 = 4_000;
 
 /// Plays a history until every job has come to its end.
-fn play(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::with_deployment(kind, seed, troubles);
+fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+    let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
     set(&mut world);
     world.run_to_end(name, seed, secs(90));
@@ -120,9 +120,9 @@
 /// Answers are lost, and writes of records are carried out late, after the takeover.
 #[test]
 fn records_written_late() {
-    let troubles = Faults { lost_replies: 0.2, late_requests: 0.7, ..Faults::default() };
+    let faults = Faults { lost_replies: 0.2, late_requests: 0.7, ..Faults::default() };
     for seed in 0..15 {
-        let world = play("late", FENCED, troubles, seed, |world| {
+        let world = play("late", FENCED, faults, seed, |world| {
             for nth in 1..=6 {
                 world.when(Trigger::DutySent, nth, vec![(ms(0), SimEvent::FaultLeader(Freeze(ms(PAUSE))))]);
             }
@@ -193,7 +193,7 @@
     for seed in 0..8 {
         let world = play("outage", FENCED, Faults::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
-                (job.runs, job.spec.estimated_runtime_s) = (70.0, 70.0);
+                (job.runtime_s, job.spec.estimated_runtime_s) = (70.0, 70.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             let at = secs(30) + ms(137 * seed);
@@ -281,10 +281,10 @@
 /// asserts (1 KiB, 4 changes), with leaders that end and are paused.
 #[test]
 fn a_fleet_within_the_limits() {
-    let kind = Deployment { fencing: true, ..FLEET };
+    let deployment = Deployment { fencing: true, ..FLEET };
     for seed in 0..2 {
         let mut world = World::with_deployment(
-            kind,
+            deployment,
             seed,
             Faults { node_crashes: 2, machine_deaths: 1, ..Faults::default() },
         );
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -13,32 +13,32 @@
 use world::{secs, Deployment, Faults, SimEvent, World, SMALL};
 
 /// Plays histories and expects every job to come to its end.
-fn play(seeds: std::ops::Range<u64>, troubles: Faults) {
-    play_on(SMALL, 24, seeds, troubles);
+fn play(seeds: std::ops::Range<u64>, faults: Faults) {
+    play_on(SMALL, 24, seeds, faults);
 }
 
-fn play_on(kind: Deployment, jobs: usize, seeds: std::ops::Range<u64>, troubles: Faults) {
-    play_called(false, kind, jobs, seeds, troubles);
+fn play_on(deployment: Deployment, jobs: usize, seeds: std::ops::Range<u64>, faults: Faults) {
+    play_called(false, deployment, jobs, seeds, faults);
 }
 
 /// `on_demand`: nodes are called when they asked to be, instead of ten times a second.
 fn play_called(
     on_demand: bool,
-    kind: Deployment,
+    deployment: Deployment,
     jobs: usize,
     seeds: std::ops::Range<u64>,
-    troubles: Faults,
+    faults: Faults,
 ) {
     for seed in seeds {
-        let mut world = World::with_deployment(kind, seed, troubles);
+        let mut world = World::with_deployment(deployment, seed, faults);
         world.on_demand = on_demand;
         world.plan(jobs, secs(90));
         world.run(secs(1500));
         let left: Vec<_> =
-            world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| (j.id.clone(), j.told)).collect();
+            world.jobs.iter().filter(|j| !j.has_ended()).map(|j| (j.id.clone(), j.last_answer)).collect();
         assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
-        for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.aborting) {
-            let (since, began) = (job.since.unwrap().max(world.calm_at), job.began.unwrap());
+        for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
+            let (since, began) = (job.accepted_at.unwrap().max(world.calm_at), job.started_at.unwrap());
             assert!(began <= since + secs(240), "seed {seed}: the large {:?} began late", job.id);
         }
         assert!(world.starts > 0, "nothing_ran");
@@ -72,8 +72,8 @@
     };
     let alone = Faults { cut_from_kv_and_peers: 4, worker_partitions: 1, node_cuts: 2, ..Faults::default() };
     let upgrade = Faults { upgrade: true, node_crashes: 2, ..Faults::default() };
-    for troubles in [Faults::default(), crashes, state, machines, alone, upgrade] {
-        play_called(true, SMALL, 24, 0..12, troubles);
+    for faults in [Faults::default(), crashes, state, machines, alone, upgrade] {
+        play_called(true, SMALL, 24, 0..12, faults);
     }
 }
 
@@ -120,7 +120,7 @@
 
 #[test]
 fn everything_fails() {
-    let troubles = Faults {
+    let faults = Faults {
         lost_replies: 0.03,
         late_requests: 0.5,
         node_crashes: 5,
@@ -138,7 +138,7 @@
         task_errors: 0.1,
         ..Faults::default()
     };
-    play(0..40, troubles);
+    play(0..40, faults);
 }
 
 /// Copies of reports, up to more than three leases old, come to old and new
@@ -190,10 +190,10 @@
     let alone = Faults { cut_from_kv_and_peers: 3, ..Faults::default() };
     let refused = Faults { kv_refusals: 4, ..Faults::default() };
     // Where two are adrift at once, a worker may be sent from one to the other.
-    for (troubles, most) in [(alone, 9), (refused, 3)] {
+    for (faults, most) in [(alone, 9), (refused, 3)] {
         let mut longest = Duration::ZERO;
         for seed in 0..25 {
-            let mut world = World::new(seed, troubles);
+            let mut world = World::new(seed, faults);
             world.plan(24, secs(90));
             world.run(secs(1500));
             longest = longest.max(world.longest_heeded);
@@ -219,7 +219,7 @@
 /// leaders that crash, some back within a fraction of a second, late copies and cuts.
 #[test]
 fn many_machines_fail_together() {
-    let troubles = Faults {
+    let faults = Faults {
         lost_replies: 0.01,
         late_requests: 0.5,
         node_crashes: 4,
@@ -235,19 +235,22 @@
         worker_partitions: 1,
         ..Faults::default()
     };
-    play_on(FLEET, 200, 0..6, troubles);
+    play_on(FLEET, 200, 0..6, faults);
 }
 
 /// A new leader that did not know the machines yet hired as many anew, gave idle
 /// ones back by a round of its own, and took workers that report seldom for silent.
 #[test]
 fn a_takeover_costs_no_machine() {
-    for (kind, jobs) in [(SMALL, 24), (FLEET, 200)] {
+    for (deployment, jobs) in [(SMALL, 24), (FLEET, 200)] {
         let (mut calm, mut rented) = (0, 0);
         for seed in 0..4 {
             let play = |crashes| {
-                let mut world =
-                    World::with_deployment(kind, seed, Faults { node_crashes: crashes, ..Faults::default() });
+                let mut world = World::with_deployment(
+                    deployment,
+                    seed,
+                    Faults { node_crashes: crashes, ..Faults::default() },
+                );
                 world.plan(jobs, secs(90));
                 world.run(secs(1500));
                 assert!(world.settled(), "seed {seed}");
@@ -282,8 +285,8 @@
         machine_deaths: 2,
         ..crashes
     };
-    for troubles in [upgrade, crashes, state, cuts] {
-        play_on(SMALL, 40, 0..15, troubles);
+    for faults in [upgrade, crashes, state, cuts] {
+        play_on(SMALL, 40, 0..15, faults);
     }
     play_on(FLEET, 200, 0..2, crashes);
 }
@@ -297,7 +300,7 @@
         let mut world = World::new(seed, Faults { preemption_notices: 8, ..Faults::default() });
         world.plan(40, secs(90));
         for job in world.jobs.iter_mut().filter(|j| j.spec.gang) {
-            (job.runs, job.spec.estimated_runtime_s, job.spec.allows_spot) = (30.0, 30.0, true);
+            (job.runtime_s, job.spec.estimated_runtime_s, job.spec.allows_spot) = (30.0, 30.0, true);
         }
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
@@ -307,10 +310,10 @@
 }
 
 /// The rules that histories under these troubles break.
-fn broken(troubles: Faults) -> Vec<String> {
+fn broken(faults: Faults) -> Vec<String> {
     let history = |seed| {
         let play = || {
-            let mut world = World::new(seed, troubles);
+            let mut world = World::new(seed, faults);
             world.plan(40, secs(90));
             world.run(secs(400));
         };
@@ -328,10 +331,10 @@
     let cloud = Faults { machine_hangs: 10, machine_cuts: 6, lying_cloud: true, ..Faults::default() };
     let copies = Faults { duplicate_heartbeats: 0.2, lying_copies: true, ..Faults::default() };
     let mute = Faults { unanswered_first_job: true, ..Faults::default() };
-    for (troubles, rules) in
+    for (faults, rules) in
         [(cloud, vec!["ran_twice", "quota"]), (copies, vec!["ran_twice"]), (mute, vec!["forgotten"])]
     {
-        let found = broken(troubles);
+        let found = broken(faults);
         for rule in rules {
             assert!(found.iter().any(|r| r.starts_with(rule)), "{rule} is not among {found:?}");
         }
@@ -370,7 +373,7 @@
             job.spec.demand.cpus = 2.0;
             job.spec.estimated_runtime_s = if n == 0 { 200.0 } else { 5.0 };
             job.spec.deadline_s = Some(if n == 0 { 9000.0 } else { 6.0 });
-            job.runs = if n == 0 { 200.0 } else { 5.0 };
+            job.runtime_s = if n == 0 { 200.0 } else { 5.0 };
             job.spec.team = if n == 0 { "a".into() } else { "b".into() };
             (job.spec.allows_spot, job.spec.zone) = (true, None);
             (job.spec.single_zone, job.spec.spread) = (false, false);
@@ -381,8 +384,8 @@
         world.arrive(1, secs(30));
         world.run(secs(90));
         let which = format!("gangs: {lesser}, {urgent}");
-        assert!(world.jobs[1].done_or_cancelled(), "the urgent job waits behind a standard one; {which}");
-        assert!(!world.jobs[0].done_or_cancelled(), "{which}");
+        assert!(world.jobs[1].has_ended(), "the urgent job waits behind a standard one; {which}");
+        assert!(!world.jobs[0].has_ended(), "{which}");
         assert_eq!((world.checkpoints_saved, world.checkpoints_lost), (u32::from(lesser), 0), "{which}");
     }
 }
@@ -406,7 +409,7 @@
             job.spec.tasks = if wide { 3 } else { 1 };
             job.spec.demand.cpus = if wide { 8.0 } else { 2.0 };
             (job.spec.allows_spot, job.spec.zone, job.spec.spread) = (true, None, false);
-            (job.spec.estimated_runtime_s, job.runs) = (8.0, 8.0);
+            (job.spec.estimated_runtime_s, job.runtime_s) = (8.0, 8.0);
         }
         world.arrive(0, secs(20));
         for job in 1..90 {
@@ -415,7 +418,7 @@
         world.run(secs(1500));
         assert!(world.settled(), "seed {seed}");
         let wide = &world.jobs[0];
-        let (since, began) = (wide.since.unwrap(), wide.began.unwrap());
+        let (since, began) = (wide.accepted_at.unwrap(), wide.started_at.unwrap());
         assert!(began <= since + secs(75), "seed {seed}: began after {:?}", began - since);
     }
 }
@@ -435,7 +438,7 @@
             job.spec.tasks = if wide { 2 } else { 1 };
             job.spec.demand.cpus = if wide { 8.0 } else { 4.0 };
             job.spec.estimated_runtime_s = 8.0;
-            job.runs = 8.0;
+            job.runtime_s = 8.0;
             (job.spec.allows_spot, job.spec.zone, job.spec.single_zone, job.spec.spread) =
                 (true, None, false, false);
         }
@@ -445,7 +448,7 @@
         }
         world.run(secs(1500));
         let wide = &world.jobs[0];
-        assert!(wide.began.unwrap() <= wide.since.unwrap() + secs(240), "seed {seed}: began late");
+        assert!(wide.started_at.unwrap() <= wide.accepted_at.unwrap() + secs(240), "seed {seed}: began late");
         assert!(world.settled(), "seed {seed}");
     }
 }
@@ -455,16 +458,16 @@
 #[test]
 fn the_only_machine_is_lost() {
     for seed in 0..4 {
-        let kind = Deployment { machines_per_pool: 1, max_machines: 1, ..SMALL };
-        let mut world = World::with_deployment(kind, seed, Faults::default());
+        let deployment = Deployment { machines_per_pool: 1, max_machines: 1, ..SMALL };
+        let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(1, secs(5));
         let job = &mut world.jobs[0];
-        (job.spec.tasks, job.spec.spread, job.runs) = (2, false, 40.0);
+        (job.spec.tasks, job.spec.spread, job.runtime_s) = (2, false, 40.0);
         let ends =
             if seed % 2 == 0 { SimEvent::KillMachine } else { SimEvent::PreemptionNotice { left: secs(0) } };
         world.schedule_at(secs(25), ends);
         world.run(secs(600));
-        let left: Vec<_> = world.jobs.iter().filter(|j| !j.done_or_cancelled()).map(|j| &j.id).collect();
+        let left: Vec<_> = world.jobs.iter().filter(|j| !j.has_ended()).map(|j| &j.id).collect();
         assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
     }
 }
--- a/crates/plankhead-core/tests/large_fleet.rs
+++ b/crates/plankhead-core/tests/large_fleet.rs
@@ -34,7 +34,7 @@
     world.plan(jobs, secs(1));
     world.without_cancellations();
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimated_runtime_s) = (40.0, 40.0);
+        (job.runtime_s, job.spec.estimated_runtime_s) = (40.0, 40.0);
         let spec = &mut job.spec;
         (spec.tasks, spec.demand.cpus, spec.gang, spec.spread) = (TASKS, 8.0, false, false);
         (spec.zone, spec.single_zone, spec.allows_spot) = (None, false, true);
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -17,14 +17,14 @@
 const TIGHT: Deployment = Deployment { cpu_limit: 8.0, machines_per_pool: 3, ..SMALL };
 
 /// Plays the history until every job has come to its end.
-fn play(name: &str, kind: Deployment, troubles: Faults, seeds: u64, set: impl Fn(&mut World, u64)) {
-    play_jobs(name, kind, troubles, 24, seeds, set);
+fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, set: impl Fn(&mut World, u64)) {
+    play_jobs(name, deployment, faults, 24, seeds, set);
 }
 
 fn play_jobs(
     name: &str,
-    kind: Deployment,
-    troubles: Faults,
+    deployment: Deployment,
+    faults: Faults,
     jobs: usize,
     seeds: u64,
     set: impl Fn(&mut World, u64),
@@ -32,13 +32,13 @@
     let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
     // A seed asked for may lie beyond those that are always played.
     for seed in only.map_or(0..seeds, |seed| seed..seed + 1) {
-        let mut world = World::with_deployment(kind, seed, troubles);
+        let mut world = World::with_deployment(deployment, seed, faults);
         world.plan(jobs, secs(90));
         set(&mut world, seed);
         // The longest of the scripted troubles is over by then.
         world.run_to_end(name, seed, secs(90));
-        for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.aborting) {
-            let (since, began) = (job.since.unwrap().max(world.calm_at), job.began.unwrap());
+        for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
+            let (since, began) = (job.accepted_at.unwrap().max(world.calm_at), job.started_at.unwrap());
             assert!(began <= since + secs(240), "{name}, seed {seed}: the large {:?} began late", job.id);
         }
     }
@@ -48,7 +48,7 @@
 /// more of them than the teams' limits let begin in four minutes.
 fn long(world: &mut World, runs: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimated_runtime_s) = (runs, runs);
+        (job.runtime_s, job.spec.estimated_runtime_s) = (runs, runs);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
@@ -142,9 +142,9 @@
 #[test]
 fn cancellations_as_the_leader_changes() {
     let both = [(false, secs(4)), (true, secs(4)), (true, ms(150))];
-    for (kind, hang) in [(SMALL, secs(0)), (SMALL, SMALL.cancel_within + secs(8)), (TIGHT, secs(12))] {
+    for (deployment, hang) in [(SMALL, secs(0)), (SMALL, SMALL.cancel_within + secs(8)), (TIGHT, secs(12))] {
         for (slow, end) in both {
-            play("handover", kind, Faults { slow_kv: slow, ..Faults::default() }, 12, |world, seed| {
+            play("handover", deployment, Faults { slow_kv: slow, ..Faults::default() }, 12, |world, seed| {
                 long(world, 40.0);
                 narrow(world);
                 world.schedule_at(secs(30), SimEvent::FaultLeader(End(end)));
@@ -187,8 +187,8 @@
     let moments = [Trigger::Placed, Trigger::RunSent, Trigger::KillSent, Trigger::Finished];
     for moment in moments {
         for back in [ms(60), secs(5)] {
-            let troubles = Faults { lost_replies: 0.08, late_requests: 0.7, ..Faults::default() };
-            play("steps", SMALL, troubles, 8, |world, seed| {
+            let faults = Faults { lost_replies: 0.08, late_requests: 0.7, ..Faults::default() };
+            play("steps", SMALL, faults, 8, |world, seed| {
                 for nth in [1, 4, 9, 20, 40] {
                     let end = SimEvent::FaultLeader(End(back));
                     world.when(moment, nth + seed as u32, vec![(ms(seed % 3 * 2), end)]);
@@ -203,14 +203,14 @@
 #[test]
 fn lost_answers_under_close_looks() {
     for (late, cancel_at_end) in [(0.0, 0.0), (1.0, 0.0), (0.5, 0.5)] {
-        let troubles = Faults {
+        let faults = Faults {
             lost_replies: 0.1,
             late_requests: late,
             cancel_at_end,
             immediate_polls: true,
             ..Faults::default()
         };
-        play("lost answers", SMALL, troubles, 10, |_, _| {});
+        play("lost answers", SMALL, faults, 10, |_, _| {});
     }
 }
 
@@ -218,10 +218,9 @@
 /// with no other trouble, and then while the leader changes.
 #[test]
 fn requests_meet_the_end() {
-    let troubles =
-        Faults { cancel_at_end: 1.0, immediate_polls: true, odd_requests: 40, ..Faults::default() };
-    play("end", SMALL, troubles, 10, |_, _| {});
-    play("end and leader", SMALL, troubles, 10, |world, seed| {
+    let faults = Faults { cancel_at_end: 1.0, immediate_polls: true, odd_requests: 40, ..Faults::default() };
+    play("end", SMALL, faults, 10, |_, _| {});
+    play("end and leader", SMALL, faults, 10, |world, seed| {
         for nth in [2, 5, 9] {
             let end = SimEvent::FaultLeader(End(ms(400)));
             world.when(Trigger::Finished, nth, vec![(ms(3 * seed), end)]);
@@ -233,23 +232,23 @@
 /// answers, or "later" while the state service can't be read; nothing is accepted.
 #[test]
 fn odd_requests_at_any_time() {
-    let troubles =
+    let faults =
         Faults { odd_requests: 200, node_crashes: 6, kv_outages: 2, kv_refusals: 2, ..Faults::default() };
-    play("odd", SMALL, troubles, 12, |_, _| {});
+    play("odd", SMALL, faults, 12, |_, _| {});
 }
 
 /// New machines are up within two seconds and get work at once, while writes are slow,
 /// lost or late, and the leader ends.
 #[test]
 fn quick_machines_and_lagging_writes() {
-    let troubles = Faults {
+    let faults = Faults {
         quick_boots: true,
         slow_kv: true,
         lost_replies: 0.08,
         late_requests: 0.8,
         ..Faults::default()
     };
-    play("quick", SMALL, troubles, 12, |world, seed| {
+    play("quick", SMALL, faults, 12, |world, seed| {
         for nth in [1, 3, 8, 20] {
             let end = SimEvent::FaultLeader(End(if seed % 2 == 0 { ms(200) } else { secs(5) }));
             world.when(Trigger::Placed, nth + seed as u32, vec![(ms(seed * 7), end)]);
@@ -288,7 +287,7 @@
         |world, seed| {
             for (n, job) in world.jobs.iter_mut().enumerate() {
                 job.spec.tasks = 2 + n as u32 % 2;
-                job.spread = if n % 3 == 0 { 40.0 } else { 12.0 };
+                job.runtime_spread_s = if n % 3 == 0 { 40.0 } else { 12.0 };
             }
             for n in 0..8 {
                 world.schedule_at(
@@ -304,8 +303,8 @@
 /// leader changes meanwhile, jobs are called off.
 #[test]
 fn mute_machines() {
-    let troubles = Faults { dropped_heartbeats: 8, cancel_bursts: 4, ..Faults::default() };
-    play("mute", SMALL, troubles, 12, |world, seed| {
+    let faults = Faults { dropped_heartbeats: 8, cancel_bursts: 4, ..Faults::default() };
+    play("mute", SMALL, faults, 12, |world, seed| {
         long(world, 20.0);
         if seed % 2 == 0 {
             world.schedule_at(secs(40), SimEvent::FaultLeader(End(secs(4))));
@@ -318,14 +317,14 @@
 #[test]
 fn machines_out_of_reach_of_a_new_leader() {
     for (cuts, deaf, mute) in [(6, 0, 0), (0, 6, 0), (2, 2, 2)] {
-        let troubles = Faults {
+        let faults = Faults {
             machine_cuts: cuts,
             dropped_responses: deaf,
             dropped_heartbeats: mute,
             cancel_bursts: 3,
             ..Faults::default()
         };
-        play("out of reach", SMALL, troubles, 10, |world, seed| {
+        play("out of reach", SMALL, faults, 10, |world, seed| {
             long(world, 30.0);
             for n in 0..3 {
                 world.schedule_at(
@@ -341,23 +340,23 @@
 /// leaders change.
 #[test]
 fn commands_held_up() {
-    let troubles = Faults {
+    let faults = Faults {
         delayed_commands: 0.3,
         machine_hangs: 5,
         cancel_bursts: 3,
         node_crashes: 4,
         ..Faults::default()
     };
-    play("held up", SMALL, troubles, 16, |_, _| {});
+    play("held up", SMALL, faults, 16, |_, _| {});
 }
 
 /// A zone with machines and a node is cut off for longer than a lease; jobs bound to one
 /// zone, arrays too, lose machines there.
 #[test]
 fn a_zone_cut_off() {
-    let troubles =
+    let faults =
         Faults { zone_cuts: 2, machine_deaths: 2, cancel_bursts: 3, node_crashes: 1, ..Faults::default() };
-    play("zone", SMALL, troubles, 16, |world, _| {
+    play("zone", SMALL, faults, 16, |world, _| {
         for (n, job) in world.jobs.iter_mut().enumerate() {
             job.spec.single_zone |= n % 2 == 0;
             if n % 3 == 0 && !job.spec.spread {
@@ -371,8 +370,8 @@
 /// second; jobs are called off just before and after.
 #[test]
 fn all_nodes_away() {
-    let troubles = Faults { all_nodes_away: 2, cancel_bursts: 4, ..Faults::default() };
-    play("away", SMALL, troubles, 12, |world, _| long(world, 25.0));
+    let faults = Faults { all_nodes_away: 2, cancel_bursts: 4, ..Faults::default() };
+    play("away", SMALL, faults, 12, |world, _| long(world, 25.0));
     play("one is back", SMALL, Faults { cancel_bursts: 3, ..Faults::default() }, 12, |world, seed| {
         for n in 0..3 {
             let at = secs(15 + 25 * n) + ms(170 * seed);
@@ -388,8 +387,8 @@
 #[test]
 fn ten_leaders_in_two_minutes() {
     for outage in [false, true] {
-        let troubles = Faults { duplicates_for_next_leader: 0.01, cancel_bursts: 4, ..Faults::default() };
-        play("ten leaders", SMALL, troubles, 10, |world, seed| {
+        let faults = Faults { duplicates_for_next_leader: 0.01, cancel_bursts: 4, ..Faults::default() };
+        play("ten leaders", SMALL, faults, 10, |world, seed| {
             for n in 0..10 {
                 let back = if n % 2 == 0 { ms(100) } else { secs(6) };
                 world.schedule_at(secs(10 + 12 * n) + ms(250 * seed), SimEvent::FaultLeader(End(back)));
@@ -408,14 +407,14 @@
 /// longer than `cancel_s`, while users cancel and ask.
 #[test]
 fn slow_then_refused_then_out() {
-    let troubles = Faults {
+    let faults = Faults {
         slow_kv: true,
         immediate_polls: true,
         cancel_bursts: 5,
         cancel_at_end: 0.3,
         ..Faults::default()
     };
-    play("slow", SMALL, troubles, 8, |world, seed| {
+    play("slow", SMALL, faults, 8, |world, seed| {
         long(world, 20.0);
         let at = secs(35) + ms(400 * seed);
         world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(14))));
@@ -427,14 +426,14 @@
 /// One-task jobs come four a second for two minutes, a quarter of them is called off.
 #[test]
 fn a_stream_of_small_jobs() {
-    for troubles in [
+    for faults in [
         Faults::default(),
         Faults { node_crashes: 4, lost_replies: 0.02, late_requests: 0.5, ..Faults::default() },
     ] {
         play_jobs(
             "stream",
             Deployment { cpu_limit: 48.0, machines_per_pool: 6, max_machines: 20, ..SMALL },
-            troubles,
+            faults,
             480,
             2,
             |world, _| {
@@ -460,7 +459,7 @@
 /// More work than room, urgent and not, over slow and lossy calls: everybody's turn comes.
 #[test]
 fn more_work_than_room() {
-    let troubles = Faults {
+    let faults = Faults {
         slow_kv: true,
         delayed_commands: 0.1,
         lost_replies: 0.03,
@@ -470,13 +469,13 @@
     play_jobs(
         "overload",
         Deployment { cpu_limit: 16.0, machines_per_pool: 1, max_machines: 4, ..SMALL },
-        troubles,
+        faults,
         60,
         4,
         |world, _| {
             for (n, job) in world.jobs.iter_mut().enumerate() {
                 job.spec.priority = if n % 2 == 0 { Priority::Urgent } else { Priority::Standard };
-                (job.runs, job.spec.estimated_runtime_s) = (4.0, 4.0);
+                (job.runtime_s, job.spec.estimated_runtime_s) = (4.0, 4.0);
                 if job.spec.gang {
                     job.spec.tasks = job.spec.tasks.min(4);
                 }
@@ -489,8 +488,8 @@
 /// alone; kills still go at once, and nothing is late by the rules for it.
 #[test]
 fn what_gives_way_when_the_process_is_behind() {
-    let troubles = Faults { cancel_bursts: 3, machine_hangs: 2, node_crashes: 2, ..Faults::default() };
-    play("behind", SMALL, troubles, 8, |world, _| world.timer_lag = ms(400));
+    let faults = Faults { cancel_bursts: 3, machine_hangs: 2, node_crashes: 2, ..Faults::default() };
+    play("behind", SMALL, faults, 8, |world, _| world.timer_lag = ms(400));
 }
 
 /// Any two or three troubles together, with cancellations and close looks.
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -86,7 +86,7 @@
 }
 
 /// A machine's report under the token that it knows, with the job's task running.
-fn report(tick: u64, token: u64) -> Heartbeat {
+fn report(sequence: u64, token: u64) -> Heartbeat {
     let task = TaskId { job: id(), index: 0 };
     Heartbeat {
         machine: "i-1".into(),
@@ -95,7 +95,7 @@
         zone: "z".into(),
         spot: true,
         incarnation: 3,
-        sequence: tick,
+        sequence,
         token,
         preemption_notice: None,
         tasks: [ReportedTask { task, attempt: 1, status: TaskStatus::Running }].into(),
@@ -141,7 +141,7 @@
         let wall = SystemTime::UNIX_EPOCH + self.now;
         for effect in self.node.step(StepTime { now: self.now, wall }, batch) {
             match effect {
-                Effect::CallKv { call, request: op } => self.calls.push((call, op)),
+                Effect::CallKv { call, request } => self.calls.push((call, request)),
                 effect => self.effects.push(effect),
             }
         }
@@ -154,7 +154,7 @@
 
     /// Takes out the first state call of this kind.
     fn taken(&mut self, which: impl Fn(&KvRequest) -> bool) -> Option<(CallId, KvRequest)> {
-        let at = self.calls.iter().position(|(_, op)| which(op))?;
+        let at = self.calls.iter().position(|(_, request)| which(request))?;
         Some(self.calls.remove(at))
     }
 
@@ -162,10 +162,10 @@
     fn lives(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
             self.pass(ms(50));
-            if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::RenewLease { .. })) {
+            if let Some((call, _)) = self.taken(|request| matches!(request, KvRequest::RenewLease { .. })) {
                 self.reply_to(call, Ok(KvReply::LeaseRenewed));
             }
-            if let Some((call, _)) = self.taken(|op| matches!(op, KvRequest::Watch { .. })) {
+            if let Some((call, _)) = self.taken(|request| matches!(request, KvRequest::Watch { .. })) {
                 let cancelled = record(JobPhase::Cancelled, START);
                 let events = vec![WatchEvent::Put(row("job/job-000001", &cancelled, 10))];
                 self.reply_to(call, Ok(KvReply::Events { revision: 10, events }));
@@ -177,32 +177,32 @@
     fn lives_quietly(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
             self.pass(ms(50));
-            for (call, op) in std::mem::take(&mut self.calls) {
-                match op {
+            for (call, request) in std::mem::take(&mut self.calls) {
+                match request {
                     KvRequest::RenewLease { .. } => self.reply_to(call, Ok(KvReply::LeaseRenewed)),
                     KvRequest::Watch { after, .. } => {
                         self.reply_to(call, Ok(KvReply::Events { revision: after, events: Vec::new() }));
                     }
                     KvRequest::Txn { .. } => {
-                        self.written.push(op);
+                        self.written.push(request);
                         let epoch = 100 + self.written.len() as u64;
                         self.reply_to(call, Ok(KvReply::Committed { revision: epoch }));
                     }
-                    _ => self.calls.push((call, op)),
+                    _ => self.calls.push((call, request)),
                 }
             }
         }
     }
 
     /// An idle machine reports: what is it told?
-    fn idle(&mut self, host: &str, tick: u64) -> Vec<WorkerCommand> {
-        let mut idle = report(tick, 41);
-        idle.machine = host.into();
+    fn idle(&mut self, machine: &str, sequence: u64) -> Vec<WorkerCommand> {
+        let mut idle = report(sequence, 41);
+        idle.machine = machine.into();
         idle.tasks = [].into();
         self.lives_quietly(ms(300));
-        let ask = self.ask(|ask| Event::Heartbeat { request: ask, heartbeat: idle, relayed: false });
-        match self.answer(ask) {
-            Some(Response::Commands { commands: orders, .. }) => orders.clone(),
+        let request = self.ask(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
+        match self.answer(request) {
+            Some(Response::Commands { commands, .. }) => commands.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -225,12 +225,12 @@
             .effects
             .iter()
             .filter_map(|e| match e {
-                Effect::CallCloud { call, request: op } => Some((*call, op.clone())),
+                Effect::CallCloud { call, request } => Some((*call, request.clone())),
                 _ => None,
             })
             .collect();
-        for (call, op) in calls {
-            let reply = match op {
+        for (call, request) in calls {
+            let reply = match request {
                 CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
                 CloudRequest::ListInstances { .. } => {
                     CloudReply::Instances { instances: Vec::new(), truncated: false }
@@ -252,18 +252,18 @@
 
     fn ask(&mut self, event: impl FnOnce(RequestId) -> Event) -> RequestId {
         self.asks += 1;
-        let ask = self.asks;
-        self.step(vec![event(ask)]);
-        ask
+        let request = self.asks;
+        self.step(vec![event(request)]);
+        request
     }
 
-    fn beat(&mut self, tick: u64, token: u64) -> RequestId {
-        self.ask(|ask| Event::Heartbeat { request: ask, heartbeat: report(tick, token), relayed: false })
+    fn beat(&mut self, sequence: u64, token: u64) -> RequestId {
+        self.ask(|request| Event::Heartbeat { request, heartbeat: report(sequence, token), relayed: false })
     }
 
-    fn answer(&self, ask: RequestId) -> Option<&Response> {
+    fn answer(&self, request: RequestId) -> Option<&Response> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Respond { request: a, response: answer } if *a == ask => Some(answer),
+            Effect::Respond { request: a, response: answer } if *a == request => Some(answer),
             _ => None,
         })
     }
@@ -272,7 +272,7 @@
     fn wins(&mut self, token: u64) {
         self.reply(gets("lead"), Ok(KvReply::Value(None)));
         self.reply(
-            |op| matches!(op, KvRequest::GrantLease { .. }),
+            |request| matches!(request, KvRequest::GrantLease { .. }),
             Ok(KvReply::LeaseGranted { lease: token }),
         );
         self.reply(writes("lead"), Ok(KvReply::Committed { revision: token }));
@@ -295,17 +295,17 @@
 }
 
 fn gets(key: &'static str) -> impl Fn(&KvRequest) -> bool {
-    move |op| matches!(op, KvRequest::Get { key: k } if k == key)
+    move |request| matches!(request, KvRequest::Get { key: k } if k == key)
 }
 
 fn lists(prefix: &'static str) -> impl Fn(&KvRequest) -> bool {
-    move |op| matches!(op, KvRequest::List { prefix: p, .. } if p == prefix)
+    move |request| matches!(request, KvRequest::List { prefix: p, .. } if p == prefix)
 }
 
 fn writes(key: &'static str) -> impl Fn(&KvRequest) -> bool {
-    move |op| {
+    move |request| {
         let here = |c: &KvChange| matches!(c, KvChange::Put { key: k, .. } if k == key);
-        matches!(op, KvRequest::Txn { changes, .. } if changes.iter().any(here))
+        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(here))
     }
 }
 
@@ -351,7 +351,7 @@
     bench.wins(41);
     let page = bench.taken(lists("job/")).unwrap();
     let live = record(JobPhase::Active, bench.now);
-    let poll = bench.ask(|ask| Event::Poll { request: ask, id: id() });
+    let poll = bench.ask(|request| Event::Poll { request, id: id() });
     let cancelled = row("job/job-000001", &record(JobPhase::Cancelled, bench.now), 10);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
     assert!(matches!(bench.answer(poll), Some(Response::Job { status: JobStatus::Cancelled, .. })));
@@ -374,7 +374,7 @@
     bench.loads();
     let mut copy = report(9, 7);
     copy.incarnation = 2;
-    bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: copy, relayed: false });
+    bench.ask(|request| Event::Heartbeat { request, heartbeat: copy, relayed: false });
     bench.lives(ms(900));
     bench.beat(30, 7);
     bench.lives(ms(900));
@@ -391,11 +391,11 @@
     bench.reply(lists("job/"), Err(CallError::Refused));
     bench.beat(1, 7);
     let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().all(|h| &**h == "i-1"));
-    for tick in 0..30 {
+    for sequence in 0..30 {
         // Two others go on reporting, a sibling is there and does not lead.
-        for host in ["i-2", "i-3"] {
-            let up = Heartbeat { machine: host.into(), tasks: [].into(), ..report(tick, 7) };
-            bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: up, relayed: false });
+        for machine in ["i-2", "i-3"] {
+            let up = Heartbeat { machine: machine.into(), tasks: [].into(), ..report(sequence, 7) };
+            bench.ask(|request| Event::Heartbeat { request, heartbeat: up, relayed: false });
         }
         bench.step(vec![Event::PeerHeartbeat(PeerHeartbeat {
             host: "plank-1".into(),
@@ -405,16 +405,16 @@
         for (call, _) in std::mem::take(&mut bench.calls) {
             bench.reply_to(call, Err(CallError::Refused));
         }
-        let asked = |e: &Effect| match e {
+        let question = |e: &Effect| match e {
             Effect::CallCloud { call, request: CloudRequest::ListInstances { .. } } => Some(*call),
             _ => None,
         };
-        let lists: Vec<CallId> = bench.effects.iter().filter_map(asked).collect();
+        let lists: Vec<CallId> = bench.effects.iter().filter_map(question).collect();
         for call in lists {
             let reply = Ok(CloudReply::Instances { instances: Vec::new(), truncated: false });
             bench.step(vec![Event::CloudReply { call, reply }]);
         }
-        bench.effects.retain(|e| asked(e).is_none());
+        bench.effects.retain(|e| question(e).is_none());
     }
     let call = bench.effects.iter().filter(|e| released(e)).find_map(|e| match e {
         Effect::CallCloud { call, .. } => Some(*call),
@@ -436,9 +436,9 @@
     bench.loads_placements();
     bench.lives(Duration::from_secs(6));
     // Its user has called it off meanwhile, so that nothing of it is kept.
-    let drops = |op: &KvRequest| {
+    let drops = |request: &KvRequest| {
         let gone = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "run/job-000001/0");
-        matches!(op, KvRequest::Txn { changes, .. } if changes.iter().any(gone))
+        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(gone))
     };
     assert!(bench.taken(drops).is_some(), "the placement stays for ever");
 }
@@ -453,7 +453,7 @@
     let holder = r#"{"host":"plank-0","boot":1,"hold":41}"#;
     // The history of changes is gone, so that it has to read anew.
     bench.reply(
-        |op| matches!(op, KvRequest::Watch { prefix, .. } if prefix == "job/"),
+        |request| matches!(request, KvRequest::Watch { prefix, .. } if prefix == "job/"),
         Ok(KvReply::Compacted),
     );
     bench.pass(ms(300));
@@ -468,7 +468,10 @@
     // Its own claim whose answer was lost is another matter.
     let mut bench = Bench::new();
     bench.reply(gets("lead"), Ok(KvReply::Value(None)));
-    bench.reply(|op| matches!(op, KvRequest::GrantLease { .. }), Ok(KvReply::LeaseGranted { lease: 41 }));
+    bench.reply(
+        |request| matches!(request, KvRequest::GrantLease { .. }),
+        Ok(KvReply::LeaseGranted { lease: 41 }),
+    );
     bench.reply(writes("lead"), Err(CallError::OutcomeUnknown));
     bench.pass(ms(300));
     bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
@@ -485,15 +488,15 @@
         bench.loads();
         let touch = if failed { Err(CallError::Refused) } else { Ok(KvReply::LeaseRenewed) };
         bench.pass(ms(450));
-        bench.reply(|op| matches!(op, KvRequest::RenewLease { .. }), touch);
+        bench.reply(|request| matches!(request, KvRequest::RenewLease { .. }), touch);
         bench.pass(ms(50));
         // The machine has not begun the task that was placed there.
         let mut idle = report(1, 7);
         idle.tasks = [].into();
-        let beat = bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: idle, relayed: false });
-        let Some(Response::Commands { commands: orders, .. }) = bench.answer(beat) else { panic!() };
-        let runs = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-        assert_eq!(runs, !failed, "{orders:?}");
+        let beat = bench.ask(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
+        let Some(Response::Commands { commands, .. }) = bench.answer(beat) else { panic!() };
+        let runs = commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
+        assert_eq!(runs, !failed, "{commands:?}");
     }
 }
 
@@ -517,9 +520,9 @@
             zones: vec!["z".into()],
         }])),
     }]);
-    let submit = bench.ask(|ask| Event::Submit { request: ask, id: id(), job: Ok(spec()) });
+    let submit = bench.ask(|request| Event::Submit { request, id: id(), job: Ok(spec()) });
     let create = bench.taken(writes("job/job-000001")).unwrap();
-    bench.ask(|ask| Event::Cancel { request: ask, id: id() });
+    bench.ask(|request| Event::Cancel { request, id: id() });
     let live = record(JobPhase::Active, bench.now);
     bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &live, 5)))));
     bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { revision: 6 }));
@@ -532,11 +535,11 @@
 }
 
 fn catalog(bench: &Bench) -> CallId {
-    let asked = |e: &Effect| match e {
+    let question = |e: &Effect| match e {
         Effect::CallCloud { call, request: CloudRequest::ListMachineTypes } => Some(*call),
         _ => None,
     };
-    bench.effects.iter().find_map(asked).unwrap()
+    bench.effects.iter().find_map(question).unwrap()
 }
 
 /// A node that was replaced goes on claiming to lead: where fencing is on, what it tells of
@@ -559,14 +562,16 @@
         // Another leads meanwhile, as a worker shows; then the first is heard again.
         let mut later = report(2, 60);
         later.machine = "i-2".into();
-        bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: later, relayed: false });
+        bench.ask(|request| Event::Heartbeat { request, heartbeat: later, relayed: false });
         bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let mut third = report(3, 7);
         third.machine = "i-3".into();
-        let asked = bench.ask(|ask| Event::Heartbeat { request: ask, heartbeat: third, relayed: false });
-        let Some(Response::Redirect { leader: foreman }) = bench.answer(asked) else { panic!("no answer") };
+        let question = bench.ask(|request| Event::Heartbeat { request, heartbeat: third, relayed: false });
+        let Some(Response::Redirect { leader: foreman }) = bench.answer(question) else {
+            panic!("no answer")
+        };
         assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
-        let view = bench.ask(|ask| Event::View { request: ask });
+        let view = bench.ask(|request| Event::View { request });
         let Some(Response::View(view)) = bench.answer(view) else { panic!("no view") };
         assert_eq!(view["tokens"]["refused"], u64::from(fenced));
     }
@@ -590,8 +595,8 @@
     bench.reply(gets("target"), Ok(KvReply::Value(None)));
     bench.sees_the_cloud();
     // The machine is there, idle, with room for the waiting job.
-    for tick in 1..12 {
-        assert_eq!(bench.idle("i-1", tick), Vec::new(), "something was placed there");
+    for sequence in 1..12 {
+        assert_eq!(bench.idle("i-1", sequence), Vec::new(), "something was placed there");
         bench.lives_quietly(ms(300));
     }
     let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().all(|h| &**h == "i-1"));
@@ -602,9 +607,9 @@
     assert_eq!(bench.effects.iter().filter(|e| released(e)).count(), 1, "the return was not asked for once");
     bench.step(vec![Event::CloudReply { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
     bench.lives_quietly(Duration::from_secs(6));
-    let drops = |op: &KvRequest| {
+    let drops = |request: &KvRequest| {
         let of = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "duty/30/0");
-        matches!(op, KvRequest::Txn { conditions, changes } if changes.iter().any(of)
+        matches!(request, KvRequest::Txn { conditions, changes } if changes.iter().any(of)
             && conditions.contains(&Condition { key: "lead".into(), mod_revision: 41 })
             && conditions.contains(&Condition { key: "duty/30/0".into(), mod_revision: 8 }))
     };
@@ -615,9 +620,9 @@
         "a machine that is gone is heard"
     );
     // Another machine like it takes the job.
-    let orders: Vec<WorkerCommand> = (1..8).flat_map(|tick| bench.idle("i-2", tick)).collect();
+    let commands: Vec<WorkerCommand> = (1..8).flat_map(|sequence| bench.idle("i-2", sequence)).collect();
     assert!(
-        orders.iter().any(|order| matches!(order, WorkerCommand::Run { .. })),
+        commands.iter().any(|order| matches!(order, WorkerCommand::Run { .. })),
         "nothing was placed at all"
     );
 }
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -173,6 +173,8 @@
     slot.running.sort_by_key(|t| t.ends_at);
 }
 
+// The whole pass in one place, to be compared with the real one.
+#[allow(clippy::too_many_lines)]
 pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     let mut starts = Vec::new();
     let mut open = vec![true; work.len()];
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -44,8 +44,8 @@
 ];
 
 /// Plays a history until every job has come to its end.
-fn play(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::with_deployment(kind, seed, troubles);
+fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+    let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
     set(&mut world);
     world.run_to_end(name, seed, secs(60));
@@ -115,10 +115,10 @@
 
 /// The leader hears no worker: it hands over to a node that does, soon, and only once.
 /// Gives the longest time until another leads.
-fn blind_leader(kind: Deployment) -> (Duration, u32) {
+fn blind_leader(deployment: Deployment) -> (Duration, u32) {
     let (mut longest, mut terms) = (Duration::ZERO, 0);
     for seed in 0..10 {
-        let mut world = World::with_deployment(kind, seed, Faults::default());
+        let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(24, secs(90));
         world.idle(secs(30));
         let before = world.leader().unwrap();
@@ -228,10 +228,10 @@
 }
 
 /// Changes of mode in an hour of node time without any cut.
-fn wrong_changes(troubles: Faults) -> u32 {
+fn wrong_changes(faults: Faults) -> u32 {
     let mut changes = 0;
     for seed in 0..10 {
-        let mut world = World::with_deployment(REACH, seed, troubles);
+        let mut world = World::with_deployment(REACH, seed, faults);
         world.plan(24, secs(90));
         let mut modes = [Some(Mode::Whole); 3];
         for _ in 0..1_200 {
@@ -269,7 +269,7 @@
         let how = CUT_MODES[(seed % 3) as usize];
         play("elsewhere", REACH, Faults::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
-                (job.runs, job.spec.estimated_runtime_s) = (40.0, 40.0);
+                (job.runtime_s, job.spec.estimated_runtime_s) = (40.0, 40.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             world.schedule_at(secs(30), SimEvent::FaultLeader(CutLinks(&BLIND, how, secs(45))));
@@ -284,18 +284,23 @@
 /// The holder of open duties goes half-blind at each step of them.
 #[test]
 fn open_duties_of_a_half_blind_holder() {
-    let kind = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
+    let deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
     for moment in [Trigger::DutySent, Trigger::DutyWritten, Trigger::CloudCalled] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
                 let how = CUT_MODES[(seed % 3) as usize];
-                let world =
-                    play("duties", kind, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
+                let world = play(
+                    "duties",
+                    deployment,
+                    Faults { cancel_bursts: 1, ..Faults::default() },
+                    seed,
+                    |world| {
                         for nth in [2, 4, 6] {
                             let blow = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
                             world.when(moment, nth, vec![(ms(0), blow)]);
                         }
-                    });
+                    },
+                );
                 assert_eq!(world.effects.stale, 0, "{moment:?} {links:?}, seed {seed}: {:?}", world.effects);
             }
         }
@@ -309,14 +314,14 @@
     let factor: u64 = std::env::var("WORLD_CUTS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let mut cuts = 0;
     for seed in 0..20 * factor {
-        let troubles = Faults {
+        let faults = Faults {
             node_crashes: 1,
             cancel_bursts: 2,
             lost_replies: 0.005,
             machine_hangs: 1,
             ..Faults::default()
         };
-        play("many", REACH, troubles, seed, |world| {
+        play("many", REACH, faults, seed, |world| {
             for n in 0..16 {
                 // A number for each choice, without a second source of chance.
                 let draw = (seed * 16 + n).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
@@ -336,9 +341,9 @@
 /// A large fleet, half of which is beyond the leader.
 #[test]
 fn half_of_a_fleet_beyond_the_leader() {
-    let kind = Deployment { reachability: true, ..FLEET };
+    let deployment = Deployment { reachability: true, ..FLEET };
     for seed in 0..2 {
-        play("fleet", kind, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
+        play("fleet", deployment, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
             world.other_half[2] = true;
             for node in [0, 2] {
                 world.schedule_at(secs(30), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
@@ -381,7 +386,7 @@
             play("gap", REACH, Faults::default(), seed, |world| {
                 world.table = table.clone();
                 for job in world.jobs.iter_mut() {
-                    (job.runs, job.spec.estimated_runtime_s) = (60.0, 60.0);
+                    (job.runtime_s, job.spec.estimated_runtime_s) = (60.0, 60.0);
                     job.spec.tasks = job.spec.tasks.min(4);
                 }
                 world.schedule_at(secs(30), SimEvent::FaultLeader(Refuse(secs(70))));
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -192,7 +192,7 @@
     let (mut all, mut gangs) = (0, 0);
     for seed in 0..2000 {
         let (mut slots, mut jobs) = random(seed);
-        let (before, asked) = (slots.clone(), jobs.clone());
+        let (before, question) = (slots.clone(), jobs.clone());
         let mut teams = [team(8.0, 14.0), team(8.0, 18.0)];
         let (mut s, mut j, mut t) = (slots.clone(), jobs.clone(), teams.clone());
         let plain = plain::pass(NOW, &mut s, &mut j, &mut t);
@@ -200,25 +200,25 @@
         assert_eq!(starts, plain, "seed {seed}");
         assert_eq!(slots, s, "seed {seed}");
         // One that is cut short starts those whose turn it was first.
-        let (mut s, mut j, mut t) = (before.clone(), asked.clone(), [team(8.0, 14.0), team(8.0, 18.0)]);
+        let (mut s, mut j, mut t) = (before.clone(), question.clone(), [team(8.0, 14.0), team(8.0, 18.0)]);
         let some = pass_up_to(NOW, &mut s, &mut j, &mut t, 3);
         let now = |starts: &[Start]| starts.iter().filter(|s| s.at == NOW).count();
         assert_eq!(some[..], plain[..some.len()], "seed {seed}");
         // Unless a gang stands where it would be cut, which starts as a whole.
-        let cut = plain.iter().any(|s| asked[s.work_index].gang);
+        let cut = plain.iter().any(|s| question[s.work_index].gang);
         assert!(cut || now(&some) == now(&plain).min(3), "seed {seed}");
         let starts: Vec<Start> = starts.into_iter().filter(|s| s.at == NOW).collect();
         all += starts.len();
         let sum = |keep: &dyn Fn(&Start) -> bool| -> f64 {
-            starts.iter().filter(|s| keep(s)).map(|s| asked[s.work_index].demand.cpus).sum()
+            starts.iter().filter(|s| keep(s)).map(|s| question[s.work_index].demand.cpus).sum()
         };
         for (i, slot) in before.iter().enumerate() {
             assert!(sum(&|s| s.slot_index == i) <= slot.free.cpus, "seed {seed}: room");
         }
         for (t, cap) in [14.0, 18.0].into_iter().enumerate() {
-            assert!(sum(&|s| asked[s.work_index].team == t) <= cap, "seed {seed}: cap");
+            assert!(sum(&|s| question[s.work_index].team == t) <= cap, "seed {seed}: cap");
         }
-        for (w, job) in asked.iter().enumerate() {
+        for (w, job) in question.iter().enumerate() {
             let here: Vec<&Start> = starts.iter().filter(|s| s.work_index == w).collect();
             assert!(here.len() as u32 <= job.pending);
             let whole = here.is_empty() || here.len() as u32 == job.pending;
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -35,8 +35,14 @@
     std::env::var("WORLD_SHARD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(seeds)
 }
 
-fn play_one(name: &str, kind: Deployment, troubles: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
-    let mut world = World::with_deployment(kind, seed, troubles);
+fn play_one(
+    name: &str,
+    deployment: Deployment,
+    faults: Faults,
+    seed: u64,
+    set: impl Fn(&mut World),
+) -> World {
+    let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
     set(&mut world);
     world.run_to_end(name, seed, secs(90));
@@ -44,10 +50,10 @@
 }
 
 /// Plays histories until every job has come to its end; how often a shard changed hands.
-fn play(name: &str, kind: Deployment, troubles: Faults, seeds: u64, set: impl Fn(&mut World)) -> u32 {
+fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, set: impl Fn(&mut World)) -> u32 {
     let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
     let seeds = only.map_or(0..more(seeds), |seed| seed..seed + 1);
-    seeds.map(|seed| play_one(name, kind, troubles, seed, &set).shard_moves).sum()
+    seeds.map(|seed| play_one(name, deployment, faults, seed, &set).shard_moves).sum()
 }
 
 /// Steady load, shards that move all the time, and troubles of each kind. No job is lost, and
@@ -86,10 +92,10 @@
     };
     let quiet = play("quiet", MOVING, Faults::default(), 6, |_| {});
     assert!(quiet >= 6 * 20, "{quiet} moves");
-    for (name, troubles) in
+    for (name, faults) in
         [("crashes", crashes), ("pauses", pauses), ("machines", machines), ("network", network)]
     {
-        let moves = play(name, MOVING, troubles, 6, |world| {
+        let moves = play(name, MOVING, faults, 6, |world| {
             for n in 0..4 {
                 let node = (n % 3) as usize;
                 world.schedule_at(
@@ -106,7 +112,7 @@
 /// for a report's time and a round trip.
 #[test]
 fn the_urgent_queue_is_never_blocked() {
-    let longest = |kind| {
+    let longest = |deployment| {
         let waits = (0..more(10)).map(|seed| {
             let steady = |world: &mut World| {
                 for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
@@ -116,7 +122,7 @@
                     }
                 }
             };
-            play_one("urgent", kind, Faults::default(), seed, steady).urgent_wait
+            play_one("urgent", deployment, Faults::default(), seed, steady).urgent_wait
         });
         waits.max().unwrap()
     };
@@ -135,12 +141,12 @@
 
 /// From a controller's end to the next start on machines that it answered, in each of some
 /// histories of steady load, shortest first. Workers take four seconds to give it up.
-fn until_next_start(kind: Deployment, ends: Ends) -> Vec<Duration> {
+fn until_next_start(deployment: Deployment, ends: Ends) -> Vec<Duration> {
     let one = |seed| {
-        let mut world = World::with_deployment(kind, seed, Faults::default());
+        let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(120, secs(120));
         for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
-            (job.spec.spread, job.spec.tasks, job.runs) = (false, job.spec.tasks.min(4), 2.0);
+            (job.spec.spread, job.spec.tasks, job.runtime_s) = (false, job.spec.tasks.min(4), 2.0);
         }
         world.idle(secs(60));
         let leader = world.leader().unwrap();
@@ -153,8 +159,8 @@
         let end = world.now;
         world.schedule_at(Duration::ZERO, SimEvent::Crash { node });
         world.idle(secs(40));
-        let there = |host| ends == Ends::Leader || machines.contains(host);
-        let next = world.start_times.iter().find(|(at, host)| *at > end && there(host));
+        let there = |machine| ends == Ends::Leader || machines.contains(machine);
+        let next = world.start_times.iter().find(|(at, machine)| *at > end && there(machine));
         next.map_or(secs(40), |(at, _)| *at - end)
     };
     let mut times: Vec<Duration> = (0..more(12)).map(one).collect();
@@ -179,7 +185,7 @@
     }
     assert!(middle(&divided) <= middle(&undivided) + secs(1), "{divided:?}, {undivided:?}");
     assert!(middle(&holder) < secs(12), "{holder:?}");
-    let gap = |kind| play_one("gap", kind, Faults::default(), 4, |_| {}).longest_gap;
+    let gap = |deployment| play_one("gap", deployment, Faults::default(), 4, |_| {}).longest_gap;
     let (resting, moving) = (gap(RESTING), gap(MOVING));
     println!("the longest time between two answers: {resting:?} resting, {moving:?} moving");
     assert!(moving <= MOVING.heartbeat_interval.mul_f64(1.25) + secs(4), "{moving:?}");
@@ -251,8 +257,8 @@
 fn moves_begin_while_jobs_are_placed() {
     let held = Faults { delayed_commands: 0.3, lost_replies: 0.03, late_requests: 0.5, ..Faults::default() };
     for rotate in [1_000, 1_300, 1_900] {
-        let kind = Deployment { rotate_shards: Some(ms(rotate)), ..MOVING };
-        let moves = play("placing", kind, held, 4, |world| {
+        let deployment = Deployment { rotate_shards: Some(ms(rotate)), ..MOVING };
+        let moves = play("placing", deployment, held, 4, |world| {
             for nth in [2, 5, 9] {
                 let cut = CutLinks(&WORKER_LINKS, CutMode::LoseAnswers, secs(3));
                 world.when(Trigger::RunSent, nth * 7, vec![(ms(0), SimEvent::FaultAtMove(OldHolder, cut))]);
@@ -311,7 +317,7 @@
 /// Jobs that run for long, so that few end by themselves while the troubles last.
 fn long(world: &mut World, runs: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runs, job.spec.estimated_runtime_s) = (runs, runs);
+        (job.runtime_s, job.spec.estimated_runtime_s) = (runs, runs);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
@@ -395,27 +401,27 @@
     world.idle(secs(13));
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
-    let here = |host: &plankhead_core::protocol::MachineName| {
-        ShardId::of(&world.workers[host].zone, host, 2) == shard
+    let here = |machine: &plankhead_core::protocol::MachineName| {
+        ShardId::of(&world.workers[machine].zone, machine, 2) == shard
     };
     let machine = world.machines_held_by(node).into_iter().find(here).unwrap();
     // The first start is the cancelled job's: were it sent, the machine would be busy with it.
     let runs = |world: &mut World, cancelled: bool| {
-        let of = |job: &&world::Job| job.accepted && job.cancelled.is_some() == cancelled;
+        let of = |job: &&world::Job| job.accepted && job.cancelled_at.is_some() == cancelled;
         let job = world.jobs.iter().find(of).unwrap().id.clone();
         let (token, answers) = (world.lease(), world.latest_report(node));
-        let mut orders = orders(token, answers, vec![(shard.clone(), epoch)]);
-        orders.stamp.sequence += u64::from(!cancelled);
-        orders.machines[0].machine = machine.clone();
-        orders.machines[0].commands =
+        let mut commands = orders(token, answers, vec![(shard.clone(), epoch)]);
+        commands.stamp.sequence += u64::from(!cancelled);
+        commands.machines[0].machine = machine.clone();
+        commands.machines[0].commands =
             vec![WorkerCommand::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
-        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
+        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Accepted);
         let run =
             |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if task.index == 90);
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::SendCommands { commands: orders, .. } if orders.iter().any(run)))
+            .any(|effect| matches!(effect, Effect::SendCommands { commands, .. } if commands.iter().any(run)))
     };
     assert!(!runs(&mut world, true), "a cancelled job's");
     assert!(runs(&mut world, false), "a live job's is passed on");
@@ -455,15 +461,15 @@
 /// Hundreds of machines whose shards move while dozens of them fail.
 #[test]
 fn a_fleet_moves() {
-    let kind = Deployment { sharding: true, rotate_shards: Some(secs(4)), ..FLEET };
-    let troubles = Faults {
+    let deployment = Deployment { sharding: true, rotate_shards: Some(secs(4)), ..FLEET };
+    let faults = Faults {
         node_crashes: 3,
         machine_cuts: 1,
         machine_hangs: 1,
         lost_replies: 0.005,
         ..Faults::default()
     };
-    let mut world = World::with_deployment(kind, 3, troubles);
+    let mut world = World::with_deployment(deployment, 3, faults);
     world.plan(150, secs(90));
     world.run(secs(1500));
     assert!(world.settled());
@@ -525,8 +531,8 @@
         ("an answer to nothing", orders(token, sent + 1_000, vec![(shard.clone(), epoch)])),
         ("a message of long ago", orders(token, 1, vec![(shard.clone(), epoch)])),
     ];
-    for (what, orders) in bad {
-        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(orders)));
+    for (what, commands) in bad {
+        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Rejected, "{what}");
         assert!(
             !effects.iter().any(|effect| matches!(effect, Effect::SendCommands { .. })),
@@ -549,8 +555,8 @@
 fn a_leader_refuses_bad_reports() {
     let mut world = divided();
     let token = world.lease();
-    let report = |host: &str, term, sequence| HolderStatus {
-        host: host.into(),
+    let report = |machine: &str, term, sequence| HolderStatus {
+        host: machine.into(),
         stamp: MessageStamp { boot: 1, sequence },
         zone: "x".into(),
         term,
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -95,18 +95,18 @@
         let (id, number) = (parts.next().unwrap(), parts.next().unwrap());
         let record = jobs[&(row.history, format!("job/{id}"))].clone();
         let id = JobId::parse(id).unwrap();
-        let mut ledger = JobTable::default();
+        let mut job_table = JobTable::default();
         let per_chunk = record.per_chunk;
-        ledger.upsert(&id, record, 5, NOW, None, per_chunk);
+        job_table.upsert(&id, record, 5, NOW, None, per_chunk);
         if number.starts_with('s') {
-            ledger.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
+            job_table.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
             small += 1;
         } else {
             plain += 1;
         }
         let number = number.trim_start_matches('s').parse().unwrap();
-        ledger.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
-        assert_eq!(ledger.encode_chunk(&id, number).unwrap().0, row.value, "{}", row.key);
+        job_table.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
+        assert_eq!(job_table.encode_chunk(&id, number).unwrap().0, row.value, "{}", row.key);
     }
     assert!(plain > 0 && small > 0, "{plain} as accepted, {small} laid out anew");
 }
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -66,8 +66,14 @@
 }
 
 /// One history's digest.
-fn digest(kind: Deployment, jobs: usize, seed: u64, troubles: Faults, set: impl Fn(&mut World)) -> String {
-    let mut world = World::with_deployment(kind, seed, troubles);
+fn digest(
+    deployment: Deployment,
+    jobs: usize,
+    seed: u64,
+    faults: Faults,
+    set: impl Fn(&mut World),
+) -> String {
+    let mut world = World::with_deployment(deployment, seed, faults);
     world.trace.enable();
     world.plan(jobs, secs(90));
     set(&mut world);
@@ -142,11 +148,11 @@
     let upgrade = Faults { upgrade: true, ..Faults::default() };
     let everything =
         Deployment { sharding: true, rotate_shards: Some(ms(2500)), reachability: true, ..FENCED };
-    for (name, kind, troubles) in [("upgrade", SMALL, upgrade), ("all", everything, Faults::default())] {
-        let mut world = World::with_deployment(kind, 7, troubles);
+    for (name, deployment, faults) in [("upgrade", SMALL, upgrade), ("all", everything, Faults::default())] {
+        let mut world = World::with_deployment(deployment, 7, faults);
         world.plan(24, secs(90));
         for job in &mut world.jobs {
-            job.runs = 30.0;
+            job.runtime_s = 30.0;
         }
         for second in (10..90).step_by(10) {
             world.idle(secs(10));
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -56,22 +56,22 @@
 }
 
 fn loaded(record: &str) -> JobTable {
-    let mut ledger = JobTable::default();
+    let mut job_table = JobTable::default();
     let record: JobRecord = serde_json::from_str(record).unwrap();
     let per_chunk = record.per_chunk;
-    ledger.upsert(&id(), record, 5, NOW, None, per_chunk);
-    ledger
+    job_table.upsert(&id(), record, 5, NOW, None, per_chunk);
+    job_table
 }
 
 /// Placements are read, and written again so that the version before reads them.
 #[test]
 fn placements_of_the_version_before() {
-    let mut ledger = loaded(&live());
-    ledger.load_chunk(&id(), 0, RUN, 7, NOW).unwrap();
-    ledger.finish_loading();
-    let entry = &ledger.jobs[&id()];
+    let mut job_table = loaded(&live());
+    job_table.load_chunk(&id(), 0, RUN, 7, NOW).unwrap();
+    job_table.finish_loading();
+    let entry = &job_table.jobs[&id()];
     assert_eq!((entry.placed, entry.pending(), entry.first_unplaced), (3, 9, 3));
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let (text, _) = job_table.encode_chunk(&id(), 0).unwrap();
     assert_eq!(text, RUN);
     let read: before::ChunkText = serde_json::from_str(&text).unwrap();
     assert_eq!((read.h.len(), read.t.len()), (2, 3));
@@ -98,8 +98,8 @@
     let most = 1024;
     let small = tasks_per_chunk(most);
     let record = live().replace("\"tasks\":12", "\"tasks\":120");
-    let host = |i: u32| format!("[\"i-{i:06}\",1,\"raekoja-hall\"]");
-    let hosts: Vec<String> = (0..40).map(host).collect();
+    let machine = |i: u32| format!("[\"i-{i:06}\",1,\"raekoja-hall\"]");
+    let hosts: Vec<String> = (0..40).map(machine).collect();
     let tasks: Vec<String> = (40..80).map(|i| format!("[{i},2,{}]", i - 40)).collect();
     let idle: Vec<String> = (80..120).map(|i| format!("[{i},1,-1]")).collect();
     let base = format!(
@@ -110,16 +110,16 @@
     );
     assert!(base.len() > most);
 
-    let mut ledger = loaded(&record);
-    ledger.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
-    ledger.finish_loading();
+    let mut job_table = loaded(&record);
+    job_table.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
+    job_table.finish_loading();
     // One more placement is on its way and must be waited for.
-    let placed = ledger.place(&id(), &"i-000099".into(), 1, &"z".into(), NOW).unwrap();
-    ledger.jobs.get_mut(&id()).unwrap().chunks.get_mut(&0).unwrap().write_in_flight = true;
-    assert!(ledger.rechunk(small));
-    ledger.chunk_write_failed(&id(), 0, false);
-    assert!(!ledger.rechunk(small));
-    assert!(!ledger.may_start(&placed), "a placement that no value holds counts as written");
+    let placed = job_table.place(&id(), &"i-000099".into(), 1, &"z".into(), NOW).unwrap();
+    job_table.jobs.get_mut(&id()).unwrap().chunks.get_mut(&0).unwrap().write_in_flight = true;
+    assert!(job_table.rechunk(small));
+    job_table.chunk_write_failed(&id(), 0, false);
+    assert!(!job_table.rechunk(small));
+    assert!(!job_table.may_start(&placed), "a placement that no value holds counts as written");
     let all = |l: &JobTable| {
         let entry = &l.jobs[&id()];
         let tasks = entry.chunks.values().flat_map(|c| &c.tasks).map(|(i, t)| {
@@ -134,12 +134,12 @@
     // Step by step: one more end, one more chunk written.
     let mut stored: BTreeMap<u32, String> = BTreeMap::new();
     for round in 0..6 {
-        for (job, number) in ledger.dirty_chunks.clone() {
-            let (text, version) = ledger.encode_chunk(&job, number).unwrap();
+        for (job, number) in job_table.dirty_chunks.clone() {
+            let (text, version) = job_table.encode_chunk(&job, number).unwrap();
             assert!(text.len() <= most, "{} bytes", text.len());
             assert!(!before::reads(&job.chunk_key(number, true), &text));
             stored.insert(number, text);
-            ledger.chunk_committed(&job, number, version, 20 + round);
+            job_table.chunk_committed(&job, number, version, 20 + round);
             let mut next = loaded(&record);
             next.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
             next.rechunk(small);
@@ -147,9 +147,9 @@
                 next.load_chunk(&id(), *number, text, 9, NOW).unwrap();
             }
             next.finish_loading();
-            let (mut known, read) = (all(&ledger), all(&next));
+            let (mut known, read) = (all(&job_table), all(&next));
             // What is not written yet is not known to the next one.
-            if !ledger.dirty_chunks.is_empty() {
+            if !job_table.dirty_chunks.is_empty() {
                 known.1 = read.1;
             }
             assert_eq!(known.1, read.1);
@@ -157,10 +157,10 @@
             assert_eq!(next.jobs[&id()].attempts_by_zone.values().sum::<u32>(), read.1);
         }
         let task = TaskId { job: id(), index: 41 + round as u32 };
-        let host = ledger.attempt(&task).unwrap().machine.clone();
+        let machine = job_table.attempt(&task).unwrap().machine.clone();
         let seen = TaskStatus::Exited(ExitReason::Completed);
         let report = Heartbeat {
-            machine: host,
+            machine,
             address: "a".into(),
             machine_type: "r".into(),
             zone: "raekoja-hall".into(),
@@ -171,12 +171,12 @@
             preemption_notice: None,
             tasks: [ReportedTask { task, attempt: 2, status: seen }].into(),
         };
-        let (ended, _) = ledger.observe_heartbeat(&report, true, NOW);
+        let (ended, _) = job_table.observe_heartbeat(&report, true, NOW);
         assert_eq!(ended.len(), 1);
     }
-    assert!(ledger.may_start(&placed));
+    assert!(job_table.may_start(&placed));
     let keys: Vec<String> =
-        ledger.jobs[&id()].stored_keys(&id()).into_iter().map(|stored| stored.key).collect();
+        job_table.jobs[&id()].stored_keys(&id()).into_iter().map(|stored| stored.key).collect();
     assert!(
         keys.contains(&"run/job-000412/0".to_string()),
         "the old chunk is dropped with the job: {keys:?}"
@@ -234,8 +234,8 @@
 /// shown an earlier format; nothing closes it.
 #[test]
 fn gangs_wait_for_every_node() {
-    let row = |host: &str, format: u32| KeyValue {
-        key: format!("node/{host}"),
+    let row = |machine: &str, format: u32| KeyValue {
+        key: format!("node/{machine}"),
         value: format!("{{\"format\":{format}}}"),
         mod_revision: 1,
     };
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -57,8 +57,8 @@
 const CLOUD_PATIENCE: Duration = secs(3);
 const COMMAND_PATIENCE: Duration = secs(2);
 
-fn link_of(op: &KvRequest) -> Link {
-    match op {
+fn link_of(request: &KvRequest) -> Link {
+    match request {
         KvRequest::Get { .. } | KvRequest::List { .. } => Link::Reads,
         KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => Link::Writes,
         KvRequest::RenewLease { .. } => Link::Renewal,
@@ -100,10 +100,10 @@
     pub(super) fn pass_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
         let fencing::Actor { node, boot, .. } = actor;
         let link = match &effect {
-            Effect::CallKv { request: op, .. } => link_of(op),
+            Effect::CallKv { request, .. } => link_of(request),
             Effect::CallCloud { .. } => Link::Cloud,
             Effect::SendCommands { .. } => Link::Commands,
-            Effect::Respond { request: ask, .. } => match self.questions.get(&(node, boot, *ask)) {
+            Effect::Respond { request, .. } => match self.questions.get(&(node, boot, *request)) {
                 Some((_, PendingQuestion::Heartbeat { .. })) => Link::Answers,
                 _ => return Some(effect),
             },
@@ -112,39 +112,39 @@
         let Some(how) = self.cut_of(node, link) else { return Some(effect) };
         let carried_out = how == CutMode::LoseAnswers;
         let (patience, reply) = match effect {
-            Effect::CallKv { call, request: op } => {
-                let follow = matches!(op, KvRequest::Watch { .. });
+            Effect::CallKv { call, request } => {
+                let follow = matches!(request, KvRequest::Watch { .. });
                 if carried_out && !follow {
                     self.schedule_in(
                         ms(2),
-                        SimEvent::KvRequestArrives { node, boot, call, request: op, answered: false },
+                        SimEvent::KvRequestArrives { node, boot, call, request, answered: false },
                     );
                 }
                 let error =
                     if how == CutMode::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
                 (STATE_PATIENCE, Event::KvReply { call, reply: Err(error) })
             }
-            Effect::CallCloud { call, request: op } => {
+            Effect::CallCloud { call, request } => {
                 if carried_out {
                     self.schedule_in(
                         ms(100),
-                        SimEvent::CloudRequestArrives { actor, call, request: op, answered: false },
+                        SimEvent::CloudRequestArrives { actor, call, request, answered: false },
                     );
                 }
                 (CLOUD_PATIENCE, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
             }
-            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
-                self.check_commands(token, &orders);
-                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
+            Effect::SendCommands { call, address, token, incarnation, commands } => {
+                self.check_commands(token, &commands);
+                let machine: MachineName = address.as_ref().trim_start_matches("at-").into();
                 if carried_out {
                     let arrives = SimEvent::CommandsArrive {
                         node,
                         boot: 0,
                         call,
-                        machine: host,
+                        machine,
                         token,
-                        incarnation: shift,
-                        commands: orders,
+                        incarnation,
+                        commands,
                     };
                     self.schedule_in(ms(2), arrives);
                 }
@@ -152,11 +152,11 @@
                     if how == CutMode::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
                 (COMMAND_PATIENCE, Event::CommandReply { call, reply })
             }
-            Effect::Respond { request: ask, response: answer } => {
-                if let Response::Commands { token, commands: orders } = &answer {
-                    self.check_commands(*token, orders);
+            Effect::Respond { request, response: answer } => {
+                if let Response::Commands { token, commands } = &answer {
+                    self.check_commands(*token, commands);
                 }
-                self.questions.remove(&(node, boot, ask));
+                self.questions.remove(&(node, boot, request));
                 return None;
             }
             other => return Some(other),
--- a/crates/plankhead-core/tests/world/deployment.rs
+++ b/crates/plankhead-core/tests/world/deployment.rs
@@ -95,7 +95,7 @@
 }
 
 pub(super) fn settings(
-    kind: &Deployment,
+    deployment: &Deployment,
     node: usize,
     boot: u64,
     capacity: u32,
@@ -104,8 +104,8 @@
 ) -> Settings {
     let name = |n: usize| format!("plank-{n}");
     let team = Team {
-        guaranteed_cpus: kind.cpu_limit * 2.0 / 3.0,
-        max_cpus: kind.cpu_limit,
+        guaranteed_cpus: deployment.cpu_limit * 2.0 / 3.0,
+        max_cpus: deployment.cpu_limit,
         guaranteed_gpus: 0.0,
         max_gpus: 0.0,
     };
@@ -117,28 +117,28 @@
         peers: (0..3).filter(|n| *n != node).map(name).collect(),
         teams: BTreeMap::from([("a".into(), team), ("b".into(), team)]),
         objectives: BTreeMap::new(),
-        heartbeat_interval: kind.heartbeat_interval,
-        worker_lease: kind.worker_lease,
-        cancel_within: kind.cancel_within,
+        heartbeat_interval: deployment.heartbeat_interval,
+        worker_lease: deployment.worker_lease,
+        cancel_within: deployment.cancel_within,
         kv_requests_per_s: 250.0,
-        kv_changes_per_s: kind.kv_changes_per_s,
-        next_kv_changes_per_s: kind.kv_changes_per_s * 0.75,
+        kv_changes_per_s: deployment.kv_changes_per_s,
+        next_kv_changes_per_s: deployment.kv_changes_per_s * 0.75,
         cpu_share: 1.0,
         max_value_bytes: if old { 8192 } else { 1024 },
         max_txn_changes: if old { 8 } else { 4 },
-        cloud_requests_per_s: kind.cloud_requests_per_s,
+        cloud_requests_per_s: deployment.cloud_requests_per_s,
         inventory_lag: secs(3),
         clock_error: ms(100),
         sizing: Sizing { max_slowdown: 1.5, interval: Some(secs(20)), max_machines: Some(capacity) },
         fencing: Fencing { enabled: fenced, ..Fencing::default() },
         reachability: Reachability {
-            enabled: kind.reachability && !old,
+            enabled: deployment.reachability && !old,
             table: table.clone(),
             ..Reachability::default()
         },
         sharding: Sharding {
-            enabled: kind.sharding && !old,
-            rotate: kind.rotate_shards,
+            enabled: deployment.sharding && !old,
+            rotate: deployment.rotate_shards,
             ..Sharding::default()
         },
     }
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -77,36 +77,36 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Respond { request: ask, response: answer } => {
+            Effect::Respond { request, response: answer } => {
                 self.tag(1);
-                self.number(*ask);
+                self.number(*request);
                 self.answer(answer);
             }
-            Effect::CallKv { call, request: op } => {
+            Effect::CallKv { call, request } => {
                 self.tag(2);
                 self.number(*call);
-                self.state_op(op);
+                self.state_op(request);
             }
-            Effect::CallCloud { call, request: op } => {
+            Effect::CallCloud { call, request } => {
                 self.tag(3);
                 self.number(*call);
-                self.cloud_op(op);
+                self.cloud_op(request);
             }
-            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
+            Effect::SendCommands { call, address, token, incarnation, commands } => {
                 self.tag(4);
                 self.number(*call);
                 self.text(address);
                 self.number(*token);
-                self.number(*shift);
-                self.orders(orders);
+                self.number(*incarnation);
+                self.orders(commands);
             }
-            Effect::SendPeerHeartbeat(pulse) => {
+            Effect::SendPeerHeartbeat(peer_heartbeat) => {
                 self.tag(5);
-                self.text(&pulse.host);
-                self.flag(pulse.kv_available);
-                self.number(pulse.token);
-                self.number(pulse.progress.len() as u64);
-                for progress in &pulse.progress {
+                self.text(&peer_heartbeat.host);
+                self.flag(peer_heartbeat.kv_available);
+                self.number(peer_heartbeat.token);
+                self.number(peer_heartbeat.progress.len() as u64);
+                for progress in &peer_heartbeat.progress {
                     self.text(&progress.id);
                     self.number(u64::from(progress.done));
                     self.number(u64::from(progress.running));
@@ -122,7 +122,7 @@
                 self.text(to);
                 match message {
                     ShardMessage::HolderStatus(report) => self.holder_report(report),
-                    ShardMessage::LeaderCommands(orders) => self.leader_orders(orders),
+                    ShardMessage::LeaderCommands(commands) => self.leader_orders(commands),
                 }
             }
             Effect::Log(..) => {}
@@ -151,10 +151,10 @@
                 self.tag(5);
                 self.duration(*retry);
             }
-            Response::Commands { token, commands: orders } => {
+            Response::Commands { token, commands } => {
                 self.tag(6);
                 self.number(*token);
-                self.orders(orders);
+                self.orders(commands);
             }
             Response::Redirect { leader: foreman } => {
                 self.tag(7);
@@ -172,9 +172,9 @@
         }
     }
 
-    fn orders(&mut self, orders: &[WorkerCommand]) {
-        self.number(orders.len() as u64);
-        for order in orders {
+    fn orders(&mut self, commands: &[WorkerCommand]) {
+        self.number(commands.len() as u64);
+        for order in commands {
             match order {
                 WorkerCommand::Run { task, attempt } => {
                     self.tag(1);
@@ -199,8 +199,8 @@
         self.number(attempt);
     }
 
-    fn state_op(&mut self, op: &KvRequest) {
-        match op {
+    fn state_op(&mut self, request: &KvRequest) {
+        match request {
             KvRequest::Get { key } => {
                 self.tag(1);
                 self.text(key);
@@ -256,8 +256,8 @@
         }
     }
 
-    fn cloud_op(&mut self, op: &CloudRequest) {
-        match op {
+    fn cloud_op(&mut self, request: &CloudRequest) {
+        match request {
             CloudRequest::ListMachineTypes => self.tag(1),
             CloudRequest::ListInstances { after } => {
                 self.tag(2);
@@ -327,30 +327,30 @@
         self.duration(report.alive_age);
     }
 
-    fn leader_orders(&mut self, orders: &LeaderCommands) {
+    fn leader_orders(&mut self, commands: &LeaderCommands) {
         self.tag(2);
-        self.text(&orders.host);
-        self.number(orders.stamp.boot);
-        self.number(orders.stamp.sequence);
-        self.number(orders.acknowledged);
-        self.number(orders.token);
-        self.number(orders.shards.len() as u64);
-        for (shard, epoch) in &orders.shards {
+        self.text(&commands.host);
+        self.number(commands.stamp.boot);
+        self.number(commands.stamp.sequence);
+        self.number(commands.acknowledged);
+        self.number(commands.token);
+        self.number(commands.shards.len() as u64);
+        for (shard, epoch) in &commands.shards {
             self.text(&shard.to_string());
             self.number(*epoch);
         }
-        self.number(orders.latest_epoch);
-        self.number(orders.machines.len() as u64);
-        for machine in &orders.machines {
+        self.number(commands.latest_epoch);
+        self.number(commands.machines.len() as u64);
+        for machine in &commands.machines {
             self.text(&machine.machine);
             self.number(machine.shard as u64);
             self.number(machine.incarnation);
             self.orders(&machine.commands);
         }
-        self.number(orders.removed.len() as u64);
-        orders.removed.iter().for_each(|host| self.text(host));
-        self.number(orders.snapshot.len() as u64);
-        orders.snapshot.iter().for_each(|report| self.report(report));
+        self.number(commands.removed.len() as u64);
+        commands.removed.iter().for_each(|machine| self.text(machine));
+        self.number(commands.snapshot.len() as u64);
+        commands.snapshot.iter().for_each(|report| self.report(report));
     }
 
     fn report(&mut self, report: &Heartbeat) {
--- a/crates/plankhead-core/tests/world/effects.rs
+++ b/crates/plankhead-core/tests/world/effects.rs
@@ -7,13 +7,13 @@
 use super::{cuts, fencing, World, SIM_START};
 use plankhead_core::protocol::{
     CallError, CallId, CloudRequest, CommandReply, Effect, Event, KvChange, KvReply, KvRequest, MachineName,
-    Response, WorkerCommand,
+    PeerHeartbeat, RequestId, Response, WorkerCommand,
 };
 use plankhead_core::shards::messages::Delivery;
 use std::time::Duration;
 
-pub(super) fn touches(op: &KvRequest, prefix: &str) -> bool {
-    match op {
+pub(super) fn touches(request: &KvRequest, prefix: &str) -> bool {
+    match request {
         KvRequest::List { prefix: p, .. } => p == prefix,
         KvRequest::Txn { changes, .. } => {
             changes.iter().any(|c| matches!(c, KvChange::Put { key, .. } if key.starts_with(prefix)))
@@ -28,33 +28,26 @@
     pub(super) fn perform_cut(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
-            Effect::CallKv { call, request: op } => {
-                if !matches!(op, KvRequest::Watch { .. }) {
+            Effect::CallKv { call, request } => {
+                if !matches!(request, KvRequest::Watch { .. }) {
                     self.schedule_in(
                         held,
-                        SimEvent::KvRequestArrives { node, boot, call, request: op, answered: false },
+                        SimEvent::KvRequestArrives { node, boot, call, request, answered: false },
                     );
                 }
                 Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::CallCloud { call, request: op } => {
+            Effect::CallCloud { call, request } => {
                 self.schedule_in(
                     held,
-                    SimEvent::CloudRequestArrives { actor, call, request: op, answered: false },
+                    SimEvent::CloudRequestArrives { actor, call, request, answered: false },
                 );
                 Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) }
             }
-            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
-                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
-                let late = SimEvent::CommandsArrive {
-                    node,
-                    boot: 0,
-                    call,
-                    machine: host,
-                    token,
-                    incarnation: shift,
-                    commands: orders,
-                };
+            Effect::SendCommands { call, address, token, incarnation, commands } => {
+                let machine: MachineName = address.as_ref().trim_start_matches("at-").into();
+                let late =
+                    SimEvent::CommandsArrive { node, boot: 0, call, machine, token, incarnation, commands };
                 self.schedule_in(held, late);
                 Event::CommandReply { call, reply: CommandReply::Unanswered }
             }
@@ -70,8 +63,8 @@
     pub(super) fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let inside = match &effect {
-            Effect::Respond { request: ask, .. } => match self.questions.get(&(node, boot, *ask)) {
-                Some((_, PendingQuestion::Heartbeat { machine: host, .. })) => self.inside(node, host),
+            Effect::Respond { request, .. } => match self.questions.get(&(node, boot, *request)) {
+                Some((_, PendingQuestion::Heartbeat { machine, .. })) => self.inside(node, machine),
                 _ => false,
             },
             Effect::SendCommands { address, .. } => self.inside(node, address.trim_start_matches("at-")),
@@ -94,116 +87,13 @@
         }
         let Some(effect) = self.pass_cuts(actor, effect) else { return };
         match effect {
-            Effect::Respond { request: ask, response: answer } => {
-                if let Response::Commands { token, commands: orders } = &answer {
-                    if let Some((_, PendingQuestion::Heartbeat { machine: host, .. })) =
-                        self.questions.get(&(node, boot, ask))
-                    {
-                        let host = host.clone();
-                        self.last_answer = self.now;
-                        self.acts(actor, host, *token);
-                    }
-                    self.check_commands(*token, orders);
-                }
-                if let Some((since, asked)) = self.questions.remove(&(node, boot, ask)) {
-                    self.asked_at = since;
-                    self.answered(asked, answer);
-                }
-            }
+            Effect::Respond { request, response: answer } => self.respond(actor, request, answer),
             // The version before knows nothing of this.
-            Effect::CallKv { request: op, .. } if self.runs_old_version[node] && touches(&op, "node/") => {}
-            Effect::CallKv { call, request: op } => {
-                self.duty_sent(&op);
-                let listed = matches!(op, KvRequest::List { .. }) && self.now < self.lists_refused_until;
-                let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
-                if refused && !matches!(op, KvRequest::Watch { .. }) {
-                    return self.reply_state(node, boot, call, Err(CallError::Refused));
-                }
-                let lost = self.chance(self.faults.lost_replies);
-                let late = lost && self.chance(self.faults.late_requests);
-                let slowest = if self.faults.slow_kv { 900 } else { 15 };
-                let delay = if late { self.between(2000, 20_000) } else { self.between(2, slowest) };
-                if lost {
-                    self.schedule_in(
-                        ms(1200),
-                        SimEvent::DeliverToNode {
-                            node,
-                            boot,
-                            event: Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) },
-                        },
-                    );
-                    if self.chance(0.3) {
-                        return;
-                    }
-                }
-                self.schedule_in(
-                    delay,
-                    SimEvent::KvRequestArrives { node, boot, call, request: op, answered: !lost },
-                );
-            }
-            Effect::CallCloud { call, request: op } => {
-                if matches!(op, CloudRequest::Execute(_)) {
-                    self.trigger(Trigger::CloudCalled);
-                }
-                if self.holding[node] && self.now < self.paused_until[node] {
-                    let effect = Box::new(Effect::CallCloud { call, request: op });
-                    return self.schedule_in(
-                        self.paused_until[node] - self.now,
-                        SimEvent::Perform { actor, effect },
-                    );
-                }
-                let answered = !self.chance(self.faults.lost_replies);
-                let delay = if answered { ms(100) } else { self.between(100, 20_000) };
-                self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request: op, answered });
-            }
-            Effect::SendCommands { call, address, token, incarnation: shift, commands: orders } => {
-                let starts = orders.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-                assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
-                self.check_commands(token, &orders);
-                let host: MachineName = address.as_ref().trim_start_matches("at-").into();
-                self.acts(actor, host.clone(), token);
-                let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
-                let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
-                if delay > secs(2) {
-                    // Given up by the sender, and carried out all the same.
-                    let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
-                    self.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
-                    let boot = 0;
-                    let late = SimEvent::CommandsArrive {
-                        node,
-                        boot,
-                        call,
-                        machine: host,
-                        token,
-                        incarnation: shift,
-                        commands: orders,
-                    };
-                    return self.schedule_in(delay, late);
-                }
-                self.schedule_in(
-                    delay,
-                    SimEvent::CommandsArrive {
-                        node,
-                        boot,
-                        call,
-                        machine: host,
-                        token,
-                        incarnation: shift,
-                        commands: orders,
-                    },
-                );
-            }
-            Effect::SendPeerHeartbeat(pulse) => {
-                for other in (0..3).filter(|n| *n != node) {
-                    let alone = self.alone_until[node].max(self.alone_until[other]);
-                    let open = self.now >= self.node_cut_until[other].max(alone);
-                    let reached = open && self.peers_reach(node, other);
-                    if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
-                        let (boot, event) = (*boot, Event::PeerHeartbeat(pulse.clone()));
-                        self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
-                    }
-                }
-            }
+            Effect::CallKv { request, .. } if self.runs_old_version[node] && touches(&request, "node/") => {}
+            Effect::CallKv { call, request } => self.call_kv(actor, call, request),
+            Effect::CallCloud { call, request } => self.call_cloud(actor, call, request),
+            effect @ Effect::SendCommands { .. } => self.send_commands(actor, effect),
+            Effect::SendPeerHeartbeat(peer_heartbeat) => self.send_peer_heartbeat(node, peer_heartbeat),
             Effect::SendCoverage(coverage) => self.tell_coverage(node, boot, coverage),
             Effect::SendShardMessage { call, to, message } => {
                 self.shard_message((node, boot, call), &to, message)
@@ -216,6 +106,109 @@
         }
     }
 
+    /// A user, worker or peer gets its answer.
+    fn respond(&mut self, actor: fencing::Actor, request: RequestId, answer: Response) {
+        let fencing::Actor { node, boot, .. } = actor;
+        if let Response::Commands { token, commands } = &answer {
+            if let Some((_, PendingQuestion::Heartbeat { machine, .. })) =
+                self.questions.get(&(node, boot, request))
+            {
+                let machine = machine.clone();
+                self.last_answer = self.now;
+                self.acts(actor, machine, *token);
+            }
+            self.check_commands(*token, commands);
+        }
+        if let Some((since, question)) = self.questions.remove(&(node, boot, request)) {
+            self.asked_at = since;
+            self.answered(question, answer);
+        }
+    }
+
+    /// A request to the state service, which may be refused, lost, late or slow.
+    fn call_kv(&mut self, actor: fencing::Actor, call: CallId, request: KvRequest) {
+        let fencing::Actor { node, boot, .. } = actor;
+        self.duty_sent(&request);
+        let listed = matches!(request, KvRequest::List { .. }) && self.now < self.lists_refused_until;
+        let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
+        if refused && !matches!(request, KvRequest::Watch { .. }) {
+            return self.reply_state(node, boot, call, Err(CallError::Refused));
+        }
+        let lost = self.chance(self.faults.lost_replies);
+        let late = lost && self.chance(self.faults.late_requests);
+        let slowest = if self.faults.slow_kv { 900 } else { 15 };
+        let delay = if late { self.between(2000, 20_000) } else { self.between(2, slowest) };
+        if lost {
+            self.schedule_in(
+                ms(1200),
+                SimEvent::DeliverToNode {
+                    node,
+                    boot,
+                    event: Event::KvReply { call, reply: Err(CallError::OutcomeUnknown) },
+                },
+            );
+            if self.chance(0.3) {
+                return;
+            }
+        }
+        self.schedule_in(delay, SimEvent::KvRequestArrives { node, boot, call, request, answered: !lost });
+    }
+
+    /// A request to the cloud, which may be lost or late.
+    fn call_cloud(&mut self, actor: fencing::Actor, call: CallId, request: CloudRequest) {
+        let node = actor.node;
+        if matches!(request, CloudRequest::Execute(_)) {
+            self.trigger(Trigger::CloudCalled);
+        }
+        if self.holding[node] && self.now < self.paused_until[node] {
+            let effect = Box::new(Effect::CallCloud { call, request });
+            return self.schedule_in(self.paused_until[node] - self.now, SimEvent::Perform { actor, effect });
+        }
+        let answered = !self.chance(self.faults.lost_replies);
+        let delay = if answered { ms(100) } else { self.between(100, 20_000) };
+        self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request, answered });
+    }
+
+    /// Commands straight to a worker, which may be held up on the way.
+    fn send_commands(&mut self, actor: fencing::Actor, effect: Effect) {
+        let fencing::Actor { node, boot, .. } = actor;
+        let Effect::SendCommands { call, address, token, incarnation, commands } = effect else {
+            return;
+        };
+        let starts = commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
+        assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
+        self.check_commands(token, &commands);
+        let machine: MachineName = address.as_ref().trim_start_matches("at-").into();
+        self.acts(actor, machine.clone(), token);
+        let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
+        let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
+        if delay > secs(2) {
+            // Given up by the sender, and carried out all the same.
+            let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
+            self.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
+            let boot = 0;
+            let late = SimEvent::CommandsArrive { node, boot, call, machine, token, incarnation, commands };
+            return self.schedule_in(delay, late);
+        }
+        self.schedule_in(
+            delay,
+            SimEvent::CommandsArrive { node, boot, call, machine, token, incarnation, commands },
+        );
+    }
+
+    /// A heartbeat to the peers that the node reaches.
+    fn send_peer_heartbeat(&mut self, node: usize, peer_heartbeat: PeerHeartbeat) {
+        for other in (0..3).filter(|n| *n != node) {
+            let alone = self.alone_until[node].max(self.alone_until[other]);
+            let open = self.now >= self.node_cut_until[other].max(alone);
+            let reached = open && self.peers_reach(node, other);
+            if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
+                let (boot, event) = (*boot, Event::PeerHeartbeat(peer_heartbeat.clone()));
+                self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
+            }
+        }
+    }
+
     pub(super) fn reply_state(
         &mut self,
         node: usize,
@@ -228,14 +221,14 @@
         self.schedule_in(way, SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } });
     }
 
-    pub(super) fn state(&mut self, node: usize, boot: u64, call: CallId, op: KvRequest, answered: bool) {
-        if self.now < self.outage_until && !matches!(op, KvRequest::Watch { .. }) {
+    pub(super) fn state(&mut self, node: usize, boot: u64, call: CallId, request: KvRequest, answered: bool) {
+        if self.now < self.outage_until && !matches!(request, KvRequest::Watch { .. }) {
             if answered {
                 self.reply_state(node, boot, call, Err(CallError::Refused));
             }
             return;
         }
-        if let KvRequest::Watch { prefix, after, wait } = op {
+        if let KvRequest::Watch { prefix, after, wait } = request {
             if answered && self.alive(node, boot) {
                 self.sequence += 1;
                 let id = self.sequence;
@@ -245,11 +238,11 @@
             }
             return;
         }
-        let changes = match &op {
+        let changes = match &request {
             KvRequest::Txn { changes, .. } => changes.clone(),
             _ => Vec::new(),
         };
-        let reply = self.kv.apply(self.now, op);
+        let reply = self.kv.apply(self.now, request);
         if matches!(reply, Ok(KvReply::Committed { .. })) {
             self.on_committed(&changes);
         }
@@ -286,9 +279,9 @@
             self.notify();
         }
         for worker in self.workers.values_mut() {
-            worker.dead |= worker.taken.is_some_and(|at| self.now >= at);
+            worker.dead |= worker.taken_at.is_some_and(|at| self.now >= at);
             if worker.dead {
-                worker.ended.get_or_insert(self.now);
+                worker.died_at.get_or_insert(self.now);
             }
             worker.expire(self.now);
         }
--- a/crates/plankhead-core/tests/world/events.rs
+++ b/crates/plankhead-core/tests/world/events.rs
@@ -24,7 +24,7 @@
     RetryUnanswered {
         node: usize,
         boot: u64,
-        ask: RequestId,
+        request: RequestId,
         again: Box<SimEvent>,
     },
     Tick {
@@ -212,29 +212,12 @@
 }
 
 impl World {
-    pub(super) fn handle(&mut self, happening: SimEvent) {
-        match happening {
-            SimEvent::Start { node } => {
-                self.boots += 1;
-                let boot = self.boots;
-                let kinds = (self.runs_old_version[node], self.fencing[node]);
-                self.nodes[node] = Some((
-                    boot,
-                    Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.table)),
-                ));
-                self.next_wakes[node] = self.now + ms(1);
-                self.paused_until[node] = Duration::ZERO;
-                self.backlog[node].clear();
-                self.schedule_in(ms(1), SimEvent::Tick { node, boot });
-            }
-            SimEvent::Crash { node } => {
-                if self.nodes[node].take().is_some() {
-                    self.watches.retain(|w| w.node != node);
-                    let pause =
-                        if self.chance(0.3) { self.between(20, 300) } else { self.between(3000, 6000) };
-                    self.schedule_in(pause, SimEvent::Start { node });
-                }
-            }
+    // One arm an event.
+    #[allow(clippy::too_many_lines)]
+    pub(super) fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Start { node } => self.start_node(node),
+            SimEvent::Crash { node } => self.crash_node(node),
             SimEvent::Upgrade { node } => {
                 self.runs_old_version[node] = false;
                 self.kv.mixed = self.runs_old_version.contains(&true);
@@ -242,12 +225,12 @@
             }
             SimEvent::LowerLimits => self.kv.lower(),
             SimEvent::CheckGang { job, attempt } => self.gang_look(job, attempt),
-            SimEvent::GangTimedOut { machine: host, task, attempt, incarnation: shift } => {
-                self.incomplete(host, task, attempt, shift);
+            SimEvent::GangTimedOut { machine, task, attempt, incarnation } => {
+                self.incomplete(machine, task, attempt, incarnation);
             }
             SimEvent::PreemptionNotice { left } => {
                 let at = self.now + left;
-                self.change_some_machines(|w| w.taken = w.taken.or(Some(at)));
+                self.change_some_machines(|w| w.taken_at = w.taken_at.or(Some(at)));
             }
             SimEvent::Tick { node, boot } => {
                 // An earlier wake may have been asked for since.
@@ -260,43 +243,15 @@
                     self.step(node, vec![event]);
                 }
             }
-            SimEvent::KvRequestArrives { node, boot, call, request: op, answered } => {
-                self.state(node, boot, call, op, answered);
+            SimEvent::KvRequestArrives { node, boot, call, request, answered } => {
+                self.state(node, boot, call, request, answered);
             }
-            SimEvent::WatchEnds { watch } => {
-                if let Some(at) = self.watches.iter().position(|w| w.id == watch) {
-                    let watch = self.watches.swap_remove(at);
-                    let cut = self.node_cut_until[watch.node].max(self.refused_until[watch.node]);
-                    let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
-                    let down = watch_cut || self.now < self.outage_until.max(cut);
-                    let reply = match down {
-                        true => Err(CallError::OutcomeUnknown),
-                        false => Ok(self.kv.changes(&watch.prefix, watch.after)),
-                    };
-                    self.reply_state(watch.node, watch.boot, watch.call, reply);
-                }
-            }
-            SimEvent::CloudRequestArrives { actor, call, request: op, answered } => {
-                let fencing::Actor { node, boot, .. } = actor;
-                self.count_effects(actor, &op);
-                let reply = self.cloud(op);
-                let event = Event::CloudReply {
-                    call,
-                    reply: if answered { reply } else { Err(CallError::OutcomeUnknown) },
-                };
-                let pause = if answered { ms(50) } else { secs(3) };
-                self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event });
+            SimEvent::WatchEnds { watch } => self.watch_ends(watch),
+            SimEvent::CloudRequestArrives { actor, call, request, answered } => {
+                self.cloud_request_arrives(actor, call, request, answered)
             }
-            SimEvent::CommandsArrive {
-                node,
-                boot,
-                call,
-                machine: host,
-                token,
-                incarnation: shift,
-                commands: orders,
-            } => {
-                self.orders_arrive(node, boot, call, host, token, shift, orders);
+            SimEvent::CommandsArrive { node, boot, call, machine, token, incarnation, commands } => {
+                self.orders_arrive(node, boot, call, machine, token, incarnation, commands);
             }
             SimEvent::RestartWithFencing { node, fenced } => {
                 self.fencing[node] = fenced;
@@ -309,99 +264,58 @@
                     self.perform(actor, *effect);
                 }
             }
-            SimEvent::Heartbeat { machine: host } => self.beat(host),
-            SimEvent::HeartbeatAnswered {
-                machine: host,
-                sent,
-                incarnation: shift,
-                sequence: tick,
-                answer,
-            } => {
-                self.beat_answered(host, sent, shift, tick, answer);
-            }
-            SimEvent::HeartbeatTimedOut { machine: host, sequence: tick } => {
-                if let Some(w) = self.workers.get_mut(&host).filter(|w| w.waiting == Some(tick)) {
-                    w.waiting = None;
-                    w.node = (w.node + 1) % 3;
-                    self.schedule_in(secs(1), SimEvent::Heartbeat { machine: host });
-                }
+            SimEvent::Heartbeat { machine } => self.beat(machine),
+            SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, answer } => {
+                self.beat_answered(machine, sent, incarnation, sequence, answer);
             }
-            SimEvent::ImageFetched { machine: host, task, attempt, incarnation: shift } => {
-                self.pulled(host, task, attempt, shift)
+            SimEvent::HeartbeatTimedOut { machine, sequence } => self.heartbeat_timed_out(machine, sequence),
+            SimEvent::ImageFetched { machine, task, attempt, incarnation } => {
+                self.pulled(machine, task, attempt, incarnation)
             }
-            SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift } => {
-                self.task_ends(host, task, attempt, shift)
+            SimEvent::TaskEnds { machine, task, attempt, incarnation } => {
+                self.task_ends(machine, task, attempt, incarnation)
             }
-            SimEvent::RetryUnanswered { node, boot, ask, again } => {
-                if self.questions.remove(&(node, boot, ask)).is_some() {
+            SimEvent::RetryUnanswered { node, boot, request, again } => {
+                if self.questions.remove(&(node, boot, request)).is_some() {
                     self.handle(*again);
                 }
             }
-            SimEvent::Submit { job } => {
-                let j = &mut self.jobs[job];
-                j.submitted = true;
-                let (id, spec) = (j.id.clone(), j.spec.clone());
-                self.ask(
-                    PendingQuestion::Submit(job),
-                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
-                    SimEvent::Submit { job },
-                );
-            }
+            SimEvent::Submit { job } => self.submit(job),
             SimEvent::Poll { job } => {
                 let id = self.jobs[job].id.clone();
                 self.ask(
                     PendingQuestion::Poll(job),
-                    |ask| Event::Poll { request: ask, id },
+                    |request| Event::Poll { request, id },
                     SimEvent::Poll { job },
                 );
             }
-            SimEvent::Cancel { job } => {
-                if self.jobs[job].submitted {
-                    self.jobs[job].aborting = true;
-                }
-                let known = self.jobs[job].accepted;
-                let id = self.jobs[job].id.clone();
-                self.ask(
-                    PendingQuestion::Cancel { job, known },
-                    |ask| Event::Cancel { request: ask, id },
-                    SimEvent::Cancel { job },
-                );
-            }
+            SimEvent::Cancel { job } => self.cancel(job),
             SimEvent::Outage { until } => self.outage_until = self.outage_until.max(until),
             SimEvent::RefuseNode { node, until } => self.refused_until[node] = until,
             SimEvent::FaultLeader(blow) => self.fault_leader(blow),
             SimEvent::FaultAtMove(whom, blow) => self.blow_at_move(whom, blow),
             SimEvent::StopAllNodes { last } => self.away(last),
             SimEvent::CancelNow { count, hang } => self.cancel_now(count, hang),
-            SimEvent::CutZone { zone, until } => {
-                self.zone_cut.insert(zone, until);
-                for node in (0..3).filter(|n| zone_of(*n) == zone) {
-                    self.node_cut_until[node] = self.node_cut_until[node].max(until);
-                }
+            SimEvent::CutZone { zone, until } => self.cut_zone(zone, until),
+            SimEvent::DropHeartbeats { until } => {
+                self.change_some_machines(|w| w.heartbeats_dropped_until = until)
             }
-            SimEvent::DropHeartbeats { until } => self.change_some_machines(|w| w.mute = until),
             SimEvent::RefuseLists { until } => self.lists_refused_until = until,
             SimEvent::SendOddRequest { odd, known } => self.ask_oddly(odd, known),
             SimEvent::PollAt { job, node } => {
                 let id = self.jobs[job].id.clone();
-                self.ask_at(node, PendingQuestion::Poll(job), |ask| Event::Poll { request: ask, id }, None);
-            }
-            SimEvent::SubmitAt { job, node } => {
-                let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
-                self.ask_at(
-                    node,
-                    PendingQuestion::Submit(job),
-                    |ask| Event::Submit { request: ask, id, job: Ok(spec) },
-                    None,
-                );
+                self.ask_at(node, PendingQuestion::Poll(job), |request| Event::Poll { request, id }, None);
             }
+            SimEvent::SubmitAt { job, node } => self.submit_at(job, node),
             SimEvent::DuplicateHeartbeatTo { node, heartbeat: report } => self.copy_to(node, report),
-            SimEvent::CutMachine { until } => self.change_some_machines(|w| w.cut = until),
+            SimEvent::CutMachine { until } => self.change_some_machines(|w| w.cut_until = until),
             SimEvent::CutNode { node, until } => self.node_cut_until[node] = until,
             SimEvent::CutLink(cut) => self.cut_link(cut),
-            SimEvent::HangMachine { until } => self.change_some_machines(|w| w.hung = until),
+            SimEvent::HangMachine { until } => self.change_some_machines(|w| w.hung_until = until),
             SimEvent::KillMachine => self.change_some_machines(|w| w.dead = true),
-            SimEvent::DropResponses { until } => self.change_some_machines(|w| w.deaf = until),
+            SimEvent::DropResponses { until } => {
+                self.change_some_machines(|w| w.responses_dropped_until = until)
+            }
             SimEvent::CutFromKvAndPeers { node, until } => {
                 self.refused_until[node] = until;
                 self.alone_until[node] = until;
@@ -413,6 +327,112 @@
                 self.copy_to(node, report);
             }
         }
+        self.after_event();
+    }
+
+    fn start_node(&mut self, node: usize) {
+        self.boots += 1;
+        let boot = self.boots;
+        let kinds = (self.runs_old_version[node], self.fencing[node]);
+        self.nodes[node] = Some((
+            boot,
+            Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.table)),
+        ));
+        self.next_wakes[node] = self.now + ms(1);
+        self.paused_until[node] = Duration::ZERO;
+        self.backlog[node].clear();
+        self.schedule_in(ms(1), SimEvent::Tick { node, boot });
+    }
+
+    fn crash_node(&mut self, node: usize) {
+        if self.nodes[node].take().is_some() {
+            self.watches.retain(|w| w.node != node);
+            let pause = if self.chance(0.3) { self.between(20, 300) } else { self.between(3000, 6000) };
+            self.schedule_in(pause, SimEvent::Start { node });
+        }
+    }
+
+    fn watch_ends(&mut self, watch: u64) {
+        if let Some(at) = self.watches.iter().position(|w| w.id == watch) {
+            let watch = self.watches.swap_remove(at);
+            let cut = self.node_cut_until[watch.node].max(self.refused_until[watch.node]);
+            let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
+            let down = watch_cut || self.now < self.outage_until.max(cut);
+            let reply = match down {
+                true => Err(CallError::OutcomeUnknown),
+                false => Ok(self.kv.changes(&watch.prefix, watch.after)),
+            };
+            self.reply_state(watch.node, watch.boot, watch.call, reply);
+        }
+    }
+
+    fn cloud_request_arrives(
+        &mut self,
+        actor: fencing::Actor,
+        call: CallId,
+        request: CloudRequest,
+        answered: bool,
+    ) {
+        let fencing::Actor { node, boot, .. } = actor;
+        self.count_effects(actor, &request);
+        let reply = self.cloud(request);
+        let event =
+            Event::CloudReply { call, reply: if answered { reply } else { Err(CallError::OutcomeUnknown) } };
+        let pause = if answered { ms(50) } else { secs(3) };
+        self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event });
+    }
+
+    fn heartbeat_timed_out(&mut self, machine: MachineName, sequence: u64) {
+        if let Some(w) = self.workers.get_mut(&machine).filter(|w| w.awaited_response == Some(sequence)) {
+            w.awaited_response = None;
+            w.node = (w.node + 1) % 3;
+            self.schedule_in(secs(1), SimEvent::Heartbeat { machine });
+        }
+    }
+
+    fn submit(&mut self, job: usize) {
+        let j = &mut self.jobs[job];
+        j.submitted = true;
+        let (id, spec) = (j.id.clone(), j.spec.clone());
+        self.ask(
+            PendingQuestion::Submit(job),
+            |request| Event::Submit { request, id, job: Ok(spec) },
+            SimEvent::Submit { job },
+        );
+    }
+
+    fn cancel(&mut self, job: usize) {
+        if self.jobs[job].submitted {
+            self.jobs[job].cancelling = true;
+        }
+        let known = self.jobs[job].accepted;
+        let id = self.jobs[job].id.clone();
+        self.ask(
+            PendingQuestion::Cancel { job, known },
+            |request| Event::Cancel { request, id },
+            SimEvent::Cancel { job },
+        );
+    }
+
+    fn cut_zone(&mut self, zone: &'static str, until: Duration) {
+        self.zone_cut.insert(zone, until);
+        for node in (0..3).filter(|n| zone_of(*n) == zone) {
+            self.node_cut_until[node] = self.node_cut_until[node].max(until);
+        }
+    }
+
+    fn submit_at(&mut self, job: usize, node: usize) {
+        let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
+        self.ask_at(
+            node,
+            PendingQuestion::Submit(job),
+            |request| Event::Submit { request, id, job: Ok(spec) },
+            None,
+        );
+    }
+
+    /// What follows from time alone, and the checks of the rules.
+    fn after_event(&mut self) {
         self.expire();
         match self.kv.stamp("lead") {
             Some(token) if token > self.latest_leader.0 => {
@@ -440,7 +460,7 @@
 
     pub(super) fn change_one_machine(&mut self, change: &impl Fn(&mut Worker)) {
         let up: Vec<MachineName> =
-            self.workers.values().filter(|w| w.up(self.now)).map(|w| w.name.clone()).collect();
+            self.workers.values().filter(|w| w.is_up(self.now)).map(|w| w.name.clone()).collect();
         if up.is_empty() {
             return;
         }
--- a/crates/plankhead-core/tests/world/faults.rs
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -75,69 +75,80 @@
     pub fn plan(&mut self, jobs: usize, span: Duration) {
         let span = span.as_millis() as u64;
         for n in 0..jobs {
-            let gang = n % 4 == 2;
-            // Some gangs are wider than a chunk of placements.
-            let wide = n % 12 == 2;
-            let many = if n % 9 == 0 && !gang { 120 } else { 6 };
-            let many = if wide { 22 } else { many };
-            let tasks = self.rng.random_range(1..=many);
-            let spec = JobSpec {
-                class: format!("c{}", n % 3),
-                team: if n % 2 == 0 { "a".into() } else { "b".into() },
-                priority: if n % 3 == 0 { Priority::Urgent } else { Priority::Standard },
-                tasks,
-                demand: Resources {
-                    cpus: if wide { 1.0 } else { [1.0, 2.0, 4.0][n % 3] },
-                    gpus: 0.0,
-                    ram_gb: 4.0,
-                },
-                image: format!("img-{}", n % 4),
-                image_gb: 1.0,
-                machine_types: None,
-                zone: if n % 7 == 3 { Some("y".into()) } else { None },
-                single_zone: n % 5 == 1,
-                spread: n % 5 == 2 && !gang,
-                allows_spot: n % 4 != 3,
-                estimated_runtime_s: 5.0,
-                checkpoint_interval_s: if gang { 2.0 } else { 0.0 },
-                checkpoint_duration_s: if gang { 1.0 } else { 0.0 },
-                deadline_s: None,
-                gang,
-            };
-            let id = JobId::parse(&format!("job-{n:06}")).unwrap();
-            self.by_id.insert(id.clone(), n);
-            let runs = self.rng.random_range(1.0..8.0);
-            let job = Job {
-                id,
-                spec,
-                accepted: false,
-                submitted: false,
-                aborting: false,
-                cancelled: None,
-                told: None,
-                told_over: Duration::ZERO,
-                done: BTreeSet::new(),
-                runs,
-                spread: 0.0,
-                cut_short: false,
-                progress: 0.0,
-                run: None,
-                told_run: 0,
-                heard: Duration::ZERO,
-                since: None,
-                began: None,
-                waiting: None,
-                urgent_waiting: None,
-            };
-            self.jobs.push(job);
-            let at = self.between(500, span);
-            let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
-            self.schedule_in(at, SimEvent::Submit { job: n });
-            if n % 4 == 1 || n % 24 == 2 {
-                let later = at + self.between(0, 15_000);
-                self.schedule_in(later, SimEvent::Cancel { job: n });
-            }
+            self.plan_job(n, span);
+        }
+        self.plan_faults(jobs, span);
+        // The longest fault, and what a process needs to be back.
+        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
+    }
+
+    /// The n-th job: its kind follows from its number, its size and times from the seed.
+    fn plan_job(&mut self, n: usize, span: u64) {
+        let gang = n % 4 == 2;
+        // Some gangs are wider than a chunk of placements.
+        let wide = n % 12 == 2;
+        let many = if n.is_multiple_of(9) && !gang { 120 } else { 6 };
+        let many = if wide { 22 } else { many };
+        let tasks = self.rng.random_range(1..=many);
+        let spec = JobSpec {
+            class: format!("c{}", n % 3),
+            team: if n.is_multiple_of(2) { "a".into() } else { "b".into() },
+            priority: if n.is_multiple_of(3) { Priority::Urgent } else { Priority::Standard },
+            tasks,
+            demand: Resources {
+                cpus: if wide { 1.0 } else { [1.0, 2.0, 4.0][n % 3] },
+                gpus: 0.0,
+                ram_gb: 4.0,
+            },
+            image: format!("img-{}", n % 4),
+            image_gb: 1.0,
+            machine_types: None,
+            zone: if n % 7 == 3 { Some("y".into()) } else { None },
+            single_zone: n % 5 == 1,
+            spread: n % 5 == 2 && !gang,
+            allows_spot: n % 4 != 3,
+            estimated_runtime_s: 5.0,
+            checkpoint_interval_s: if gang { 2.0 } else { 0.0 },
+            checkpoint_duration_s: if gang { 1.0 } else { 0.0 },
+            deadline_s: None,
+            gang,
+        };
+        let id = JobId::parse(&format!("job-{n:06}")).unwrap();
+        self.by_id.insert(id.clone(), n);
+        let runs = self.rng.random_range(1.0..8.0);
+        let job = Job {
+            id,
+            spec,
+            accepted: false,
+            submitted: false,
+            cancelling: false,
+            cancelled_at: None,
+            last_answer: None,
+            told_ended_at: Duration::ZERO,
+            done: BTreeSet::new(),
+            runtime_s: runs,
+            runtime_spread_s: 0.0,
+            ran_when_cancelled: false,
+            progress: 0.0,
+            run: None,
+            latest_started_attempt: 0,
+            last_answered_at: Duration::ZERO,
+            accepted_at: None,
+            started_at: None,
+            waiting_since: None,
+            urgent_waiting_since: None,
+        };
+        self.jobs.push(job);
+        let at = self.between(500, span);
+        let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
+        self.schedule_in(at, SimEvent::Submit { job: n });
+        if n % 4 == 1 || n % 24 == 2 {
+            let later = at + self.between(0, 15_000);
+            self.schedule_in(later, SimEvent::Cancel { job: n });
         }
+    }
+
+    fn plan_faults(&mut self, jobs: usize, span: u64) {
         let t = self.faults;
         for _ in 0..t.node_crashes {
             let (at, node) = (self.between(1000, span), self.rng.random_range(0..3));
@@ -233,7 +244,5 @@
             }
             self.schedule_in(secs(55), SimEvent::LowerLimits);
         }
-        // The longest trouble, and what a process needs to be back.
-        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
     }
 }
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -93,8 +93,8 @@
     }
 
     /// Counts what the cloud is about to do for an actor.
-    pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudRequest) {
-        let CloudRequest::Execute(permitted) = op else { return };
+    pub(super) fn count_effects(&mut self, actor: Actor, request: &CloudRequest) {
+        let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             Action::Rent(rental) => {
                 let done = self.rentals.contains_key(&rental.name);
@@ -105,8 +105,8 @@
                 }
             }
             Action::Return(back) => {
-                let there = back.hosts.iter().filter(|host| self.workers.contains_key(*host));
-                there.map(|host| (host.as_ref(), false)).collect()
+                let there = back.hosts.iter().filter(|machine| self.workers.contains_key(*machine));
+                there.map(|machine| (machine.as_ref(), false)).collect()
             }
         };
         let holder = actor.term > 0 && self.kv.stamp("lead") == Some(actor.term);
@@ -135,7 +135,7 @@
         let names = |duty: &Value| match (rental, duty["kind"].as_str()) {
             (true, Some("rent")) => duty["name"] == subject,
             (false, Some("return" | "reclaim")) => {
-                duty["hosts"].as_array().is_some_and(|hosts| hosts.iter().any(|host| host == subject))
+                duty["hosts"].as_array().is_some_and(|hosts| hosts.iter().any(|machine| machine == subject))
             }
             _ => false,
         };
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -26,7 +26,7 @@
     fn mates(&self, job: usize, attempt: u64, states: &[TaskStatus]) -> BTreeMap<u32, MachineName> {
         let id = &self.jobs[job].id;
         let mut found = BTreeMap::new();
-        for worker in self.workers.values().filter(|w| !w.dead && self.now >= w.hung) {
+        for worker in self.workers.values().filter(|w| !w.dead && self.now >= w.hung_until) {
             for ((task, number), seen) in &worker.tasks {
                 if task.job == *id && *number == attempt && states.contains(seen) {
                     found.insert(task.index, worker.name.clone());
@@ -37,25 +37,25 @@
     }
 
     /// The leader tells tasks to run: of a gang, no task before all are durably placed.
-    pub(super) fn gang_sent(&mut self, token: u64, orders: &[WorkerCommand]) {
-        for order in orders {
+    pub(super) fn gang_sent(&mut self, token: u64, commands: &[WorkerCommand]) {
+        for order in commands {
             let WorkerCommand::Run { task, attempt } = order else { continue };
             let job = &mut self.jobs[self.by_id[&task.job]];
-            if !job.spec.gang || *attempt <= job.told_run || token < self.latest_leader.0 {
+            if !job.spec.gang || *attempt <= job.latest_started_attempt || token < self.latest_leader.0 {
                 continue;
             }
-            job.told_run = *attempt;
+            job.latest_started_attempt = *attempt;
             let placed = self.kv.placed(job.id.as_str(), *attempt);
             assert_eq!(placed, job.spec.tasks, "some of a gang: {:?} is told to run", job.id);
         }
     }
 
     /// A task has its image: it waits, and the gang starts once nobody is missing.
-    pub(super) fn gang_waits(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn gang_waits(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
         let job = self.by_id[&task.job];
         self.schedule_in(
             self.deployment.gang_wait,
-            SimEvent::GangTimedOut { machine: host, task, attempt, incarnation: shift },
+            SimEvent::GangTimedOut { machine, task, attempt, incarnation },
         );
         self.gang_starts(job, attempt);
     }
@@ -68,15 +68,15 @@
         self.set_gang(job, attempt, &waiting, TaskStatus::Running);
         let j = &mut self.jobs[job];
         assert!(j.run.is_none(), "two attempts of {:?} run at once", j.id);
-        j.began.get_or_insert(self.now);
+        j.started_at.get_or_insert(self.now);
         j.run = Some(Run { attempt, began: self.now, stop: None, torn: None });
         self.schedule_in(LOOK, SimEvent::CheckGang { job, attempt });
     }
 
     fn set_gang(&mut self, job: usize, attempt: u64, mates: &BTreeMap<u32, MachineName>, seen: TaskStatus) {
         let id = self.jobs[job].id.clone();
-        for (index, host) in mates {
-            if let Some(worker) = self.workers.get_mut(host) {
+        for (index, machine) in mates {
+            if let Some(worker) = self.workers.get_mut(machine) {
                 worker.tasks.insert((TaskId { job: id.clone(), index: *index }, attempt), seen);
             }
         }
@@ -96,7 +96,7 @@
         let now = self.now;
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
         let (tasks, save, runs) =
-            (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runs);
+            (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runtime_s);
         let peer = self.deployment.gang_peer;
         let mates = self.mates(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
         let whole = mates.len() as u32 == tasks;
@@ -111,7 +111,7 @@
             if now >= *first + peer + Duration::from_secs_f64(save) || mates.is_empty() {
                 self.jobs[job].progress = self.progress(job, *first).1;
                 // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
-                self.checkpoints_lost += u32::from((told.len() as u32) < tasks && !self.jobs[job].aborting);
+                self.checkpoints_lost += u32::from((told.len() as u32) < tasks && !self.jobs[job].cancelling);
                 return self.gang_over(job, attempt, ExitReason::GangMemberLost);
             }
         } else if whole {
@@ -162,8 +162,9 @@
         enough
     }
 
-    pub(super) fn incomplete(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
-        let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
+    pub(super) fn incomplete(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
+        let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
+        else {
             return;
         };
         if let Some(seen @ TaskStatus::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
--- a/crates/plankhead-core/tests/world/jobs.rs
+++ b/crates/plankhead-core/tests/world/jobs.rs
@@ -13,35 +13,35 @@
     pub spec: JobSpec,
     pub accepted: bool,
     pub submitted: bool,
-    pub aborting: bool,
-    pub cancelled: Option<Duration>,
-    pub told: Option<JobStatus>,
+    pub cancelling: bool,
+    pub cancelled_at: Option<Duration>,
+    pub last_answer: Option<JobStatus>,
     /// When the user first heard that it is over.
-    pub(super) told_over: Duration,
+    pub(super) told_ended_at: Duration,
     pub done: BTreeSet<u32>,
-    pub runs: f64,
+    pub runtime_s: f64,
     /// How much longer than the first its last task runs.
-    pub spread: f64,
+    pub runtime_spread_s: f64,
     /// It ran when its user was told that it is cancelled.
-    pub(super) cut_short: bool,
+    pub(super) ran_when_cancelled: bool,
     /// Of a gang: what is saved, in seconds, and the attempt that runs.
     pub(super) progress: f64,
     pub(super) run: Option<gang::Run>,
     /// The latest attempt of which a task was told to run.
-    pub(super) told_run: u64,
+    pub(super) latest_started_attempt: u64,
     /// When a question about it was last answered.
-    pub(super) heard: Duration,
+    pub(super) last_answered_at: Duration,
     /// When it was accepted, and when its first task started.
-    pub since: Option<Duration>,
-    pub began: Option<Duration>,
+    pub accepted_at: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// Since when it waits although a machine has room for it.
-    pub(super) waiting: Option<Duration>,
+    pub(super) waiting_since: Option<Duration>,
     /// The same for urgent jobs, also while troubles last.
-    pub(super) urgent_waiting: Option<Duration>,
+    pub(super) urgent_waiting_since: Option<Duration>,
 }
 
 impl Job {
-    pub fn done_or_cancelled(&self) -> bool {
-        matches!(self.told, Some(JobStatus::Done | JobStatus::Cancelled))
+    pub fn has_ended(&self) -> bool {
+        matches!(self.last_answer, Some(JobStatus::Done | JobStatus::Cancelled))
     }
 }
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -68,8 +68,8 @@
         chunks.map(|c| c.t.iter().filter(placed).count() as u32).sum()
     }
 
-    pub fn apply(&mut self, now: Duration, op: KvRequest) -> Result<KvReply, CallError> {
-        Ok(match op {
+    pub fn apply(&mut self, now: Duration, request: KvRequest) -> Result<KvReply, CallError> {
+        Ok(match request {
             KvRequest::Get { key } => KvReply::Value(self.keys.get(&key).map(|v| KeyValue {
                 key,
                 value: v.text.clone(),
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -151,21 +151,21 @@
 }
 
 impl World {
-    pub fn new(seed: u64, troubles: Faults) -> Self {
-        Self::with_deployment(SMALL, seed, troubles)
+    pub fn new(seed: u64, faults: Faults) -> Self {
+        Self::with_deployment(SMALL, seed, faults)
     }
 
-    pub fn with_deployment(mut kind: Deployment, seed: u64, troubles: Faults) -> Self {
-        kind.fencing |= std::env::var_os("WORLD_FENCED").is_some();
-        kind.reachability |= std::env::var_os("WORLD_REACH").is_some();
-        kind.sharding |= std::env::var_os("WORLD_SHARDS").is_some();
+    pub fn with_deployment(mut deployment: Deployment, seed: u64, faults: Faults) -> Self {
+        deployment.fencing |= std::env::var_os("WORLD_FENCED").is_some();
+        deployment.reachability |= std::env::var_os("WORLD_REACH").is_some();
+        deployment.sharding |= std::env::var_os("WORLD_SHARDS").is_some();
         if let Some(every) = std::env::var("WORLD_MOVES").ok().and_then(|ms| ms.parse().ok()) {
-            kind.rotate_shards = Some(ms(every));
+            deployment.rotate_shards = Some(ms(every));
         }
         let mut world = Self {
             now: SIM_START,
             rng: StdRng::seed_from_u64(seed),
-            faults: troubles,
+            faults,
             queue: BinaryHeap::new(),
             happenings: HashMap::new(),
             sequence: 0,
@@ -173,7 +173,7 @@
             next_wakes: vec![Duration::ZERO; 3],
             on_demand: false,
             boots: 0,
-            kv: Kv::new(troubles.upgrade),
+            kv: Kv::new(faults.upgrade),
             outage_until: Duration::ZERO,
             refused_until: vec![Duration::ZERO; 3],
             node_cut_until: vec![Duration::ZERO; 3],
@@ -196,9 +196,9 @@
             starts: 0,
             checkpoints_saved: 0,
             checkpoints_lost: 0,
-            runs_old_version: [troubles.upgrade; 3],
-            deployment: kind,
-            capacity: kind.max_machines,
+            runs_old_version: [faults.upgrade; 3],
+            deployment,
+            capacity: deployment.max_machines,
             last_check_at: Duration::ZERO,
             log: std::env::var_os("WORLD_LOG").is_some(),
             scripts: Vec::new(),
@@ -212,7 +212,7 @@
             backlog: Default::default(),
             pauses: 0,
             inherited_intents: 0,
-            fencing: [kind.fencing; 3],
+            fencing: [deployment.fencing; 3],
             table: PermissionTable::standard(),
             link_cuts: Vec::new(),
             terms: 0,
@@ -264,8 +264,7 @@
         self.calm_at += settle;
         self.faults_end = true;
         self.run(secs(1500));
-        let unfinished: Vec<_> =
-            self.jobs.iter().filter(|job| !job.done_or_cancelled()).map(|job| &job.id).collect();
+        let unfinished: Vec<_> = self.jobs.iter().filter(|job| !job.has_ended()).map(|job| &job.id).collect();
         if self.log && !unfinished.is_empty() {
             self.dump();
         }
@@ -320,11 +319,11 @@
 
     /// Jobs that ran when their users were told that they are cancelled.
     pub fn cancelled_running(&self) -> usize {
-        self.jobs.iter().filter(|j| j.cut_short).count()
+        self.jobs.iter().filter(|j| j.ran_when_cancelled).count()
     }
 
     /// Whether all jobs are over for their users.
     pub fn settled(&self) -> bool {
-        !self.jobs.is_empty() && self.jobs.iter().all(Job::done_or_cancelled)
+        !self.jobs.is_empty() && self.jobs.iter().all(Job::has_ended)
     }
 }
--- a/crates/plankhead-core/tests/world/requests.rs
+++ b/crates/plankhead-core/tests/world/requests.rs
@@ -62,19 +62,19 @@
     /// what the user does if nobody answers.
     pub(super) fn ask(
         &mut self,
-        asked: PendingQuestion,
+        question: PendingQuestion,
         event: impl FnOnce(RequestId) -> Event,
         again: SimEvent,
     ) {
         let node = self.rng.random_range(0..3);
-        self.ask_at(node, asked, event, Some(again));
+        self.ask_at(node, question, event, Some(again));
     }
 
     /// The same of a certain node; without `again` the user leaves it at that.
     pub(super) fn ask_at(
         &mut self,
         node: usize,
-        asked: PendingQuestion,
+        question: PendingQuestion,
         event: impl FnOnce(RequestId) -> Event,
         again: Option<SimEvent>,
     ) {
@@ -87,11 +87,11 @@
         };
         let boot = *boot;
         self.last_request += 1;
-        let ask = self.last_request;
-        self.questions.insert((node, boot, ask), (self.now, asked));
-        self.step(node, vec![event(ask)]);
+        let request = self.last_request;
+        self.questions.insert((node, boot, request), (self.now, question));
+        self.step(node, vec![event(request)]);
         if let Some(again) = again.map(Box::new) {
-            self.schedule_in(secs(3), SimEvent::RetryUnanswered { node, boot, ask, again });
+            self.schedule_in(secs(3), SimEvent::RetryUnanswered { node, boot, request, again });
         }
     }
 
@@ -106,8 +106,8 @@
         core.set_timer_lag(self.timer_lag);
         let effects = core.step(times, batch);
         self.trace.absorb(now, node, &effects);
-        let asked = core.next_wake(times.now);
-        let wake = if self.on_demand { self.true_time(node, asked) } else { now + ms(100) };
+        let question = core.next_wake(times.now);
+        let wake = if self.on_demand { self.true_time(node, question) } else { now + ms(100) };
         let due = self.next_wakes[node] <= now;
         if due || (self.on_demand && wake < self.next_wakes[node]) {
             self.next_wakes[node] = wake;
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -95,8 +95,8 @@
         self.schedule_in(at, happening);
     }
 
-    pub(super) fn duty_sent(&mut self, op: &KvRequest) {
-        let KvRequest::Txn { changes, .. } = op else { return };
+    pub(super) fn duty_sent(&mut self, request: &KvRequest) {
+        let KvRequest::Txn { changes, .. } = request else { return };
         let duty =
             |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
@@ -127,19 +127,19 @@
     }
 
     /// What the leader tells its workers.
-    pub(super) fn check_commands(&mut self, token: u64, orders: &[WorkerCommand]) {
-        self.gang_sent(token, orders);
-        for order in orders {
+    pub(super) fn check_commands(&mut self, token: u64, commands: &[WorkerCommand]) {
+        self.gang_sent(token, commands);
+        for order in commands {
             match order {
                 WorkerCommand::Run { task, attempt } => {
                     let job = &self.jobs[self.by_id[&task.job]];
                     let killed = |o: &WorkerCommand| matches!(o, WorkerCommand::Kill { task: t, attempt: n, .. } if t == task && n == attempt);
-                    let late = job.cancelled.is_some_and(|at| self.now > at + UNSEEN);
+                    let late = job.cancelled_at.is_some_and(|at| self.now > at + UNSEEN);
                     assert!(
-                        !late || orders.iter().any(killed),
+                        !late || commands.iter().any(killed),
                         "ran_cancelled: {task:?} is told to run under {token} at {:?}, cancelled at {:?}",
                         self.now - SIM_START,
-                        job.cancelled.map(|at| at - SIM_START),
+                        job.cancelled_at.map(|at| at - SIM_START),
                     );
                     self.trigger(Trigger::RunSent);
                 }
@@ -219,8 +219,8 @@
     /// hang at that moment.
     pub(super) fn cancel_now(&mut self, count: usize, hang: Duration) {
         let runs = |j: &Job| {
-            let here = |w: &Worker| w.runs().any(|(t, _)| t.job == j.id);
-            j.accepted && !j.aborting && !j.done_or_cancelled() && self.workers.values().any(here)
+            let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == j.id);
+            j.accepted && !j.cancelling && !j.has_ended() && self.workers.values().any(here)
         };
         let jobs: Vec<usize> = (0..self.jobs.len()).filter(|n| runs(&self.jobs[*n])).take(count).collect();
         let ids: Vec<JobId> = jobs.iter().map(|n| self.jobs[*n].id.clone()).collect();
@@ -229,9 +229,9 @@
             self.schedule_in(within, SimEvent::Cancel { job });
         }
         let until = self.now + hang;
-        let holds = |w: &&mut Worker| w.runs().any(|(t, _)| ids.contains(&t.job));
+        let holds = |w: &&mut Worker| w.running_tasks().any(|(t, _)| ids.contains(&t.job));
         for worker in self.workers.values_mut().filter(holds).take(if hang.is_zero() { 0 } else { 8 }) {
-            worker.hung = until;
+            worker.hung_until = until;
         }
     }
 
@@ -257,7 +257,7 @@
             }
             self.schedule_in(ms(2 + node as u64), SimEvent::SubmitAt { job, node });
         }
-        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].told.is_none() {
+        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].last_answer.is_none() {
             self.schedule_in(ms(3), SimEvent::Cancel { job });
         }
     }
@@ -273,16 +273,14 @@
         let accepted = known.is_some_and(|j| self.jobs[j].accepted);
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
-        let event = |ask| match odd {
-            OddRequest::Malformed => {
-                Event::Submit { request: ask, id, job: Err("a field is missing".into()) }
-            }
-            OddRequest::Impossible => Event::Submit { request: ask, id, job: Ok(spec) },
-            OddRequest::Unknown if ask % 2 == 0 => Event::Poll { request: ask, id },
-            OddRequest::Unknown => Event::Cancel { request: ask, id },
+        let event = |request| match odd {
+            OddRequest::Malformed => Event::Submit { request, id, job: Err("a field is missing".into()) },
+            OddRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
+            OddRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
+            OddRequest::Unknown => Event::Cancel { request, id },
         };
-        let asked = PendingQuestion::SendOddRequest { odd, known: known.filter(|_| accepted) };
-        self.ask_at(node, asked, event, None);
+        let question = PendingQuestion::SendOddRequest { odd, known: known.filter(|_| accepted) };
+        self.ask_at(node, question, event, None);
     }
 
     pub(super) fn odd_answered(&mut self, odd: OddRequest, known: Option<usize>, answer: Response) {
@@ -309,10 +307,10 @@
         for (n, waiting) in self.waits() {
             let job = &mut self.jobs[n];
             if !waiting {
-                job.waiting = None;
+                job.waiting_since = None;
                 continue;
             }
-            let since = *job.waiting.get_or_insert(now);
+            let since = *job.waiting_since.get_or_insert(now);
             assert!(now <= since + MAX_WAIT, "waits: {:?} although a machine has room", job.id);
         }
     }
@@ -327,10 +325,10 @@
         for (n, waiting) in self.waits() {
             let job = &mut self.jobs[n];
             if job.spec.priority < Priority::Urgent || !waiting {
-                job.urgent_waiting = None;
+                job.urgent_waiting_since = None;
                 continue;
             }
-            let since = *job.urgent_waiting.get_or_insert(now);
+            let since = *job.urgent_waiting_since.get_or_insert(now);
             self.urgent_wait = self.urgent_wait.max(now - since);
         }
     }
@@ -341,7 +339,7 @@
         let mut used: HashMap<&str, f64> = HashMap::new();
         let mut room: Vec<(&Worker, f64)> = Vec::new();
         let mut on: BTreeSet<&TaskId> = BTreeSet::new();
-        for worker in self.workers.values().filter(|w| w.up(now) && !w.faulty) {
+        for worker in self.workers.values().filter(|w| w.is_up(now) && !w.faulty) {
             let mut free = 8.0;
             for ((task, _), seen) in &worker.tasks {
                 if !matches!(seen, TaskStatus::Exited(_)) {
@@ -356,7 +354,7 @@
         let mut waits = Vec::new();
         for (n, job) in self.jobs.iter().enumerate() {
             let spec = &job.spec;
-            let open = job.accepted && !job.aborting && !job.done_or_cancelled();
+            let open = job.accepted && !job.cancelling && !job.has_ended();
             let here = (0..spec.tasks).filter(|i| on.contains(&TaskId { job: job.id.clone(), index: *i }));
             let (placed, done) = (here.count() as u32, job.done.len() as u32);
             // Zones that other tasks of the job decide about are left out.
@@ -377,13 +375,13 @@
 impl World {
     /// What every node and machine has, to look into a history that went wrong.
     pub fn dump(&self) {
-        for (host, w) in &self.workers {
+        for (machine, w) in &self.workers {
             println!(
-                "{host} {} up {} dead {} shift {} token {} node {} tasks {:?}",
+                "{machine} {} up {} dead {} shift {} token {} node {} tasks {:?}",
                 w.zone,
-                w.up(self.now),
+                w.is_up(self.now),
                 w.dead,
-                w.shift,
+                w.incarnation,
                 w.token,
                 w.node,
                 w.tasks
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -56,21 +56,24 @@
         if self.runs_old_version[other] {
             return self.schedule_in(ms(4), told(Delivery::Unsupported));
         }
-        let troubles = self.faults;
-        if troubles.delayed_commands > 0.0 && self.chance(troubles.delayed_commands) {
+        let faults = self.faults;
+        if faults.delayed_commands > 0.0 && self.chance(faults.delayed_commands) {
             let late = self.between(1000, 9000);
             self.late_shard_message(late, to, message);
             return self.schedule_in(PATIENCE, told(Delivery::NoResponse));
         }
-        let way = if self.chance(troubles.lost_replies) { self.between(200, 900) } else { ms(2) };
+        let way = if self.chance(faults.lost_replies) { self.between(200, 900) } else { ms(2) };
         self.last_request += 1;
-        let ask = self.last_request;
+        let request = self.last_request;
         self.questions
-            .insert((other, peer_boot, ask), (self.now, PendingQuestion::Shard { node, boot, call }));
-        let event = Event::ShardMessage { request: ask, message: Ok(message) };
+            .insert((other, peer_boot, request), (self.now, PendingQuestion::Shard { node, boot, call }));
+        let event = Event::ShardMessage { request, message: Ok(message) };
         self.schedule_in(way, SimEvent::DeliverToNode { node: other, boot: peer_boot, event });
         let again = Box::new(told(Delivery::NoResponse));
-        self.schedule_in(PATIENCE, SimEvent::RetryUnanswered { node: other, boot: peer_boot, ask, again });
+        self.schedule_in(
+            PATIENCE,
+            SimEvent::RetryUnanswered { node: other, boot: peer_boot, request, again },
+        );
     }
 
     /// A message arrives when its sender has long given it up.
@@ -139,12 +142,12 @@
     pub fn deliver(&mut self, node: usize, message: ShardMessage) -> (Delivery, Vec<Effect>) {
         let times = self.times(node);
         self.last_request += 1;
-        let ask = self.last_request;
+        let request = self.last_request;
         let (_, core) = self.nodes[node].as_mut().unwrap();
-        let effects = core.step(times, vec![Event::ShardMessage { request: ask, message: Ok(message) }]);
+        let effects = core.step(times, vec![Event::ShardMessage { request, message: Ok(message) }]);
         let answer = effects.iter().find_map(|effect| match effect {
             Effect::Respond { request: of, response: Response::ShardMessageDelivery(delivery) }
-                if *of == ask =>
+                if *of == request =>
             {
                 Some(*delivery)
             }
@@ -155,10 +158,10 @@
     }
 
     /// A process tells a machine something: under each token, only one ever does.
-    pub(super) fn acts(&mut self, actor: fencing::Actor, host: MachineName, token: u64) {
+    pub(super) fn acts(&mut self, actor: fencing::Actor, machine: MachineName, token: u64) {
         let start = (actor.node, actor.boot);
-        let first = *self.told_by.entry((host.clone(), token)).or_insert(start);
-        assert_eq!(first, start, "two processes tell {host} something under {token}");
+        let first = *self.told_by.entry((machine.clone(), token)).or_insert(start);
+        assert_eq!(first, start, "two processes tell {machine} something under {token}");
     }
 
     /// A record of a shard was written: by the holder of the lease alone.
