--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -27,35 +27,35 @@
     pub up_at: Duration,
     pub dead: bool,
     /// Since when it is dead.
-    pub ended: Option<Duration>,
-    pub cut: Duration,
-    pub hung: Duration,
-    pub deaf: Duration,
+    pub died_at: Option<Duration>,
+    pub cut_until: Duration,
+    pub hung_until: Duration,
+    pub responses_dropped_until: Duration,
     /// Until when it can't open connections to any node.
-    pub mute: Duration,
+    pub heartbeats_dropped_until: Duration,
     /// When the cloud takes it away.
-    pub taken: Option<Duration>,
-    pub shift: u64,
-    pub tick: u64,
+    pub taken_at: Option<Duration>,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     /// When the last answered report was sent; the lease ends so long after.
-    pub leased: Duration,
+    pub leased_at: Duration,
     lease: Duration,
     pub tasks: BTreeMap<(TaskId, u64), TaskStatus>,
     pub node: usize,
     /// The tick of the report that waits for its answer.
-    pub waiting: Option<u64>,
+    pub awaited_response: Option<u64>,
     /// Fails every task.
     pub faulty: bool,
-    hired: Duration,
+    rented_at: Duration,
 }
 
 impl Worker {
-    pub fn up(&self, now: Duration) -> bool {
+    pub fn is_up(&self, now: Duration) -> bool {
         !self.dead && now >= self.up_at
     }
 
-    pub fn runs(&self) -> impl Iterator<Item = &(TaskId, u64)> {
+    pub fn running_tasks(&self) -> impl Iterator<Item = &(TaskId, u64)> {
         let on = |s: &TaskStatus| {
             matches!(s, TaskStatus::WaitingForGang | TaskStatus::Running | TaskStatus::Checkpointing)
         };
@@ -64,26 +64,26 @@
 
     /// A hanging worker notices only when it goes on.
     pub fn expire(&mut self, now: Duration) {
-        if self.dead || now < self.hung || now < self.up_at || now <= self.leased + self.lease {
+        if self.dead || now < self.hung_until || now < self.up_at || now <= self.leased_at + self.lease {
             return;
         }
         self.tasks.clear();
-        self.shift += 1;
-        self.leased = now;
+        self.incarnation += 1;
+        self.leased_at = now;
     }
 
     fn report(&mut self, now: Duration) -> Heartbeat {
-        self.tick += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             address: format!("at-{}", self.name).into(),
             machine_type: "r".into(),
             zone: self.zone.as_str().into(),
             spot: self.spot,
-            incarnation: self.shift,
-            sequence: self.tick,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
-            preemption_notice: self.taken.map(|at| at.saturating_sub(now)),
+            preemption_notice: self.taken_at.map(|at| at.saturating_sub(now)),
             tasks: self
                 .tasks
                 .iter()
@@ -100,8 +100,8 @@
 impl World {
     // ----- the cloud -----
 
-    pub(super) fn cloud(&mut self, op: CloudRequest) -> Result<CloudReply, CallError> {
-        Ok(match op {
+    pub(super) fn cloud(&mut self, request: CloudRequest) -> Result<CloudReply, CallError> {
+        Ok(match request {
             CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![MachineType {
                 name: "r".into(),
                 cpus: 8.0,
@@ -120,8 +120,8 @@
                 let now = self.now;
                 let from = |w: &&Worker| after.as_ref().is_none_or(|a| w.name > *a);
                 // Machines that were taken are listed no more; others that ended stay listed.
-                let there = |w: &&Worker| w.taken.is_none() || w.ended.is_none_or(|at| now < at + lag);
-                let known = self.workers.values().filter(|w| w.hired + lag <= now).filter(there);
+                let there = |w: &&Worker| w.taken_at.is_none() || w.died_at.is_none_or(|at| now < at + lag);
+                let known = self.workers.values().filter(|w| w.rented_at + lag <= now).filter(there);
                 let seen = known.filter(from);
                 let mut hosts: Vec<Instance> = seen
                     .map(|w| Instance {
@@ -130,12 +130,12 @@
                         machine_type: "r".into(),
                         zone: w.zone.clone(),
                         spot: w.spot,
-                        status: match w.ended {
+                        status: match w.died_at {
                             Some(at) if now >= at + LISTED_RUNNING => InstanceStatus::Failed,
                             _ if now >= w.up_at + lag => InstanceStatus::Running,
                             _ => InstanceStatus::Booting,
                         },
-                        age: now - w.hired,
+                        age: now - w.rented_at,
                     })
                     .collect();
                 let truncated = hosts.len() > self.deployment.inventory_page;
@@ -160,44 +160,44 @@
                 let mut hosts: Vec<MachineName> = Vec::new();
                 for _ in 0..given {
                     self.machines += 1;
-                    let host: MachineName = format!("i-{:06}", self.machines).into();
+                    let machine: MachineName = format!("i-{:06}", self.machines).into();
                     let slowest = if self.faults.quick_boots { 2000 } else { 9000 };
                     let boot = if self.chance(0.05) { secs(100_000) } else { self.between(300, slowest) };
                     let up_at = self.now + boot;
                     let worker = Worker {
-                        name: host.clone(),
+                        name: machine.clone(),
                         zone: zone.clone(),
                         spot,
                         up_at,
                         dead: false,
-                        ended: None,
-                        cut: Duration::ZERO,
-                        hung: Duration::ZERO,
-                        deaf: Duration::ZERO,
-                        mute: Duration::ZERO,
-                        taken: None,
-                        shift: 1,
-                        tick: 0,
+                        died_at: None,
+                        cut_until: Duration::ZERO,
+                        hung_until: Duration::ZERO,
+                        responses_dropped_until: Duration::ZERO,
+                        heartbeats_dropped_until: Duration::ZERO,
+                        taken_at: None,
+                        incarnation: 1,
+                        sequence: 0,
                         token: 0,
-                        leased: up_at,
+                        leased_at: up_at,
                         lease: self.deployment.worker_lease,
                         tasks: BTreeMap::new(),
                         node: self.rng.random_range(0..3),
-                        waiting: None,
+                        awaited_response: None,
                         faulty: self.rng.random_range(0.0..1.0) < self.faults.task_errors,
-                        hired: self.now,
+                        rented_at: self.now,
                     };
-                    self.workers.insert(host.clone(), worker);
-                    self.schedule_in(boot, SimEvent::Heartbeat { machine: host.clone() });
-                    hosts.push(host);
+                    self.workers.insert(machine.clone(), worker);
+                    self.schedule_in(boot, SimEvent::Heartbeat { machine: machine.clone() });
+                    hosts.push(machine);
                 }
                 self.rentals.insert(name, hosts.clone());
                 CloudReply::Rented(hosts)
             }
             Action::Return(back) => {
-                for host in back.hosts.iter().filter(|_| !self.faults.lying_cloud) {
-                    let worker = self.workers.remove(host).filter(|w| w.up(self.now));
-                    self.killed_by_release += worker.map_or(0, |w| w.runs().count());
+                for machine in back.hosts.iter().filter(|_| !self.faults.lying_cloud) {
+                    let worker = self.workers.remove(machine).filter(|w| w.is_up(self.now));
+                    self.killed_by_release += worker.map_or(0, |w| w.running_tasks().count());
                 }
                 CloudReply::Released
             }
@@ -206,20 +206,20 @@
 
     // ----- workers -----
 
-    pub(super) fn beat(&mut self, host: MachineName) {
+    pub(super) fn beat(&mut self, machine: MachineName) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        if worker.dead || worker.waiting.is_some() {
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        if worker.dead || worker.awaited_response.is_some() {
             return;
         }
-        if now < worker.hung {
-            let pause = worker.hung - now;
-            return self.schedule_in(pause, SimEvent::Heartbeat { machine: host });
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now;
+            return self.schedule_in(pause, SimEvent::Heartbeat { machine });
         }
         worker.expire(now);
         let report = worker.report(now);
-        let (node, tick, cut) = (worker.node, worker.tick, now < worker.cut);
-        worker.waiting = Some(tick);
+        let (node, sequence, cut) = (worker.node, worker.sequence, now < worker.cut_until);
+        worker.awaited_response = Some(sequence);
         if self.chance(self.faults.duplicate_heartbeats) {
             let late = self.between(500, 40_000);
             self.schedule_in(late, SimEvent::DuplicateHeartbeat { heartbeat: report.clone() });
@@ -228,50 +228,47 @@
         {
             self.kept_heartbeats.push(report.clone());
         }
-        self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: host.clone(), sequence: tick });
-        let mute = self.workers.get(&host).is_some_and(|w| now < w.mute);
+        self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: machine.clone(), sequence });
+        let mute = self.workers.get(&machine).is_some_and(|w| now < w.heartbeats_dropped_until);
         let mute = mute || self.cut_of(node, cuts::Link::Reports).is_some();
-        if mute || now < self.node_cut_until[node] && !self.inside(node, &host) {
+        if mute || now < self.node_cut_until[node] && !self.inside(node, &machine) {
             return;
         }
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
         self.last_request += 1;
-        let ask = self.last_request;
+        let request = self.last_request;
         let again = Box::new(report.clone());
-        let event = Event::Heartbeat { request: ask, heartbeat: report, relayed: false };
-        let held = if cut { self.workers[&host].cut - now } else { Duration::ZERO };
-        if !self.zones_connected(node, &host) {
+        let event = Event::Heartbeat { request, heartbeat: report, relayed: false };
+        let held = if cut { self.workers[&machine].cut_until - now } else { Duration::ZERO };
+        if !self.zones_connected(node, &machine) {
             return;
         }
         self.questions.insert(
-            (node, boot, ask),
-            (now, PendingQuestion::Heartbeat { machine: host, sent: now, heartbeat: again }),
+            (node, boot, request),
+            (now, PendingQuestion::Heartbeat { machine, sent: now, heartbeat: again }),
         );
         // A cut holds the report back and delivers it late.
         self.schedule_in(held + ms(1), SimEvent::DeliverToNode { node, boot, event });
     }
 
-    pub(super) fn answered(&mut self, asked: PendingQuestion, answer: Response) {
-        match asked {
+    pub(super) fn answered(&mut self, question: PendingQuestion, answer: Response) {
+        match question {
             PendingQuestion::Heartbeat { sent, heartbeat: report, .. }
                 if matches!(answer, Response::Relay { .. }) =>
             {
                 self.relay(sent, report, answer);
             }
-            PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report } => {
-                let (shift, tick) = (report.incarnation, report.sequence);
-                let away = self.workers.get(&host).is_some_and(|w| self.now < w.cut.max(w.deaf));
+            PendingQuestion::Heartbeat { machine, sent, heartbeat: report } => {
+                let (incarnation, sequence) = (report.incarnation, report.sequence);
+                let away = self
+                    .workers
+                    .get(&machine)
+                    .is_some_and(|w| self.now < w.cut_until.max(w.responses_dropped_until));
                 if !away {
                     self.schedule_in(
                         ms(1),
-                        SimEvent::HeartbeatAnswered {
-                            machine: host,
-                            sent,
-                            incarnation: shift,
-                            sequence: tick,
-                            answer,
-                        },
+                        SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, answer },
                     );
                 }
             }
@@ -290,21 +287,20 @@
     fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
         let Response::Relay { leader: foreman } = answer else { return };
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
-        let host = report.machine.clone();
+        let machine = report.machine.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut_until[node].max(self.alone_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
             let nobody = Response::Redirect { leader: None };
-            return self
-                .answered(PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report }, nobody);
+            return self.answered(PendingQuestion::Heartbeat { machine, sent, heartbeat: report }, nobody);
         };
         let boot = *boot;
         self.last_request += 1;
-        let ask = self.last_request;
-        let event = Event::Heartbeat { request: ask, heartbeat: (*report).clone(), relayed: true };
+        let request = self.last_request;
+        let event = Event::Heartbeat { request, heartbeat: (*report).clone(), relayed: true };
         self.questions.insert(
-            (node, boot, ask),
-            (self.now, PendingQuestion::Heartbeat { machine: host, sent, heartbeat: report }),
+            (node, boot, request),
+            (self.now, PendingQuestion::Heartbeat { machine, sent, heartbeat: report }),
         );
         self.relayed += 1;
         self.schedule_in(ms(2), SimEvent::DeliverToNode { node, boot, event });
@@ -312,30 +308,30 @@
 
     pub(super) fn beat_answered(
         &mut self,
-        host: MachineName,
+        machine: MachineName,
         sent: Duration,
-        shift: u64,
-        tick: u64,
+        incarnation: u64,
+        sequence: u64,
         answer: Response,
     ) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        if worker.waiting != Some(tick) || worker.dead || now < worker.hung {
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        if worker.awaited_response != Some(sequence) || worker.dead || now < worker.hung_until {
             return;
         }
-        worker.waiting = None;
+        worker.awaited_response = None;
         let pause = match answer {
-            Response::Commands { token, commands: orders } => {
+            Response::Commands { token, commands } => {
                 if token < self.latest_leader.0 && token >= worker.token {
                     self.longest_heeded = self.longest_heeded.max(now.saturating_sub(self.latest_leader.1));
                 }
                 worker.expire(now);
-                if worker.shift == shift && token >= worker.token {
+                if worker.incarnation == incarnation && token >= worker.token {
                     worker.token = token;
-                    self.longest_gap = self.longest_gap.max(sent.saturating_sub(worker.leased));
-                    worker.leased = worker.leased.max(sent);
-                    for order in orders {
-                        self.obey(&host, order);
+                    self.longest_gap = self.longest_gap.max(sent.saturating_sub(worker.leased_at));
+                    worker.leased_at = worker.leased_at.max(sent);
+                    for order in commands {
+                        self.obey(&machine, order);
                     }
                 }
                 // Give or take a quarter.
@@ -351,7 +347,7 @@
                 secs(1)
             }
         };
-        self.schedule_in(pause, SimEvent::Heartbeat { machine: host });
+        self.schedule_in(pause, SimEvent::Heartbeat { machine });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -360,45 +356,38 @@
         node: usize,
         boot: u64,
         call: CallId,
-        host: MachineName,
+        machine: MachineName,
         token: u64,
-        shift: u64,
-        orders: Vec<WorkerCommand>,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
     ) {
         let now = self.now;
         let unanswered = |world: &mut Self| {
             let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
             world.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
         };
-        let Some(worker) = self.workers.get_mut(&host) else { return unanswered(self) };
-        let away = worker.dead || now < worker.deaf;
-        if away || !self.zones_connected(node, &host) {
+        let Some(worker) = self.workers.get_mut(&machine) else { return unanswered(self) };
+        let away = worker.dead || now < worker.responses_dropped_until;
+        if away || !self.zones_connected(node, &machine) {
             return unanswered(self);
         }
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        let held = worker.cut.max(worker.hung);
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        let held = worker.cut_until.max(worker.hung_until);
         if now < held {
             // Given up by the sender, and carried out when the worker is back.
             unanswered(self);
-            let late = SimEvent::CommandsArrive {
-                node,
-                boot: 0,
-                call,
-                machine: host,
-                token,
-                incarnation: shift,
-                commands: orders,
-            };
+            let late =
+                SimEvent::CommandsArrive { node, boot: 0, call, machine, token, incarnation, commands };
             return self.schedule_in(held - now, late);
         }
         worker.expire(now);
-        if token >= worker.token && shift == worker.shift {
+        if token >= worker.token && incarnation == worker.incarnation {
             worker.token = token;
-            for order in orders {
-                self.obey(&host, order);
+            for order in commands {
+                self.obey(&machine, order);
             }
         }
-        let Some(worker) = self.workers.get_mut(&host) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
         let report = worker.report(now);
         if boot != 0 {
             let event = Event::CommandReply { call, reply: CommandReply::Answered(report) };
@@ -406,8 +395,8 @@
         }
     }
 
-    fn obey(&mut self, host: &MachineName, order: WorkerCommand) {
-        let Some(worker) = self.workers.get_mut(host) else { return };
+    fn obey(&mut self, machine: &MachineName, order: WorkerCommand) {
+        let Some(worker) = self.workers.get_mut(machine) else { return };
         match order {
             WorkerCommand::Run { task, attempt } => {
                 let key = (task.clone(), attempt);
@@ -425,12 +414,12 @@
                     _ => TaskStatus::FetchingImage,
                 };
                 worker.tasks.insert(key, seen);
-                let shift = worker.shift;
+                let incarnation = worker.incarnation;
                 if seen == TaskStatus::FetchingImage {
                     let pull = self.between(0, 1500);
                     self.schedule_in(
                         pull,
-                        SimEvent::ImageFetched { machine: host.clone(), task, attempt, incarnation: shift },
+                        SimEvent::ImageFetched { machine: machine.clone(), task, attempt, incarnation },
                     );
                 }
             }
@@ -438,14 +427,14 @@
                 let there = worker.tasks.get(&(task.clone(), attempt));
                 if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&TaskStatus::Running) {
                     let saves = self.gang_told(&task, attempt, leeway);
-                    if let Some(worker) = self.workers.get_mut(host).filter(|_| saves) {
+                    if let Some(worker) = self.workers.get_mut(machine).filter(|_| saves) {
                         worker.tasks.insert((task, attempt), TaskStatus::Checkpointing);
                         return;
                     }
                 } else if there == Some(&TaskStatus::Checkpointing) && leeway > Duration::ZERO {
                     return;
                 }
-                let Some(worker) = self.workers.get_mut(host) else { return };
+                let Some(worker) = self.workers.get_mut(machine) else { return };
                 if let Some(seen) = worker.tasks.get_mut(&(task, attempt)) {
                     if !matches!(seen, TaskStatus::Exited(_)) {
                         *seen = TaskStatus::Exited(ExitReason::Stopped);
@@ -462,21 +451,19 @@
     }
 
     /// The image is there: the task starts, and the rules apply.
-    pub(super) fn pulled(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn pulled(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
+        let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
+        else {
             return;
         };
-        if now < worker.hung {
-            let pause = worker.hung - now;
-            return self.schedule_in(
-                pause,
-                SimEvent::ImageFetched { machine: host, task, attempt, incarnation: shift },
-            );
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now;
+            return self.schedule_in(pause, SimEvent::ImageFetched { machine, task, attempt, incarnation });
         }
         worker.expire(now);
         let key = (task.clone(), attempt);
-        if worker.shift != shift || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
+        if worker.incarnation != incarnation || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
             return;
         }
         let gang = self.jobs[self.by_id[&task.job]].spec.gang;
@@ -486,40 +473,41 @@
         );
         let (zone, spot, faulty) = (worker.zone.clone(), worker.spot, worker.faulty);
         let job = &self.jobs[self.by_id[&task.job]];
-        let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
+        let copies =
+            self.workers.values().flat_map(|w| w.running_tasks()).filter(|(t, _)| *t == task).count();
         assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - SIM_START);
         assert!(job.spec.zone.as_ref().is_none_or(|z| *z == zone), "wrong_place: zone");
         assert!(job.spec.allows_spot || !spot, "wrong_place: spot");
         let here = |w: &&Worker| w.zone == zone;
-        let of_job = |w: &Worker| w.runs().filter(|(t, _)| t.job == task.job).count() as u32;
+        let of_job = |w: &Worker| w.running_tasks().filter(|(t, _)| t.job == task.job).count() as u32;
         let in_zone: u32 = self.workers.values().filter(here).map(of_job).sum();
         let all: u32 = self.workers.values().map(of_job).sum();
         assert!(!job.spec.single_zone || in_zone == all, "wrong_place: samePlace");
         assert!(!job.spec.spread || in_zone <= job.spec.tasks.div_ceil(2), "wrong_place: scatter");
-        let late = job.cancelled.is_some_and(|at| now > at + self.deployment.cancel_within);
+        let late = job.cancelled_at.is_some_and(|at| now > at + self.deployment.cancel_within);
         assert!(!late, "ran_cancelled: {task:?} starts");
         let last = f64::from(task.index) / f64::from(job.spec.tasks.max(2) - 1);
-        let runs = Duration::from_secs_f64(job.runs + job.spread * last);
+        let runs = Duration::from_secs_f64(job.runtime_s + job.runtime_spread_s * last);
         self.starts += 1;
-        self.start_times.push((now, host.clone()));
+        self.start_times.push((now, machine.clone()));
         if gang && !faulty {
-            return self.gang_waits(host, task, attempt, shift);
+            return self.gang_waits(machine, task, attempt, incarnation);
         }
-        let began = &mut self.jobs[self.by_id[&task.job]].began;
+        let began = &mut self.jobs[self.by_id[&task.job]].started_at;
         began.get_or_insert(now);
         let pause = if faulty { ms(500) } else { runs };
-        self.schedule_in(pause, SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift });
+        self.schedule_in(pause, SimEvent::TaskEnds { machine, task, attempt, incarnation });
     }
 
-    pub(super) fn task_ends(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn task_ends(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
+        let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
+        else {
             return;
         };
-        if now < worker.hung {
-            let pause = worker.hung - now + ms(500);
-            return self
-                .schedule_in(pause, SimEvent::TaskEnds { machine: host, task, attempt, incarnation: shift });
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now + ms(500);
+            return self.schedule_in(pause, SimEvent::TaskEnds { machine, task, attempt, incarnation });
         }
         let faulty = worker.faulty;
         let Some(seen) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
@@ -550,7 +538,7 @@
                     self.trigger(Trigger::Accepted);
                 }
                 self.jobs[job].accepted = true;
-                self.jobs[job].since.get_or_insert(self.now);
+                self.jobs[job].accepted_at.get_or_insert(self.now);
                 self.tell(job, status);
                 if first {
                     self.schedule_in(secs(1), SimEvent::Poll { job });
@@ -601,36 +589,38 @@
 
     pub(super) fn tell(&mut self, job: usize, status: JobStatus) {
         let now = self.now;
-        if matches!(status, JobStatus::Done | JobStatus::Cancelled) && self.jobs[job].told != Some(status) {
+        if matches!(status, JobStatus::Done | JobStatus::Cancelled)
+            && self.jobs[job].last_answer != Some(status)
+        {
             self.look_closely(job, status);
             if status == JobStatus::Cancelled {
                 let id = &self.jobs[job].id;
-                let here = |w: &Worker| w.runs().any(|(t, _)| t.job == *id);
-                self.jobs[job].cut_short = self.workers.values().any(here);
+                let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == *id);
+                self.jobs[job].ran_when_cancelled = self.workers.values().any(here);
                 self.trigger(Trigger::Cancelled);
             }
         }
         let j = &mut self.jobs[job];
-        j.heard = now;
+        j.last_answered_at = now;
         assert!(j.submitted, "invented: {:?}", j.id);
-        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.told {
+        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_answer {
             // What was asked before may have been read before.
-            if self.asked_at < j.told_over && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
+            if self.asked_at < j.told_ended_at && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
                 return;
             }
             assert_eq!(told, status, "went_back: {:?}", j.id);
         } else if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
-            j.told_over = now;
+            j.told_ended_at = now;
         }
         match status {
             JobStatus::Done => assert_eq!(j.done.len() as u32, j.spec.tasks, "not_done: {:?}", j.id),
             JobStatus::Cancelled => {
-                assert!(j.aborting, "went_back: {:?} was not cancelled by its user", j.id);
-                j.cancelled.get_or_insert(now);
+                assert!(j.cancelling, "went_back: {:?} was not cancelled by its user", j.id);
+                j.cancelled_at.get_or_insert(now);
             }
             _ => {}
         }
-        j.told = Some(status);
+        j.last_answer = Some(status);
     }
 
     // ----- rules that hold at every moment -----
@@ -638,23 +628,23 @@
     pub(super) fn check(&self) {
         let mut cpus: HashMap<&str, f64> = HashMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
-            for (task, _) in worker.runs() {
+            for (task, _) in worker.running_tasks() {
                 let job = &self.jobs[self.by_id[&task.job]];
                 *cpus.entry(&job.spec.team).or_default() += job.spec.demand.cpus;
-                let late = job.cancelled.is_some_and(|at| self.now > at + self.deployment.cancel_within);
+                let late = job.cancelled_at.is_some_and(|at| self.now > at + self.deployment.cancel_within);
                 if late && std::env::var_os("WORLD_DUMP").is_some() {
                     println!(
                         "{:?} cancelled {:?}",
                         self.now - SIM_START,
-                        job.cancelled.map(|at| at - SIM_START)
+                        job.cancelled_at.map(|at| at - SIM_START)
                     );
                     self.dump();
                 }
                 assert!(!late, "ran_cancelled: {task:?} is still on {}", worker.name);
             }
         }
-        for job in self.jobs.iter().filter(|j| j.accepted && !j.aborting && !j.done_or_cancelled()) {
-            let silent = self.now.saturating_sub(job.heard.max(self.calm_at));
+        for job in self.jobs.iter().filter(|j| j.accepted && !j.cancelling && !j.has_ended()) {
+            let silent = self.now.saturating_sub(job.last_answered_at.max(self.calm_at));
             assert!(silent <= secs(75), "forgotten: nothing is told of {:?}", job.id);
         }
         for (team, used) in cpus {
