--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -2,12 +2,15 @@
 
 #![allow(clippy::unwrap_used)]
 
+mod common;
+
+use common::spec;
 use plankhead_core::fleet::{Fleet, HeartbeatNews, RemovalReason};
-use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord, JobSpec, Priority, Resources};
+use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::jobs::job_table::JobTable;
 use plankhead_core::protocol::Pool;
 use plankhead_core::protocol::*;
-use plankhead_core::settings::{Fencing, Settings, Sizing};
+use plankhead_core::settings::Settings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -17,32 +20,17 @@
     JobId::parse("job-000001").unwrap()
 }
 
-fn spec(tasks: u32) -> JobSpec {
-    JobSpec {
-        class: "c".into(),
-        team: "t".into(),
-        priority: Priority::Standard,
+fn record(phase: JobPhase, tasks: u32) -> JobRecord {
+    JobRecord {
+        phase,
+        spec: Some(spec("t", tasks, 10.0)),
         tasks,
-        demand: Resources { cpus: 1.0, gpus: 0.0, ram_gb: 1.0 },
-        image: "img".into(),
-        image_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        single_zone: false,
-        spread: false,
-        allows_spot: true,
-        estimated_runtime_s: 10.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
-        gang: false,
+        per_chunk: 4,
+        accepted_ms: 0,
+        cancelled_ms: None,
     }
 }
 
-fn record(phase: JobPhase, tasks: u32) -> JobRecord {
-    JobRecord { phase, spec: Some(spec(tasks)), tasks, per_chunk: 4, accepted_ms: 0, cancelled_ms: None }
-}
-
 /// A ledger with `placed` of ten tasks on one machine, all durable.
 fn ledger(placed: usize) -> JobTable {
     let mut job_table = JobTable::default();
@@ -84,31 +72,15 @@
 }
 
 /// A deployment whose workers report that often.
-fn settings(report: u64, lease: u64) -> Settings {
+fn settings(heartbeat_interval_s: u64, worker_lease_s: u64) -> Settings {
     Settings {
-        host: "plank-0".into(),
-        zone: "x".into(),
-        boot_id: 1,
         nodes: 3,
         peers: Vec::new(),
         teams: BTreeMap::new(),
-        objectives: BTreeMap::new(),
-        heartbeat_interval: Duration::from_secs(report),
-        worker_lease: Duration::from_secs(lease),
-        cancel_within: Duration::from_secs(lease + 30),
-        kv_requests_per_s: 250.0,
-        kv_changes_per_s: 60.0,
-        next_kv_changes_per_s: 60.0,
-        cpu_share: 1.0,
-        max_value_bytes: 4096,
-        max_txn_changes: 8,
-        cloud_requests_per_s: 4.0,
-        inventory_lag: Duration::from_secs(3),
-        clock_error: Duration::from_millis(100),
-        sizing: Sizing::default(),
-        fencing: Fencing::default(),
-        reachability: Default::default(),
-        sharding: Default::default(),
+        heartbeat_interval: Duration::from_secs(heartbeat_interval_s),
+        worker_lease: Duration::from_secs(worker_lease_s),
+        cancel_within: Duration::from_secs(worker_lease_s + 30),
+        ..common::settings()
     }
 }
 
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -120,25 +120,7 @@
 
 #[test]
 fn everything_fails() {
-    let faults = Faults {
-        lost_replies: 0.03,
-        late_requests: 0.5,
-        node_crashes: 5,
-        all_nodes_crash: 1,
-        kv_outages: 2,
-        kv_refusals: 2,
-        machine_cuts: 3,
-        machine_hangs: 3,
-        machine_deaths: 2,
-        node_cuts: 2,
-        dropped_responses: 2,
-        duplicate_heartbeats: 0.02,
-        cut_from_kv_and_peers: 1,
-        worker_partitions: 2,
-        task_errors: 0.1,
-        ..Faults::default()
-    };
-    play(0..40, faults);
+    play(0..40, Faults::of_everything());
 }
 
 /// Copies of reports, up to more than three leases old, come to old and new
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -2,14 +2,16 @@
 
 #![allow(clippy::unwrap_used)]
 
+mod common;
+
+use common::{settings, spec};
 use plankhead_core::effects::StepTime;
-use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord, JobSpec, Priority, Resources};
+use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
-use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
+use plankhead_core::settings::{Fencing, Settings};
 use plankhead_fencing::action::{Action, Return, ReturnReason};
 use plankhead_fencing::duty::{IdempotencyKey, Intent};
-use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 
 const START: Duration = Duration::from_secs(1000);
@@ -22,62 +24,18 @@
     JobId::parse("job-000001").unwrap()
 }
 
-fn spec() -> JobSpec {
-    JobSpec {
-        class: "c".into(),
-        team: "a".into(),
-        priority: Priority::Standard,
-        tasks: 1,
-        demand: Resources { cpus: 1.0, gpus: 0.0, ram_gb: 1.0 },
-        image: "img".into(),
-        image_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        single_zone: false,
-        spread: false,
-        allows_spot: true,
-        estimated_runtime_s: 100.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
-        gang: false,
-    }
-}
-
-fn settings() -> Settings {
-    let team = Team { guaranteed_cpus: 16.0, max_cpus: 16.0, guaranteed_gpus: 0.0, max_gpus: 0.0 };
-    Settings {
-        host: "plank-0".into(),
-        zone: "x".into(),
-        boot_id: 1,
-        nodes: 2,
-        peers: vec!["plank-1".into()],
-        teams: BTreeMap::from([("a".into(), team)]),
-        objectives: BTreeMap::new(),
-        heartbeat_interval: Duration::from_secs(1),
-        worker_lease: Duration::from_secs(11),
-        cancel_within: Duration::from_secs(36),
-        kv_requests_per_s: 250.0,
-        kv_changes_per_s: 60.0,
-        next_kv_changes_per_s: 60.0,
-        cpu_share: 1.0,
-        max_value_bytes: 4096,
-        max_txn_changes: 8,
-        cloud_requests_per_s: 4.0,
-        inventory_lag: Duration::from_secs(3),
-        clock_error: ms(100),
-        sizing: Sizing::default(),
-        fencing: Fencing::default(),
-        reachability: Default::default(),
-        sharding: Default::default(),
-    }
-}
-
 /// A job's record as it is stored.
 fn record(phase: JobPhase, since: Duration) -> String {
     let accepted_ms = since.as_millis() as u64;
     let cancelled_ms = (phase == JobPhase::Cancelled).then_some(accepted_ms);
-    let record = JobRecord { phase, spec: Some(spec()), tasks: 1, per_chunk: 16, accepted_ms, cancelled_ms };
+    let record = JobRecord {
+        phase,
+        spec: Some(spec("a", 1, 100.0)),
+        tasks: 1,
+        per_chunk: 16,
+        accepted_ms,
+        cancelled_ms,
+    };
     serde_json::to_string(&record).unwrap()
 }
 
@@ -520,7 +478,7 @@
             zones: vec!["z".into()],
         }])),
     }]);
-    let submit = bench.ask(|request| Event::Submit { request, id: id(), job: Ok(spec()) });
+    let submit = bench.ask(|request| Event::Submit { request, id: id(), job: Ok(spec("a", 1, 100.0)) });
     let create = bench.taken(writes("job/job-000001")).unwrap();
     bench.ask(|request| Event::Cancel { request, id: id() });
     let live = record(JobPhase::Active, bench.now);
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -26,25 +26,7 @@
 
 /// Failures of machines, nodes and links.
 fn failures() -> Faults {
-    Faults {
-        lost_replies: 0.03,
-        late_requests: 0.5,
-        node_crashes: 5,
-        all_nodes_crash: 1,
-        kv_outages: 2,
-        kv_refusals: 2,
-        machine_cuts: 3,
-        machine_hangs: 3,
-        machine_deaths: 2,
-        node_cuts: 2,
-        dropped_responses: 2,
-        duplicate_heartbeats: 0.02,
-        cut_from_kv_and_peers: 1,
-        worker_partitions: 2,
-        task_errors: 0.1,
-        preemption_notices: 3,
-        ..Faults::default()
-    }
+    Faults { preemption_notices: 3, ..Faults::of_everything() }
 }
 
 /// Users and messages that come at odd times.
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -5,6 +5,8 @@
 
 #[allow(dead_code)]
 mod before;
+#[allow(dead_code)]
+mod common;
 
 use plankhead_core::calls::VersionBarrierCall;
 use plankhead_core::effects::EffectSink;
@@ -14,7 +16,7 @@
 use plankhead_core::leadership::election::Holder;
 use plankhead_core::leadership::version_barrier::VersionBarrier;
 use plankhead_core::protocol::*;
-use plankhead_core::settings::{Fencing, Settings, Sizing};
+use plankhead_core::settings::Settings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -202,31 +204,15 @@
     assert_eq!((spec.team.as_str(), spec.tasks, spec.demand.cpus), ("requests", 12, 4.0));
 }
 
+/// Three nodes, and limits that will fall.
 fn settings() -> Settings {
     Settings {
-        host: "plank-0".into(),
-        zone: "x".into(),
-        boot_id: 1,
         nodes: 3,
         peers: vec!["plank-1".into(), "plank-2".into()],
-        teams: BTreeMap::new(),
-        objectives: BTreeMap::new(),
-        heartbeat_interval: Duration::from_secs(1),
-        worker_lease: Duration::from_secs(11),
-        cancel_within: Duration::from_secs(36),
-        kv_requests_per_s: 250.0,
-        kv_changes_per_s: 60.0,
         next_kv_changes_per_s: 42.0,
-        cpu_share: 1.0,
         max_value_bytes: 2048,
         max_txn_changes: 4,
-        cloud_requests_per_s: 3.0,
-        inventory_lag: Duration::from_secs(3),
-        clock_error: Duration::ZERO,
-        sizing: Sizing::default(),
-        fencing: Fencing::default(),
-        reachability: Default::default(),
-        sharding: Default::default(),
+        ..common::settings()
     }
 }
 
--- a/crates/plankhead-core/tests/world/faults.rs
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -70,6 +70,30 @@
     pub all_nodes_away: u32,
 }
 
+impl Faults {
+    /// Some of each that machines, nodes, links and the state service can have.
+    pub fn of_everything() -> Self {
+        Self {
+            lost_replies: 0.03,
+            late_requests: 0.5,
+            node_crashes: 5,
+            all_nodes_crash: 1,
+            kv_outages: 2,
+            kv_refusals: 2,
+            machine_cuts: 3,
+            machine_hangs: 3,
+            machine_deaths: 2,
+            node_cuts: 2,
+            dropped_responses: 2,
+            duplicate_heartbeats: 0.02,
+            cut_from_kv_and_peers: 1,
+            worker_partitions: 2,
+            task_errors: 0.1,
+            ..Self::default()
+        }
+    }
+}
+
 impl World {
     /// Jobs and troubles at random times within the given span.
     pub fn plan(&mut self, jobs: usize, span: Duration) {
