--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -5,7 +5,7 @@
 
 use crate::jobs::job::{JobId, JobRecord};
 use crate::protocol::{MachineName, Pool, RequestId, Response, TaskId};
-use plankhead_fencing::duty::IdempotencyKey;
+use plankhead_fencing::intent::IdempotencyKey;
 use plankhead_fencing::record::PageId;
 use plankhead_sharding::registry::RecordWrite;
 use plankhead_sharding::shard::ShardId;
--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -12,10 +12,10 @@
     CallError, CloudRequest, Condition, KvChange, KvReply, KvRequest, LogLevel, MachineName,
 };
 use crate::settings::{Fencing, Settings};
-use plankhead_fencing::action::{Action, Return, ReturnReason, MAX_RETURN_HOSTS};
-use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use plankhead_fencing::gate::{FencingGate, IssueProof, PermittedAction};
-use plankhead_fencing::log::{IntentLog, IntentPageWrite, Limits, WriteOutcome};
+use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
+use plankhead_fencing::intent_log::{IntentLog, IntentPageWrite, StoreLimits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -59,7 +59,7 @@
 impl Intents {
     pub(super) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
         let fencing = settings.fencing;
-        let limits = Limits {
+        let limits = StoreLimits {
             value_bytes: settings.max_value_bytes,
             changes: settings.max_txn_changes,
             transaction_bytes: TXN_BYTES,
@@ -89,11 +89,11 @@
     }
 
     /// How many machines one return names.
-    pub(super) fn machines_per_return(&self, hosts: &[MachineName], cause: ReturnReason) -> Return {
+    pub(super) fn machines_per_return(&self, hosts: &[MachineName], reason: ReturnReason) -> InstanceReturn {
         if self.is_fenced() {
-            return self.log.machines_per_return(hosts, cause);
+            return self.log.machines_per_return(hosts, reason);
         }
-        Return { hosts: hosts.iter().take(MAX_RETURN_HOSTS).cloned().collect(), cause }
+        InstanceReturn { machines: hosts.iter().take(MAX_RETURN_MACHINES).cloned().collect(), reason }
     }
 
     /// What operators see of the duties.
@@ -102,7 +102,7 @@
         let summary = self.log.summary();
         let shown = |intent: &Intent| {
             serde_json::json!({"key": intent.key.to_string(), "kind": intent.action.kind(),
-                "subject": intent.action.subject(), "holder": intent.holder, "state": intent.state().name(),
+                "subject": intent.action.subject(), "holder": intent.token, "state": intent.state().name(),
                 "attempts": intent.attempts, "ageS": self.wall_ms.saturating_sub(intent.intended_ms) as f64 / 1e3})
         };
         let open: Vec<_> = self.log.open_intents().take(MAX_SHOWN).map(shown).collect();
@@ -124,14 +124,14 @@
     pub(super) fn request_cloud_action(
         &mut self,
         key: IdempotencyKey,
-        action: Action,
+        action: CloudAction,
         effects: &mut EffectSink,
     ) -> bool {
         if !self.intents.is_fenced() {
             self.pass_gate(&key, action, None, effects);
             return true;
         }
-        use plankhead_fencing::log::IntentAdmission;
+        use plankhead_fencing::intent_log::IntentAdmission;
         match self.intents.log.intend(key.clone(), action, self.intents.wall_ms) {
             Ok(IntentAdmission::New) => true,
             Ok(IntentAdmission::Repeat) => {
@@ -148,7 +148,7 @@
     fn pass_gate(
         &mut self,
         key: &IdempotencyKey,
-        action: Action,
+        action: CloudAction,
         proof: Option<IssueProof>,
         effects: &mut EffectSink,
     ) {
@@ -160,8 +160,10 @@
 
     fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, effects: &mut EffectSink) {
         let leader_call = match permitted.action() {
-            Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
-            Action::Return(back) => LeaderCall::Release { machines: back.hosts.clone(), intent: key.clone() },
+            CloudAction::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
+            CloudAction::Return(back) => {
+                LeaderCall::Release { machines: back.machines.clone(), intent: key.clone() }
+            }
         };
         effects.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
     }
@@ -208,7 +210,7 @@
             self.intents.forced.iter().map(|(k, b)| (k.clone(), *b)).collect();
         for (key, blind) in forced {
             let state = self.intents.log.intent(&key).map(Intent::state);
-            if state != Some(State::Intended) {
+            if state != Some(IntentState::Intended) {
                 self.intents.forced.remove(&key);
                 continue;
             }
@@ -250,7 +252,7 @@
             } else if now.saturating_sub(self.started_at) > self.intents.settings.abandon_rental_after {
                 effects
                     .log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
-                self.end_intent(&key, State::Abandoned, effects);
+                self.end_intent(&key, IntentState::Abandoned, effects);
             } else {
                 self.retry_rental(now, refused.rental);
             }
@@ -401,14 +403,14 @@
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
     pub(super) fn adopt_intents(&mut self, now: Duration, effects: &mut EffectSink) {
-        let adopted: Vec<(IdempotencyKey, Action)> =
+        let adopted: Vec<(IdempotencyKey, CloudAction)> =
             self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
-                Action::Rent(rental) => self.retry_rental(now, rental.clone().into()),
-                Action::Return(back) => {
-                    self.fleet.returns_inherited(&back.hosts);
-                    self.releasing.extend(back.hosts.iter().cloned());
+                CloudAction::Rent(rental) => self.retry_rental(now, rental.clone().into()),
+                CloudAction::Return(back) => {
+                    self.fleet.returns_inherited(&back.machines);
+                    self.releasing.extend(back.machines.iter().cloned());
                     self.intents.returns_due.push((now, key.clone()));
                 }
             }
@@ -425,9 +427,9 @@
     }
 
     /// A duty is over.
-    fn end_intent(&mut self, key: &IdempotencyKey, last: State, effects: &mut EffectSink) {
+    fn end_intent(&mut self, key: &IdempotencyKey, last: IntentState, effects: &mut EffectSink) {
         let ended = match last {
-            State::Abandoned => self.intents.log.abandon(key),
+            IntentState::Abandoned => self.intents.log.abandon(key),
             _ => self.intents.log.confirm(key),
         };
         if let Err(error) = ended {
@@ -438,7 +440,7 @@
     /// The cloud has carried a duty out, or said that it never will.
     pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, effects: &mut EffectSink) {
         if self.intents.is_fenced() {
-            self.end_intent(key, State::Confirmed, effects);
+            self.end_intent(key, IntentState::Confirmed, effects);
         }
     }
 
@@ -447,7 +449,7 @@
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let Some(intent) = self.intents.log.intent(&key) else { return };
-        if intent.holder == self.token && intent.attempts <= 1 {
+        if intent.token == self.token && intent.attempts <= 1 {
             return self.confirm_intent(&key, effects);
         }
         let due = now + self.intents.settings.refused_rental_retry;
@@ -472,13 +474,13 @@
         let hosts: Vec<MachineName> = leaving.iter().map(|(host, _)| host.clone()).collect();
         let back = self.intents.machines_per_return(&hosts, cause);
         for (host, why) in
-            leaving.iter().take(back.hosts.len()).filter(|(_, why)| *why != RemovalReason::Surplus)
+            leaving.iter().take(back.machines.len()).filter(|(_, why)| *why != RemovalReason::Surplus)
         {
             effects.log(LogLevel::Info, format!("gives back {host}: {why:?}"));
         }
         let key = self.intents.log.next_key();
-        let hosts = back.hosts.clone();
-        if !hosts.is_empty() && self.request_cloud_action(key.clone(), Action::Return(back), effects) {
+        let hosts = back.machines.clone();
+        if !hosts.is_empty() && self.request_cloud_action(key.clone(), CloudAction::Return(back), effects) {
             self.releasing.extend(hosts);
             if forced && self.intents.is_fenced() {
                 self.intents.forced.insert(key, blind);
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -8,7 +8,7 @@
 use crate::leadership::election;
 use crate::protocol::{CallError, CloudReply, CommandReply, JobStatus, KvReply, LogLevel, WatchEvent};
 use crate::requests::RequestHandler;
-use plankhead_fencing::duty::IdempotencyKey;
+use plankhead_fencing::intent::IdempotencyKey;
 use std::collections::BTreeSet;
 
 impl Leader {
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -5,8 +5,8 @@
 use crate::effects::EffectSink;
 use crate::fleet::RemovalReason;
 use crate::protocol::{MachineName, Pool};
-use plankhead_fencing::action::{Action, Rental, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
-use plankhead_fencing::duty::IdempotencyKey;
+use plankhead_fencing::action::{CloudAction, Rental, MAX_RENTAL_COUNT, MAX_RETURN_MACHINES};
+use plankhead_fencing::intent::IdempotencyKey;
 use std::time::Duration;
 
 impl From<PendingRental> for Rental {
@@ -102,7 +102,7 @@
     fn rent(&mut self, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
-        if !self.request_cloud_action(key, Action::Rent(rental.into()), effects) {
+        if !self.request_cloud_action(key, CloudAction::Rent(rental.into()), effects) {
             self.rentals_in_flight.retain(|other| other.name != name);
         }
     }
@@ -173,7 +173,7 @@
         let machines = self.fleet.machines.values();
         let leaving = machines.filter_map(|m| m.removal.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
         let mut leaving: Vec<(MachineName, RemovalReason)> =
-            leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_HOSTS).collect();
+            leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_MACHINES).collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
         let due = leaving.iter().any(|(_, why)| *why == RemovalReason::CancellationDue);
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -7,8 +7,8 @@
 use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
-use plankhead_fencing::action::{Action, Return, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, ReturnReason};
+use plankhead_fencing::intent::{IdempotencyKey, Intent};
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 
@@ -106,8 +106,8 @@
 fn released(effect: &Effect) -> Option<&[MachineName]> {
     match effect {
         Effect::CallCloud { request: CloudRequest::Execute(permitted), .. } => match permitted.action() {
-            Action::Return(back) => Some(&back.hosts),
-            Action::Rent(_) => None,
+            CloudAction::Return(back) => Some(&back.machines),
+            CloudAction::Rent(_) => None,
         },
         _ => None,
     }
@@ -582,8 +582,8 @@
     let rows = vec![row("job/job-000001", &record(JobPhase::Active, bench.now), 5)];
     bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
-    let back = Return { hosts: vec!["i-1".into()], cause: ReturnReason::Surplus };
-    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, Action::Return(back), 0);
+    let back = InstanceReturn { machines: vec!["i-1".into()], reason: ReturnReason::Surplus };
+    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, CloudAction::Return(back), 0);
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
     bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -4,7 +4,7 @@
 //! JSON, and knows from the model itself who held the lease when.
 
 use super::*;
-use plankhead_fencing::action::Action;
+use plankhead_fencing::action::CloudAction;
 use plankhead_fencing::gate::Basis;
 use serde_json::Value;
 
@@ -92,7 +92,7 @@
     pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudRequest) {
         let CloudRequest::Execute(permitted) = op else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
-            Action::Rent(rental) => {
+            CloudAction::Rent(rental) => {
                 let done = self.hires.contains_key(&rental.name);
                 if done {
                     Vec::new()
@@ -100,8 +100,8 @@
                     vec![(rental.name.as_str(), true)]
                 }
             }
-            Action::Return(back) => {
-                let there = back.hosts.iter().filter(|host| self.workers.contains_key(*host));
+            CloudAction::Return(back) => {
+                let there = back.machines.iter().filter(|host| self.workers.contains_key(*host));
                 there.map(|host| (host.as_ref(), false)).collect()
             }
         };
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -2,7 +2,7 @@
 //! has them; and the rules.
 
 use super::*;
-use plankhead_fencing::action::{Action, Rental};
+use plankhead_fencing::action::{CloudAction, Rental};
 
 /// How long a machine that ended is listed as running.
 const LISTED_RUNNING: Duration = secs(30);
@@ -134,9 +134,9 @@
         })
     }
 
-    fn act(&mut self, action: Action) -> Result<CloudReply, CallError> {
+    fn act(&mut self, action: CloudAction) -> Result<CloudReply, CallError> {
         Ok(match action {
-            Action::Rent(Rental { name, zone, spot, count, .. }) => {
+            CloudAction::Rent(Rental { name, zone, spot, count, .. }) => {
                 if let Some(hosts) = self.hires.get(&name) {
                     return Ok(CloudReply::Rented(hosts.clone()));
                 }
@@ -182,8 +182,8 @@
                 self.hires.insert(name, hosts.clone());
                 CloudReply::Rented(hosts)
             }
-            Action::Return(back) => {
-                for host in back.hosts.iter().filter(|_| !self.troubles.lying_cloud) {
+            CloudAction::Return(back) => {
+                for host in back.machines.iter().filter(|_| !self.troubles.lying_cloud) {
                     let worker = self.workers.remove(host).filter(|w| w.up(self.now));
                     self.killed_by_release += worker.map_or(0, |w| w.runs().count());
                 }
--- a/crates/plankhead-fencing/src/action.rs
+++ b/crates/plankhead-fencing/src/action.rs
@@ -1,4 +1,4 @@
-//! What the lease holder may ask of the cloud.
+//! Actions that the leader may ask of the cloud, and their digests.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,79 +6,89 @@
 /// The most machines that one rental may ask for, by the cloud's protocol.
 pub const MAX_RENTAL_COUNT: u32 = 50;
 /// The most machines that one return may name, by the cloud's protocol.
-pub const MAX_RETURN_HOSTS: usize = 100;
-/// Domain of the digests: those of another format never compare equal.
+pub const MAX_RETURN_MACHINES: usize = 100;
+/// The key derivation context: digests of another format never compare equal.
 const DIGEST_CONTEXT: &str = "plankhead 2026-12 duty action v1";
 const DIGEST_BYTES: usize = 16;
 
 /// A rental request. The cloud carries out each name once at most.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rental {
+    /// The request's name, which is its idempotency key in the cloud.
     pub name: String,
+    /// The machine type, as the cloud names it.
     pub machine_type: String,
+    /// The zone to rent in.
     pub zone: String,
+    /// Whether the machines are spot returned.
     pub spot: bool,
+    /// How many machines, from 1 to [`MAX_RENTAL_COUNT`].
     pub count: u32,
 }
 
-/// Why machines are given back.
+/// Why machines are returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReturnReason {
     /// They are not needed any more.
     Surplus,
-    /// They are silent, broken, or hold a task that must be gone in time.
+    /// They are silent or broken, or hold a task that must be gone by a deadline.
     Reclaim,
 }
 
-/// Machines that go back to the cloud, with everything on them.
+/// Machines that go returned to the cloud, with everything on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Return {
-    pub hosts: Vec<Arc<str>>,
-    pub cause: ReturnReason,
+pub struct InstanceReturn {
+    /// The machines' names, at most [`MAX_RETURN_MACHINES`].
+    pub machines: Vec<Arc<str>>,
+    /// Why they are returned.
+    pub reason: ReturnReason,
 }
 
-/// An effect on the cloud that cannot be taken back.
+/// An irreversible effect on the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
+pub enum CloudAction {
+    /// Rent machines.
     Rent(Rental),
-    Return(Return),
+    /// Return machines.
+    Return(InstanceReturn),
 }
 
-/// A digest of an action: a repeat under the same key must have the same one.
+/// A BLAKE3 digest of an action: a repeat under the same key must have the same one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ActionDigest([u8; DIGEST_BYTES]);
 
-impl Action {
-    /// The kind of action in a word, as it is stored and shown.
+impl CloudAction {
+    /// The kind of action in a word, as it is stored and displayed.
     pub fn kind(&self) -> &'static str {
         match self {
-            Action::Rent(_) => "rent",
-            Action::Return(Return { cause: ReturnReason::Surplus, .. }) => "return",
-            Action::Return(Return { cause: ReturnReason::Reclaim, .. }) => "reclaim",
+            CloudAction::Rent(_) => "rent",
+            CloudAction::Return(InstanceReturn { reason: ReturnReason::Surplus, .. }) => "return",
+            CloudAction::Return(InstanceReturn { reason: ReturnReason::Reclaim, .. }) => "reclaim",
         }
     }
 
-    /// What the action is about, for people.
+    /// A short description of the action's subject, for display.
     pub fn subject(&self) -> String {
         match self {
-            Action::Rent(rental) => {
+            CloudAction::Rent(rental) => {
                 let kind = if rental.spot { "spot" } else { "ordinary" };
                 format!("{} {kind} {} in {}", rental.count, rental.machine_type, rental.zone)
             }
-            Action::Return(back) => {
-                let named: Vec<&str> = back.hosts.iter().take(3).map(AsRef::as_ref).collect();
-                match back.hosts.len().saturating_sub(named.len()) {
-                    0 => named.join(", "),
-                    more => format!("{} and {more} more", named.join(", ")),
+            CloudAction::Return(returned) => {
+                let names: Vec<&str> = returned.machines.iter().take(3).map(AsRef::as_ref).collect();
+                match returned.machines.len().saturating_sub(names.len()) {
+                    0 => names.join(", "),
+                    more => format!("{} and {more} more", names.join(", ")),
                 }
             }
         }
     }
 
+    /// The digest over every field, which is stored with the action.
     pub fn digest(&self) -> ActionDigest {
         let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
         match self {
-            Action::Rent(rental) => {
+            CloudAction::Rent(rental) => {
                 absorb(&mut hasher, "rent");
                 for text in [&rental.name, &rental.machine_type, &rental.zone] {
                     absorb(&mut hasher, text);
@@ -86,11 +96,11 @@
                 hasher.update(&[u8::from(rental.spot)]);
                 hasher.update(&rental.count.to_le_bytes());
             }
-            Action::Return(back) => {
+            CloudAction::Return(returned) => {
                 absorb(&mut hasher, self.kind());
-                hasher.update(&(back.hosts.len() as u64).to_le_bytes());
-                for host in &back.hosts {
-                    absorb(&mut hasher, host);
+                hasher.update(&(returned.machines.len() as u64).to_le_bytes());
+                for machine in &returned.machines {
+                    absorb(&mut hasher, machine);
                 }
             }
         }
@@ -100,7 +110,7 @@
     }
 }
 
-/// Takes in a text with its length, so that fields can't run into each other.
+/// Hashes a text with its length, so that adjacent fields can't be confused.
 fn absorb(hasher: &mut blake3::Hasher, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
--- a/crates/plankhead-fencing/src/gate.rs
+++ b/crates/plankhead-fencing/src/gate.rs
@@ -1,24 +1,27 @@
-//! The gate: the only place where an action becomes one that adapters accept.
+//! The fencing gate: the only place that turns an action into one that the adapters accept.
 //!
-//! [`PermittedAction`] has no public constructor, and neither has [`IssueProof`]: a proof comes from
-//! [`IntentLog`](crate::log::DutyLog) alone, for a duty whose record is durable.
+//! [`PermittedAction`] and [`IssueProof`] have no public constructors: only
+//! [`IntentLog`](crate::intent_log::IntentLog) makes proofs, for intents that are durable.
 
-use crate::action::{Action, ActionDigest};
-use crate::duty::IdempotencyKey;
+use crate::action::{ActionDigest, CloudAction};
+use crate::intent::IdempotencyKey;
 use thiserror::Error;
 
 /// Why an action may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Basis {
-    /// Its intention is durable at this revision of the state service.
-    Recorded { revision: u64 },
-    /// A rule forces it, and the state service failed the attempt to record it.
+    /// Its intent is durable.
+    Recorded {
+        /// The revision of the state service that holds it.
+        revision: u64,
+    },
+    /// A forced return whose record the state service failed to take.
     Compelled,
     /// Fencing is switched off.
     Unfenced,
 }
 
-/// Shows that a duty may be issued; made by the duty log only.
+/// Proves that an intent may be issued; made by the intent log only.
 #[derive(Debug, PartialEq, Eq)]
 pub struct IssueProof {
     pub(crate) token: u64,
@@ -30,41 +33,60 @@
 /// An action that has passed the gate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermittedAction {
-    action: Action,
+    action: CloudAction,
     basis: Basis,
 }
 
 impl PermittedAction {
-    pub fn action(&self) -> &Action {
+    /// The action.
+    pub fn action(&self) -> &CloudAction {
         &self.action
     }
 
+    /// Why it was let through.
     pub fn basis(&self) -> Basis {
         self.basis
     }
 }
 
-/// Why an action was not let through.
+/// Why an action was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum GateError {
+    /// The proof was made under another fencing token.
     #[error("the proof for {key} is of token {given}, the gate of {own}")]
-    OtherHolder { key: IdempotencyKey, given: u64, own: u64 },
+    OtherToken {
+        /// The intent's key.
+        key: IdempotencyKey,
+        /// The proof's token.
+        given: u64,
+        /// The gate's token.
+        own: u64,
+    },
+    /// The proof was made for another action.
     #[error("the proof for {key} is of another action")]
-    OtherAction { key: IdempotencyKey },
+    OtherAction {
+        /// The intent's key.
+        key: IdempotencyKey,
+    },
+    /// There is no proof although fencing is on.
     #[error("fencing is on: an action needs a proof")]
     NoProof,
 }
 
-/// How many actions went through, and on what grounds.
+/// How many actions were let through on which basis, and how many were refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GateCounters {
+    /// Let through with a durable intent.
     pub recorded: u64,
+    /// Let through without one, as forced returns.
     pub compelled: u64,
+    /// Let through while fencing was off.
     pub unfenced: u64,
+    /// Refused.
     pub refused: u64,
 }
 
-/// Lets one lease holder's actions through.
+/// Lets the actions of one leader's term through.
 #[derive(Debug)]
 pub struct FencingGate {
     token: u64,
@@ -73,23 +95,29 @@
 }
 
 impl FencingGate {
-    /// A gate that asks for proofs.
+    /// A gate that demands proofs.
     pub fn fenced(token: u64) -> Self {
         Self { token, fenced: true, counts: GateCounters::default() }
     }
 
-    /// A gate that stands open, for services without fencing.
+    /// A gate that lets everything through, for clusters without fencing.
     pub fn open(token: u64) -> Self {
         Self { token, fenced: false, counts: GateCounters::default() }
     }
 
+    /// Whether the gate demands proofs.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Every action passes here; `proof` may lack only while fencing is off.
-    pub fn pass(&mut self, action: Action, proof: Option<IssueProof>) -> Result<PermittedAction, GateError> {
-        let basis = self.examine(&action, proof);
+    /// Lets an action through, or refuses it; the proof may be missing only while fencing is
+    /// off.
+    pub fn pass(
+        &mut self,
+        action: CloudAction,
+        proof: Option<IssueProof>,
+    ) -> Result<PermittedAction, GateError> {
+        let basis = self.check(&action, proof);
         match &basis {
             Ok(Basis::Recorded { .. }) => self.counts.recorded += 1,
             Ok(Basis::Compelled) => self.counts.compelled += 1,
@@ -99,12 +127,12 @@
         basis.map(|basis| PermittedAction { action, basis })
     }
 
-    fn examine(&self, action: &Action, proof: Option<IssueProof>) -> Result<Basis, GateError> {
+    fn check(&self, action: &CloudAction, proof: Option<IssueProof>) -> Result<Basis, GateError> {
         let Some(proof) = proof else {
             return if self.fenced { Err(GateError::NoProof) } else { Ok(Basis::Unfenced) };
         };
         if proof.token != self.token {
-            return Err(GateError::OtherHolder { key: proof.key, given: proof.token, own: self.token });
+            return Err(GateError::OtherToken { key: proof.key, given: proof.token, own: self.token });
         }
         if proof.digest != action.digest() {
             return Err(GateError::OtherAction { key: proof.key });
@@ -112,6 +140,7 @@
         Ok(proof.basis)
     }
 
+    /// The counters since the gate was made.
     pub fn counts(&self) -> GateCounters {
         self.counts
     }
--- a/crates/plankhead-fencing/src/log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -1,19 +1,19 @@
-//! The duties of one lease holder, its own and those that it inherited, and when which
+//! The intents of one lease holder, its own and those that it inherited, and when which
 //! record of them is to be written. Everything about the state service is decided here
 //! and carried out by the caller.
 
-use crate::action::{Action, ActionDigest, Return, ReturnReason, MAX_RETURN_HOSTS};
-use crate::duty::{IdempotencyKey, Intent, InvalidTransition, State};
+use crate::action::{ActionDigest, CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use crate::gate::{Basis, IssueProof};
-use crate::page::Page;
+use crate::intent::{IdempotencyKey, Intent, IntentState, InvalidTransition};
+use crate::pages::PageState;
 use crate::record::{self, PageId, RecordError, PAGE_OVERHEAD};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Open duties at most: the cloud's rate allows a few a second.
-pub const MAX_OPEN_DUTIES: usize = 1_000;
-/// Keys of duties that are over which are remembered, to refuse their reuse.
+/// Open intents at most: the cloud's rate allows a few a second.
+pub const MAX_OPEN_INTENTS: usize = 1_000;
+/// Keys of intents that are over which are remembered, to refuse their reuse.
 const MAX_REMEMBERED: usize = 4_096;
 /// Bytes of a return's record beside its machines.
 const RETURN_OVERHEAD: usize = 200;
@@ -22,7 +22,7 @@
 
 /// What the state service takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct StoreLimits {
     /// Bytes of a value.
     pub value_bytes: usize,
     /// Changes of a transaction.
@@ -46,14 +46,14 @@
     KeyReused { key: IdempotencyKey },
     #[error("the record of {key} takes {bytes} bytes, more than a value holds")]
     TooLarge { key: IdempotencyKey, bytes: usize },
-    #[error("{MAX_OPEN_DUTIES} duties are open")]
+    #[error("{MAX_OPEN_INTENTS} intents are open")]
     TooMany,
 }
 
-/// Why a duty may not be issued.
+/// Why a intent may not be issued.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IssueError {
-    #[error("there is no open duty {0}")]
+    #[error("there is no open intent {0}")]
     Unknown(IdempotencyKey),
     #[error("the record of {0} is not durable")]
     NotDurable(IdempotencyKey),
@@ -86,7 +86,7 @@
     Lost,
 }
 
-/// How many duties are in which state.
+/// How many intents are in which state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IntentSummary {
     pub intended: usize,
@@ -100,8 +100,8 @@
 }
 
 #[derive(Debug)]
-struct Entry {
-    duty: Intent,
+struct TrackedIntent {
+    intent: Intent,
     page: PageId,
     /// Why it may be issued; none: it may not yet.
     basis: Option<Basis>,
@@ -113,14 +113,14 @@
 #[derive(Debug)]
 struct Writing(Vec<(PageId, BTreeSet<IdempotencyKey>)>);
 
-/// The duties of one lease holder.
+/// The intents of one lease holder.
 #[derive(Debug)]
 pub struct IntentLog {
     token: u64,
-    limits: Limits,
+    limits: StoreLimits,
     sequence: u64,
-    entries: BTreeMap<IdempotencyKey, Entry>,
-    pages: BTreeMap<PageId, Page>,
+    entries: BTreeMap<IdempotencyKey, TrackedIntent>,
+    pages: BTreeMap<PageId, PageState>,
     writing: Option<Writing>,
     over: BTreeMap<IdempotencyKey, ActionDigest>,
     over_order: VecDeque<IdempotencyKey>,
@@ -129,7 +129,7 @@
 }
 
 impl IntentLog {
-    pub fn new(token: u64, limits: Limits) -> Self {
+    pub fn new(token: u64, limits: StoreLimits) -> Self {
         Self {
             token,
             limits,
@@ -144,14 +144,14 @@
         }
     }
 
-    /// A key that no other duty has: tokens are unique, and so is the number.
+    /// A key that no other intent has: tokens are unique, and so is the number.
     pub fn next_key(&mut self) -> IdempotencyKey {
         self.sequence += 1;
         IdempotencyKey::new(&format!("{}.{}", self.token, self.sequence))
     }
 
     /// The most of these machines whose return fits into one record.
-    pub fn machines_per_return(&self, hosts: &[Arc<str>], cause: ReturnReason) -> Return {
+    pub fn machines_per_return(&self, hosts: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
         let mut room = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |host: &&Arc<str>| {
             let bytes = host.len() + HOST_OVERHEAD;
@@ -159,27 +159,27 @@
             room = room.saturating_sub(bytes);
             fits
         };
-        let hosts = hosts.iter().take(MAX_RETURN_HOSTS).take_while(fits).cloned().collect();
-        Return { hosts, cause }
+        let hosts = hosts.iter().take(MAX_RETURN_MACHINES).take_while(fits).cloned().collect();
+        InstanceReturn { machines: hosts, reason }
     }
 
     /// Takes in an intention. It may be issued once it is durable.
     pub fn intend(
         &mut self,
         key: IdempotencyKey,
-        action: Action,
+        action: CloudAction,
         now_ms: u64,
     ) -> Result<IntentAdmission, IntentError> {
-        let known = self.entries.get(&key).map(|entry| entry.duty.digest).or(self.over.get(&key).copied());
+        let known = self.entries.get(&key).map(|entry| entry.intent.digest).or(self.over.get(&key).copied());
         if let Some(known) = known {
             let same = known == action.digest();
             return if same { Ok(IntentAdmission::Repeat) } else { Err(IntentError::KeyReused { key }) };
         }
-        if self.entries.len() >= MAX_OPEN_DUTIES {
+        if self.entries.len() >= MAX_OPEN_INTENTS {
             return Err(IntentError::TooMany);
         }
-        let duty = Intent::intended(key.clone(), self.token, action, now_ms);
-        let bytes = record::stored_bytes(&duty);
+        let intent = Intent::intended(key.clone(), self.token, action, now_ms);
+        let bytes = record::stored_bytes(&intent);
         if bytes.saturating_add(PAGE_OVERHEAD) > self.limits.value_bytes {
             return Err(IntentError::TooLarge { key, bytes });
         }
@@ -187,23 +187,23 @@
         let page = self.pages.entry(id).or_default();
         page.bytes += bytes;
         page.open.insert(key.clone());
-        self.entries.insert(key, Entry { duty, page: id, basis: None, unrecordable: false });
+        self.entries.insert(key, TrackedIntent { intent, page: id, basis: None, unrecordable: false });
         Ok(IntentAdmission::New)
     }
 
     fn page_with_room(&self, bytes: usize) -> PageId {
-        let own = |(id, page): &(&PageId, &Page)| id.holder == self.token && !page.inherited;
-        let room = |page: &Page| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
+        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.inherited;
+        let room = |page: &PageState| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
         let found = self.pages.iter().filter(own).find(|(_, page)| room(page)).map(|(id, _)| *id);
         let last = self.pages.iter().filter(own).map(|(id, _)| id.number + 1).max();
-        found.unwrap_or(PageId { holder: self.token, number: last.unwrap_or(0) })
+        found.unwrap_or(PageId { token: self.token, number: last.unwrap_or(0) })
     }
 
     /// Forgets what was inherited, since it is read again.
     pub fn begin_reading(&mut self) {
         self.pages.retain(|_, page| !page.inherited);
         let (token, pages) = (self.token, &self.pages);
-        self.entries.retain(|_, entry| entry.duty.holder == token && pages.contains_key(&entry.page));
+        self.entries.retain(|_, entry| entry.intent.token == token && pages.contains_key(&entry.page));
     }
 
     /// Takes in a stored page of a former holder; returns what can't be read of it.
@@ -211,52 +211,53 @@
         let Some(id) = PageId::parse(key) else {
             return vec![RecordError::Key { key: key.into() }];
         };
-        if id.holder == self.token {
+        if id.token == self.token {
             // Written by this holder before it had read everything.
             return Vec::new();
         }
-        if id.holder > self.token {
-            return vec![RecordError::LaterHolder { key: key.into() }];
+        if id.token > self.token {
+            return vec![RecordError::LaterToken { key: key.into() }];
         }
-        let (duties, mut faults) = record::decode(key, value);
-        let mut page = Page { revision, inherited: true, ..Page::default() };
-        for duty in duties {
-            let known = self.entries.get(&duty.key).map(|entry| entry.duty.digest);
+        let (intents, mut faults) = record::decode(key, value);
+        let mut page = PageState { revision, inherited: true, ..PageState::default() };
+        for intent in intents {
+            let known = self.entries.get(&intent.key).map(|entry| entry.intent.digest);
             if known.is_some() {
-                faults.push(RecordError::Reused { key: key.into(), duty: duty.key });
+                faults.push(RecordError::ReusedKey { key: key.into(), intent: intent.key });
                 continue;
             }
-            page.open.insert(duty.key.clone());
-            page.stored.insert(duty.key.clone());
+            page.open.insert(intent.key.clone());
+            page.stored.insert(intent.key.clone());
             let basis = Some(Basis::Recorded { revision });
-            self.entries.insert(duty.key.clone(), Entry { duty, page: id, basis, unrecordable: false });
+            self.entries
+                .insert(intent.key.clone(), TrackedIntent { intent, page: id, basis, unrecordable: false });
         }
         page.unreadable = !faults.is_empty();
         self.pages.insert(id, page);
         faults
     }
 
-    /// The duties that a former holder left open.
+    /// The intents that a former holder left open.
     pub fn adopted(&self) -> impl Iterator<Item = &Intent> {
-        self.entries.values().map(|entry| &entry.duty).filter(|duty| duty.holder != self.token)
+        self.entries.values().map(|entry| &entry.intent).filter(|intent| intent.token != self.token)
     }
 
     pub fn open_intents(&self) -> impl Iterator<Item = &Intent> {
-        self.entries.values().map(|entry| &entry.duty)
+        self.entries.values().map(|entry| &entry.intent)
     }
 
     pub fn intent(&self, key: &IdempotencyKey) -> Option<&Intent> {
-        self.entries.get(key).map(|entry| &entry.duty)
+        self.entries.get(key).map(|entry| &entry.intent)
     }
 
-    /// Whether a duty waits for its record.
+    /// Whether a intent waits for its record.
     pub fn has_unrecorded(&self) -> bool {
-        self.pages.values().any(Page::has_unrecorded)
+        self.pages.values().any(PageState::has_unrecorded)
     }
 
-    /// Whether records of duties that are over could go.
+    /// Whether records of intents that are over could go.
     pub fn needs_compaction(&self) -> bool {
-        self.pages.values().any(Page::needs_compaction)
+        self.pages.values().any(PageState::needs_compaction)
     }
 
     pub fn is_writing(&self) -> bool {
@@ -273,17 +274,18 @@
         let most = most.min(self.limits.changes);
         let mut room = self.limits.transaction_bytes;
         let (mut changes, mut writing) = (Vec::new(), Vec::new());
-        let due = |page: &&Page| !page.in_doubt && (page.has_unrecorded() || tidy && page.needs_compaction());
+        let due =
+            |page: &&PageState| !page.in_doubt && (page.has_unrecorded() || tidy && page.needs_compaction());
         // What lacks a record comes before what is only to be tidied up.
-        let mut pages: Vec<(&PageId, &Page)> = self.pages.iter().filter(|(_, page)| due(page)).collect();
+        let mut pages: Vec<(&PageId, &PageState)> = self.pages.iter().filter(|(_, page)| due(page)).collect();
         pages.sort_by_key(|(id, page)| (!page.has_unrecorded(), **id));
         for (id, page) in pages.into_iter().take(most) {
             if page.bytes + PAGE_OVERHEAD > room {
                 break;
             }
             room -= page.bytes + PAGE_OVERHEAD;
-            let duties = page.open.iter().filter_map(|key| self.entries.get(key)).map(|entry| &entry.duty);
-            let value = (!page.open.is_empty()).then(|| record::encode(duties));
+            let intents = page.open.iter().filter_map(|key| self.entries.get(key)).map(|entry| &entry.intent);
+            let value = (!page.open.is_empty()).then(|| record::encode(intents));
             changes.push(IntentPageWrite { page: *id, expected: page.revision, value });
             writing.push((*id, page.open.clone()));
         }
@@ -294,7 +296,7 @@
         Some(changes)
     }
 
-    /// Takes in what came of the write; returns the duties that may be issued now.
+    /// Takes in what came of the write; returns the intents that may be issued now.
     pub fn end_write(&mut self, outcome: WriteOutcome) -> Vec<IdempotencyKey> {
         let Some(Writing(pages)) = self.writing.take() else { return Vec::new() };
         match outcome {
@@ -327,7 +329,7 @@
             for key in &page.stored {
                 let Some(entry) = self.entries.get_mut(key) else { continue };
                 entry.basis = Some(Basis::Recorded { revision });
-                if entry.duty.transition_to(State::Recorded).is_ok() {
+                if entry.intent.transition_to(IntentState::Recorded).is_ok() {
                     durable.push(key.clone());
                 }
             }
@@ -347,7 +349,7 @@
     }
 
     fn unrecordable(&mut self) {
-        for entry in self.entries.values_mut().filter(|entry| entry.duty.state() == State::Intended) {
+        for entry in self.entries.values_mut().filter(|entry| entry.intent.state() == IntentState::Intended) {
             entry.unrecordable = true;
         }
     }
@@ -380,53 +382,55 @@
         }
     }
 
-    /// Takes up a duty that is durable, to be sent now.
-    pub fn issue(&mut self, key: &IdempotencyKey) -> Result<(Action, IssueProof), IssueError> {
+    /// Takes up a intent that is durable, to be sent now.
+    pub fn issue(&mut self, key: &IdempotencyKey) -> Result<(CloudAction, IssueProof), IssueError> {
         let token = self.token;
         let entry = self.entries.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
         let basis = entry.basis.ok_or_else(|| IssueError::NotDurable(key.clone()))?;
-        entry.duty.transition_to(State::Issued)?;
-        let proof = IssueProof { token, key: key.clone(), digest: entry.duty.digest, basis };
-        Ok((entry.duty.action.clone(), proof))
+        entry.intent.transition_to(IntentState::Issued)?;
+        let proof = IssueProof { token, key: key.clone(), digest: entry.intent.digest, basis };
+        Ok((entry.intent.action.clone(), proof))
     }
 
-    /// Lets a duty be issued without its record: a rule forces the return of machines,
+    /// Lets a intent be issued without its record: a rule forces the return of machines,
     /// and the state service has failed the attempt to record it. Time alone, or a lease
     /// that has run out by the own clock, is no ground.
     pub fn force_issue(&mut self, key: &IdempotencyKey) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return false };
-        let reclaim =
-            matches!(entry.duty.action, Action::Return(Return { cause: ReturnReason::Reclaim, .. }));
+        let reclaim = matches!(
+            entry.intent.action,
+            CloudAction::Return(InstanceReturn { reason: ReturnReason::Reclaim, .. })
+        );
         if entry.basis.is_none() && entry.unrecordable && reclaim {
             entry.basis = Some(Basis::Compelled);
         }
         entry.basis == Some(Basis::Compelled)
     }
 
-    /// The effect of a duty is certain.
+    /// The effect of a intent is certain.
     pub fn confirm(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, State::Confirmed)
+        self.end(key, IntentState::Confirmed)
     }
 
-    /// Gives a duty up.
+    /// Gives a intent up.
     pub fn abandon(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, State::Abandoned)
+        self.end(key, IntentState::Abandoned)
     }
 
-    fn end(&mut self, key: &IdempotencyKey, last: State) -> Result<(), InvalidTransition> {
+    fn end(&mut self, key: &IdempotencyKey, last: IntentState) -> Result<(), InvalidTransition> {
         let Some(entry) = self.entries.get_mut(key) else { return Ok(()) };
-        entry.duty.transition_to(last)?;
+        entry.intent.transition_to(last)?;
         match last {
-            State::Confirmed => self.confirmed += 1,
+            IntentState::Confirmed => self.confirmed += 1,
             _ => self.abandoned += 1,
         }
-        let bytes = record::stored_bytes(&entry.duty);
+        let bytes = record::stored_bytes(&entry.intent);
         if let Some(page) = self.pages.get_mut(&entry.page) {
             page.open.remove(key);
             page.bytes = page.bytes.saturating_sub(bytes);
         }
         if let Some(entry) = self.entries.remove(key) {
-            self.over.insert(key.clone(), entry.duty.digest);
+            self.over.insert(key.clone(), entry.intent.digest);
             self.over_order.push_back(key.clone());
         }
         if self.over_order.len() > MAX_REMEMBERED {
@@ -438,12 +442,12 @@
     }
 
     pub fn summary(&self) -> IntentSummary {
-        let count = |state| self.entries.values().filter(|entry| entry.duty.state() == state).count();
+        let count = |state| self.entries.values().filter(|entry| entry.intent.state() == state).count();
         IntentSummary {
-            intended: count(State::Intended),
-            recorded: count(State::Recorded),
-            adopted: count(State::Adopted),
-            issued: count(State::Issued),
+            intended: count(IntentState::Intended),
+            recorded: count(IntentState::Recorded),
+            adopted: count(IntentState::Adopted),
+            issued: count(IntentState::Issued),
             confirmed: self.confirmed,
             abandoned: self.abandoned,
             pages: self.pages.len(),
--- a/crates/plankhead-fencing/src/lib.rs
+++ b/crates/plankhead-fencing/src/lib.rs
@@ -15,9 +15,9 @@
 //! - [`token`]: the highest fencing token seen, for what we own ourselves.
 
 pub mod action;
-pub mod duty;
 pub mod gate;
-pub mod log;
-mod page;
+pub mod intent;
+pub mod intent_log;
+mod pages;
 pub mod record;
 pub mod token;
--- a/crates/plankhead-fencing/src/page.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -1,15 +1,15 @@
-//! One stored page of duties, as the log knows it.
+//! One stored page of intents, as the log knows it.
 
-use crate::duty::IdempotencyKey;
+use crate::intent::IdempotencyKey;
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Page {
+pub(crate) struct PageState {
     /// The revision of its key; 0: not stored.
     pub revision: u64,
-    /// The duties that should stand in it.
+    /// The intents that should stand in it.
     pub open: BTreeSet<IdempotencyKey>,
-    /// The duties that may stand in it.
+    /// The intents that may stand in it.
     pub stored: BTreeSet<IdempotencyKey>,
     /// What [`open`](Self::open) takes as a record.
     pub bytes: usize,
@@ -21,14 +21,14 @@
     pub unreadable: bool,
 }
 
-impl Page {
-    /// Whether it holds records of duties that are over.
+impl PageState {
+    /// Whether it holds records of intents that are over.
     pub fn needs_compaction(&self) -> bool {
         let over = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
         over && !self.unreadable && (!self.inherited || self.open.is_empty())
     }
 
-    /// Whether it lacks a duty.
+    /// Whether it lacks a intent.
     pub fn has_unrecorded(&self) -> bool {
         !self.inherited && !self.open.is_subset(&self.stored)
     }
--- a/crates/plankhead-fencing/src/record.rs
+++ b/crates/plankhead-fencing/src/record.rs
@@ -1,61 +1,105 @@
-//! How duties are stored: a page holds several, under the key `duty/<token>/<page>`.
+//! The stored form of intents: a page holds several, under the key `duty/<token>/<page>`.
 //!
-//! What can't be read is reported and left alone: it may be of a later version.
+//! What can't be decoded is reported and left alone: a later version may have written it.
 
-use crate::action::{Action, Rental, Return, ReturnReason, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
-use crate::duty::{IdempotencyKey, Intent};
+use crate::action::{
+    CloudAction, InstanceReturn, Rental, ReturnReason, MAX_RENTAL_COUNT, MAX_RETURN_MACHINES,
+};
+use crate::intent::{IdempotencyKey, Intent};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// All records begin with this.
+/// The prefix of the keys of all pages.
 pub const PREFIX: &str = "duty/";
-/// The format that is written and read here.
+/// The format that this version writes and reads.
 const FORMAT: u32 = 1;
-/// Bytes of a name that are believed to be one.
+/// The longest name that is accepted, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// Bytes of a page beside its duties: `{"format":1,"duties":[]}` and some room.
+/// Bytes of a page beside its intents: `{"format":1,"duties":[]}` and some room.
 pub const PAGE_OVERHEAD: usize = 40;
 
 /// Where a page is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PageId {
-    /// The fencing token of the holder who wrote it.
-    pub holder: u64,
+    /// The fencing token of the leader that wrote it.
+    pub token: u64,
+    /// The page's number under that token, from 0.
     pub number: u32,
 }
 
 impl PageId {
+    /// The key of the page in the state service.
     pub fn key(&self) -> String {
-        format!("{PREFIX}{}/{}", self.holder, self.number)
+        format!("{PREFIX}{}/{}", self.token, self.number)
     }
 
-    /// Reads a key; only what [`PageId::key`] writes is one.
+    /// Parses a key; accepts only what [`PageId::key`] writes.
     pub fn parse(key: &str) -> Option<Self> {
-        let (holder, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
-        let id = Self { holder: holder.parse().ok()?, number: number.parse().ok()? };
+        let (token, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
+        let id = Self { token: token.parse().ok()?, number: number.parse().ok()? };
         (id.key() == key).then_some(id)
     }
 }
 
-/// What is wrong with a record.
+/// Why a stored page, or an intent in it, can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
-    #[error("{key} is no key of duties")]
-    Key { key: String },
-    #[error("{key} is of a later holder than this one")]
-    LaterHolder { key: String },
-    #[error("{key} can't be read: {why}")]
-    Page { key: String, why: String },
+    /// The key is not that of a page.
+    #[error("{key} is not the key of a page of intents")]
+    Key {
+        /// The key.
+        key: String,
+    },
+    /// The page was written under a later fencing token than the reader's.
+    #[error("{key} is of a later fencing token than this leader")]
+    LaterToken {
+        /// The page's key.
+        key: String,
+    },
+    /// The page is no valid JSON of the expected form.
+    #[error("{key} can't be read: {reason}")]
+    Page {
+        /// The page's key.
+        key: String,
+        /// What the JSON parser reports.
+        reason: String,
+    },
+    /// The page has a format that this version does not know.
     #[error("{key} has format {format}")]
-    Format { key: String, format: u32 },
-    #[error("duty {number} of {key} can't be read: {why}")]
-    Intent { key: String, number: usize, why: String },
-    #[error("duty {duty} of {key} is not what its digest says")]
-    ActionDigest { key: String, duty: IdempotencyKey },
-    #[error("duty {duty} of {key} stands elsewhere with another action")]
-    Reused { key: String, duty: IdempotencyKey },
+    Format {
+        /// The page's key.
+        key: String,
+        /// The format found.
+        format: u32,
+    },
+    /// One intent of the page is invalid.
+    #[error("intent {number} of {key} can't be read: {reason}")]
+    Intent {
+        /// The page's key.
+        key: String,
+        /// The intent's position in the page, from 0.
+        number: usize,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The stored digest is not that of the stored action.
+    #[error("intent {intent} of {key} is not what its digest says")]
+    DigestMismatch {
+        /// The page's key.
+        key: String,
+        /// The intent's key.
+        intent: IdempotencyKey,
+    },
+    /// Another page holds an intent under the same idempotency key.
+    #[error("intent {intent} of {key} stands elsewhere with another action")]
+    ReusedKey {
+        /// The page's key.
+        key: String,
+        /// The intent's key.
+        intent: IdempotencyKey,
+    },
 }
 
 #[derive(Serialize)]
@@ -89,47 +133,47 @@
 }
 
 impl StoredIntent {
-    fn of(duty: &Intent) -> Self {
-        let action = match duty.action.clone() {
-            Action::Rent(Rental { name, machine_type, zone, spot, count }) => {
+    fn of(intent: &Intent) -> Self {
+        let action = match intent.action.clone() {
+            CloudAction::Rent(Rental { name, machine_type, zone, spot, count }) => {
                 StoredAction::Rent { name, machine_type, zone, spot, count }
             }
-            Action::Return(back) => {
-                let hosts = back.hosts.iter().map(|host| host.to_string()).collect();
-                match back.cause {
+            CloudAction::Return(instances) => {
+                let hosts = instances.machines.iter().map(|machine| machine.to_string()).collect();
+                match instances.reason {
                     ReturnReason::Surplus => StoredAction::Return { hosts },
                     ReturnReason::Reclaim => StoredAction::Reclaim { hosts },
                 }
             }
         };
-        let (key, digest) = (duty.key.to_string(), duty.digest.to_string());
-        Self { key, intended_ms: duty.intended_ms, digest, action }
+        let (key, digest) = (intent.key.to_string(), intent.digest.to_string());
+        Self { key, intended_ms: intent.intended_ms, digest, action }
     }
 }
 
 impl StoredAction {
-    fn action(self) -> Result<Action, &'static str> {
-        let back = |hosts: Vec<String>, cause| {
-            if hosts.is_empty() || hosts.len() > MAX_RETURN_HOSTS {
+    fn action(self) -> Result<CloudAction, &'static str> {
+        let instance_return = |hosts: Vec<String>, reason| {
+            if hosts.is_empty() || hosts.len() > MAX_RETURN_MACHINES {
                 return Err("a return of no machines or of too many");
             }
-            if !hosts.iter().all(|host| is_name(host)) {
-                return Err("no name of a machine");
+            if !hosts.iter().all(|machine| is_name(machine)) {
+                return Err("a machine's name is empty or too long");
             }
             let hosts = hosts.into_iter().map(Arc::from).collect();
-            Ok(Action::Return(Return { hosts, cause }))
+            Ok(CloudAction::Return(InstanceReturn { machines: hosts, reason }))
         };
         match self {
-            StoredAction::Return { hosts } => back(hosts, ReturnReason::Surplus),
-            StoredAction::Reclaim { hosts } => back(hosts, ReturnReason::Reclaim),
+            StoredAction::Return { hosts } => instance_return(hosts, ReturnReason::Surplus),
+            StoredAction::Reclaim { hosts } => instance_return(hosts, ReturnReason::Reclaim),
             StoredAction::Rent { name, machine_type, zone, spot, count } => {
                 if count == 0 || count > MAX_RENTAL_COUNT {
                     return Err("a rental of no machines or of too many");
                 }
                 if ![&name, &machine_type, &zone].into_iter().all(|text| is_name(text)) {
-                    return Err("no name");
+                    return Err("a name is empty or too long");
                 }
-                Ok(Action::Rent(Rental { name, machine_type, zone, spot, count }))
+                Ok(CloudAction::Rent(Rental { name, machine_type, zone, spot, count }))
             }
         }
     }
@@ -139,19 +183,19 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES
 }
 
-/// Bytes that a duty takes in a page, with the comma after it.
-pub fn stored_bytes(duty: &Intent) -> usize {
-    serde_json::to_string(&StoredIntent::of(duty)).map_or(usize::MAX, |text| text.len() + 1)
+/// Bytes that an intent takes in a page, with the comma after it.
+pub fn stored_bytes(intent: &Intent) -> usize {
+    serde_json::to_string(&StoredIntent::of(intent)).map_or(usize::MAX, |text| text.len() + 1)
 }
 
-/// A page as it is stored.
-pub fn encode<'a>(duties: impl Iterator<Item = &'a Intent>) -> String {
-    let page = StoredPage { format: FORMAT, duties: duties.map(StoredIntent::of).collect() };
+/// Encodes a page for the state service.
+pub fn encode<'a>(intents: impl Iterator<Item = &'a Intent>) -> String {
+    let page = StoredPage { format: FORMAT, duties: intents.map(StoredIntent::of).collect() };
     // Texts and numbers under fixed names can always be written.
     serde_json::to_string(&page).unwrap_or_default()
 }
 
-/// The duties of a page, as adopted ones, and what can't be read of it.
+/// Decodes a page into intents in state `Adopted`, and what can't be decoded of it.
 pub fn decode(key: &str, value: &str) -> (Vec<Intent>, Vec<RecordError>) {
     let Some(id) = PageId::parse(key) else {
         return (Vec::new(), vec![RecordError::Key { key: key.into() }]);
@@ -159,33 +203,33 @@
     let page = match serde_json::from_str::<StoredPageEnvelope>(value) {
         Ok(page) => page,
         Err(error) => {
-            return (Vec::new(), vec![RecordError::Page { key: key.into(), why: error.to_string() }])
+            return (Vec::new(), vec![RecordError::Page { key: key.into(), reason: error.to_string() }])
         }
     };
     if page.format != FORMAT {
         return (Vec::new(), vec![RecordError::Format { key: key.into(), format: page.format }]);
     }
-    let (mut duties, mut faults) = (Vec::new(), Vec::new());
+    let (mut intents, mut faults) = (Vec::new(), Vec::new());
     for (number, value) in page.duties.into_iter().enumerate() {
-        match decode_duty(id.holder, key, number, value) {
-            Ok(duty) => duties.push(duty),
+        match decode_intent(id.token, key, number, value) {
+            Ok(intent) => intents.push(intent),
             Err(fault) => faults.push(fault),
         }
     }
-    (duties, faults)
+    (intents, faults)
 }
 
-fn decode_duty(holder: u64, key: &str, number: usize, value: Value) -> Result<Intent, RecordError> {
-    let fault = |why: String| RecordError::Intent { key: key.into(), number, why };
+fn decode_intent(token: u64, key: &str, number: usize, value: Value) -> Result<Intent, RecordError> {
+    let fault = |reason: String| RecordError::Intent { key: key.into(), number, reason };
     let stored: StoredIntent = serde_json::from_value(value).map_err(|error| fault(error.to_string()))?;
     if !is_name(&stored.key) {
-        return Err(fault("no idempotency key".into()));
+        return Err(fault("the idempotency key is empty or too long".into()));
     }
-    let duty_key = IdempotencyKey::new(&stored.key);
-    let action = stored.action.action().map_err(|why| fault(why.into()))?;
-    let duty = Intent::adopted(duty_key.clone(), holder, action, stored.intended_ms);
-    if duty.digest.to_string() != stored.digest {
-        return Err(RecordError::ActionDigest { key: key.into(), duty: duty_key });
+    let idempotency_key = IdempotencyKey::new(&stored.key);
+    let action = stored.action.action().map_err(|reason| fault(reason.into()))?;
+    let intent = Intent::adopted(idempotency_key.clone(), token, action, stored.intended_ms);
+    if intent.digest.to_string() != stored.digest {
+        return Err(RecordError::DigestMismatch { key: key.into(), intent: idempotency_key });
     }
-    Ok(duty)
+    Ok(intent)
 }
--- a/crates/plankhead-fencing/src/token.rs
+++ b/crates/plankhead-fencing/src/token.rs
@@ -1,16 +1,18 @@
-//! The highest fencing token seen, for resources that are our own.
+//! The highest fencing token seen, which guards resources that plankhead itself owns.
 
 use thiserror::Error;
 
-/// A message under a token lower than one seen before.
+/// A message under a lower token than one seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("token {given} is over: {highest} was seen")]
 pub struct StaleToken {
+    /// The message's token.
     pub given: u64,
+    /// The highest token seen.
     pub highest: u64,
 }
 
-/// Keeps the highest token and refuses what comes under a lower one.
+/// Keeps the highest token and refuses messages under lower ones.
 #[derive(Debug, Clone, Default)]
 pub struct TokenGuard {
     highest: u64,
@@ -18,7 +20,7 @@
 }
 
 impl TokenGuard {
-    /// Takes in a message's token.
+    /// Admits a message by its token, or refuses it.
     pub fn admit(&mut self, given: u64) -> Result<(), StaleToken> {
         if given < self.highest {
             self.refused += 1;
@@ -28,11 +30,12 @@
         Ok(())
     }
 
-    /// A token became known without a message under it.
+    /// Raises the highest token without a message to admit.
     pub fn observe(&mut self, token: u64) {
         self.highest = self.highest.max(token);
     }
 
+    /// The highest token seen; 0: none yet.
     pub fn highest(&self) -> u64 {
         self.highest
     }
--- a/crates/plankhead-fencing/tests/duties.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -3,11 +3,11 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_fencing::action::{Action, Rental, Return, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, Rental, ReturnReason};
 use plankhead_fencing::gate::{Basis, FencingGate, GateError};
-use plankhead_fencing::log::{
-    IntentAdmission, IntentError, IntentLog, IntentPageWrite, IssueError, Limits, WriteOutcome,
+use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
+use plankhead_fencing::intent_log::{
+    IntentAdmission, IntentError, IntentLog, IntentPageWrite, IssueError, StoreLimits, WriteOutcome,
 };
 use plankhead_fencing::record::{self, PageId, RecordError};
 use plankhead_fencing::token::{StaleToken, TokenGuard};
@@ -16,15 +16,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const LIMITS: Limits = Limits { value_bytes: 1024, changes: 4, transaction_bytes: 16 * 1024 };
+const LIMITS: StoreLimits = StoreLimits { value_bytes: 1024, changes: 4, transaction_bytes: 16 * 1024 };
 
-fn rental(name: &str, count: u32) -> Action {
+fn rental(name: &str, count: u32) -> CloudAction {
     let (machine_type, zone) = ("g8".into(), "a".into());
-    Action::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
+    CloudAction::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
 }
 
-fn back(hosts: &[&str], cause: ReturnReason) -> Action {
-    Action::Return(Return { hosts: hosts.iter().map(|host| Arc::from(*host)).collect(), cause })
+fn back(hosts: &[&str], cause: ReturnReason) -> CloudAction {
+    CloudAction::Return(InstanceReturn {
+        machines: hosts.iter().map(|host| Arc::from(*host)).collect(),
+        reason: cause,
+    })
 }
 
 fn key(text: &str) -> IdempotencyKey {
@@ -39,7 +42,7 @@
 
 #[test]
 fn only_the_listed_transitions_are_allowed() {
-    use State::*;
+    use IntentState::*;
     let all = [Intended, Recorded, Adopted, Issued, Confirmed, Abandoned];
     let allowed = [
         (Intended, Recorded),
@@ -118,7 +121,7 @@
     let mut gate = FencingGate::fenced(41);
     assert_eq!(gate.pass(rental("r", 3), None), Err(GateError::NoProof));
     let other = gate.pass(rental("r", 3), Some(durable(40))).unwrap_err();
-    assert_eq!(other, GateError::OtherHolder { key: key("r"), given: 40, own: 41 });
+    assert_eq!(other, GateError::OtherToken { key: key("r"), given: 40, own: 41 });
     let changed = gate.pass(rental("r", 4), Some(durable(41))).unwrap_err();
     assert_eq!(changed, GateError::OtherAction { key: key("r") });
     assert_eq!(gate.counts().refused, 3);
@@ -177,7 +180,7 @@
     assert_eq!(new.inherit(&stored, &value, 9), Vec::new());
     let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
-    assert!(adopted.iter().all(|duty| duty.holder == 41 && duty.state() == State::Adopted));
+    assert!(adopted.iter().all(|duty| duty.token == 41 && duty.state() == IntentState::Adopted));
     assert!(!new.needs_compaction(), "open duties of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
@@ -186,7 +189,7 @@
         new.confirm(&key(name)).unwrap();
     }
     let (changes, _) = write(&mut new, WriteOutcome::Committed { revision: 70 });
-    assert_eq!(changes[0].page, PageId { holder: 41, number: 0 });
+    assert_eq!(changes[0].page, PageId { token: 41, number: 0 });
     assert_eq!((changes[0].expected, &changes[0].value), (9, &None));
 
     // Read once more, since reading failed halfway: nothing is there twice.
@@ -198,7 +201,7 @@
     assert_eq!(again.adopted().count(), 2);
     // A page of a later holder: this one leads no more.
     let later = IntentLog::new(40, LIMITS).inherit(&stored, &value, 9);
-    assert_eq!(later, vec![RecordError::LaterHolder { key: stored }]);
+    assert_eq!(later, vec![RecordError::LaterToken { key: stored }]);
 }
 
 #[test]
@@ -224,9 +227,9 @@
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
     let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
     let fits = log.machines_per_return(&hosts, ReturnReason::Surplus);
-    assert!(fits.hosts.len() > 50 && fits.hosts.len() < 100, "{}", fits.hosts.len());
-    log.intend(key("1"), Action::Return(fits), 5).unwrap();
-    let whole = Action::Return(Return { hosts, cause: ReturnReason::Surplus });
+    assert!(fits.machines.len() > 50 && fits.machines.len() < 100, "{}", fits.machines.len());
+    log.intend(key("1"), CloudAction::Return(fits), 5).unwrap();
+    let whole = CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Surplus });
     assert!(matches!(log.intend(key("2"), whole, 5), Err(IntentError::TooLarge { .. })));
     for n in 0..40 {
         log.intend(key(&format!("r{n}")), rental(&format!("r{n}"), 1), 5).unwrap();
@@ -272,7 +275,7 @@
     }
     // The same duty in two pages: the first counts.
     assert_eq!(log.inherit("duty/1/0", &page, 9), Vec::new());
-    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::Reused { .. }]));
+    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
     assert_eq!(log.adopted().count(), 1);
     // Fields of later versions are passed over.
     let later = page.replace("\"format\":1", "\"format\":1,\"more\":{}");
--- a/crates/plankhead/src/cloud.rs
+++ b/crates/plankhead/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::wire;
 use hyper::{Method, StatusCode};
 use plankhead_core::protocol::{CallError, CloudReply, CloudRequest};
-use plankhead_fencing::action::Action;
+use plankhead_fencing::action::CloudAction;
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -19,12 +19,12 @@
             (Method::GET, format!("/hosts?{after}most={PAGE}"), Vec::new())
         }
         CloudRequest::Execute(permitted) => match permitted.action() {
-            Action::Rent(rental) => {
+            CloudAction::Rent(rental) => {
                 let body = wire::rental(rental).to_string().into_bytes();
                 (Method::POST, "/hosts".into(), body)
             }
-            Action::Return(back) => {
-                let hosts: Vec<&str> = back.hosts.iter().map(|h| h.as_ref()).collect();
+            CloudAction::Return(back) => {
+                let hosts: Vec<&str> = back.machines.iter().map(|h| h.as_ref()).collect();
                 let body = serde_json::json!({ "hosts": hosts }).to_string().into_bytes();
                 (Method::POST, "/hosts/release".into(), body)
             }
@@ -46,14 +46,16 @@
 }
 
 /// What came of an action.
-fn acted(action: &Action, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
+fn acted(action: &CloudAction, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
     match (action, status) {
-        (Action::Rent(_), StatusCode::OK) => {
+        (CloudAction::Rent(_), StatusCode::OK) => {
             let names = wire::hired(body).ok_or(CallError::OutcomeUnknown)?;
             Ok(CloudReply::Rented(names.into_iter().map(Into::into).collect()))
         }
-        (Action::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if refused(body) => Ok(CloudReply::NoCapacity),
-        (Action::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
+        (CloudAction::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if refused(body) => {
+            Ok(CloudReply::NoCapacity)
+        }
+        (CloudAction::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
         _ => Err(CallError::OutcomeUnknown),
     }
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -7,7 +7,7 @@
 use jiff::Timestamp;
 use plankhead_core::leadership::election::{self, Holder};
 use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
-use plankhead_fencing::duty::Intent;
+use plankhead_fencing::intent::Intent;
 use plankhead_fencing::record::{self, RecordError};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -82,8 +82,8 @@
 fn waits_for(duty: &Intent, leader: Option<&Leadership>) -> &'static str {
     match leader {
         None => "a leader, who will adopt it",
-        Some(leader) if leader.token == duty.holder => "the cloud's answer, or its record's removal",
-        Some(leader) if leader.token > duty.holder => "the leader, who has adopted it or will",
+        Some(leader) if leader.token == duty.token => "the cloud's answer, or its record's removal",
+        Some(leader) if leader.token > duty.token => "the leader, who has adopted it or will",
         Some(_) => "nobody: its holder is later than the leader",
     }
 }
@@ -112,7 +112,7 @@
             text,
             "{:<24} {:>10} {:<8} {:<32} {local:<20} {age:>6} s  {}",
             duty.key.to_string(),
-            duty.holder,
+            duty.token,
             duty.action.kind(),
             duty.action.subject(),
             waits_for(duty, listing.leader.as_ref()),
--- a/crates/plankhead/src/tests/duties.rs
+++ b/crates/plankhead/src/tests/duties.rs
@@ -3,13 +3,13 @@
 use crate::duties::{table, Leadership, Listing};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use plankhead_fencing::action::{Action, Rental, Return, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, Rental, ReturnReason};
+use plankhead_fencing::intent::{IdempotencyKey, Intent};
 use plankhead_fencing::record::RecordError;
 
 const AT_MS: i64 = 1_796_202_000_000;
 
-fn duty(key: &str, holder: u64, action: Action) -> Intent {
+fn duty(key: &str, holder: u64, action: CloudAction) -> Intent {
     Intent::adopted(IdempotencyKey::new(key), holder, action, AT_MS as u64)
 }
 
@@ -26,8 +26,12 @@
     let mut listing = Listing {
         leader: Some(Leadership { host: "plank-1".into(), token: 57 }),
         duties: vec![
-            duty("plank-0-41-3", 41, Action::Rent(rental)),
-            duty("57.1", 57, Action::Return(Return { hosts, cause: ReturnReason::Reclaim })),
+            duty("plank-0-41-3", 41, CloudAction::Rent(rental)),
+            duty(
+                "57.1",
+                57,
+                CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Reclaim }),
+            ),
         ],
         faults: vec![RecordError::Format { key: "duty/60/0".into(), format: 2 }],
     };
