--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -18,8 +18,8 @@
 use crate::requests::RequestHandler;
 use crate::settings::Settings;
 use jobs::JobWatch;
-use plankhead_sharding::alive::Numbers;
 use plankhead_sharding::freshness::Freshness;
+use plankhead_sharding::machine_numbers::MachineNumbers;
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::table::ShardTable;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -102,7 +102,7 @@
     /// Machines heard with nothing new since the last message, and since when.
     alive: BTreeSet<MachineName>,
     alive_since: Duration,
-    numbers: Numbers,
+    numbers: MachineNumbers,
     stream: u64,
     /// The leader has been told the beginning of the stream.
     stream_begun: bool,
@@ -144,7 +144,7 @@
             unreported: BTreeSet::new(),
             alive: BTreeSet::new(),
             alive_since: Duration::ZERO,
-            numbers: Numbers::default(),
+            numbers: MachineNumbers::default(),
             stream: 0,
             stream_begun: false,
             sequence: 0,
@@ -228,7 +228,7 @@
     fn restart_stream(&mut self) {
         self.stream += 1;
         self.stream_begun = false;
-        self.numbers = Numbers::default();
+        self.numbers = MachineNumbers::default();
         self.alive.clear();
         self.unreported = self.fleet.machines.keys().cloned().collect();
     }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Machine;
 use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
 use crate::settings::Settings;
-use plankhead_sharding::alive::Names;
+use plankhead_sharding::machine_numbers::NumberedMachines;
 use plankhead_sharding::registry::ShardRegistry;
 use plankhead_sharding::sequence::SequenceGuard;
 use plankhead_sharding::shard::ShardId;
@@ -48,7 +48,7 @@
     zone: String,
     sees_records: bool,
     stream: u64,
-    names: Names,
+    names: NumberedMachines,
     /// Machines whose commands may have changed.
     due: BTreeSet<MachineName>,
     /// What it has been told last of each machine: in which session, and which commands.
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -9,7 +9,7 @@
 use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
 use plankhead_sharding::balance::Candidate;
-use plankhead_sharding::registry::{Named, Reason, RecordWrite, RegistryInput, WriteOutcome};
+use plankhead_sharding::registry::{HolderNamed, NamingReason, RecordWrite, RegistryInput, WriteOutcome};
 use std::time::Duration;
 
 impl Leader {
@@ -25,7 +25,7 @@
         let peers = shards.peers.iter().filter(|(_, peer)| there(peer));
         let peers = peers.map(|(host, peer)| (host, &peer.zone, 1.0, peer.boot_id));
         for (host, zone, capacity, boot) in peers.chain([own]) {
-            around.alive.insert(host.clone(), boot);
+            around.live_nodes.insert(host.clone(), boot);
             if !settings.drained.contains(host) {
                 let (host, zone) = (host.clone(), zone.clone());
                 around.candidates.push(Candidate { host, zone, capacity });
@@ -111,7 +111,7 @@
         let Some(shards) = &mut self.shards else { return true };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
         shards.next_write_at = if committed { now } else { now + WRITE_PAUSE };
-        let named: Vec<Named> = writes
+        let named: Vec<HolderNamed> = writes
             .iter()
             .filter_map(|write| shards.registry.write_completed(write, outcome, sent, now))
             .collect();
@@ -122,8 +122,8 @@
     }
 
     /// A shard has a holder from now on.
-    pub(super) fn holder_named(&mut self, now: Duration, named: Named, effects: &mut EffectSink) {
-        let Named { shard, from, to, epoch, reason } = named;
+    pub(super) fn holder_named(&mut self, now: Duration, named: HolderNamed, effects: &mut EffectSink) {
+        let HolderNamed { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
         if moved {
             let before = from.as_deref().unwrap_or("nobody");
@@ -147,7 +147,7 @@
         }
         if let Some(peer) = shards.peers.get_mut(&to).filter(|_| !own) {
             peer.due.extend(hosts.iter().cloned());
-            if reason != Reason::Renewed {
+            if reason != NamingReason::Renewed {
                 peer.newly_held.insert(shard);
             }
         }
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -5,7 +5,7 @@
 use crate::fleet::RemovalReason;
 use crate::protocol::MachineName;
 use crate::shards::messages::{Delivery, HolderStatus, MachineUpdate};
-use plankhead_sharding::alive::Names;
+use plankhead_sharding::machine_numbers::NumberedMachines;
 use plankhead_sharding::sequence::Admission;
 
 impl Leader {
@@ -36,7 +36,7 @@
         let other_stream = restarted || peer.stream != message.stream;
         if other_stream {
             peer.stream = message.stream;
-            peer.names = Names::default();
+            peer.names = NumberedMachines::default();
         }
         if restarted {
             // A process that has begun anew knows nothing of what it was told.
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -4,7 +4,7 @@
 use crate::calls::{CallPurpose, ElectionCall};
 use crate::effects::EffectSink;
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
-use plankhead_reachability::handover::HOLD_BACK;
+use plankhead_reachability::handover::SUCCESSOR_HEADSTART;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -109,7 +109,7 @@
     /// Until when a vacant key is left to others.
     fn deferred_until(&self) -> Option<Duration> {
         let held = self.defers_to_peers && self.stage == Stage::Vacant;
-        held.then_some(self.vacant_since + HOLD_BACK)
+        held.then_some(self.vacant_since + SUCCESSOR_HEADSTART)
     }
 
     pub fn token(&self) -> Option<u64> {
--- a/crates/plankhead-core/src/reachability.rs
+++ b/crates/plankhead-core/src/reachability.rs
@@ -91,12 +91,12 @@
 
 fn state_link(op: &KvRequest) -> LinkId {
     match op {
-        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::StateReads,
+        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::KvReads,
         KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => {
-            LinkId::StateWrites
+            LinkId::KvWrites
         }
-        KvRequest::RenewLease { .. } => LinkId::StateRenewal,
-        KvRequest::Watch { .. } => LinkId::StateWatch,
+        KvRequest::RenewLease { .. } => LinkId::KvLeaseRenewal,
+        KvRequest::Watch { .. } => LinkId::KvWatch,
     }
 }
 
@@ -173,7 +173,7 @@
             };
             self.links_of_calls.insert(call, link);
             // A watch waits by its nature, and a machine that hangs is no link's fault.
-            if !matches!(link, LinkId::StateWatch | LinkId::Commands) {
+            if !matches!(link, LinkId::KvWatch | LinkId::Commands) {
                 self.monitor.sent(link, call, now);
             }
         }
@@ -226,8 +226,8 @@
     /// A worker that was answered before reported again, and does or does not show it.
     pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
         match shown {
-            true => self.monitor.confirmed(LinkId::Answers, now),
-            false => self.monitor.failed(LinkId::Answers, now),
+            true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
+            false => self.monitor.failed(LinkId::HeartbeatReplies, now),
         }
     }
 
@@ -252,8 +252,8 @@
 
     /// The lease is over: nothing renews it, so that nothing tells of that link.
     pub fn leadership_lost(&mut self) {
-        self.monitor.forget_link(LinkId::StateRenewal);
-        self.monitor.forget_link(LinkId::Answers);
+        self.monitor.forget_link(LinkId::KvLeaseRenewal);
+        self.monitor.forget_link(LinkId::HeartbeatReplies);
     }
 
     // ----- coverage -----
@@ -434,13 +434,13 @@
 
     /// Tries links that fail and that nothing else uses.
     fn probe(&mut self, now: Duration, effects: &mut EffectSink) {
-        if self.monitor.wants_probe(LinkId::StateReads, now) {
+        if self.monitor.wants_probe(LinkId::KvReads, now) {
             effects.call_kv(
                 CallPurpose::Reachability(ReachabilityCall::Probe),
                 KvRequest::Get { key: election::KEY.into() },
             );
         }
-        if self.monitor.wants_probe(LinkId::StateWrites, now) {
+        if self.monitor.wants_probe(LinkId::KvWrites, now) {
             let conditions = vec![Condition { key: election::KEY.into(), mod_revision: NO_REVISION }];
             let changes = vec![KvChange::Delete { key: election::KEY.into() }];
             effects.call_kv(
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -10,7 +10,7 @@
 use plankhead_core::leadership::election::Holder;
 use plankhead_fencing::record;
 use plankhead_reachability::numbering::{self, MachineNumbering};
-use plankhead_sharding::record::Record;
+use plankhead_sharding::record::ShardRecord;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +60,7 @@
 
 #[test]
 fn shard_records_are_the_same_bytes() {
-    same_bytes::<Record>("shard/");
+    same_bytes::<ShardRecord>("shard/");
 }
 
 #[test]
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// What others told this long ago counts no more.
-pub const LIFE: Duration = Duration::from_secs(6);
+pub const COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Bytes of one bitmap: four thousand machines need a few hundred to eight thousand.
 pub const MAX_BITMAP_BYTES: usize = 64 * 1024;
 const MAX_NAME_BYTES: usize = 200;
@@ -95,14 +95,14 @@
 }
 
 #[derive(Debug)]
-struct Told {
+struct ReceivedCoverage {
     at: Duration,
     coverage: Coverage,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
-    latest: Option<Told>,
+    latest: Option<ReceivedCoverage>,
     former_boots: VecDeque<u64>,
 }
 
@@ -149,7 +149,7 @@
                 peer.former_boots.pop_front();
             }
         }
-        Ok(&peer.latest.insert(Told { at: now, coverage }).coverage)
+        Ok(&peer.latest.insert(ReceivedCoverage { at: now, coverage }).coverage)
     }
 
     fn check(
@@ -197,7 +197,7 @@
     /// What peers told lately.
     pub fn fresh(&self, now: Duration) -> impl Iterator<Item = &Coverage> {
         let told = self.peers.values().filter_map(|peer| peer.latest.as_ref());
-        told.filter(move |told| now.saturating_sub(told.at) < LIFE).map(|told| &told.coverage)
+        told.filter(move |told| now.saturating_sub(told.at) < COVERAGE_TIMEOUT).map(|told| &told.coverage)
     }
 
     /// Whether every peer has told lately.
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// How long the others leave the lease to the successor.
-pub const HOLD_BACK: Duration = Duration::from_millis(1500);
+pub const SUCCESSOR_HEADSTART: Duration = Duration::from_millis(1500);
 /// Hand-overs are remembered for so long.
 const MEMORY: Duration = Duration::from_secs(120);
 /// The least tenure is doubled this many times at the most.
--- a/crates/plankhead-reachability/src/link.rs
+++ b/crates/plankhead-reachability/src/link.rs
@@ -32,15 +32,15 @@
 /// Which connection, and which way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LinkId {
-    StateReads,
-    StateWrites,
-    StateWatch,
+    KvReads,
+    KvWrites,
+    KvWatch,
     /// Renewals of the leader's lease.
-    StateRenewal,
+    KvLeaseRenewal,
     /// Reports of workers that reach this node.
-    Reports,
+    HeartbeatsIn,
     /// Answers to reports, which the next report confirms.
-    Answers,
+    HeartbeatReplies,
     /// Commands sent straight to workers.
     Commands,
     Cloud,
@@ -54,12 +54,12 @@
     /// A name for logs and views.
     pub fn name(self) -> &'static str {
         match self {
-            Self::StateReads => "stateReads",
-            Self::StateWrites => "stateWrites",
-            Self::StateWatch => "stateWatch",
-            Self::StateRenewal => "stateRenewal",
-            Self::Reports => "reportsIn",
-            Self::Answers => "answersAccepted",
+            Self::KvReads => "stateReads",
+            Self::KvWrites => "stateWrites",
+            Self::KvWatch => "stateWatch",
+            Self::KvLeaseRenewal => "stateRenewal",
+            Self::HeartbeatsIn => "reportsIn",
+            Self::HeartbeatReplies => "answersAccepted",
             Self::Commands => "commandsOut",
             Self::Cloud => "cloud",
             Self::PeerIn(_) => "peerIn",
@@ -70,7 +70,7 @@
 
 /// What is known of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum LinkCondition {
     /// Nothing went over it lately: neither up nor down.
     Unknown,
     Up,
@@ -79,7 +79,7 @@
     Down,
 }
 
-impl Condition {
+impl LinkCondition {
     pub fn name(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -93,17 +93,17 @@
 /// What a link was last judged to be, and since when.
 #[derive(Debug, Clone, Copy)]
 struct LinkJudgement {
-    condition: Condition,
+    condition: LinkCondition,
     since: Duration,
 }
 
 impl LinkJudgement {
     fn new(now: Duration) -> Self {
-        Self { condition: Condition::Unknown, since: now }
+        Self { condition: LinkCondition::Unknown, since: now }
     }
 
     /// Takes in the present condition; true if it is another.
-    fn set(&mut self, condition: Condition, now: Duration) -> bool {
+    fn set(&mut self, condition: LinkCondition, now: Duration) -> bool {
         let changed = condition != self.condition;
         if changed {
             *self = Self { condition, since: now };
@@ -229,17 +229,17 @@
         let fresh = self.confirmed_at.is_some_and(|at| now.saturating_sub(at) < IDLE);
         let enough = failures >= MIN_FAILURES;
         let condition = match since {
-            Some(_) if lasts && enough => Condition::Down,
+            Some(_) if lasts && enough => LinkCondition::Down,
             // A link that was down stays so until something is confirmed.
-            Some(_) if self.judgement.condition == Condition::Down => Condition::Down,
-            Some(_) => Condition::Suspect,
-            None if fresh => Condition::Up,
-            None => Condition::Unknown,
+            Some(_) if self.judgement.condition == LinkCondition::Down => LinkCondition::Down,
+            Some(_) => LinkCondition::Suspect,
+            None if fresh => LinkCondition::Up,
+            None => LinkCondition::Unknown,
         };
         self.judgement.set(condition, now)
     }
 
-    pub fn condition(&self) -> Condition {
+    pub fn condition(&self) -> LinkCondition {
         self.judgement.condition
     }
 
@@ -259,7 +259,7 @@
     pub fn wants_probe(&self, now: Duration) -> bool {
         let doubtful = self.failing.is_some() || self.overdue(now).is_some();
         // While it is down the end should be seen soon, whatever is stuck in connections.
-        if self.judgement.condition == Condition::Down {
+        if self.judgement.condition == LinkCondition::Down {
             return doubtful && self.outstanding.len() < MAX_PROBES;
         }
         let quiet = self.sent_at.is_none_or(|at| now.saturating_sub(at) >= QUIET);
@@ -333,15 +333,15 @@
         let (expected, silence) = (self.expected_since.is_some(), self.silence(now));
         let quiet = self.last.map(|last| now.saturating_sub(last));
         let condition = match quiet {
-            Some(quiet) if expected && quiet >= silence => Condition::Down,
-            Some(quiet) if expected && quiet >= silence / 2 => Condition::Suspect,
-            Some(quiet) if quiet < IDLE && self.count > 0 => Condition::Up,
-            _ => Condition::Unknown,
+            Some(quiet) if expected && quiet >= silence => LinkCondition::Down,
+            Some(quiet) if expected && quiet >= silence / 2 => LinkCondition::Suspect,
+            Some(quiet) if quiet < IDLE && self.count > 0 => LinkCondition::Up,
+            _ => LinkCondition::Unknown,
         };
         self.judgement.set(condition, now)
     }
 
-    pub fn condition(&self) -> Condition {
+    pub fn condition(&self) -> LinkCondition {
         self.judgement.condition
     }
 
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -1,9 +1,9 @@
 //! All links of one node, and the mode that follows from them.
 
-use crate::link::{ArrivalMonitor, Condition, Link, LinkCounts, LinkId};
+use crate::link::{ArrivalMonitor, Link, LinkCondition, LinkCounts, LinkId};
 use crate::mode::Mode;
 use crate::settings::Settings;
-use crate::side::Side;
+use crate::side::SideStatus;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -24,13 +24,13 @@
 /// With fewer, one that takes no answers is not told from a link that carries none.
 const MIN_ANSWERED: usize = 3;
 
-const STATE_LINKS: [LinkId; 3] = [LinkId::StateReads, LinkId::StateWrites, LinkId::StateRenewal];
+const STATE_LINKS: [LinkId; 3] = [LinkId::KvReads, LinkId::KvWrites, LinkId::KvLeaseRenewal];
 const CALL_LINKS: [LinkId; 7] = [
-    LinkId::StateReads,
-    LinkId::StateWrites,
-    LinkId::StateWatch,
-    LinkId::StateRenewal,
-    LinkId::Answers,
+    LinkId::KvReads,
+    LinkId::KvWrites,
+    LinkId::KvWatch,
+    LinkId::KvLeaseRenewal,
+    LinkId::HeartbeatReplies,
     LinkId::Commands,
     LinkId::Cloud,
 ];
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinkView {
     pub link: LinkId,
-    pub condition: Condition,
+    pub condition: LinkCondition,
     pub since: Duration,
     pub counts: LinkCounts,
     /// The 99th percentile of round trips.
@@ -61,8 +61,8 @@
     links: BTreeMap<LinkId, Link>,
     reports: ArrivalMonitor,
     peers: Vec<ArrivalMonitor>,
-    state: Side,
-    workers: Side,
+    state: SideStatus,
+    workers: SideStatus,
     mode: Mode,
     mode_since: Duration,
     judged: Duration,
@@ -84,8 +84,8 @@
             links: CALL_LINKS.into_iter().chain(out).map(|id| (id, link())).collect(),
             reports: ArrivalMonitor::new(MIN_WORKER_SILENCE.min(most_silence), most_silence, now),
             peers: (0..peers).map(peer).collect(),
-            state: Side::new(settings, now),
-            workers: Side::new(settings, now),
+            state: SideStatus::new(settings, now),
+            workers: SideStatus::new(settings, now),
             mode: Mode::Whole,
             mode_since: now,
             judged: now,
@@ -174,15 +174,15 @@
             link.judge(now);
         }
         let state = STATE_LINKS.iter().all(|id| !self.is_down(*id));
-        let answers = machines < MIN_ANSWERED || !self.is_down(LinkId::Answers);
-        let workers = answers && self.reports.condition() != Condition::Down;
+        let answers = machines < MIN_ANSWERED || !self.is_down(LinkId::HeartbeatReplies);
+        let workers = answers && self.reports.condition() != LinkCondition::Down;
         self.state.judge(state, now);
         self.workers.judge(workers, now);
         self.change(now)
     }
 
     fn is_down(&self, id: LinkId) -> bool {
-        self.links.get(&id).is_some_and(|link| link.condition() == Condition::Down)
+        self.links.get(&id).is_some_and(|link| link.condition() == LinkCondition::Down)
     }
 
     fn change(&mut self, now: Duration) -> Option<ModeChange> {
@@ -197,8 +197,8 @@
     }
 
     fn down_links(&self) -> Vec<&'static str> {
-        let calls = STATE_LINKS.into_iter().chain([LinkId::Answers]).filter(|id| self.is_down(*id));
-        let reports = (self.reports.condition() == Condition::Down).then_some(LinkId::Reports);
+        let calls = STATE_LINKS.into_iter().chain([LinkId::HeartbeatReplies]).filter(|id| self.is_down(*id));
+        let reports = (self.reports.condition() == LinkCondition::Down).then_some(LinkId::HeartbeatsIn);
         calls.chain(reports).map(LinkId::name).collect()
     }
 
@@ -235,7 +235,7 @@
     /// Whether a peer's heartbeats arrive.
     pub fn hears_peer(&self, peer: usize) -> bool {
         let condition = self.peers.get(peer).map(ArrivalMonitor::condition);
-        matches!(condition, Some(Condition::Up | Condition::Suspect))
+        matches!(condition, Some(LinkCondition::Up | LinkCondition::Suspect))
     }
 
     /// Whether the state service answers, and is not trusted yet since it kept failing.
@@ -256,8 +256,8 @@
     /// When to judge next unless something comes before.
     pub fn next_due(&self, now: Duration) -> Option<Duration> {
         let sound = self.mode == Mode::Whole
-            && self.reports.condition() != Condition::Suspect
-            && STATE_LINKS.iter().all(|id| self.links[id].condition() != Condition::Suspect);
+            && self.reports.condition() != LinkCondition::Suspect
+            && STATE_LINKS.iter().all(|id| self.links[id].condition() != LinkCondition::Suspect);
         (!sound).then_some(now + CLOSE_LOOK)
     }
 
@@ -270,7 +270,7 @@
             high_round_trip: link.high_round_trip(),
         });
         let peers = (0..).zip(&self.peers).map(|(peer, arrivals)| (LinkId::PeerIn(peer), arrivals));
-        let arrivals = peers.chain([(LinkId::Reports, &self.reports)]).map(|(id, arrivals)| LinkView {
+        let arrivals = peers.chain([(LinkId::HeartbeatsIn, &self.reports)]).map(|(id, arrivals)| LinkView {
             link: id,
             condition: arrivals.condition(),
             since: arrivals.since(),
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -56,7 +56,7 @@
 
 /// Why something may not be done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum DenialReason {
     /// It could not be recorded.
     NoState,
     /// It could not be confirmed by the workers.
@@ -70,7 +70,7 @@
     LeaseRunsOut,
 }
 
-impl Reason {
+impl DenialReason {
     pub fn text(self) -> &'static str {
         match self {
             Self::NoState => "the state service is not reached",
@@ -100,9 +100,9 @@
     /// As long as the evidence is there.
     Within(Precondition),
     /// Not now: it is done once the side is back.
-    Deferred(Reason),
+    Deferred(DenialReason),
     /// Refused at once.
-    Forbidden(Reason),
+    Forbidden(DenialReason),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -126,10 +126,10 @@
 }
 
 fn standard(mode: Mode, action: Action) -> Permission {
+    use DenialReason::*;
     use Mode::*;
     use Permission::*;
     use Precondition::*;
-    use Reason::*;
     match (action, mode) {
         // Each is carried by the state service's own answer.
         (Action::Accept | Action::Cancel, Whole | StateOnly) => Allowed,
--- a/crates/plankhead-reachability/src/side.rs
+++ b/crates/plankhead-reachability/src/side.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Debug)]
-pub struct Side {
+pub struct SideStatus {
     up_after: Duration,
     damping: FlapDamping,
     up: bool,
@@ -14,7 +14,7 @@
     good_since: Option<Duration>,
 }
 
-impl Side {
+impl SideStatus {
     /// What is not known yet is not broken.
     pub fn new(settings: &Settings, now: Duration) -> Self {
         Self {
--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -181,13 +181,13 @@
     table.receive(hears, NOW, &numbering, None).unwrap();
     assert!(table.heard_by_a_peer("machine-00004", &numbering, NOW));
     assert!(!table.heard_by_a_peer("machine-00005", &numbering, NOW));
-    assert!(!table.heard_by_a_peer("machine-00004", &numbering, NOW + LIFE), "it is too old");
+    assert!(!table.heard_by_a_peer("machine-00004", &numbering, NOW + COVERAGE_TIMEOUT), "it is too old");
     assert!(!table.nobody_hears(NOW));
     table.receive(from("plank-1", 2), NOW, &numbering, None).unwrap();
     assert!(!table.nobody_hears(NOW), "one peer has said nothing");
     table.receive(from("plank-2", 1), NOW, &numbering, None).unwrap();
     assert!(table.nobody_hears(NOW));
-    assert!(!table.nobody_hears(NOW + LIFE));
+    assert!(!table.nobody_hears(NOW + COVERAGE_TIMEOUT));
 }
 
 fn own(mode: Mode, heard: u64) -> LeaderView {
--- a/crates/plankhead-reachability/tests/links.rs
+++ b/crates/plankhead-reachability/tests/links.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_reachability::damping::FlapDamping;
-use plankhead_reachability::link::{Condition, Link, LinkId};
+use plankhead_reachability::link::{Link, LinkCondition, LinkId};
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::monitor::Monitor;
 use plankhead_reachability::settings::Settings;
@@ -53,10 +53,10 @@
         let now = self.now;
         if self.now.as_millis().is_multiple_of(200) {
             let calls = [
-                (LinkId::StateReads, works.reads),
-                (LinkId::StateWrites, works.writes),
-                (LinkId::StateRenewal, works.renewals),
-                (LinkId::Answers, works.answers),
+                (LinkId::KvReads, works.reads),
+                (LinkId::KvWrites, works.writes),
+                (LinkId::KvLeaseRenewal, works.renewals),
+                (LinkId::HeartbeatReplies, works.answers),
             ];
             for (link, works) in calls {
                 self.call += 1;
@@ -119,16 +119,16 @@
 #[test]
 fn an_idle_link_is_unknown_and_not_broken() {
     let mut link = Link::new(ms(1_000), START);
-    assert_eq!(link.condition(), Condition::Unknown);
+    assert_eq!(link.condition(), LinkCondition::Unknown);
     link.confirmed(START);
     link.judge(START);
-    assert_eq!(link.condition(), Condition::Up);
+    assert_eq!(link.condition(), LinkCondition::Up);
     link.judge(START + ms(60_000));
-    assert_eq!(link.condition(), Condition::Unknown);
+    assert_eq!(link.condition(), LinkCondition::Unknown);
     // One failure is anybody's, however long ago.
     link.failed(START + ms(60_000));
     link.judge(START + ms(90_000));
-    assert_eq!(link.condition(), Condition::Suspect);
+    assert_eq!(link.condition(), LinkCondition::Suspect);
     assert!(link.wants_probe(START + ms(90_000)));
 }
 
@@ -144,19 +144,19 @@
     let sent = START + ms(2_000);
     link.sent(100, sent);
     link.judge(sent + ms(1_100));
-    assert_eq!(link.condition(), Condition::Suspect);
+    assert_eq!(link.condition(), LinkCondition::Suspect);
     // One call alone may be lost: another must not be answered either.
     link.judge(sent + ms(9_000));
-    assert_eq!(link.condition(), Condition::Suspect);
+    assert_eq!(link.condition(), LinkCondition::Suspect);
     assert!(!link.wants_probe(sent + ms(300)));
     assert!(link.wants_probe(sent + ms(1_000)));
     link.sent(101, sent + ms(1_000));
     link.judge(sent + ms(1_300));
-    assert_eq!(link.condition(), Condition::Down);
+    assert_eq!(link.condition(), LinkCondition::Down);
     // Its answer is late, and confirms the link all the same.
     link.answered(100, sent + ms(5_000));
     link.judge(sent + ms(5_000));
-    assert_eq!(link.condition(), Condition::Up);
+    assert_eq!(link.condition(), LinkCondition::Up);
 }
 
 /// A slow service is not a missing one: its own times are what it is judged by.
@@ -168,7 +168,7 @@
         link.sent(n, now);
         now += ms(900);
         link.judge(now);
-        assert_ne!(link.condition(), Condition::Down, "call {n}");
+        assert_ne!(link.condition(), LinkCondition::Down, "call {n}");
         link.answered(n, now);
     }
     assert_eq!(link.overdue_after(), ms(1_000));
@@ -183,7 +183,7 @@
     link.unanswered(1, START + ms(5_100));
     link.failed(START + ms(5_100));
     link.judge(START + ms(5_200));
-    assert_eq!(link.condition(), Condition::Suspect, "sent before the confirmation");
+    assert_eq!(link.condition(), LinkCondition::Suspect, "sent before the confirmation");
 }
 
 /// A process that was paused finds all its calls overdue: they tell of the pause.
@@ -191,10 +191,10 @@
 fn a_pause_breaks_no_link() {
     let mut life = Life::new();
     life.live(ALL, ms(5_000));
-    life.monitor.sent(LinkId::StateReads, 1_000_000, life.now);
+    life.monitor.sent(LinkId::KvReads, 1_000_000, life.now);
     life.now += ms(30_000);
-    life.monitor.unanswered(LinkId::StateReads, 1_000_000, life.now);
-    life.monitor.unanswered(LinkId::StateReads, 1_000_001, life.now);
+    life.monitor.unanswered(LinkId::KvReads, 1_000_000, life.now);
+    life.monitor.unanswered(LinkId::KvReads, 1_000_001, life.now);
     assert_eq!(life.monitor.judge(life.now, 10), None);
     assert_eq!(life.monitor.freezes(), 1);
     life.live(ALL, ms(3_000));
--- a/crates/plankhead-sharding/src/balance.rs
+++ b/crates/plankhead-sharding/src/balance.rs
@@ -16,15 +16,15 @@
 }
 
 /// Machines by shard, and who holds each of them.
-pub type Holdings = BTreeMap<ShardId, Holding>;
+pub type ShardLoads = BTreeMap<ShardId, ShardLoad>;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holding {
+pub struct ShardLoad {
     pub machines: u32,
     pub holder: Option<String>,
 }
 
-impl Holding {
+impl ShardLoad {
     /// A shard without machines has a weight, too: those to come.
     fn weight(&self) -> f64 {
         f64::from(self.machines.max(1))
@@ -33,14 +33,14 @@
 
 /// A move that would even the load out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Move {
+pub struct Rebalance {
     pub shard: ShardId,
     pub to: String,
 }
 
-fn load(host: &str, holdings: &Holdings) -> f64 {
+fn load(host: &str, holdings: &ShardLoads) -> f64 {
     let held = holdings.values().filter(|holding| holding.holder.as_deref() == Some(host));
-    held.map(Holding::weight).sum()
+    held.map(ShardLoad::weight).sum()
 }
 
 fn cost(candidate: &Candidate, zone: &str, load: f64) -> f64 {
@@ -52,17 +52,17 @@
 pub fn choose<'a>(
     shard: &ShardId,
     candidates: &'a [Candidate],
-    holdings: &Holdings,
+    holdings: &ShardLoads,
 ) -> Option<&'a Candidate> {
-    let weight = holdings.get(shard).map_or(1.0, Holding::weight);
+    let weight = holdings.get(shard).map_or(1.0, ShardLoad::weight);
     let cost = |candidate: &Candidate| cost(candidate, &shard.zone, load(&candidate.host, holdings) + weight);
     candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then_with(|| a.host.cmp(&b.host)))
 }
 
 /// The move that gains most, if one gains more than `hysteresis` of its holder's load. The
 /// reverse of such a move never does.
-pub fn improve(candidates: &[Candidate], holdings: &Holdings, hysteresis: f64) -> Option<Move> {
-    let mut best: Option<(f64, Move)> = None;
+pub fn improve(candidates: &[Candidate], holdings: &ShardLoads, hysteresis: f64) -> Option<Rebalance> {
+    let mut best: Option<(f64, Rebalance)> = None;
     for (shard, holding) in holdings {
         let holder =
             candidates.iter().find(|candidate| Some(candidate.host.as_str()) == holding.holder.as_deref());
@@ -73,7 +73,7 @@
             let gain = now - then;
             let better = best.as_ref().is_none_or(|(most, _)| gain > *most);
             if gain > now * hysteresis && better {
-                best = Some((gain, Move { shard: shard.clone(), to: other.host.clone() }));
+                best = Some((gain, Rebalance { shard: shard.clone(), to: other.host.clone() }));
             }
         }
     }
--- a/crates/plankhead-sharding/src/lib.rs
+++ b/crates/plankhead-sharding/src/lib.rs
@@ -8,9 +8,9 @@
 //!
 //! Nothing here does input or output.
 
-pub mod alive;
 pub mod balance;
 pub mod freshness;
+pub mod machine_numbers;
 pub mod record;
 pub mod registry;
 pub mod sequence;
--- a/crates/plankhead-sharding/src/alive.rs
+++ b/crates/plankhead-sharding/src/machine_numbers.rs
@@ -12,7 +12,7 @@
 pub const MAX_BITMAP_BYTES: usize = 16 * 1024;
 
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-pub enum AliveSetError {
+pub enum BitmapError {
     #[error("a bitmap that is too large")]
     TooLarge,
     #[error("not a bitmap")]
@@ -21,12 +21,12 @@
 
 /// The holder's side: numbers for machines, given with the first news of each.
 #[derive(Debug, Default)]
-pub struct Numbers {
+pub struct MachineNumbers {
     by_name: HashMap<Arc<str>, u32>,
     next: u32,
 }
 
-impl Numbers {
+impl MachineNumbers {
     /// The number of a machine, a new one if it has none. `None`: the stream is full and is
     /// to be begun anew.
     pub fn assign(&mut self, machine: &Arc<str>) -> Option<u32> {
@@ -49,9 +49,9 @@
 
 /// The leader's side: the machines behind a holder's numbers.
 #[derive(Debug, Default)]
-pub struct Names(HashMap<u32, Arc<str>>);
+pub struct NumberedMachines(HashMap<u32, Arc<str>>);
 
-impl Names {
+impl NumberedMachines {
     pub fn assign(&mut self, number: u32, machine: Arc<str>) {
         if self.0.len() < MAX_MACHINES || self.0.contains_key(&number) {
             self.0.insert(number, machine);
@@ -73,13 +73,13 @@
     bytes
 }
 
-pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, AliveSetError> {
+pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, BitmapError> {
     if bytes.len() > MAX_BITMAP_BYTES {
-        return Err(AliveSetError::TooLarge);
+        return Err(BitmapError::TooLarge);
     }
-    let numbers = RoaringBitmap::deserialize_from(bytes).map_err(|_| AliveSetError::Malformed)?;
+    let numbers = RoaringBitmap::deserialize_from(bytes).map_err(|_| BitmapError::Malformed)?;
     if numbers.len() > MAX_MACHINES as u64 {
-        return Err(AliveSetError::TooLarge);
+        return Err(BitmapError::TooLarge);
     }
     Ok(numbers)
 }
--- a/crates/plankhead-sharding/src/record.rs
+++ b/crates/plankhead-sharding/src/record.rs
@@ -10,7 +10,7 @@
 /// Who holds a shard, and whether it moves. Written by the leader alone, conditional on its
 /// key and on the record's revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ShardRecord {
     pub format: u32,
     pub holder: String,
     /// Which start of the holder's process: one that has begun anew knows nothing of starts
@@ -44,7 +44,7 @@
     Range,
 }
 
-impl Record {
+impl ShardRecord {
     pub fn held(holder: &str, boot: u64, term: u64, shards: u32) -> Self {
         Self { format: FORMAT, holder: holder.into(), boot, term, shards, moving: None }
     }
--- a/crates/plankhead-sharding/src/registry.rs
+++ b/crates/plankhead-sharding/src/registry.rs
@@ -5,8 +5,8 @@
 //! were read again; in doubt the leader writes it once more under the revision that it
 //! knows, which fails if the first one was carried out.
 
-use crate::balance::{self, Candidate, Holding, Holdings};
-use crate::record::{PendingMove, Record};
+use crate::balance::{self, Candidate, ShardLoad, ShardLoads};
+use crate::record::{PendingMove, ShardRecord};
 use crate::settings::Settings;
 use crate::shard::ShardId;
 use crate::state::{ShardState, Transition};
@@ -20,7 +20,7 @@
 
 /// Why a holder is named, or a move begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum NamingReason {
     /// Nobody held the shard.
     First,
     /// The same holder in a new leader's term.
@@ -53,10 +53,10 @@
     /// The revision that the record must have; 0: that there is none.
     pub revision: u64,
     /// `None`: the record goes, since the zone has fewer shards now.
-    pub record: Option<Record>,
+    pub record: Option<ShardRecord>,
     /// Who holds the shard before.
     pub from: Option<String>,
-    pub reason: Reason,
+    pub reason: NamingReason,
 }
 
 /// What became of a write.
@@ -73,16 +73,16 @@
 
 /// A holder that was named, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Named {
+pub struct HolderNamed {
     pub shard: ShardId,
     pub from: Option<String>,
     pub to: String,
     pub epoch: u64,
-    pub reason: Reason,
+    pub reason: NamingReason,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Entry {
+struct TrackedShard {
     state: ShardState,
     /// The term under which the record was last written.
     term: u64,
@@ -101,7 +101,7 @@
 pub struct RegistryInput {
     /// Controllers that are heard and see the records, the leader's own among them, and which
     /// start of its process each of them is.
-    pub alive: BTreeMap<String, u64>,
+    pub live_nodes: BTreeMap<String, u64>,
     /// Those of them that may take shards.
     pub candidates: Vec<Candidate>,
     /// Machines by shard.
@@ -122,7 +122,7 @@
     term: u64,
     own: String,
     settings: Settings,
-    entries: BTreeMap<ShardId, Entry>,
+    entries: BTreeMap<ShardId, TrackedShard>,
     /// When this leader first planned.
     began: Option<Duration>,
     next_move: Duration,
@@ -232,14 +232,14 @@
         }
     }
 
-    fn holdings(&self, around: &RegistryInput) -> Holdings {
-        let mut holdings = Holdings::new();
+    fn holdings(&self, around: &RegistryInput) -> ShardLoads {
+        let mut holdings = ShardLoads::new();
         for shard in self.declared(around) {
             let entry = self.entries.get(&shard);
             let current = entry.filter(|entry| entry.term == self.term);
             let holder = current.and_then(|entry| entry.state.next_holder().or(entry.state.holder()));
             let machines = around.machines.get(&shard).copied().unwrap_or(0);
-            holdings.insert(shard, Holding { machines, holder: holder.map(str::to_owned) });
+            holdings.insert(shard, ShardLoad { machines, holder: holder.map(str::to_owned) });
         }
         holdings
     }
@@ -293,11 +293,11 @@
         &self,
         shard: &ShardId,
         around: &RegistryInput,
-        holdings: &Holdings,
+        holdings: &ShardLoads,
         settled: bool,
         now: Duration,
     ) -> Option<RecordWrite> {
-        let vacant = Entry::default();
+        let vacant = TrackedShard::default();
         let entry = self.entries.get(shard).unwrap_or(&vacant);
         if entry.writing {
             return None;
@@ -308,34 +308,35 @@
             name(&chosen.host, reason)
         };
         let Some(holder) = entry.state.holder() else {
-            return settled.then(|| choose(Reason::First)).flatten();
+            return settled.then(|| choose(NamingReason::First)).flatten();
         };
         let next = entry.state.next_holder();
         if entry.term != self.term {
-            let former = [(next, Reason::Finished), (Some(holder), Reason::Renewed)];
-            let there =
-                former.into_iter().find(|(host, _)| host.is_some_and(|host| around.alive.contains_key(host)));
+            let former = [(next, NamingReason::Finished), (Some(holder), NamingReason::Renewed)];
+            let there = former
+                .into_iter()
+                .find(|(host, _)| host.is_some_and(|host| around.live_nodes.contains_key(host)));
             return match there {
                 Some((Some(host), reason)) => name(host, reason),
-                _ if settled => choose(Reason::Silent),
+                _ if settled => choose(NamingReason::Silent),
                 _ => None,
             };
         }
         if let Some(next) = next {
             let released = matches!(entry.state, ShardState::Released { .. });
             let late = now.saturating_sub(entry.since) >= self.settings.release_timeout;
-            let gone = around.alive.get(holder) != Some(&entry.boot);
+            let gone = around.live_nodes.get(holder) != Some(&entry.boot);
             return match (around.takes(next), released || late || gone) {
-                (true, true) if released => name(next, Reason::Released),
-                (true, true) => name(next, Reason::ReleaseTimedOut),
+                (true, true) if released => name(next, NamingReason::Released),
+                (true, true) => name(next, NamingReason::ReleaseTimedOut),
                 (true, false) => None,
-                (false, _) if !gone => name(holder, Reason::Undone),
-                (false, _) => choose(Reason::Silent),
+                (false, _) if !gone => name(holder, NamingReason::Undone),
+                (false, _) => choose(NamingReason::Silent),
             };
         }
-        match around.alive.get(holder) {
-            None => choose(Reason::Silent),
-            Some(boot) if *boot != entry.boot => name(holder, Reason::Restarted),
+        match around.live_nodes.get(holder) {
+            None => choose(NamingReason::Silent),
+            Some(boot) if *boot != entry.boot => name(holder, NamingReason::Restarted),
             Some(_) => None,
         }
     }
@@ -343,17 +344,23 @@
     fn naming(
         &self,
         shard: &ShardId,
-        entry: &Entry,
+        entry: &TrackedShard,
         around: &RegistryInput,
         holder: &str,
-        reason: Reason,
+        reason: NamingReason,
     ) -> Option<RecordWrite> {
-        let boot = *around.alive.get(holder)?;
-        let record = Record::held(holder, boot, self.term, self.settings.shards_per_zone);
+        let boot = *around.live_nodes.get(holder)?;
+        let record = ShardRecord::held(holder, boot, self.term, self.settings.shards_per_zone);
         Some(self.write(shard, entry, Some(record), reason))
     }
 
-    fn write(&self, shard: &ShardId, entry: &Entry, record: Option<Record>, reason: Reason) -> RecordWrite {
+    fn write(
+        &self,
+        shard: &ShardId,
+        entry: &TrackedShard,
+        record: Option<ShardRecord>,
+        reason: NamingReason,
+    ) -> RecordWrite {
         let from = entry.state.holder().map(str::to_owned);
         RecordWrite { shard: shard.clone(), revision: entry.revision, record, from, reason }
     }
@@ -362,11 +369,12 @@
     fn begin_move(
         &mut self,
         around: &RegistryInput,
-        holdings: &Holdings,
+        holdings: &ShardLoads,
         now: Duration,
     ) -> Option<RecordWrite> {
-        let busy =
-            |entry: &Entry| entry.writing || entry.doubt.is_some() || entry.state.next_holder().is_some();
+        let busy = |entry: &TrackedShard| {
+            entry.writing || entry.doubt.is_some() || entry.state.next_holder().is_some()
+        };
         if self.entries.values().any(busy) {
             return None;
         }
@@ -379,17 +387,19 @@
             return self.naming(&shard, entry, around, &to, reason);
         }
         let moving = Some(PendingMove { epoch: entry.state.epoch(), to });
-        let record =
-            Record { moving, ..Record::held(&holder, entry.boot, self.term, self.settings.shards_per_zone) };
+        let record = ShardRecord {
+            moving,
+            ..ShardRecord::held(&holder, entry.boot, self.term, self.settings.shards_per_zone)
+        };
         Some(self.write(&shard, entry, Some(record), reason))
     }
 
     fn next_move(
         &mut self,
         around: &RegistryInput,
-        holdings: &Holdings,
+        holdings: &ShardLoads,
         now: Duration,
-    ) -> Option<(ShardId, String, Reason)> {
+    ) -> Option<(ShardId, String, NamingReason)> {
         if let Some(interval) = self.settings.rotate {
             if now >= self.next_rotation {
                 self.next_rotation = now + interval;
@@ -403,20 +413,24 @@
             return Some(drained);
         }
         let best = balance::improve(&around.candidates, holdings, self.settings.hysteresis)?;
-        Some((best.shard, best.to, Reason::Balance))
+        Some((best.shard, best.to, NamingReason::Balance))
     }
 
     /// A shard whose holder is there but is to hold none.
-    fn drained(&self, around: &RegistryInput, holdings: &Holdings) -> Option<(ShardId, String, Reason)> {
-        let keeps = |holding: &Holding| holding.holder.as_ref().is_none_or(|holder| around.takes(holder));
+    fn drained(
+        &self,
+        around: &RegistryInput,
+        holdings: &ShardLoads,
+    ) -> Option<(ShardId, String, NamingReason)> {
+        let keeps = |holding: &ShardLoad| holding.holder.as_ref().is_none_or(|holder| around.takes(holder));
         let (shard, _) = holdings.iter().find(|(_, holding)| !keeps(holding))?;
         let to = balance::choose(shard, &around.candidates, holdings)?;
-        Some((shard.clone(), to.host.clone(), Reason::Drained))
+        Some((shard.clone(), to.host.clone(), NamingReason::Drained))
     }
 
     /// The shard that has been with its holder for the longest, and the next controller by
     /// name.
-    fn rotation(&self, around: &RegistryInput) -> Option<(ShardId, String, Reason)> {
+    fn rotation(&self, around: &RegistryInput) -> Option<(ShardId, String, NamingReason)> {
         let held = self.entries.iter().filter(|(_, entry)| entry.term == self.term);
         let (shard, entry) = held.min_by_key(|(_, entry)| entry.since)?;
         let holder = entry.state.holder()?;
@@ -425,7 +439,7 @@
         hosts.sort_unstable();
         let after = hosts.iter().find(|host| **host > holder).or(hosts.first());
         let to = after.filter(|host| **host != holder)?;
-        Some((shard.clone(), (*to).to_owned(), Reason::Rotation))
+        Some((shard.clone(), (*to).to_owned(), NamingReason::Rotation))
     }
 
     /// Records that no machine belongs to by this leader's settings.
@@ -435,7 +449,8 @@
         let there = self.entries.iter().filter(|(shard, entry)| {
             surplus(shard) && entry.revision > 0 && !entry.writing && entry.state != ShardState::Vacant
         });
-        let drop = |(shard, entry): (&ShardId, &Entry)| self.write(shard, entry, None, Reason::Surplus);
+        let drop =
+            |(shard, entry): (&ShardId, &TrackedShard)| self.write(shard, entry, None, NamingReason::Surplus);
         there.map(drop).collect()
     }
 
@@ -447,7 +462,7 @@
         outcome: WriteOutcome,
         sent: Duration,
         now: Duration,
-    ) -> Option<Named> {
+    ) -> Option<HolderNamed> {
         let entry = self.entries.get_mut(&write.shard)?;
         entry.writing = false;
         let revision = match outcome {
@@ -463,7 +478,7 @@
             return None;
         }
         let Some(record) = &write.record else {
-            *entry = Entry { revision, ..Entry::default() };
+            *entry = TrackedShard { revision, ..TrackedShard::default() };
             return None;
         };
         let from = write.from.clone();
@@ -480,7 +495,7 @@
             return None;
         }
         self.moves += u64::from(from.as_ref().is_some_and(|from| *from != record.holder));
-        Some(Named {
+        Some(HolderNamed {
             shard: write.shard.clone(),
             from,
             to: record.holder.clone(),
--- a/crates/plankhead-sharding/src/table.rs
+++ b/crates/plankhead-sharding/src/table.rs
@@ -1,14 +1,14 @@
 //! What a controller knows of the records: who holds which shard.
 
-use crate::record::{Record, RecordError};
-use crate::shard::{InvalidShardKey, ShardId, PREFIX};
+use crate::record::{RecordError, ShardRecord};
+use crate::shard::{InvalidShardKey, ShardId};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
 /// A record and the revision of its latest change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownRecord {
-    pub record: Record,
+    pub record: ShardRecord,
     pub revision: u64,
 }
 
@@ -42,7 +42,7 @@
         if self.records.get(&shard).is_some_and(|known| known.revision >= revision) {
             return Ok(());
         }
-        let record = match Record::read(value) {
+        let record = match ShardRecord::read(value) {
             Ok(record) => record,
             Err(fault) => {
                 self.records.remove(&shard);
@@ -83,13 +83,4 @@
     pub fn iter(&self) -> impl Iterator<Item = (&ShardId, &KnownRecord)> {
         self.records.iter()
     }
-
-    pub fn is_empty(&self) -> bool {
-        self.records.is_empty()
-    }
-
-    /// Whether a key is that of a record.
-    pub fn is_record(key: &str) -> bool {
-        key.starts_with(PREFIX)
-    }
 }
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_sharding::balance::Candidate;
-use plankhead_sharding::record::Record;
+use plankhead_sharding::record::ShardRecord;
 use plankhead_sharding::registry::{RecordWrite, RegistryInput, ShardRegistry, WriteOutcome};
 use plankhead_sharding::settings::Settings;
 use plankhead_sharding::shard::ShardId;
@@ -135,7 +135,7 @@
         };
         let candidates: Vec<Candidate> = there.map(candidate).collect();
         RegistryInput {
-            alive: (0..3)
+            live_nodes: (0..3)
                 .filter(|host| self.there[*host] || *host == own)
                 .map(|host| (HOSTS[host].to_owned(), self.boots[host]))
                 .collect(),
@@ -268,7 +268,7 @@
         let there: BTreeSet<&str> = HOSTS[..2].iter().copied().collect();
         prop_assert_eq!(self.records.len(), 4);
         for (text, _) in self.records.values() {
-            let record = Record::read(text).unwrap();
+            let record = ShardRecord::read(text).unwrap();
             prop_assert!(there.contains(record.holder.as_str()), "{:?} is held by nobody", record);
             prop_assert_eq!(record.term, self.lease.0);
         }
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_sharding::alive::{self, AliveSetError, Names, Numbers};
-use plankhead_sharding::balance::{choose, improve, Candidate, Holding, Holdings};
+use plankhead_sharding::balance::{choose, improve, Candidate, ShardLoad, ShardLoads};
 use plankhead_sharding::freshness::Freshness;
-use plankhead_sharding::record::{PendingMove, Record, RecordError};
+use plankhead_sharding::machine_numbers::{self, BitmapError, MachineNumbers, NumberedMachines};
+use plankhead_sharding::record::{PendingMove, RecordError, ShardRecord};
 use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard, StaleMessage};
 use plankhead_sharding::shard::ShardId;
 use plankhead_sharding::state::{ShardState, Transition};
@@ -64,21 +64,24 @@
         assert!(ShardId::from_key(key).is_err(), "{key}");
     }
     let moving = Some(PendingMove { epoch: 7, to: "b".into() });
-    let record = Record { moving, ..Record::held("a", 3, 5, 2) };
+    let record = ShardRecord { moving, ..ShardRecord::held("a", 3, 5, 2) };
     let text = serde_json::to_string(&record).unwrap();
-    assert_eq!(Record::read(&text).unwrap(), record);
-    assert_eq!((record.epoch(9), Record::held("a", 3, 5, 2).epoch(9)), (7, 9));
+    assert_eq!(ShardRecord::read(&text).unwrap(), record);
+    assert_eq!((record.epoch(9), ShardRecord::held("a", 3, 5, 2).epoch(9)), (7, 9));
     assert!(matches!(
-        Record::read(&text.replace("\"format\":1", "\"format\":2")),
+        ShardRecord::read(&text.replace("\"format\":1", "\"format\":2")),
         Err(RecordError::Format(2))
     ));
-    assert!(matches!(Record::read(&text.replace("\"shards\":2", "\"shards\":0")), Err(RecordError::Range)));
-    assert!(matches!(Record::read("[]"), Err(RecordError::Json(_))));
+    assert!(matches!(
+        ShardRecord::read(&text.replace("\"shards\":2", "\"shards\":0")),
+        Err(RecordError::Range)
+    ));
+    assert!(matches!(ShardRecord::read("[]"), Err(RecordError::Json(_))));
 }
 
 #[test]
 fn a_table_keeps_the_newest_and_drops_what_it_cannot_read() {
-    let text = |holder| serde_json::to_string(&Record::held(holder, 3, 5, 2)).unwrap();
+    let text = |holder| serde_json::to_string(&ShardRecord::held(holder, 3, 5, 2)).unwrap();
     let mut table = ShardTable::default();
     let shard = ShardId { zone: "x".into(), index: 0 };
     table.write("shard/x/0", &text("b"), 9).unwrap();
@@ -108,9 +111,9 @@
 
 #[test]
 fn bitmaps_tell_who_lives_and_odd_ones_are_refused() {
-    let mut numbers = Numbers::default();
+    let mut numbers = MachineNumbers::default();
     let machines: Vec<Arc<str>> = (0..4_000).map(|n| format!("i-{n:06}").as_str().into()).collect();
-    let mut names = Names::default();
+    let mut names = NumberedMachines::default();
     let mut alive = RoaringBitmap::new();
     for machine in &machines {
         let number = numbers.assign(machine).unwrap();
@@ -118,15 +121,15 @@
         alive.insert(number);
     }
     alive.insert(9_999);
-    let bytes = alive::encode(&alive);
+    let bytes = machine_numbers::encode(&alive);
     assert!(bytes.len() < 1_024, "{} bytes for 4,000 machines", bytes.len());
-    let read = alive::decode(&bytes).unwrap();
+    let read = machine_numbers::decode(&bytes).unwrap();
     assert_eq!(names.of(&read).count(), 4_000, "a number that nobody was told of is passed over");
     assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "a number stays");
-    assert_eq!(alive::decode(&[0; 3]), Err(AliveSetError::Malformed));
-    assert_eq!(alive::decode(&vec![0; 17 * 1024]), Err(AliveSetError::TooLarge));
-    let many = alive::encode(&(0..20_000).collect());
-    assert_eq!(alive::decode(&many), Err(AliveSetError::TooLarge));
+    assert_eq!(machine_numbers::decode(&[0; 3]), Err(BitmapError::Malformed));
+    assert_eq!(machine_numbers::decode(&vec![0; 17 * 1024]), Err(BitmapError::TooLarge));
+    let many = machine_numbers::encode(&(0..20_000).collect());
+    assert_eq!(machine_numbers::decode(&many), Err(BitmapError::TooLarge));
 }
 
 /// `a + lease (1 + d) + e <= v + cancel (1 - d)` for the holder's own sight of both.
@@ -152,9 +155,9 @@
     let candidate =
         |host: &str, zone: &str, capacity| Candidate { host: host.into(), zone: zone.into(), capacity };
     let candidates = [candidate("a", "x", 0.3), candidate("b", "x", 1.0), candidate("c", "y", 1.0)];
-    let mut holdings = Holdings::new();
+    let mut holdings = ShardLoads::new();
     for (zone, index) in [("x", 0), ("x", 1), ("y", 0), ("y", 1)] {
-        holdings.insert(ShardId { zone: zone.into(), index }, Holding { machines: 40, holder: None });
+        holdings.insert(ShardId { zone: zone.into(), index }, ShardLoad { machines: 40, holder: None });
     }
     for shard in holdings.keys().cloned().collect::<Vec<_>>() {
         let chosen = choose(&shard, &candidates, &holdings).unwrap().host.clone();
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -8,7 +8,7 @@
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
-use plankhead_sharding::alive;
+use plankhead_sharding::machine_numbers;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use rkyv::rancor::Error;
@@ -192,7 +192,7 @@
         stream: report.stream,
         first: report.first,
         news: report.updates.iter().map(news).collect(),
-        alive: alive::encode(&report.alive),
+        alive: machine_numbers::encode(&report.alive),
         alive_age_ms: millis(report.alive_age),
     }
 }
@@ -314,8 +314,8 @@
         .collect();
     let news: Result<Vec<MachineUpdate>, ShardMessageError> =
         message.news.into_iter().map(machine_news).collect();
-    let alive =
-        alive::decode(&message.alive).map_err(|fault| ShardMessageError::Malformed(fault.to_string()))?;
+    let alive = machine_numbers::decode(&message.alive)
+        .map_err(|fault| ShardMessageError::Malformed(fault.to_string()))?;
     Ok(HolderStatus {
         host: name(message.host, "host")?,
         stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
