--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -15,7 +15,8 @@
 use plankhead_fencing::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use plankhead_fencing::gate::{FencingGate, IssueProof, PermittedAction};
 use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
-use plankhead_fencing::intent_log::{IntentLog, IntentPageWrite, StoreLimits, WriteOutcome};
+use plankhead_fencing::intent_log::{IntentAdmission, IntentLog};
+use plankhead_fencing::page_writes::{IntentPageWrite, StoreLimits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -131,7 +132,6 @@
             self.pass_gate(&key, action, None, effects);
             return true;
         }
-        use plankhead_fencing::intent_log::IntentAdmission;
         match self.intents.log.intend(key.clone(), action, self.intents.wall_ms) {
             Ok(IntentAdmission::New) => true,
             Ok(IntentAdmission::Repeat) => {
--- a/crates/plankhead-fencing/src/intent.rs
+++ b/crates/plankhead-fencing/src/intent.rs
@@ -5,6 +5,9 @@
 use std::sync::Arc;
 use thiserror::Error;
 
+/// The most open intents: the cloud's rate limit allows a few actions a second.
+pub const MAX_OPEN_INTENTS: usize = 1_000;
+
 /// The idempotency key of an intent. It is never used for another action.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IdempotencyKey(Arc<str>);
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -1,146 +1,86 @@
-//! The intents of one lease holder, its own and those that it inherited, and when which
-//! record of them is to be written. Everything about the state service is decided here
-//! and carried out by the caller.
+//! The intents of one leader's term, its own and those that it adopted, and when which record
+//! of them is to be written. All decisions about the state service are made here; the caller
+//! carries them out.
 
-use crate::action::{ActionDigest, CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
+use crate::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
+use crate::ended_intents::{End, EndedIntents};
+use crate::errors::{IntentError, IssueError};
 use crate::gate::{Basis, IssueProof};
-use crate::intent::{IdempotencyKey, Intent, IntentState, InvalidTransition};
-use crate::pages::PageState;
+use crate::intent::{IdempotencyKey, Intent, IntentState, InvalidTransition, MAX_OPEN_INTENTS};
+use crate::page_writes::{IntentPageWrite, StoreLimits, WriteOutcome};
+use crate::pages::{PageState, PageTable, WriteScope};
 use crate::record::{self, PageId, RecordError, PAGE_OVERHEAD};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::sync::Arc;
-use thiserror::Error;
 
-/// Open intents at most: the cloud's rate allows a few a second.
-pub const MAX_OPEN_INTENTS: usize = 1_000;
-/// Keys of intents that are over which are remembered, to refuse their reuse.
-const MAX_REMEMBERED: usize = 4_096;
 /// Bytes of a return's record beside its machines.
 const RETURN_OVERHEAD: usize = 200;
-/// Bytes of a machine's name in a record, beside the name.
-const HOST_OVERHEAD: usize = 3;
-
-/// What the state service takes.
-#[derive(Debug, Clone, Copy)]
-pub struct StoreLimits {
-    /// Bytes of a value.
-    pub value_bytes: usize,
-    /// Changes of a transaction.
-    pub changes: usize,
-    /// Bytes of a transaction.
-    pub transaction_bytes: usize,
-}
+/// Bytes that a machine's name takes in a record, beside the name.
+const MACHINE_OVERHEAD: usize = 3;
 
-/// Whether an intention was new.
+/// Whether an intent was new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IntentAdmission {
+    /// It was taken into the log.
     New,
-    /// The same action stands under this key already, or stood there.
+    /// The same action is or was in the log under this key.
     Repeat,
 }
 
-/// Why an intention is not taken.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum IntentError {
-    #[error("the key {key} was used for another action")]
-    KeyReused { key: IdempotencyKey },
-    #[error("the record of {key} takes {bytes} bytes, more than a value holds")]
-    TooLarge { key: IdempotencyKey, bytes: usize },
-    #[error("{MAX_OPEN_INTENTS} intents are open")]
-    TooMany,
-}
-
-/// Why a intent may not be issued.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum IssueError {
-    #[error("there is no open intent {0}")]
-    Unknown(IdempotencyKey),
-    #[error("the record of {0} is not durable")]
-    NotDurable(IdempotencyKey),
-    #[error(transparent)]
-    State(#[from] InvalidTransition),
-}
-
-/// A change of one page, under the condition that its key has the expected revision.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct IntentPageWrite {
-    pub page: PageId,
-    pub expected: u64,
-    /// The new value; none: the page goes.
-    pub value: Option<String>,
-}
-
-/// What came of a write of pages.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteOutcome {
-    Committed {
-        revision: u64,
-    },
-    /// A page had another revision: nothing was changed.
-    Conflict,
-    /// Certainly not carried out, and may be asked again soon.
-    Busy,
-    /// Certainly not carried out: the state service fails this holder.
-    Refused,
-    /// No answer: it may have been carried out, or may be later.
-    Lost,
-}
-
 /// How many intents are in which state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IntentSummary {
+    /// Open, and not known to be durable.
     pub intended: usize,
+    /// Durable, and not issued.
     pub recorded: usize,
+    /// Left by former leaders, and not issued since.
     pub adopted: usize,
+    /// Issued, without a certain outcome.
     pub issued: usize,
+    /// Confirmed in this term.
     pub confirmed: u64,
+    /// Abandoned in this term.
     pub abandoned: u64,
+    /// Pages that are or may be stored.
     pub pages: usize,
+    /// Those of them that can't be decoded, or not wholly.
     pub unreadable_pages: usize,
 }
 
+/// An open intent.
 #[derive(Debug)]
 struct TrackedIntent {
     intent: Intent,
     page: PageId,
-    /// Why it may be issued; none: it may not yet.
+    /// Why it may be issued; `None`: it may not yet.
     basis: Option<Basis>,
-    /// An attempt to record it failed for good.
+    /// The state service failed the latest attempt to record it.
     unrecordable: bool,
 }
 
-/// The pages of a write under way, with what stands in each.
-#[derive(Debug)]
-struct Writing(Vec<(PageId, BTreeSet<IdempotencyKey>)>);
-
-/// The intents of one lease holder.
+/// The intents of one leader's term.
 #[derive(Debug)]
 pub struct IntentLog {
     token: u64,
     limits: StoreLimits,
+    /// The number of the latest key that was made.
     sequence: u64,
-    entries: BTreeMap<IdempotencyKey, TrackedIntent>,
-    pages: BTreeMap<PageId, PageState>,
-    writing: Option<Writing>,
-    over: BTreeMap<IdempotencyKey, ActionDigest>,
-    over_order: VecDeque<IdempotencyKey>,
-    confirmed: u64,
-    abandoned: u64,
+    open: BTreeMap<IdempotencyKey, TrackedIntent>,
+    pages: PageTable,
+    ended: EndedIntents,
 }
 
 impl IntentLog {
+    /// The empty log of the leader under this fencing token.
     pub fn new(token: u64, limits: StoreLimits) -> Self {
         Self {
             token,
             limits,
             sequence: 0,
-            entries: BTreeMap::new(),
-            pages: BTreeMap::new(),
-            writing: None,
-            over: BTreeMap::new(),
-            over_order: VecDeque::new(),
-            confirmed: 0,
-            abandoned: 0,
+            open: BTreeMap::new(),
+            pages: PageTable::new(token, limits),
+            ended: EndedIntents::default(),
         }
     }
 
@@ -150,32 +90,32 @@
         IdempotencyKey::new(&format!("{}.{}", self.token, self.sequence))
     }
 
-    /// The most of these machines whose return fits into one record.
-    pub fn machines_per_return(&self, hosts: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
-        let mut room = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
-        let fits = |host: &&Arc<str>| {
-            let bytes = host.len() + HOST_OVERHEAD;
-            let fits = bytes <= room;
-            room = room.saturating_sub(bytes);
+    /// The return of as many of these machines as fit into one record.
+    pub fn machines_per_return(&self, machines: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
+        let mut remaining_bytes = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
+        let fits = |machine: &&Arc<str>| {
+            let bytes = machine.len() + MACHINE_OVERHEAD;
+            let fits = bytes <= remaining_bytes;
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
             fits
         };
-        let hosts = hosts.iter().take(MAX_RETURN_MACHINES).take_while(fits).cloned().collect();
-        InstanceReturn { machines: hosts, reason }
+        let machines = machines.iter().take(MAX_RETURN_MACHINES).take_while(fits).cloned().collect();
+        InstanceReturn { machines, reason }
     }
 
-    /// Takes in an intention. It may be issued once it is durable.
+    /// Admits an intent, as of `now_ms` by the wall clock. It may be issued once it is durable.
     pub fn intend(
         &mut self,
         key: IdempotencyKey,
         action: CloudAction,
         now_ms: u64,
     ) -> Result<IntentAdmission, IntentError> {
-        let known = self.entries.get(&key).map(|entry| entry.intent.digest).or(self.over.get(&key).copied());
-        if let Some(known) = known {
+        let known = self.open.get(&key).map(|tracked| tracked.intent.digest);
+        if let Some(known) = known.or_else(|| self.ended.digest(&key)) {
             let same = known == action.digest();
             return if same { Ok(IntentAdmission::Repeat) } else { Err(IntentError::KeyReused { key }) };
         }
-        if self.entries.len() >= MAX_OPEN_INTENTS {
+        if self.open.len() >= MAX_OPEN_INTENTS {
             return Err(IntentError::TooMany);
         }
         let intent = Intent::intended(key.clone(), self.token, action, now_ms);
@@ -183,36 +123,25 @@
         if bytes.saturating_add(PAGE_OVERHEAD) > self.limits.value_bytes {
             return Err(IntentError::TooLarge { key, bytes });
         }
-        let id = self.page_with_room(bytes);
-        let page = self.pages.entry(id).or_default();
-        page.bytes += bytes;
-        page.open.insert(key.clone());
-        self.entries.insert(key, TrackedIntent { intent, page: id, basis: None, unrecordable: false });
+        let page = self.pages.assign(key.clone(), bytes);
+        self.open.insert(key, TrackedIntent { intent, page, basis: None, unrecordable: false });
         Ok(IntentAdmission::New)
     }
 
-    fn page_with_room(&self, bytes: usize) -> PageId {
-        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.inherited;
-        let room = |page: &PageState| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
-        let found = self.pages.iter().filter(own).find(|(_, page)| room(page)).map(|(id, _)| *id);
-        let last = self.pages.iter().filter(own).map(|(id, _)| id.number + 1).max();
-        found.unwrap_or(PageId { token: self.token, number: last.unwrap_or(0) })
-    }
-
-    /// Forgets what was inherited, since it is read again.
+    /// Forgets what was adopted, since the stored pages are about to be read again.
     pub fn begin_reading(&mut self) {
-        self.pages.retain(|_, page| !page.inherited);
+        self.pages.forget_inherited();
         let (token, pages) = (self.token, &self.pages);
-        self.entries.retain(|_, entry| entry.intent.token == token && pages.contains_key(&entry.page));
+        self.open.retain(|_, tracked| tracked.intent.token == token && pages.contains(tracked.page));
     }
 
-    /// Takes in a stored page of a former holder; returns what can't be read of it.
+    /// Adopts the intents of a former leader's stored page; returns what can't be decoded.
     pub fn inherit(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordError> {
         let Some(id) = PageId::parse(key) else {
             return vec![RecordError::Key { key: key.into() }];
         };
         if id.token == self.token {
-            // Written by this holder before it had read everything.
+            // Written by this leader before it had read everything.
             return Vec::new();
         }
         if id.token > self.token {
@@ -221,237 +150,181 @@
         let (intents, mut faults) = record::decode(key, value);
         let mut page = PageState { revision, inherited: true, ..PageState::default() };
         for intent in intents {
-            let known = self.entries.get(&intent.key).map(|entry| entry.intent.digest);
-            if known.is_some() {
+            if self.open.contains_key(&intent.key) {
                 faults.push(RecordError::ReusedKey { key: key.into(), intent: intent.key });
                 continue;
             }
             page.open.insert(intent.key.clone());
             page.stored.insert(intent.key.clone());
             let basis = Some(Basis::Recorded { revision });
-            self.entries
-                .insert(intent.key.clone(), TrackedIntent { intent, page: id, basis, unrecordable: false });
+            let tracked = TrackedIntent { intent, page: id, basis, unrecordable: false };
+            self.open.insert(tracked.intent.key.clone(), tracked);
         }
         page.unreadable = !faults.is_empty();
         self.pages.insert(id, page);
         faults
     }
 
-    /// The intents that a former holder left open.
+    /// The open intents that former leaders left.
     pub fn adopted(&self) -> impl Iterator<Item = &Intent> {
-        self.entries.values().map(|entry| &entry.intent).filter(|intent| intent.token != self.token)
+        self.open_intents().filter(|intent| intent.token != self.token)
     }
 
+    /// All open intents, by key.
     pub fn open_intents(&self) -> impl Iterator<Item = &Intent> {
-        self.entries.values().map(|entry| &entry.intent)
+        self.open.values().map(|tracked| &tracked.intent)
     }
 
+    /// The open intent under this key.
     pub fn intent(&self, key: &IdempotencyKey) -> Option<&Intent> {
-        self.entries.get(key).map(|entry| &entry.intent)
+        self.open.get(key).map(|tracked| &tracked.intent)
     }
 
-    /// Whether a intent waits for its record.
+    /// Whether an intent waits to be recorded.
     pub fn has_unrecorded(&self) -> bool {
-        self.pages.values().any(PageState::has_unrecorded)
+        self.pages.has_unrecorded()
     }
 
-    /// Whether records of intents that are over could go.
+    /// Whether stored pages hold intents that have ended and could be removed.
     pub fn needs_compaction(&self) -> bool {
-        self.pages.values().any(PageState::needs_compaction)
+        self.pages.needs_compaction()
     }
 
+    /// Whether a write of pages is under way.
     pub fn is_writing(&self) -> bool {
-        self.writing.is_some()
+        self.pages.is_writing()
     }
 
-    /// The changes that make the log durable, as many as fit into `most` changes of one
-    /// transaction; `tidy`: also those that only remove what is over. None while a write
-    /// is under way.
-    pub fn begin_write(&mut self, most: usize, tidy: bool) -> Option<Vec<IntentPageWrite>> {
-        if self.writing.is_some() {
-            return None;
-        }
-        let most = most.min(self.limits.changes);
-        let mut room = self.limits.transaction_bytes;
-        let (mut changes, mut writing) = (Vec::new(), Vec::new());
-        let due =
-            |page: &&PageState| !page.in_doubt && (page.has_unrecorded() || tidy && page.needs_compaction());
-        // What lacks a record comes before what is only to be tidied up.
-        let mut pages: Vec<(&PageId, &PageState)> = self.pages.iter().filter(|(_, page)| due(page)).collect();
-        pages.sort_by_key(|(id, page)| (!page.has_unrecorded(), **id));
-        for (id, page) in pages.into_iter().take(most) {
-            if page.bytes + PAGE_OVERHEAD > room {
-                break;
-            }
-            room -= page.bytes + PAGE_OVERHEAD;
-            let intents = page.open.iter().filter_map(|key| self.entries.get(key)).map(|entry| &entry.intent);
-            let value = (!page.open.is_empty()).then(|| record::encode(intents));
-            changes.push(IntentPageWrite { page: *id, expected: page.revision, value });
-            writing.push((*id, page.open.clone()));
-        }
-        if changes.is_empty() {
-            return None;
-        }
-        self.writing = Some(Writing(writing));
-        Some(changes)
+    /// The page writes that make the log durable, at most `max_pages` in one transaction;
+    /// `compact`: also those that only remove ended intents. `None` while a write is under way.
+    pub fn begin_write(&mut self, max_pages: usize, compact: bool) -> Option<Vec<IntentPageWrite>> {
+        let open = &self.open;
+        self.pages.begin_write(WriteScope { max_pages, compact }, |keys| {
+            record::encode(keys.iter().filter_map(|key| open.get(key)).map(|tracked| &tracked.intent))
+        })
     }
 
-    /// Takes in what came of the write; returns the intents that may be issued now.
+    /// Takes in how the write under way ended; returns the intents that may be issued now.
     pub fn end_write(&mut self, outcome: WriteOutcome) -> Vec<IdempotencyKey> {
-        let Some(Writing(pages)) = self.writing.take() else { return Vec::new() };
+        if !self.pages.is_writing() {
+            return Vec::new();
+        }
         match outcome {
-            WriteOutcome::Committed { revision } => return self.committed(pages, revision),
-            WriteOutcome::Busy => {}
-            WriteOutcome::Conflict => self.mark_uncertain(&pages),
-            WriteOutcome::Refused => self.unrecordable(),
+            WriteOutcome::Committed { revision } => return self.write_committed(revision),
+            WriteOutcome::Busy => self.pages.write_failed(),
+            WriteOutcome::Conflict => self.pages.write_uncertain(),
+            WriteOutcome::Refused => {
+                self.pages.write_failed();
+                self.mark_unrecordable();
+            }
             WriteOutcome::Lost => {
-                self.mark_uncertain(&pages);
-                self.unrecordable();
+                self.pages.write_uncertain();
+                self.mark_unrecordable();
             }
         }
         Vec::new()
     }
 
-    fn committed(
-        &mut self,
-        pages: Vec<(PageId, BTreeSet<IdempotencyKey>)>,
-        revision: u64,
-    ) -> Vec<IdempotencyKey> {
-        let mut durable = Vec::new();
-        for (id, stored) in pages {
-            let Some(page) = self.pages.get_mut(&id) else { continue };
-            if stored.is_empty() && page.open.is_empty() {
-                self.pages.remove(&id);
-                continue;
-            }
-            page.revision = if stored.is_empty() { 0 } else { revision };
-            page.stored = stored;
-            for key in &page.stored {
-                let Some(entry) = self.entries.get_mut(key) else { continue };
-                entry.basis = Some(Basis::Recorded { revision });
-                if entry.intent.transition_to(IntentState::Recorded).is_ok() {
-                    durable.push(key.clone());
-                }
-            }
-        }
-        durable
-    }
-
-    /// The transaction may be carried out later, or was by another way: what stands there
-    /// is read before the next write.
-    fn mark_uncertain(&mut self, pages: &[(PageId, BTreeSet<IdempotencyKey>)]) {
-        for (id, _) in pages {
-            if let Some(page) = self.pages.get_mut(id) {
-                page.in_doubt = true;
-                page.stored.clear();
-            }
-        }
+    fn write_committed(&mut self, revision: u64) -> Vec<IdempotencyKey> {
+        let mut recorded = self.pages.write_committed(revision);
+        recorded.retain(|key| {
+            let Some(tracked) = self.open.get_mut(key) else { return false };
+            tracked.basis = Some(Basis::Recorded { revision });
+            tracked.intent.transition_to(IntentState::Recorded).is_ok()
+        });
+        recorded
     }
 
-    fn unrecordable(&mut self) {
-        for entry in self.entries.values_mut().filter(|entry| entry.intent.state() == IntentState::Intended) {
-            entry.unrecordable = true;
+    fn mark_unrecordable(&mut self) {
+        let intended = |tracked: &&mut TrackedIntent| tracked.intent.state() == IntentState::Intended;
+        for tracked in self.open.values_mut().filter(intended) {
+            tracked.unrecordable = true;
         }
     }
 
     /// The pages whose revisions are to be read before they are written again.
     pub fn uncertain_pages(&self) -> Vec<PageId> {
-        self.pages.iter().filter(|(_, page)| page.in_doubt).map(|(id, _)| *id).collect()
+        self.pages.uncertain()
     }
 
-    /// A page's key has this revision; 0: it is not there.
+    /// A page's key was read and has this revision; 0: it does not exist.
     pub fn reread(&mut self, id: PageId, revision: u64) {
-        let Some(page) = self.pages.get_mut(&id) else { return };
-        page.in_doubt = false;
-        page.revision = revision;
-        if revision == 0 && page.open.is_empty() {
-            self.pages.remove(&id);
-        }
+        self.pages.revision_read(id, revision);
     }
 
-    /// A page's revision could not be read: the state service fails this holder.
+    /// A page's revision could not be read: the state service fails this leader.
     pub fn reread_failed(&mut self) {
-        self.unrecordable();
+        self.mark_unrecordable();
     }
 
-    /// Failures to record compel nobody any more: each counts at once or not at all, so
-    /// that a holder which was paused after one starts over with a new attempt.
+    /// Forgets failures to record, which compel nothing from now on: each counts in the step
+    /// in which it is known or not at all, so that a leader that was paused after one starts
+    /// over with a new attempt.
     pub fn forget_failures(&mut self) {
-        for entry in self.entries.values_mut() {
-            entry.unrecordable = false;
+        for tracked in self.open.values_mut() {
+            tracked.unrecordable = false;
         }
     }
 
-    /// Takes up a intent that is durable, to be sent now.
+    /// Issues an intent that is durable: its action is to be sent now.
     pub fn issue(&mut self, key: &IdempotencyKey) -> Result<(CloudAction, IssueProof), IssueError> {
         let token = self.token;
-        let entry = self.entries.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
-        let basis = entry.basis.ok_or_else(|| IssueError::NotDurable(key.clone()))?;
-        entry.intent.transition_to(IntentState::Issued)?;
-        let proof = IssueProof { token, key: key.clone(), digest: entry.intent.digest, basis };
-        Ok((entry.intent.action.clone(), proof))
+        let tracked = self.open.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
+        let basis = tracked.basis.ok_or_else(|| IssueError::NotDurable(key.clone()))?;
+        tracked.intent.transition_to(IntentState::Issued)?;
+        let proof = IssueProof { token, key: key.clone(), digest: tracked.intent.digest, basis };
+        Ok((tracked.intent.action.clone(), proof))
     }
 
-    /// Lets a intent be issued without its record: a rule forces the return of machines,
-    /// and the state service has failed the attempt to record it. Time alone, or a lease
-    /// that has run out by the own clock, is no ground.
+    /// Allows an intent to be issued without its record if it reclaims machines and the state
+    /// service has failed the attempt to record it; returns whether it may be. Neither elapsed
+    /// time nor a lease that has expired by the own clock is a reason.
     pub fn force_issue(&mut self, key: &IdempotencyKey) -> bool {
-        let Some(entry) = self.entries.get_mut(key) else { return false };
-        let reclaim = matches!(
-            entry.intent.action,
+        let Some(tracked) = self.open.get_mut(key) else { return false };
+        let is_reclaim = matches!(
+            &tracked.intent.action,
             CloudAction::Return(InstanceReturn { reason: ReturnReason::Reclaim, .. })
         );
-        if entry.basis.is_none() && entry.unrecordable && reclaim {
-            entry.basis = Some(Basis::Compelled);
+        if tracked.basis.is_none() && tracked.unrecordable && is_reclaim {
+            tracked.basis = Some(Basis::Compelled);
         }
-        entry.basis == Some(Basis::Compelled)
+        tracked.basis == Some(Basis::Compelled)
     }
 
-    /// The effect of a intent is certain.
+    /// Ends an intent whose effect, or that it has none, is certain.
     pub fn confirm(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, IntentState::Confirmed)
+        self.end(key, End::Confirmed)
     }
 
-    /// Gives a intent up.
+    /// Ends an intent without a certain effect.
     pub fn abandon(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, IntentState::Abandoned)
+        self.end(key, End::Abandoned)
     }
 
-    fn end(&mut self, key: &IdempotencyKey, last: IntentState) -> Result<(), InvalidTransition> {
-        let Some(entry) = self.entries.get_mut(key) else { return Ok(()) };
-        entry.intent.transition_to(last)?;
-        match last {
-            IntentState::Confirmed => self.confirmed += 1,
-            _ => self.abandoned += 1,
-        }
-        let bytes = record::stored_bytes(&entry.intent);
-        if let Some(page) = self.pages.get_mut(&entry.page) {
-            page.open.remove(key);
-            page.bytes = page.bytes.saturating_sub(bytes);
-        }
-        if let Some(entry) = self.entries.remove(key) {
-            self.over.insert(key.clone(), entry.intent.digest);
-            self.over_order.push_back(key.clone());
-        }
-        if self.over_order.len() > MAX_REMEMBERED {
-            if let Some(oldest) = self.over_order.pop_front() {
-                self.over.remove(&oldest);
-            }
-        }
+    fn end(&mut self, key: &IdempotencyKey, end: End) -> Result<(), InvalidTransition> {
+        let Some(tracked) = self.open.get_mut(key) else { return Ok(()) };
+        tracked.intent.transition_to(match end {
+            End::Confirmed => IntentState::Confirmed,
+            End::Abandoned => IntentState::Abandoned,
+        })?;
+        self.pages.remove_intent(tracked.page, key, record::stored_bytes(&tracked.intent));
+        self.ended.remember(key.clone(), tracked.intent.digest, end);
+        self.open.remove(key);
         Ok(())
     }
 
+    /// How many intents are in which state.
     pub fn summary(&self) -> IntentSummary {
-        let count = |state| self.entries.values().filter(|entry| entry.intent.state() == state).count();
+        let count = |state| self.open_intents().filter(|intent| intent.state() == state).count();
         IntentSummary {
             intended: count(IntentState::Intended),
             recorded: count(IntentState::Recorded),
             adopted: count(IntentState::Adopted),
             issued: count(IntentState::Issued),
-            confirmed: self.confirmed,
-            abandoned: self.abandoned,
+            confirmed: self.ended.confirmed(),
+            abandoned: self.ended.abandoned(),
             pages: self.pages.len(),
-            unreadable_pages: self.pages.values().filter(|page| page.unreadable).count(),
+            unreadable_pages: self.pages.unreadable(),
         }
     }
 }
--- a/crates/plankhead-fencing/src/lib.rs
+++ b/crates/plankhead-fencing/src/lib.rs
@@ -1,23 +1,30 @@
-//! Fencing of the lease holder's effects on what can't check a fencing token itself.
+//! Fencing of the leader's effects on the cloud, which can't check a fencing token itself.
 //!
-//! The cloud carries out whatever it is asked, at once or minutes late. So the holder of
-//! the leader's lease first makes its intention durable in the state service, under a
-//! condition on the lease's key, and only then asks the cloud. Its successor reads the
-//! open intentions before it acts, and finishes them. See `docs/fencing.md`.
+//! The cloud carries out whatever it is asked, at once or minutes late. So the leader first
+//! records its intent in the state service, in a transaction that is conditional on the key of
+//! its lease, and only then asks the cloud. Its successor reads the open intents before it
+//! acts, and finishes them. See `docs/fencing.md`.
 //!
 //! All decisions are made here, without input or output:
 //!
-//! - [`action`]: what may be asked of the cloud, and the digest of it;
-//! - [`duty`]: one such action with its idempotency key, and its states;
-//! - [`record`]: how duties are stored;
-//! - [`log`]: the holder's duties, those that it inherited, and when to write which record;
-//! - [`gate`]: the only place where an action becomes one that adapters accept;
-//! - [`token`]: the highest fencing token seen, for what we own ourselves.
+//! - [`action`]: what may be asked of the cloud, and its digest;
+//! - [`intent`]: one such action with its idempotency key and its states;
+//! - [`record`]: the stored form of intents;
+//! - [`intent_log`]: the intents of one leader's term, its own and the adopted ones;
+//! - [`page_writes`]: the writes to the state service that the log asks for;
+//! - [`errors`]: the log's errors;
+//! - [`gate`]: the only place that lets an action through to the cloud;
+//! - [`token`]: the highest fencing token seen, for resources that plankhead owns.
+
+#![warn(missing_docs)]
 
 pub mod action;
+mod ended_intents;
+pub mod errors;
 pub mod gate;
 pub mod intent;
 pub mod intent_log;
+pub mod page_writes;
 mod pages;
 pub mod record;
 pub mod token;
--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -1,35 +1,215 @@
-//! One stored page of intents, as the log knows it.
+//! The stored pages of intents as the log knows them, and which of them are to be written.
 
 use crate::intent::IdempotencyKey;
-use std::collections::BTreeSet;
+use crate::page_writes::{IntentPageWrite, StoreLimits};
+use crate::record::{PageId, PAGE_OVERHEAD};
+use std::collections::{BTreeMap, BTreeSet};
 
+/// One stored page.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PageState {
     /// The revision of its key; 0: not stored.
     pub revision: u64,
-    /// The intents that should stand in it.
+    /// The open intents that belong into it.
     pub open: BTreeSet<IdempotencyKey>,
-    /// The intents that may stand in it.
+    /// The intents that its stored value may hold.
     pub stored: BTreeSet<IdempotencyKey>,
-    /// What [`open`](Self::open) takes as a record.
+    /// The size of the records of [`open`](Self::open), in bytes.
     pub bytes: usize,
     /// A write of it got no answer: its revision is to be read.
-    pub in_doubt: bool,
-    /// A former holder wrote it: it is never written again, only dropped.
+    pub uncertain: bool,
+    /// A former leader wrote it: it is never written again, only deleted.
     pub inherited: bool,
-    /// Some of it can't be read and may be of a later version: it is never dropped.
+    /// Some of it can't be decoded and may be of a later version: it is never deleted.
     pub unreadable: bool,
 }
 
 impl PageState {
-    /// Whether it holds records of intents that are over.
-    pub fn needs_compaction(&self) -> bool {
-        let over = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
-        over && !self.unreadable && (!self.inherited || self.open.is_empty())
+    /// Whether its stored value holds intents that have ended, and may be changed.
+    fn needs_compaction(&self) -> bool {
+        let ended = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
+        ended && !self.unreadable && (!self.inherited || self.open.is_empty())
     }
 
-    /// Whether it lacks a intent.
-    pub fn has_unrecorded(&self) -> bool {
+    /// Whether its stored value lacks an open intent.
+    fn has_unrecorded(&self) -> bool {
         !self.inherited && !self.open.is_subset(&self.stored)
     }
 }
+
+/// A page of the write under way, with the intents that its new value holds.
+#[derive(Debug)]
+struct PendingPage {
+    id: PageId,
+    intents: BTreeSet<IdempotencyKey>,
+}
+
+/// Which pages a write may include.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct WriteScope {
+    /// The most pages of one transaction.
+    pub max_pages: usize,
+    /// Whether pages that only need compaction are included.
+    pub compact: bool,
+}
+
+/// All pages, and the write of some of them that is under way.
+#[derive(Debug)]
+pub(crate) struct PageTable {
+    token: u64,
+    limits: StoreLimits,
+    pages: BTreeMap<PageId, PageState>,
+    in_flight: Option<Vec<PendingPage>>,
+}
+
+impl PageTable {
+    pub fn new(token: u64, limits: StoreLimits) -> Self {
+        Self { token, limits, pages: BTreeMap::new(), in_flight: None }
+    }
+
+    /// Assigns a new intent to a page of this leader that has room for it.
+    pub fn assign(&mut self, key: IdempotencyKey, bytes: usize) -> PageId {
+        let id = self.page_with_room(bytes);
+        let page = self.pages.entry(id).or_default();
+        page.bytes += bytes;
+        page.open.insert(key);
+        id
+    }
+
+    fn page_with_room(&self, bytes: usize) -> PageId {
+        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.inherited;
+        let has_room = |page: &PageState| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
+        let found = self.pages.iter().filter(own).find(|(_, page)| has_room(page)).map(|(id, _)| *id);
+        let next = self.pages.iter().filter(own).map(|(id, _)| id.number + 1).max();
+        found.unwrap_or(PageId { token: self.token, number: next.unwrap_or(0) })
+    }
+
+    /// Takes an ended intent out of its page.
+    pub fn remove_intent(&mut self, id: PageId, key: &IdempotencyKey, bytes: usize) {
+        if let Some(page) = self.pages.get_mut(&id) {
+            page.open.remove(key);
+            page.bytes = page.bytes.saturating_sub(bytes);
+        }
+    }
+
+    pub fn contains(&self, id: PageId) -> bool {
+        self.pages.contains_key(&id)
+    }
+
+    pub fn insert(&mut self, id: PageId, page: PageState) {
+        self.pages.insert(id, page);
+    }
+
+    pub fn forget_inherited(&mut self) {
+        self.pages.retain(|_, page| !page.inherited);
+    }
+
+    pub fn len(&self) -> usize {
+        self.pages.len()
+    }
+
+    pub fn unreadable(&self) -> usize {
+        self.pages.values().filter(|page| page.unreadable).count()
+    }
+
+    pub fn has_unrecorded(&self) -> bool {
+        self.pages.values().any(PageState::has_unrecorded)
+    }
+
+    pub fn needs_compaction(&self) -> bool {
+        self.pages.values().any(PageState::needs_compaction)
+    }
+
+    pub fn is_writing(&self) -> bool {
+        self.in_flight.is_some()
+    }
+
+    /// The pages to write now, as many as fit into one transaction; `encode` makes the value
+    /// of a page from the keys of its intents. `None` while a write is under way, or if there
+    /// is nothing to write.
+    pub fn begin_write(
+        &mut self,
+        scope: WriteScope,
+        encode: impl Fn(&BTreeSet<IdempotencyKey>) -> String,
+    ) -> Option<Vec<IntentPageWrite>> {
+        if self.in_flight.is_some() {
+            return None;
+        }
+        let max_pages = scope.max_pages.min(self.limits.changes);
+        let mut remaining_bytes = self.limits.transaction_bytes;
+        let (mut writes, mut pending) = (Vec::new(), Vec::new());
+        for (id, page) in self.pages_to_write(scope.compact).into_iter().take(max_pages) {
+            let bytes = page.bytes + PAGE_OVERHEAD;
+            if bytes > remaining_bytes {
+                break;
+            }
+            remaining_bytes -= bytes;
+            let value = (!page.open.is_empty()).then(|| encode(&page.open));
+            writes.push(IntentPageWrite { page: id, expected: page.revision, value });
+            pending.push(PendingPage { id, intents: page.open.clone() });
+        }
+        if writes.is_empty() {
+            return None;
+        }
+        self.in_flight = Some(pending);
+        Some(writes)
+    }
+
+    /// Pages that lack a record first, then those that only need compaction.
+    fn pages_to_write(&self, compact: bool) -> Vec<(PageId, &PageState)> {
+        let is_due = |page: &PageState| {
+            !page.uncertain && (page.has_unrecorded() || compact && page.needs_compaction())
+        };
+        let due = self.pages.iter().filter(|(_, page)| is_due(page));
+        let mut pages: Vec<(PageId, &PageState)> = due.map(|(id, page)| (*id, page)).collect();
+        pages.sort_by_key(|(id, page)| (!page.has_unrecorded(), *id));
+        pages
+    }
+
+    /// The write under way was committed; returns the intents that are stored by it.
+    pub fn write_committed(&mut self, revision: u64) -> Vec<IdempotencyKey> {
+        let mut recorded = Vec::new();
+        for PendingPage { id, intents } in self.in_flight.take().unwrap_or_default() {
+            let Some(page) = self.pages.get_mut(&id) else { continue };
+            if intents.is_empty() && page.open.is_empty() {
+                self.pages.remove(&id);
+                continue;
+            }
+            page.revision = if intents.is_empty() { 0 } else { revision };
+            recorded.extend(intents.iter().cloned());
+            page.stored = intents;
+        }
+        recorded
+    }
+
+    /// The write under way was certainly not carried out.
+    pub fn write_failed(&mut self) {
+        self.in_flight = None;
+    }
+
+    /// The write under way may be carried out later, or its pages were changed otherwise: they
+    /// are read before they are written again.
+    pub fn write_uncertain(&mut self) {
+        for PendingPage { id, .. } in self.in_flight.take().unwrap_or_default() {
+            if let Some(page) = self.pages.get_mut(&id) {
+                page.uncertain = true;
+                page.stored.clear();
+            }
+        }
+    }
+
+    /// The pages whose revisions are to be read before they are written again.
+    pub fn uncertain(&self) -> Vec<PageId> {
+        self.pages.iter().filter(|(_, page)| page.uncertain).map(|(id, _)| *id).collect()
+    }
+
+    /// A page's key was read and has this revision; 0: it does not exist.
+    pub fn revision_read(&mut self, id: PageId, revision: u64) {
+        let Some(page) = self.pages.get_mut(&id) else { return };
+        page.uncertain = false;
+        page.revision = revision;
+        if revision == 0 && page.open.is_empty() {
+            self.pages.remove(&id);
+        }
+    }
+}
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -4,11 +4,11 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_fencing::action::{CloudAction, InstanceReturn, Rental, ReturnReason};
+use plankhead_fencing::errors::{IntentError, IssueError};
 use plankhead_fencing::gate::{Basis, FencingGate, GateError};
 use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
-use plankhead_fencing::intent_log::{
-    IntentAdmission, IntentError, IntentLog, IntentPageWrite, IssueError, StoreLimits, WriteOutcome,
-};
+use plankhead_fencing::intent_log::{IntentAdmission, IntentLog};
+use plankhead_fencing::page_writes::{IntentPageWrite, StoreLimits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId, RecordError};
 use plankhead_fencing::token::{StaleToken, TokenGuard};
 use rand::rngs::StdRng;
@@ -23,7 +23,7 @@
     CloudAction::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
 }
 
-fn back(hosts: &[&str], cause: ReturnReason) -> CloudAction {
+fn instance_return(hosts: &[&str], cause: ReturnReason) -> CloudAction {
     CloudAction::Return(InstanceReturn {
         machines: hosts.iter().map(|host| Arc::from(*host)).collect(),
         reason: cause,
@@ -61,9 +61,9 @@
             assert_eq!(from.may_become(to), allowed.contains(&(from, to)), "{from:?} to {to:?}");
         }
     }
-    let mut duty = Intent::intended(key("k"), 7, rental("r", 1), 0);
-    assert!(duty.transition_to(Confirmed).is_err());
-    assert_eq!(duty.state(), Intended);
+    let mut intent = Intent::intended(key("k"), 7, rental("r", 1), 0);
+    assert!(intent.transition_to(Confirmed).is_err());
+    assert_eq!(intent.state(), Intended);
 }
 
 #[test]
@@ -72,11 +72,11 @@
         rental("r", 1),
         rental("r", 2),
         rental("rg", 1),
-        back(&["a"], ReturnReason::Surplus),
-        back(&["a"], ReturnReason::Reclaim),
-        back(&["a", "b"], ReturnReason::Surplus),
-        back(&["ab"], ReturnReason::Surplus),
-        back(&["b", "a"], ReturnReason::Surplus),
+        instance_return(&["a"], ReturnReason::Surplus),
+        instance_return(&["a"], ReturnReason::Reclaim),
+        instance_return(&["a", "b"], ReturnReason::Surplus),
+        instance_return(&["ab"], ReturnReason::Surplus),
+        instance_return(&["b", "a"], ReturnReason::Surplus),
     ];
     let digests: BTreeSet<String> = different.iter().map(|action| action.digest().to_string()).collect();
     assert_eq!(digests.len(), different.len());
@@ -140,7 +140,7 @@
     log.confirm(&key("r")).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused));
     assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
-    assert!(log.intent(&key("r")).is_none(), "a duty that is over began again");
+    assert!(log.intent(&key("r")).is_none(), "an intent that is over began again");
     assert!(log.next_key() != log.next_key());
 }
 
@@ -172,7 +172,7 @@
 fn the_next_holder_finishes_what_was_open() {
     let mut old = IntentLog::new(41, LIMITS);
     old.intend(key("r"), rental("r", 3), 5).unwrap();
-    old.intend(key("b"), back(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
+    old.intend(key("b"), instance_return(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
     let (changes, _) = write(&mut old, WriteOutcome::Committed { revision: 9 });
     let (stored, value) = (changes[0].page.key(), changes[0].value.clone().unwrap());
 
@@ -180,8 +180,8 @@
     assert_eq!(new.inherit(&stored, &value, 9), Vec::new());
     let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
-    assert!(adopted.iter().all(|duty| duty.token == 41 && duty.state() == IntentState::Adopted));
-    assert!(!new.needs_compaction(), "open duties of a former holder were to be removed");
+    assert!(adopted.iter().all(|intent| intent.token == 41 && intent.state() == IntentState::Adopted));
+    assert!(!new.needs_compaction(), "open intents of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
         assert!(FencingGate::fenced(60).pass(action, Some(proof)).is_ok());
@@ -207,8 +207,8 @@
 #[test]
 fn only_a_failed_record_compels_and_only_for_reclaims() {
     let mut log = IntentLog::new(41, LIMITS);
-    log.intend(key("reclaim"), back(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
-    log.intend(key("surplus"), back(&["i-2"], ReturnReason::Surplus), 5).unwrap();
+    log.intend(key("reclaim"), instance_return(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
+    log.intend(key("surplus"), instance_return(&["i-2"], ReturnReason::Surplus), 5).unwrap();
     assert!(!log.force_issue(&key("reclaim")), "without an attempt to record it");
     write(&mut log, WriteOutcome::Busy);
     assert!(!log.force_issue(&key("reclaim")), "the state service is only busy");
@@ -273,7 +273,7 @@
     for name in ["duty/1", "duty/x/0", "duty/1/0/0", "duty/01/0", "duty/-1/0", "other/1/0"] {
         assert_eq!(log.inherit(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
     }
-    // The same duty in two pages: the first counts.
+    // The same intent in two pages: the first counts.
     assert_eq!(log.inherit("duty/1/0", &page, 9), Vec::new());
     assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
     assert_eq!(log.adopted().count(), 1);
@@ -323,8 +323,8 @@
         WriteOutcome::Committed { revision: self.revision }
     }
 
-    fn names(&self, duty: &IdempotencyKey) -> bool {
-        self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{duty}\"")))
+    fn names(&self, intent: &IdempotencyKey) -> bool {
+        self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{intent}\"")))
     }
 }
 
@@ -373,13 +373,13 @@
                 if rng.random_range(0..8) == 0 {
                     late.pop().map(|changes| store.apply(&changes));
                 }
-                let open: Vec<IdempotencyKey> = log.open_intents().map(|duty| duty.key.clone()).collect();
-                for duty in open {
-                    if log.issue(&duty).is_ok() {
+                let open: Vec<IdempotencyKey> = log.open_intents().map(|intent| intent.key.clone()).collect();
+                for intent in open {
+                    if log.issue(&intent).is_ok() {
                         issued += 1;
-                        assert!(store.names(&duty), "seed {seed}: {duty} is issued without a record");
+                        assert!(store.names(&intent), "seed {seed}: {intent} is issued without a record");
                         if rng.random_range(0..2) == 0 {
-                            log.confirm(&duty).unwrap();
+                            log.confirm(&intent).unwrap();
                         }
                     }
                 }
