--- a/crates/plankhead-sharding/src/freshness.rs
+++ b/crates/plankhead-sharding/src/freshness.rs
@@ -1,37 +1,40 @@
-//! How long a holder may renew leases without seeing the state service.
+//! How long a holder may renew workers' leases without reading the state service.
 
 use std::time::Duration;
 
-/// What a holder's answers end sooner than leases and cancellations ask for: for the drift
-/// of clocks and for what is under way.
-const MARGIN: Duration = Duration::from_secs(2);
-/// No starts once the jobs were not seen afresh for this long: a watch's second, and as much
-/// again and a half for a slow answer. A holder has no renewals that would tell it sooner
-/// that the state service fails it.
-const START_WITHIN: Duration = Duration::from_millis(2500);
+/// By how much sooner a holder stops renewing than leases and cancellations demand: for clock
+/// drift and for messages under way.
+const SAFETY_MARGIN: Duration = Duration::from_secs(2);
+/// The age of a holder's view of the jobs beyond which it relays no starts: one second of a
+/// watch, and one and a half for a slow answer. A holder renews no lease of its own, by which it
+/// would learn sooner that the state service does not answer it.
+const MAX_AGE_FOR_STARTS: Duration = Duration::from_millis(2500);
 
-/// When a holder last saw the jobs and the records whole. Each time is when the read was
-/// asked for, never when it was answered.
+/// When a holder last read all jobs and all records. Each time is when the read was sent, never
+/// when it was answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
+    /// As of when the jobs are known; `None`: not at all.
     pub jobs: Option<Duration>,
+    /// As of when the shards' records are known; `None`: not at all.
     pub records: Option<Duration>,
 }
 
 impl Freshness {
-    /// Whether an answer decided now may renew a lease: it runs out before a cancellation
-    /// that this holder could not see is due, `a + lease (1 + d) + e <= v + cancel (1 - d)`.
-    /// The holder's own sight counts and nobody else's, so that however many holders and
-    /// leaders follow each other, none adds to another's time.
+    /// Whether a reply decided now may renew a lease: the lease must expire before a cancellation
+    /// that this holder has not read is due, `a + lease (1 + d) + e <= v + cancel (1 - d)`, with
+    /// `a` the time of the reply, `v` that of the read, `d` the clock drift and `e` the delay of
+    /// messages. Only the holder's own reads count, so that however many holders and leaders
+    /// follow each other, none extends another's time.
     pub fn may_renew(&self, now: Duration, lease: Duration, cancel: Duration) -> bool {
-        let bound = cancel.saturating_sub(lease + MARGIN);
-        let seen = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < bound);
-        seen(self.jobs) && seen(self.records)
+        let bound = cancel.saturating_sub(lease + SAFETY_MARGIN);
+        let is_fresh = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < bound);
+        is_fresh(self.jobs) && is_fresh(self.records)
     }
 
-    /// Whether a start may be passed on: no cancellation is likely to have been confirmed
-    /// unseen.
+    /// Whether a start may be relayed: no cancellation is likely to have been confirmed that this
+    /// holder has not read.
     pub fn may_start(&self, now: Duration) -> bool {
-        self.jobs.is_some_and(|at| now.saturating_sub(at) < START_WITHIN)
+        self.jobs.is_some_and(|at| now.saturating_sub(at) < MAX_AGE_FOR_STARTS)
     }
 }
--- a/crates/plankhead-sharding/src/machine_numbers.rs
+++ b/crates/plankhead-sharding/src/machine_numbers.rs
@@ -1,25 +1,29 @@
-//! Which machines report although nothing about them is new, as bitmaps of numbers that
-//! holder and leader agree on within one stream of messages.
+//! Numbers of machines within one stream of messages from a holder to the leader, and sets of
+//! machines as compressed bitmaps of these numbers. A holder tells by them which machines sent
+//! heartbeats without any change.
 
 use roaring::RoaringBitmap;
 use std::collections::HashMap;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Machines that one stream may number.
+/// The most machines that one stream numbers.
 pub const MAX_MACHINES: usize = 16_384;
-/// A bitmap of as many machines takes less.
+/// The most bytes of an encoded bitmap; one of [`MAX_MACHINES`] machines takes less.
 pub const MAX_BITMAP_BYTES: usize = 16 * 1024;
 
+/// Why an encoded bitmap is refused.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum BitmapError {
+    /// It has too many bytes or numbers.
     #[error("a bitmap that is too large")]
     TooLarge,
+    /// It does not decode.
     #[error("not a bitmap")]
     Malformed,
 }
 
-/// The holder's side: numbers for machines, given with the first news of each.
+/// The holder's side: the numbers of machines, assigned with the first status sent of each.
 #[derive(Debug, Default)]
 pub struct MachineNumbers {
     by_name: HashMap<Arc<str>, u32>,
@@ -27,8 +31,8 @@
 }
 
 impl MachineNumbers {
-    /// The number of a machine, a new one if it has none. `None`: the stream is full and is
-    /// to be begun anew.
+    /// The number of a machine, a new one if it has none. `None`: the stream is full, and a new
+    /// one must begin.
     pub fn assign(&mut self, machine: &Arc<str>) -> Option<u32> {
         if let Some(number) = self.by_name.get(machine) {
             return Some(*number);
@@ -42,6 +46,7 @@
         Some(number)
     }
 
+    /// The number of a machine, if it has one.
     pub fn get(&self, machine: &str) -> Option<u32> {
         self.by_name.get(machine).copied()
     }
@@ -52,27 +57,30 @@
 pub struct NumberedMachines(HashMap<u32, Arc<str>>);
 
 impl NumberedMachines {
+    /// Takes in the number that the holder has assigned to a machine.
     pub fn assign(&mut self, number: u32, machine: Arc<str>) {
         if self.0.len() < MAX_MACHINES || self.0.contains_key(&number) {
             self.0.insert(number, machine);
         }
     }
 
-    /// The machines of a bitmap; numbers that nobody has been told of are passed over.
+    /// The machines of a bitmap; numbers without a machine are skipped.
     pub fn of<'a>(&'a self, numbers: &'a RoaringBitmap) -> impl Iterator<Item = &'a Arc<str>> + 'a {
         numbers.iter().filter_map(|number| self.0.get(&number))
     }
 }
 
+/// Encodes a set of numbers.
 pub fn encode(numbers: &RoaringBitmap) -> Vec<u8> {
     let mut numbers = numbers.clone();
     numbers.optimize();
     let mut bytes = Vec::with_capacity(numbers.serialized_size());
-    // Writing to memory does not fail.
+    // Writing to memory can't fail.
     let _ = numbers.serialize_into(&mut bytes);
     bytes
 }
 
+/// Decodes a set of numbers.
 pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, BitmapError> {
     if bytes.len() > MAX_BITMAP_BYTES {
         return Err(BitmapError::TooLarge);
--- /dev/null
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -0,0 +1,286 @@
+//! The leader's side: the state of every shard, and which record is to be written next.
+//!
+//! Every write is conditional on the leader's key and on the record's revision, and says why it
+//! is made. A write whose answer was lost leaves its shard uncertain until the records were read
+//! again. The leader may repeat the write meanwhile under the revision that it knows, which
+//! fails if the first one was carried out.
+
+mod moves;
+mod naming;
+mod record_write;
+mod tracked_shard;
+
+pub use record_write::{HolderNamed, NamingReason, RecordWrite, WriteOutcome};
+
+use crate::balance::{Candidate, ShardLoad, ShardLoads};
+use crate::settings::Settings;
+use crate::shard::ShardId;
+use crate::state::{ShardState, Transition};
+use crate::table::ShardTable;
+use naming::HolderNaming;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tracked_shard::TrackedShard;
+
+/// How long a new leader waits for the other nodes' heartbeats before it names holders that no
+/// former leader has named.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How soon the registry plans again while a shard waits to be named or moved.
+const WAITING_INTERVAL: Duration = Duration::from_millis(100);
+/// How soon it does otherwise.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// What the leader knows of the other nodes, and of the machines.
+#[derive(Debug, Clone, Default)]
+pub struct RegistryInput {
+    /// Nodes that are heard and see the records, the leader among them, each with the id of its
+    /// process's start.
+    pub live_nodes: BTreeMap<String, u64>,
+    /// Those of them that may take shards.
+    pub candidates: Vec<Candidate>,
+    /// The number of machines by shard.
+    pub machines: BTreeMap<ShardId, u32>,
+    /// Zones that have machines, or may.
+    pub zones: BTreeSet<String>,
+}
+
+impl RegistryInput {
+    fn may_take_shards(&self, host: &str) -> bool {
+        self.candidates.iter().any(|candidate| candidate.host == host)
+    }
+}
+
+/// Every shard, as the leader sees it in its term.
+#[derive(Debug)]
+pub struct ShardRegistry {
+    term: u64,
+    own_name: String,
+    settings: Settings,
+    shards: BTreeMap<ShardId, TrackedShard>,
+    /// When this leader first planned.
+    started_at: Option<Duration>,
+    next_move_at: Duration,
+    next_rotation_at: Duration,
+    moves: u64,
+}
+
+impl ShardRegistry {
+    /// The registry of the leader `own_name` under the fencing token `term`.
+    pub fn new(term: u64, own_name: &str, settings: Settings) -> Self {
+        Self {
+            term,
+            own_name: own_name.into(),
+            settings,
+            shards: BTreeMap::new(),
+            started_at: None,
+            next_move_at: Duration::ZERO,
+            next_rotation_at: Duration::ZERO,
+            moves: 0,
+        }
+    }
+
+    /// Takes in the records; `read_at`: when the read of them was sent.
+    pub fn apply_records(&mut self, table: &ShardTable, read_at: Option<Duration>, now: Duration) {
+        for (shard, known) in table.iter() {
+            let tracked = self.shards.entry(shard.clone()).or_default();
+            if known.revision <= tracked.revision {
+                continue;
+            }
+            let record = &known.record;
+            let (holder, epoch) = (record.holder.clone(), known.epoch());
+            tracked.state = match &record.moving {
+                Some(moving) => ShardState::Releasing { holder, epoch, to: moving.to.clone() },
+                None => ShardState::Held { holder, epoch },
+            };
+            (tracked.revision, tracked.term, tracked.since) = (known.revision, record.term, now);
+            tracked.boot = record.boot;
+        }
+        for tracked in self.shards.values_mut() {
+            let is_later = |sent: &Duration| read_at.is_some_and(|read_at| read_at > *sent);
+            if tracked.uncertain_write_at.as_ref().is_some_and(is_later) {
+                tracked.uncertain_write_at = None;
+            }
+        }
+    }
+
+    /// Whether some record may have been written that this leader does not know of: a token
+    /// above those that it knows may be a shard's epoch.
+    pub fn has_uncertain_writes(&self) -> bool {
+        self.shards.values().any(TrackedShard::is_uncertain)
+    }
+
+    /// The highest token of this term.
+    pub fn highest_epoch(&self) -> u64 {
+        let current = self.shards.values().filter(|tracked| tracked.term == self.term);
+        current.map(|tracked| tracked.revision).fold(self.term, u64::max)
+    }
+
+    /// The shard of a machine by this leader's settings.
+    pub fn shard_of(&self, zone: &str, machine: &str) -> ShardId {
+        ShardId::of(zone, machine, self.settings.shards_per_zone)
+    }
+
+    /// The state of a shard.
+    pub fn state(&self, shard: &ShardId) -> Option<&ShardState> {
+        self.shards.get(shard).map(|tracked| &tracked.state)
+    }
+
+    /// The holder that this leader has named, with its epoch.
+    pub fn holder(&self, shard: &ShardId) -> Option<(&str, u64)> {
+        let tracked = self.shards.get(shard).filter(|tracked| tracked.term == self.term)?;
+        Some((tracked.state.holder()?, tracked.state.epoch()))
+    }
+
+    /// The holder that a former leader named, where this one has not named any yet.
+    pub fn former_holder(&self, shard: &ShardId) -> Option<(&str, u64)> {
+        let tracked = self.shards.get(shard).filter(|tracked| tracked.term < self.term)?;
+        Some((tracked.state.holder()?, tracked.state.epoch()))
+    }
+
+    /// The shards whose holders this leader has named.
+    pub fn current(&self) -> impl Iterator<Item = (&ShardId, &ShardState)> {
+        let current = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
+        current.map(|(shard, tracked)| (shard, &tracked.state))
+    }
+
+    /// What a shard waits for, for the operators' view.
+    pub fn waits_for(&self, shard: &ShardId) -> Option<&'static str> {
+        let tracked = self.shards.get(shard)?;
+        match &tracked.state {
+            _ if tracked.is_writing => Some("its record to be written"),
+            _ if tracked.uncertain_write_at.is_some() => Some("its record to be read"),
+            _ if tracked.term != self.term => Some("its former holder to be heard"),
+            ShardState::Releasing { .. } => Some("its holder to let go"),
+            ShardState::Released { .. } => Some("the next holder to be named"),
+            ShardState::Vacant => Some("a holder to be named"),
+            ShardState::Held { .. } => None,
+        }
+    }
+
+    /// A holder confirms that it has released a shard.
+    pub fn released(&mut self, shard: &ShardId, from: &str, epoch: u64) {
+        let current = self.shards.get_mut(shard).filter(|tracked| tracked.term == self.term);
+        let Some(tracked) = current.filter(|tracked| tracked.state.holder() == Some(from)) else { return };
+        // Repeated until the next holder is named, and refused from the second time on.
+        if let Ok(state) = tracked.state.after(Transition::ConfirmRelease { epoch }) {
+            tracked.state = state;
+        }
+    }
+
+    /// The load of every declared shard, with its holder in this term: the next one if it moves.
+    fn loads(&self, input: &RegistryInput, declared: &BTreeSet<ShardId>) -> ShardLoads {
+        let load = |shard: &ShardId| {
+            let tracked = self.shards.get(shard).filter(|tracked| tracked.term == self.term);
+            let holder = tracked.and_then(|tracked| tracked.state.next_holder().or(tracked.state.holder()));
+            let machines = input.machines.get(shard).copied().unwrap_or(0);
+            ShardLoad { machines, holder: holder.map(str::to_owned) }
+        };
+        declared.iter().map(|shard| (shard.clone(), load(shard))).collect()
+    }
+
+    /// The shards that there should be.
+    fn declared(&self, input: &RegistryInput) -> BTreeSet<ShardId> {
+        let shards_of = |zone: &String| {
+            let zone = zone.clone();
+            (0..self.settings.shards_per_zone).map(move |index| ShardId { zone: zone.clone(), index })
+        };
+        input.zones.iter().flat_map(shards_of).collect()
+    }
+
+    /// The records to be written now, at most so many. Each counts as under way until
+    /// [`ShardRegistry::write_completed`] says how it ended.
+    pub fn next_writes(
+        &mut self,
+        input: &RegistryInput,
+        max_writes: usize,
+        now: Duration,
+    ) -> Vec<RecordWrite> {
+        if self.started_at.is_none() {
+            self.next_move_at = now + self.settings.move_pause;
+        }
+        let started_at = *self.started_at.get_or_insert(now);
+        let settled = now.saturating_sub(started_at) >= SETTLE_TIMEOUT;
+        let declared = self.declared(input);
+        let mut loads = self.loads(input, &declared);
+        let naming = HolderNaming { registry: self, input, settled, now };
+        let mut writes = naming.due_writes(&declared, &mut loads, max_writes);
+        if writes.is_empty() {
+            writes.extend(self.begin_move(input, &loads, now));
+        }
+        if writes.is_empty() {
+            writes.extend(self.surplus_deletions(&declared).into_iter().take(max_writes));
+        }
+        for write in &writes {
+            self.shards.entry(write.shard.clone()).or_default().is_writing = true;
+        }
+        writes
+    }
+
+    /// Deletes the records that no machine belongs to by this leader's settings.
+    fn surplus_deletions(&self, declared: &BTreeSet<ShardId>) -> Vec<RecordWrite> {
+        let zones: BTreeSet<&str> = declared.iter().map(|shard| shard.zone.as_str()).collect();
+        let is_surplus = |shard: &ShardId| zones.contains(shard.zone.as_str()) && !declared.contains(shard);
+        let surplus = self.shards.iter().filter(|(shard, tracked)| {
+            let is_stored = tracked.revision > 0 && tracked.state != ShardState::Vacant;
+            is_surplus(shard) && is_stored && !tracked.is_writing
+        });
+        surplus.map(|(shard, tracked)| tracked.write(shard, None, NamingReason::Surplus)).collect()
+    }
+
+    /// Takes in how a write that was sent at `sent` ended. Returns the holder that it named.
+    pub fn write_completed(
+        &mut self,
+        write: &RecordWrite,
+        outcome: WriteOutcome,
+        sent: Duration,
+        now: Duration,
+    ) -> Option<HolderNamed> {
+        let tracked = self.shards.get_mut(&write.shard)?;
+        tracked.is_writing = false;
+        let revision = match outcome {
+            WriteOutcome::Committed { revision } => revision,
+            WriteOutcome::Failed => return None,
+            WriteOutcome::Lost => {
+                tracked.uncertain_write_at = Some(sent);
+                return None;
+            }
+        };
+        // The records may have been read before the answer came.
+        if revision < tracked.revision {
+            return None;
+        }
+        let Some(record) = &write.record else {
+            *tracked = TrackedShard { revision, ..TrackedShard::default() };
+            return None;
+        };
+        let transition = match &record.moving {
+            Some(moving) => Transition::BeginRelease { to: moving.to.clone() },
+            None => Transition::Name { holder: record.holder.clone(), epoch: revision },
+        };
+        if let Ok(state) = tracked.state.after(transition) {
+            tracked.state = state;
+        }
+        (tracked.revision, tracked.term, tracked.since) = (revision, record.term, now);
+        tracked.uncertain_write_at = None;
+        tracked.boot = record.boot;
+        if record.moving.is_some() {
+            return None;
+        }
+        let (shard, from, to) = (write.shard.clone(), write.from.clone(), record.holder.clone());
+        self.moves += u64::from(from.as_ref().is_some_and(|from| *from != to));
+        Some(HolderNamed { shard, from, to, epoch: revision, reason: write.reason })
+    }
+
+    /// How many shards changed hands in this term.
+    pub fn moves(&self) -> u64 {
+        self.moves
+    }
+
+    /// When [`ShardRegistry::next_writes`] should be called again unless something changes.
+    pub fn next_due(&self, now: Duration) -> Duration {
+        let is_waiting =
+            |tracked: &TrackedShard| tracked.term != self.term || tracked.state.next_holder().is_some();
+        let interval = if self.shards.values().any(is_waiting) { WAITING_INTERVAL } else { IDLE_INTERVAL };
+        now + interval
+    }
+}
--- a/crates/plankhead-sharding/src/sequence.rs
+++ b/crates/plankhead-sharding/src/sequence.rs
@@ -1,29 +1,30 @@
-//! Which messages of a controller are news: each stream is numbered, and late copies and
-//! repeats are refused.
+//! Ordering of messages between nodes: each start of a sender numbers its messages, and late
+//! copies and repeats are refused.
 
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// What a message says of itself.
+/// The origin of a message: which start of its sender, and its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageStamp {
-    /// Tells one start of the sending process from another; in no order.
+    /// The id of the start of the sending process; the ids have no order.
     pub boot: u64,
-    /// Grows with every message of one start.
+    /// Increases with every message of one start.
     pub sequence: u64,
 }
 
+/// The message is a late copy or a repeat of one that was admitted.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 #[error("a late copy or a repeat")]
 pub struct StaleMessage;
 
-/// What a message is to its receiver.
+/// How an admitted message relates to the ones before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It follows the ones before.
+    /// It follows them.
     Next,
-    /// Its sender has begun anew, or this is a late message of an earlier start. No start is
-    /// refused for good: whichever is the present one goes on sending, and is admitted again.
+    /// Its sender was restarted, or this is a late message of an earlier start. No start is
+    /// refused for good: the present one goes on sending, and is admitted again.
     OtherStart,
 }
 
--- a/crates/plankhead-sharding/src/settings.rs
+++ b/crates/plankhead-sharding/src/settings.rs
@@ -1,27 +1,28 @@
-//! What operators may set.
+//! The operators' settings of sharding.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Whether and how machines are divided among controllers.
+/// Whether and how machines are partitioned among nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
+    /// Whether shards are used at all.
     pub enabled: bool,
-    /// Parts that each zone's machines are divided into.
+    /// The number of shards of each zone's machines.
     pub shards_per_zone: u32,
-    /// The part of another controller's load that the leader takes beside its own work.
+    /// The share of another node's load that the leader takes beside its own work.
     pub leader_capacity: f64,
     /// How much less loaded another holder must be for a shard to move to it.
     pub hysteresis: f64,
-    /// Between two moves for the sake of balance.
+    /// The least time between two moves for balance.
     pub move_pause: Duration,
-    /// How long a holder that is asked to let go is waited for.
+    /// How long the leader waits for a holder to release a shard.
     pub release_timeout: Duration,
-    /// How long a holder may be silent before its shards go to others.
+    /// How long a holder's heartbeats may be missing before its shards are seized.
     pub holder_timeout: Duration,
-    /// Controllers that are to hold none.
+    /// Nodes that are to hold no shards.
     pub drained: BTreeSet<String>,
-    /// Moves a shard every so often whatever the balance; for drills and tests.
+    /// The interval at which a shard moves whatever the balance; for drills and tests.
     pub rotate: Option<Duration>,
 }
 
--- a/crates/plankhead-sharding/src/state.rs
+++ b/crates/plankhead-sharding/src/state.rs
@@ -3,32 +3,63 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Where a shard is in its life.
+/// Whether a shard has a holder, and how far a move of it is.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum ShardState {
-    /// Nobody has been named.
+    /// No holder has been named.
     #[default]
     Vacant,
     /// Its holder acts under the epoch.
-    Held { holder: String, epoch: u64 },
-    /// Its holder is to start nothing more, and to say when it has passed all on.
-    Releasing { holder: String, epoch: u64, to: String },
-    /// The holder has passed all on; the next one is to be named.
-    Released { holder: String, epoch: u64, to: String },
+    Held {
+        /// The node that holds the shard.
+        holder: String,
+        /// The revision at which the holder was named.
+        epoch: u64,
+    },
+    /// Its holder relays no more starts, and is to confirm once all that it relayed has arrived.
+    Releasing {
+        /// The node that holds the shard.
+        holder: String,
+        /// The revision at which the holder was named.
+        epoch: u64,
+        /// The node that is to hold the shard next.
+        to: String,
+    },
+    /// The holder has confirmed the release; the next one is to be named.
+    Released {
+        /// The node that holds the shard.
+        holder: String,
+        /// The revision at which the holder was named.
+        epoch: u64,
+        /// The node that is to hold the shard next.
+        to: String,
+    },
 }
 
 /// What changes a shard's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// A record names a holder at this revision: the first one, the same one in a new
-    /// term, the one that the shard moves to, or another since the holder is silent.
-    Name { holder: String, epoch: u64 },
-    /// A record asks the holder to let go.
-    BeginRelease { to: String },
-    /// The holder has let go.
-    ConfirmRelease { epoch: u64 },
+    /// A record names a holder: the first one, the same one in a new term, the one that the
+    /// shard moves to, or another since the holder is gone.
+    Name {
+        /// The node that is named.
+        holder: String,
+        /// The revision of the record.
+        epoch: u64,
+    },
+    /// A record asks the holder to release the shard.
+    BeginRelease {
+        /// The node that is to hold the shard next.
+        to: String,
+    },
+    /// The holder has released the shard.
+    ConfirmRelease {
+        /// The epoch that the holder held it under.
+        epoch: u64,
+    },
 }
 
+/// A transition that the shard's state does not allow.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("a shard that is {state} can't take {transition:?}")]
 pub struct ForbiddenTransition {
@@ -37,7 +68,7 @@
 }
 
 impl ShardState {
-    /// The state after a transition: the one place that says which are allowed.
+    /// The state after a transition, if it is allowed: the one list of those that are.
     pub fn after(&self, transition: Transition) -> Result<Self, ForbiddenTransition> {
         use ShardState::{Held, Released, Releasing};
         match (self, &transition) {
@@ -57,7 +88,7 @@
         }
     }
 
-    /// The controller that acts for the shard.
+    /// The node that acts for the shard.
     pub fn holder(&self) -> Option<&str> {
         match self {
             Self::Vacant => None,
@@ -67,7 +98,7 @@
         }
     }
 
-    /// The shard's fencing token; 0 while nobody holds it.
+    /// The shard's epoch; 0 while nobody holds it.
     pub fn epoch(&self) -> u64 {
         match self {
             Self::Vacant => 0,
@@ -75,7 +106,7 @@
         }
     }
 
-    /// Who is to hold the shard next, while it moves.
+    /// The node that is to hold the shard next, while it moves.
     pub fn next_holder(&self) -> Option<&str> {
         match self {
             Self::Releasing { to, .. } | Self::Released { to, .. } => Some(to),
