--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -11,7 +11,7 @@
     InstanceStatus, JobStatus, MachineName, MachineType, ReportedTask, Response, TaskId, TaskStatus,
     WorkerCommand,
 };
-use plankhead_fencing::action::{Action, Rental};
+use plankhead_fencing::action::{CloudAction, Rental};
 use rand::RngExt;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -146,9 +146,9 @@
         })
     }
 
-    fn act(&mut self, action: Action) -> Result<CloudReply, CallError> {
+    fn act(&mut self, action: CloudAction) -> Result<CloudReply, CallError> {
         Ok(match action {
-            Action::Rent(Rental { name, zone, spot, count, .. }) => {
+            CloudAction::Rent(Rental { name, zone, spot, count, .. }) => {
                 if let Some(hosts) = self.rentals.get(&name) {
                     return Ok(CloudReply::Rented(hosts.clone()));
                 }
@@ -194,8 +194,8 @@
                 self.rentals.insert(name, hosts.clone());
                 CloudReply::Rented(hosts)
             }
-            Action::Return(back) => {
-                for machine in back.hosts.iter().filter(|_| !self.faults.lying_cloud) {
+            CloudAction::Return(back) => {
+                for machine in back.machines.iter().filter(|_| !self.faults.lying_cloud) {
                     let worker = self.workers.remove(machine).filter(|w| w.is_up(self.now));
                     self.killed_by_release += worker.map_or(0, |w| w.running_tasks().count());
                 }
