--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -5,7 +5,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
-use crate::jobs::job_table::{tasks_per_chunk, JobEntry};
+use crate::jobs::job_table::{tasks_per_chunk, JobEntry, StoredJob};
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
 use std::sync::Arc;
@@ -215,7 +215,14 @@
                 }
             }
         }
-        self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
+        let job = StoredJob {
+            record,
+            mod_revision: row.mod_revision,
+            accepted_at: accepted,
+            cancelled_at: cancelled,
+            tasks_per_chunk: per_chunk,
+        };
+        self.job_table.upsert(&id, job);
         self.pass_needed = true;
     }
 
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -3,6 +3,7 @@
 use super::{Leader, Txn, ENDS_LOOK, ENDS_WAIT, MAX_TXNS, TARGET, TXN_BYTES};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::EffectSink;
+use crate::jobs::chunk::EncodedChunk;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
 use crate::requests::RequestHandler;
@@ -93,7 +94,9 @@
             if chunk.write_in_flight || chunk.revision_uncertain {
                 continue;
             }
-            let Some((value, version)) = self.job_table.encode_chunk(&id, number) else { continue };
+            let Some(EncodedChunk { value, version }) = self.job_table.encode_chunk(&id, number) else {
+                continue;
+            };
             if txn.bytes + value.len() > TXN_BYTES && !txn.changes.is_empty() {
                 return;
             }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -5,7 +5,8 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
 use crate::jobs::job::JobPhase;
-use crate::jobs::job_table::{Ended, JobEntry};
+use crate::jobs::job_table::{EndedAttempt, JobEntry};
+use crate::jobs::reconcile::HeartbeatOutcome;
 use crate::protocol::{
     ExitReason, Heartbeat, LogLevel, MachineName, ReportedTask, Response, TaskId, TaskStatus, WorkerCommand,
 };
@@ -114,13 +115,13 @@
         effects: &mut EffectSink,
     ) {
         let now = times.now;
-        let (ended, lost) = match heard {
+        let HeartbeatOutcome { ended, missing } = match heard {
             HeartbeatNews::Changed => {
                 self.job_table.observe_heartbeat(heartbeat, heartbeat.token >= self.token, now)
             }
             _ => Default::default(),
         };
-        if lost > 0 {
+        if missing > 0 {
             // Such an attempt is neither there nor proven gone.
             if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
@@ -188,7 +189,7 @@
         &mut self,
         now: Duration,
         host: &MachineName,
-        end: &Ended,
+        end: &EndedAttempt,
         effects: &mut EffectSink,
     ) {
         let Some(entry) = self.job_table.jobs.get_mut(&end.task.job) else { return };
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -4,7 +4,8 @@
 
 use plankhead_core::fleet::{Fleet, HeartbeatNews, RemovalReason};
 use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord, JobSpec, Priority, Resources};
-use plankhead_core::jobs::job_table::JobTable;
+use plankhead_core::jobs::job_table::{JobTable, StoredJob};
+use plankhead_core::jobs::reconcile::HeartbeatOutcome;
 use plankhead_core::protocol::Pool;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
@@ -43,10 +44,20 @@
     JobRecord { phase, spec: Some(spec(tasks)), tasks, per_chunk: 4, accepted_ms: 0, cancelled_ms: None }
 }
 
+/// A job's row, accepted at the beginning.
+fn stored_job(
+    record: JobRecord,
+    mod_revision: u64,
+    cancelled_at: Option<Duration>,
+    tasks_per_chunk: u32,
+) -> StoredJob {
+    StoredJob { record, mod_revision, accepted_at: NOW, cancelled_at, tasks_per_chunk }
+}
+
 /// A ledger with `placed` of ten tasks on one machine, all durable.
 fn ledger(placed: usize) -> JobTable {
     let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
+    ledger.upsert(&id(), stored_job(record(JobPhase::Active, 10), 5, None, 4));
     for _ in 0..placed {
         ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     }
@@ -56,7 +67,7 @@
 
 fn commit(ledger: &mut JobTable) {
     for (id, chunk) in ledger.dirty_chunks.clone() {
-        let (_, version) = ledger.encode_chunk(&id, chunk).unwrap();
+        let version = ledger.encode_chunk(&id, chunk).unwrap().version;
         ledger.chunk_committed(&id, chunk, version, 7);
     }
 }
@@ -121,10 +132,13 @@
     let mut ledger = ledger(2);
     assert_eq!(
         ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
-        (vec![], 0)
+        HeartbeatOutcome { ended: vec![], missing: 0 }
     );
     // What was there and is missing is neither running nor proven gone.
-    assert_eq!(ledger.observe_heartbeat(&report(3, 2, &[]), false, NOW), (vec![], 1));
+    assert_eq!(
+        ledger.observe_heartbeat(&report(3, 2, &[]), false, NOW),
+        HeartbeatOutcome { ended: vec![], missing: 1 }
+    );
     assert_eq!(placed(&ledger), 2);
 }
 
@@ -161,7 +175,7 @@
 fn cancelling_drops_only_what_nobody_was_told() {
     let mut ledger = ledger(1);
     ledger.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
-    ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    ledger.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     assert_eq!(placed(&ledger), 1);
     assert!(ledger.ended_jobs.is_empty());
     ledger.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]), false, NOW);
@@ -175,23 +189,26 @@
 #[test]
 fn the_own_token_fences_cancelled_attempts_of_earlier_leaders() {
     let cancel = |ledger: &mut JobTable| {
-        ledger.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+        ledger.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     };
     let mut live = ledger(2);
     assert!(
-        live.observe_heartbeat(&report(3, 1, &[]), true, NOW).0.is_empty(),
+        live.observe_heartbeat(&report(3, 1, &[]), true, NOW).ended.is_empty(),
         "a live job's attempt may come"
     );
     let mut old = ledger(2);
     cancel(&mut old);
-    assert!(old.observe_heartbeat(&report(3, 1, &[]), false, NOW).0.is_empty(), "no token, no proof");
-    assert!(old.observe_heartbeat(&report(2, 2, &[]), true, NOW).0.is_empty(), "of an earlier shift");
-    assert_eq!(old.observe_heartbeat(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).0.len(), 1);
+    assert!(old.observe_heartbeat(&report(3, 1, &[]), false, NOW).ended.is_empty(), "no token, no proof");
+    assert!(old.observe_heartbeat(&report(2, 2, &[]), true, NOW).ended.is_empty(), "of an earlier shift");
+    assert_eq!(
+        old.observe_heartbeat(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).ended.len(),
+        1
+    );
     assert_eq!(placed(&old), 1);
     let mut sent = ledger(2);
     sent.attempt_mut(&TaskId { job: id(), index: 1 }).unwrap().offered_under_token = Some(0);
     cancel(&mut sent);
-    assert_eq!(sent.observe_heartbeat(&report(3, 1, &[]), true, NOW).0.len(), 1);
+    assert_eq!(sent.observe_heartbeat(&report(3, 1, &[]), true, NOW).ended.len(), 1);
 }
 
 /// What the leader had a holder tell is refused once the worker knows the next holder's
@@ -205,18 +222,22 @@
             Some(40 + u64::from(index));
     }
     assert!(
-        offered.observe_heartbeat(&under(50, 1), true, NOW).0.is_empty(),
+        offered.observe_heartbeat(&under(50, 1), true, NOW).ended.is_empty(),
         "a live job's attempt may come"
     );
-    offered.upsert(&id(), record(JobPhase::Cancelled, 10), 9, NOW, Some(NOW), 4);
+    offered.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     assert!(
-        offered.observe_heartbeat(&under(40, 2), true, NOW).0.is_empty(),
+        offered.observe_heartbeat(&under(40, 2), true, NOW).ended.is_empty(),
         "its own holder may tell it yet"
     );
-    assert_eq!(offered.observe_heartbeat(&under(41, 3), true, NOW).0.len(), 1, "of a former holder's epoch");
+    assert_eq!(
+        offered.observe_heartbeat(&under(41, 3), true, NOW).ended.len(),
+        1,
+        "of a former holder's epoch"
+    );
     assert_eq!(placed(&offered), 1);
-    assert!(offered.observe_heartbeat(&under(42, 4), false, NOW).0.is_empty(), "not of this term");
-    assert_eq!(offered.observe_heartbeat(&under(42, 5), true, NOW).0.len(), 1);
+    assert!(offered.observe_heartbeat(&under(42, 4), false, NOW).ended.is_empty(), "not of this term");
+    assert_eq!(offered.observe_heartbeat(&under(42, 5), true, NOW).ended.len(), 1);
 }
 
 /// What one leader writes, the next one reads: placements, ends and gaps.
@@ -236,9 +257,9 @@
         NOW,
     );
     let mut new = JobTable::default();
-    new.upsert(&id(), record(JobPhase::Active, 10), 5, NOW, None, 4);
+    new.upsert(&id(), stored_job(record(JobPhase::Active, 10), 5, None, 4));
     for chunk in 0..2 {
-        let (text, _) = old.encode_chunk(&id(), chunk).unwrap();
+        let text = old.encode_chunk(&id(), chunk).unwrap().value;
         new.load_chunk(&id(), chunk, &text, 7, NOW).unwrap();
     }
     new.finish_loading();
@@ -261,12 +282,12 @@
     use plankhead_core::jobs::job_table::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
     let mut ledger = JobTable::default();
-    ledger.upsert(&id(), record(JobPhase::Active, 100_000), 5, NOW, None, per_chunk);
+    ledger.upsert(&id(), stored_job(record(JobPhase::Active, 100_000), 5, None, per_chunk));
     for n in 0..per_chunk {
         let host: MachineName = format!("i-{n:012}").into();
         ledger.place(&id(), &host, 123_456, &"a-zone-with-a-name".into(), NOW).unwrap();
     }
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let text = ledger.encode_chunk(&id(), 0).unwrap().value;
     assert!(text.len() <= 8 * 1024, "{}", text.len());
 }
 
@@ -425,7 +446,7 @@
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
-    ledger.upsert(&id(), record, 5, NOW, None, 4);
+    ledger.upsert(&id(), stored_job(record, 5, None, 4));
     place_gang(&mut ledger);
     ledger
 }
@@ -507,14 +528,14 @@
 fn a_new_leader_ends_a_torn_gang() {
     let mut ledger = gang();
     ledger.observe_heartbeat(&from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]), true, NOW);
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let text = ledger.encode_chunk(&id(), 0).unwrap().value;
     let mut next = gang();
     next.remove(&id());
     let mut record = record(JobPhase::Active, 3);
     if let Some(spec) = &mut record.spec {
         (spec.gang, spec.tasks) = (true, 3);
     }
-    next.upsert(&id(), record, 5, NOW, None, 4);
+    next.upsert(&id(), stored_job(record, 5, None, 4));
     next.load_chunk(&id(), 0, &text, 7, NOW).unwrap();
     next.finish_loading();
     assert!(next.jobs[&id()].is_gang_broken());
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_core::jobs::job::{JobId, JobRecord};
-use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable};
+use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, StoredJob};
 use plankhead_core::leader::Target;
 use plankhead_core::leadership::election::Holder;
 use plankhead_fencing::record;
@@ -97,7 +97,14 @@
         let id = JobId::parse(id).unwrap();
         let mut ledger = JobTable::default();
         let per_chunk = record.per_chunk;
-        ledger.upsert(&id, record, 5, NOW, None, per_chunk);
+        let job = StoredJob {
+            record,
+            mod_revision: 5,
+            accepted_at: NOW,
+            cancelled_at: None,
+            tasks_per_chunk: per_chunk,
+        };
+        ledger.upsert(&id, job);
         if number.starts_with('s') {
             ledger.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
             small += 1;
@@ -106,7 +113,7 @@
         }
         let number = number.trim_start_matches('s').parse().unwrap();
         ledger.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
-        assert_eq!(ledger.encode_chunk(&id, number).unwrap().0, row.value, "{}", row.key);
+        assert_eq!(ledger.encode_chunk(&id, number).unwrap().value, row.value, "{}", row.key);
     }
     assert!(plain > 0 && small > 0, "{plain} as accepted, {small} laid out anew");
 }
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -9,7 +9,7 @@
 use plankhead_core::calls::VersionBarrierCall;
 use plankhead_core::effects::EffectSink;
 use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
-use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, TaskState};
+use plankhead_core::jobs::job_table::{tasks_per_chunk, EncodedChunk, JobTable, StoredJob, TaskState};
 use plankhead_core::leader::{Size, Target};
 use plankhead_core::leadership::election::Holder;
 use plankhead_core::leadership::version_barrier::VersionBarrier;
@@ -59,7 +59,14 @@
     let mut ledger = JobTable::default();
     let record: JobRecord = serde_json::from_str(record).unwrap();
     let per_chunk = record.per_chunk;
-    ledger.upsert(&id(), record, 5, NOW, None, per_chunk);
+    let job = StoredJob {
+        record,
+        mod_revision: 5,
+        accepted_at: NOW,
+        cancelled_at: None,
+        tasks_per_chunk: per_chunk,
+    };
+    ledger.upsert(&id(), job);
     ledger
 }
 
@@ -71,7 +78,7 @@
     ledger.finish_loading();
     let entry = &ledger.jobs[&id()];
     assert_eq!((entry.placed, entry.pending(), entry.first_unplaced), (3, 9, 3));
-    let (text, _) = ledger.encode_chunk(&id(), 0).unwrap();
+    let text = ledger.encode_chunk(&id(), 0).unwrap().value;
     assert_eq!(text, RUN);
     let read: before::ChunkText = serde_json::from_str(&text).unwrap();
     assert_eq!((read.h.len(), read.t.len()), (2, 3));
@@ -135,7 +142,7 @@
     let mut stored: BTreeMap<u32, String> = BTreeMap::new();
     for round in 0..6 {
         for (job, number) in ledger.dirty_chunks.clone() {
-            let (text, version) = ledger.encode_chunk(&job, number).unwrap();
+            let EncodedChunk { value: text, version } = ledger.encode_chunk(&job, number).unwrap();
             assert!(text.len() <= most, "{} bytes", text.len());
             assert!(!before::reads(&job.chunk_key(number, true), &text));
             stored.insert(number, text);
@@ -171,7 +178,7 @@
             preemption_notice: None,
             tasks: [ReportedTask { task, attempt: 2, status: seen }].into(),
         };
-        let (ended, _) = ledger.observe_heartbeat(&report, true, NOW);
+        let ended = ledger.observe_heartbeat(&report, true, NOW).ended;
         assert_eq!(ended.len(), 1);
     }
     assert!(ledger.may_start(&placed));
