--- /dev/null
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -0,0 +1,71 @@
+//! Responses to a worker's heartbeats, and whether the worker acts on them.
+
+use crate::protocol::{Heartbeat, TaskId, TaskStatus, WorkerCommand};
+use std::time::Duration;
+
+/// A lease that expires this soon after a response was not renewed by it: the response did not
+/// arrive.
+const MIN_RENEWED_LEASE: Duration = Duration::from_millis(4500);
+/// Responses in a row without effect after which a worker counts as one that ignores commands.
+const MAX_IGNORED_RESPONSES: u32 = 3;
+
+/// The responses to one worker's heartbeats.
+#[derive(Debug, Clone, Default)]
+pub struct ResponseTracking {
+    /// When a heartbeat was last answered after the machine was confirmed.
+    pub answered_at: Option<Duration>,
+    /// What the next heartbeat must show, as (task, attempt, whether it is a start): the starts
+    /// and stops in the latest response.
+    pub expected_effects: Vec<(TaskId, u64, bool)>,
+    ignored_in_a_row: u32,
+}
+
+impl ResponseTracking {
+    /// Notes what a response asked for.
+    pub(super) fn record(&mut self, commands: &[WorkerCommand], now: Duration) {
+        self.answered_at = Some(now);
+        self.expected_effects = commands.iter().filter_map(WorkerCommand::expected_effect).collect();
+    }
+
+    /// Compares a heartbeat with the response before it; true if by now the worker counts as one
+    /// that ignores commands.
+    pub(super) fn check_effects(&mut self, heartbeat: &Heartbeat) -> bool {
+        let is_effective = self.shows_expected_effect(heartbeat);
+        self.expected_effects.clear();
+        if is_effective {
+            self.ignored_in_a_row = 0;
+            return false;
+        }
+        self.ignored_in_a_row += 1;
+        self.ignored_in_a_row >= MAX_IGNORED_RESPONSES
+    }
+
+    /// The next heartbeat need not show anything.
+    pub(super) fn expect_nothing(&mut self) {
+        self.expected_effects.clear();
+    }
+
+    /// Whether the latest response had no effect.
+    pub(super) fn is_ignored(&self) -> bool {
+        self.ignored_in_a_row > 0
+    }
+
+    /// Whether a lease that expires now should have been renewed by the latest response.
+    pub(super) fn should_have_renewed_lease(&self, now: Duration) -> bool {
+        self.answered_at.is_some_and(|at| now.saturating_sub(at) < MIN_RENEWED_LEASE)
+    }
+
+    /// Whether the heartbeat shows at least one of the commands in the latest response,
+    /// if there were any.
+    fn shows_expected_effect(&self, heartbeat: &Heartbeat) -> bool {
+        let is_shown = |(task, attempt, is_start): &(TaskId, u64, bool)| {
+            let listed = heartbeat.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
+            match listed.map(|l| l.status) {
+                Some(TaskStatus::Exited(_) | TaskStatus::Checkpointing) => true,
+                Some(_) => *is_start,
+                None => !*is_start,
+            }
+        };
+        self.expected_effects.is_empty() || self.expected_effects.iter().any(is_shown)
+    }
+}
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -98,7 +98,7 @@
                 heartbeat: heartbeat.clone(),
                 confirmed: machine.confirmed,
                 ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
-                unanswered_commands: machine.unanswered_commands,
+                unanswered_commands: machine.commands.unanswered,
                 age: now.saturating_sub(machine.last_heard_at),
             });
         }
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -2,6 +2,7 @@
 //! that its bounds name.
 
 use super::{Leader, Stage, BLIND_MARGIN, STALE};
+use crate::fleet::HeartbeatId;
 use crate::protocol::{Heartbeat, MachineName};
 use crate::reachability::LeaderFacts;
 use plankhead_reachability::permission::{Action, Permission, Precondition};
@@ -38,7 +39,8 @@
         let recent = |at: Duration| now.saturating_sub(at) < lately;
         let up = || self.fleet.machines.values().filter(|machine| machine.is_up());
         let direct = up().filter(|machine| !machine.is_relayed && recent(machine.last_direct_at));
-        let reached = up().filter(|machine| machine.answered_at.is_some() && recent(machine.last_heard_at));
+        let reached =
+            up().filter(|machine| machine.responses.answered_at.is_some() && recent(machine.last_heard_at));
         LeaderFacts {
             token: self.token,
             leading_since: self.started_at,
@@ -52,10 +54,8 @@
     /// Whether a report shows the answer to the one before; `None` if there was none.
     pub fn answer_shown(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.fleet.machines.get(&heartbeat.machine)?;
-        machine.answered_at?;
-        let later = machine
-            .last_heartbeat_id
-            .is_some_and(|newest| (heartbeat.incarnation, heartbeat.sequence) > newest);
+        machine.responses.answered_at?;
+        let later = machine.last_heartbeat_id.is_some_and(|newest| HeartbeatId::of(heartbeat) > newest);
         later.then_some(heartbeat.token >= self.token)
     }
 
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -97,7 +97,7 @@
         self.observe_machine(times, heartbeat, false, effects);
         self.confirm_by_holder(&heartbeat.machine, news.confirmed, times.now.saturating_sub(news.age));
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.unanswered_commands = news.unanswered_commands;
+            machine.commands.unanswered = news.unanswered_commands;
             if news.ignores_commands {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -172,7 +172,8 @@
         let now = times.now;
         // Before any machine is up, whichever job came first would size the fleet
         // for a whole interval: rounds follow quickly and only raise.
-        let none_up = self.fleet.machines.values().all(|m| m.last_heartbeat_id.is_none() && !m.known_up);
+        let none_up =
+            self.fleet.machines.values().all(|m| m.last_heartbeat_id.is_none() && !m.inventory.known_up);
         if now < self.next_round_at && !(none_up && now + COLD_ROUND < self.next_round_at) {
             return;
         }
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -345,7 +345,7 @@
             up.machine = format!("i-{n}").into();
             fleet.observe_heartbeat(&up, 7, NOW + quiet);
         }
-        fleet.machines.get_mut("i-1").unwrap().unanswered_commands = unanswered;
+        fleet.machines.get_mut("i-1").unwrap().commands.unanswered = unanswered;
         // What went unanswered while the leader itself was cut off says nothing.
         let mut forgiven = fleet.clone();
         forgiven.reset_silence(NOW);
@@ -390,7 +390,7 @@
     let heard = |shift, answered: u64| {
         let mut fleet = Fleet::default();
         fleet.observe_heartbeat(&report(3, 1, &[]), 0, NOW);
-        fleet.machines.get_mut("i-1").unwrap().answered_at = Some(NOW + second * answered as u32);
+        fleet.machines.get_mut("i-1").unwrap().responses.answered_at = Some(NOW + second * answered as u32);
         fleet.observe_heartbeat(&report(shift, 2, &[]), 0, NOW + second * 11);
         fleet.machines["i-1"].removal
     };
@@ -403,7 +403,7 @@
         for tick in 1..=5 {
             fleet.observe_heartbeat(&report(3, tick, shown), 0, NOW);
             let machine = fleet.machines.get_mut("i-1").unwrap();
-            machine.expected_effects = vec![(TaskId { job: id(), index: 0 }, 1, true)];
+            machine.responses.expected_effects = vec![(TaskId { job: id(), index: 0 }, 1, true)];
         }
         let machine = &fleet.machines["i-1"];
         (machine.removal, machine.is_start_doubtful(NOW, second))
