--- /dev/null
+++ b/crates/plankhead-core/src/placement/gang.rs
@@ -0,0 +1,94 @@
+//! When and where machines open for a whole gang.
+
+use crate::placement::fair_share::Work;
+use crate::placement::slot::Slot;
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Some of a gang's tasks on one machine.
+pub(super) struct SlotTasks {
+    pub(super) slot: usize,
+    pub(super) count: u32,
+}
+
+/// The first moment at which there is room for a whole gang.
+pub(super) struct GangOpening {
+    pub(super) at: Duration,
+    /// How many of its tasks each machine takes.
+    pub(super) tasks: Vec<SlotTasks>,
+}
+
+/// The zones to try a gang in, one by one; None: all at once.
+pub(super) fn zones_to_try(
+    slots: &[Slot],
+    candidates: impl Iterator<Item = usize>,
+    work: &Work,
+) -> Vec<Option<usize>> {
+    if !work.single_zone {
+        return vec![None];
+    }
+    let zones: BTreeSet<usize> = candidates.map(|index| slots[index].zone).collect();
+    zones.into_iter().map(Some).collect()
+}
+
+/// The first moment at which there is room for a whole gang on machines for which `is_candidate`
+/// holds.
+pub(super) fn first_opening(
+    slots: &[Slot],
+    work: &Work,
+    now: Duration,
+    is_candidate: impl Fn(usize) -> bool,
+) -> Option<GangOpening> {
+    let may_serve = |index: &usize| slots[*index].suits(work) && is_candidate(*index);
+    let mut best: Option<GangOpening> = None;
+    for zone in zones_to_try(slots, (0..slots.len()).filter(may_serve), work) {
+        let in_zone = |index: &usize| zone.is_none_or(|zone| slots[*index].zone == zone);
+        let candidates: Vec<usize> = (0..slots.len()).filter(may_serve).filter(in_zone).collect();
+        let moments = moments_of_change(slots, &candidates, now);
+        let is_enough = |at: Duration| allot(slots, &candidates, work, at).is_some();
+        let first = moments.partition_point(|at| !is_enough(*at));
+        let Some(at) = moments.get(first).copied() else { continue };
+        if best.as_ref().is_none_or(|opening| at < opening.at) {
+            best = allot(slots, &candidates, work, at).map(|tasks| GangOpening { at, tasks });
+        }
+    }
+    best
+}
+
+/// When one of these machines becomes ready or a task on it ends, in order.
+fn moments_of_change(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
+    let ends = candidates.iter().flat_map(|index| slots[*index].running.iter().map(|task| task.ends_at));
+    let ready = candidates.iter().map(|index| slots[*index].ready_at);
+    let mut moments: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
+    moments.sort();
+    moments.dedup();
+    moments
+}
+
+/// How many tasks of the gang each of these machines would take at that time, those with the most
+/// room first; None if there is not room for all.
+fn allot(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
+    let mut left = work.clone();
+    let max_tasks = left.pending;
+    let mut order: Vec<SlotTasks> = candidates
+        .iter()
+        .map(|slot| SlotTasks { slot: *slot, count: slots[*slot].fits_by(&work.demand, at, max_tasks) })
+        .filter(|fitting| fitting.count > 0)
+        .collect();
+    order.sort_by_key(|fitting| (Reverse(fitting.count), fitting.slot));
+    let mut allotted = Vec::new();
+    for fitting in order {
+        let zone = slots[fitting.slot].zone;
+        let mut count = 0;
+        while count < fitting.count && left.pending > 0 && left.admits_zone(zone) {
+            left.pending -= 1;
+            left.add_to_zone(zone);
+            count += 1;
+        }
+        if count > 0 {
+            allotted.push(SlotTasks { slot: fitting.slot, count });
+        }
+    }
+    (left.pending == 0).then_some(allotted)
+}
