--- a/crates/plankhead-core/src/placement/index.rs
+++ b/crates/plankhead-core/src/placement/index.rs
@@ -1,11 +1,11 @@
-//! Numbers in place of the names that a pass compares over and over.
+//! The placement index: numbers in place of the names that a pass compares over and over.
 
 use crate::jobs::job::JobSpec;
 use crate::protocol::Pool;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Images told apart at most; past that, all are numbered anew.
+/// Images numbered at most; past that, all are numbered anew.
 const MAX_IMAGES: usize = 10_000;
 
 /// Pools, zones and images by number.
@@ -14,61 +14,65 @@
     pools: Vec<Pool>,
     zones: Vec<Arc<str>>,
     images: HashMap<Arc<str>, u32>,
-    /// Of each image, in GB.
-    sizes: Vec<f64>,
+    /// The size of each image, by number.
+    image_sizes_gb: Vec<f64>,
 }
 
 impl PlacementIndex {
+    /// The pool's number, a new one if it has none.
     pub fn pool_index(&mut self, pool: &Pool) -> usize {
-        self.pools.iter().position(|p| p == pool).unwrap_or_else(|| {
+        self.pools.iter().position(|known| known == pool).unwrap_or_else(|| {
             self.pools.push(pool.clone());
             self.pools.len() - 1
         })
     }
 
+    /// The zone's number, a new one if it has none.
     pub fn zone_index(&mut self, zone: &str) -> usize {
-        self.zones.iter().position(|z| **z == *zone).unwrap_or_else(|| {
+        self.zones.iter().position(|known| **known == *zone).unwrap_or_else(|| {
             self.zones.push(zone.into());
             self.zones.len() - 1
         })
     }
 
+    /// The name of a zone; empty if no zone has this number.
     pub fn zone_name(&self, zone: usize) -> Arc<str> {
         self.zones.get(zone).cloned().unwrap_or_else(|| "".into())
     }
 
     /// The image's number, or None if it is new and there is no room.
-    pub fn image_index(&mut self, name: &str, gb: f64) -> Option<u32> {
+    pub fn image_index(&mut self, name: &str, size_gb: f64) -> Option<u32> {
         if let Some(number) = self.images.get(name) {
             return Some(*number);
         }
-        if self.sizes.len() >= MAX_IMAGES {
+        if self.image_sizes_gb.len() >= MAX_IMAGES {
             return None;
         }
-        self.images.insert(name.into(), self.sizes.len() as u32);
-        self.sizes.push(gb);
-        Some(self.sizes.len() as u32 - 1)
+        let number = self.image_sizes_gb.len() as u32;
+        self.images.insert(name.into(), number);
+        self.image_sizes_gb.push(size_gb);
+        Some(number)
     }
 
+    /// Takes all images' numbers back: whatever holds one must be computed anew.
     pub fn forget_images(&mut self) {
         self.images.clear();
-        self.sizes.clear();
+        self.image_sizes_gb.clear();
     }
 
+    /// The image's size; 0 if no image has this number.
     pub fn image_size_gb(&self, image: u32) -> f64 {
-        self.sizes.get(image as usize).copied().unwrap_or(0.0)
+        self.image_sizes_gb.get(image as usize).copied().unwrap_or(0.0)
     }
 
     /// By pool: whether the job may use it.
     pub fn allowed_pools(&self, spec: &JobSpec) -> Vec<bool> {
-        let allows = |pool: &Pool| {
+        let is_allowed = |pool: &Pool| {
+            let types = spec.machine_types.as_ref();
             (spec.allows_spot || !pool.spot)
-                && spec
-                    .machine_types
-                    .as_ref()
-                    .is_none_or(|machine_types| machine_types.contains(&pool.machine_type))
-                && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
+                && types.is_none_or(|types| types.contains(&pool.machine_type))
+                && spec.zone.as_ref().is_none_or(|zone| *zone == pool.zone)
         };
-        self.pools.iter().map(allows).collect()
+        self.pools.iter().map(is_allowed).collect()
     }
 }
--- a/crates/plankhead-core/src/sizing/fleet_size_search.rs
+++ b/crates/plankhead-core/src/sizing/fleet_size_search.rs
@@ -1,15 +1,22 @@
-//! The halving climb over trial sizes (the paper, section 3.3).
+//! The fleet size search: the halving climb over trial sizes (the paper, section 3.3).
 
 /// A slowdown above this at the limit is overload: on average jobs wait for two
 /// fifths of their time to run.
-const OVERLOAD: f64 = 1.4;
+const OVERLOAD_SLOWDOWN: f64 = 1.4;
+/// A trial larger by this factor than the one before must bring a gain.
+const MIN_GROWTH: f64 = 1.1;
+/// The share of the slowdown before that such a trial may leave at the most.
+const MAX_SLOWDOWN_LEFT: f64 = 0.98;
 
-/// A trial larger by this factor than the one before must bring the slowdown
-/// down to this share.
-const STRIDE: f64 = 1.1;
-const GAIN: f64 = 0.98;
+/// A trial size that was replayed.
+#[derive(Debug, Clone, Copy)]
+struct Trial {
+    size: u32,
+    /// The average bounded slowdown on a fleet of this size.
+    slowdown: f64,
+}
 
-/// A climb from the least size towards the limit: the first trial whose
+/// A climb from the least size towards the limit, in machines of one type: the first trial whose
 /// slowdown is at most `threshold` decides.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSizeSearch {
@@ -19,19 +26,20 @@
     overload_limit: u32,
     threshold: f64,
     decided: bool,
-    /// The trial before, and its slowdown.
-    previous: Option<(u32, f64)>,
+    previous: Option<Trial>,
 }
 
 impl FleetSizeSearch {
-    pub fn new(least: u32, most: u32, beyond: u32, threshold: f64) -> Self {
-        let beyond = beyond.max(most);
+    /// A climb from `min_size` to `limit`, or to `overload_limit` if the former leaves an overload.
+    /// `threshold`: the largest acceptable average bounded slowdown.
+    pub fn new(min_size: u32, limit: u32, overload_limit: u32, threshold: f64) -> Self {
+        let overload_limit = overload_limit.max(limit);
         Self {
-            trial_size: least,
-            limit: most,
-            overload_limit: beyond,
+            trial_size: min_size,
+            limit,
+            overload_limit,
             threshold,
-            decided: least >= beyond,
+            decided: min_size >= overload_limit,
             previous: None,
         }
     }
@@ -46,20 +54,21 @@
         self.trial_size
     }
 
-    /// Takes in the slowdown on the trial size; the next trial lies halfway to
+    /// Takes in the average bounded slowdown on the trial size; the next trial lies halfway to
     /// the limit.
     pub fn record_slowdown(&mut self, slowdown: f64) {
-        // Jobs that wait for their team's cap gain nothing from more machines.
-        let vain = |(size, before): &(u32, f64)| {
-            f64::from(self.trial_size) >= f64::from(*size) * STRIDE && slowdown > before * GAIN
+        // Jobs that wait for their team's limit gain nothing from more machines.
+        let is_no_gain = |previous: &Trial| {
+            f64::from(self.trial_size) >= f64::from(previous.size) * MIN_GROWTH
+                && slowdown > previous.slowdown * MAX_SLOWDOWN_LEFT
         };
-        if let Some((trial, _)) = self.previous.filter(vain) {
-            self.trial_size = trial;
+        if let Some(previous) = self.previous.filter(is_no_gain) {
+            self.trial_size = previous.size;
             self.decided = true;
             return;
         }
-        self.previous = Some((self.trial_size, slowdown));
-        if self.trial_size >= self.limit && slowdown > OVERLOAD {
+        self.previous = Some(Trial { size: self.trial_size, slowdown });
+        if self.trial_size >= self.limit && slowdown > OVERLOAD_SLOWDOWN {
             self.limit = self.overload_limit;
         }
         if slowdown <= self.threshold || self.trial_size >= self.limit {
--- a/crates/plankhead-core/src/sizing/replay.rs
+++ b/crates/plankhead-core/src/sizing/replay.rs
@@ -1,25 +1,28 @@
-//! The replay of the backlog on a trial fleet (the paper, section 3.3), in
-//! portions: the node has other things to do meanwhile.
+//! Replay: the backlog simulated on a trial fleet (the paper, section 3.3), in
+//! time slices, since the node has other things to do meanwhile.
 
 use crate::placement::backfill::{pass, Slot};
 use crate::placement::fair_share::{TeamUsage, Work};
+use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Run times below this count as this in a slowdown.
-const SLOWDOWN_FLOOR: Duration = Duration::from_secs(10);
+/// Run times below this count as this in a bounded slowdown.
+const MIN_SLOWDOWN_RUNTIME: Duration = Duration::from_secs(10);
 /// Passes of one replay; a longer backlog than this is overload for sure.
 const MAX_PASSES: usize = 2_000;
-/// What happens within this time is replayed together.
-const GRAIN: Duration = Duration::from_millis(200);
+/// Ends of tasks within this time are replayed together.
+const TIME_RESOLUTION: Duration = Duration::from_millis(200);
 
 /// A job that is still to arrive in the replay.
 #[derive(Debug, Clone)]
 pub struct Arrival {
+    /// When it arrives, on the node's clock.
     pub arrives_at: Duration,
+    /// Its tasks.
     pub work: Work,
 }
 
-/// Jobs on trial machines, up to some moment.
+/// Jobs on trial machines, up to some simulated moment.
 #[derive(Debug)]
 pub struct Replay {
     simulated_now: Duration,
@@ -28,15 +31,20 @@
     /// The next one last.
     arrivals: Vec<Arrival>,
     teams: Vec<TeamUsage>,
+    /// Of each work: when it arrived.
     arrived_at: Vec<Duration>,
+    /// Of each work: how many tasks it had then.
     task_counts: Vec<u32>,
-    total_delays: Vec<f64>,
+    /// Of each work: how long its started tasks waited, summed up in seconds.
+    total_delays_s: Vec<f64>,
+    /// Jobs that run and wait for nothing.
     running: usize,
     passes: usize,
 }
 
 impl Replay {
-    /// `running` is the number of jobs that run and wait for nothing.
+    /// A replay that begins at `now` with this work pending on these machines. `running` is the
+    /// number of jobs that run and wait for nothing.
     pub fn new(
         now: Duration,
         slots: Vec<Slot>,
@@ -45,13 +53,13 @@
         teams: Vec<TeamUsage>,
         running: usize,
     ) -> Self {
-        arrivals.sort_by_key(|a| std::cmp::Reverse(a.arrives_at));
+        arrivals.sort_by_key(|arrival| Reverse(arrival.arrives_at));
         Self {
             simulated_now: now,
             slots,
             arrived_at: vec![now; work.len()],
-            task_counts: work.iter().map(|w| w.pending).collect(),
-            total_delays: vec![0.0; work.len()],
+            task_counts: work.iter().map(|work| work.pending).collect(),
+            total_delays_s: vec![0.0; work.len()],
             work,
             arrivals,
             teams,
@@ -60,12 +68,13 @@
         }
     }
 
-    /// The size of the trial.
+    /// The size of the trial fleet.
     pub fn machines(&self) -> usize {
         self.slots.len()
     }
 
-    /// Goes on for some passes; at the end, the average bounded slowdown.
+    /// Goes on for some passes; returns the average bounded slowdown at the end of the replay,
+    /// None before.
     pub fn advance(&mut self, passes: usize) -> Option<f64> {
         for _ in 0..passes {
             if !self.step() {
@@ -75,53 +84,71 @@
         None
     }
 
-    /// One pass, and on to the next moment at which something changes.
+    /// One pass, and on to the next moment at which something changes; false at the end of the
+    /// replay.
     fn step(&mut self) -> bool {
-        let at = self.simulated_now;
-        while let Some(arrival) = self.arrivals.pop_if(|a| a.arrives_at <= at) {
-            self.arrived_at.push(arrival.arrives_at);
-            self.task_counts.push(arrival.work.pending);
-            self.total_delays.push(0.0);
-            self.work.push(arrival.work);
-        }
-        for start in pass(at, &mut self.slots, &mut self.work, &mut self.teams) {
-            self.total_delays[start.work_index] +=
+        let now = self.simulated_now;
+        self.take_arrivals(now);
+        for start in pass(now, &mut self.slots, &mut self.work, &mut self.teams) {
+            self.total_delays_s[start.work_index] +=
                 start.at.saturating_sub(self.arrived_at[start.work_index]).as_secs_f64();
         }
         self.passes += 1;
-        let idle = self.arrivals.is_empty() && self.work.iter().all(|w| w.pending == 0);
-        if idle || self.passes >= MAX_PASSES {
+        let is_idle = self.arrivals.is_empty() && self.work.iter().all(|work| work.pending == 0);
+        if is_idle || self.passes >= MAX_PASSES {
             return false;
         }
-        let ends = self.slots.iter().filter_map(|s| s.running.first()).map(|t| t.ends_at.max(at + GRAIN));
-        let ready = self.slots.iter().map(|s| s.ready_at).filter(|t| *t > at);
-        let Some(next) = ends.chain(ready).chain(self.arrivals.last().map(|a| a.arrives_at)).min() else {
-            return false;
-        };
+        let Some(next) = self.next_change(now) else { return false };
         self.simulated_now = next;
+        self.end_tasks(next);
+        true
+    }
+
+    /// Takes in the jobs that have arrived.
+    fn take_arrivals(&mut self, now: Duration) {
+        while let Some(arrival) = self.arrivals.pop_if(|arrival| arrival.arrives_at <= now) {
+            self.arrived_at.push(arrival.arrives_at);
+            self.task_counts.push(arrival.work.pending);
+            self.total_delays_s.push(0.0);
+            self.work.push(arrival.work);
+        }
+    }
+
+    /// The next moment at which a task ends, a machine is ready or a job arrives.
+    fn next_change(&self, now: Duration) -> Option<Duration> {
+        let first_ends = self.slots.iter().filter_map(|slot| slot.running.first());
+        let ends = first_ends.map(|task| task.ends_at.max(now + TIME_RESOLUTION));
+        let ready = self.slots.iter().map(|slot| slot.ready_at).filter(|ready_at| *ready_at > now);
+        let arrival = self.arrivals.last().map(|arrival| arrival.arrives_at);
+        ends.chain(ready).chain(arrival).min()
+    }
+
+    /// Takes the tasks that have ended off their machines.
+    fn end_tasks(&mut self, now: Duration) {
         for slot in &mut self.slots {
-            let over = slot.running.partition_point(|t| t.ends_at <= next);
-            for task in slot.running.drain(..over) {
+            let ended = slot.running.partition_point(|task| task.ends_at <= now);
+            for task in slot.running.drain(..ended) {
                 slot.free.add(&task.demand);
                 if !task.is_reservation {
                     self.teams[task.team].used.sub(&task.demand);
                 }
             }
         }
-        true
     }
 
+    /// The average over all jobs of 1 + mean delay / run time, with a lower bound for the latter.
+    /// Tasks that never started count as delayed up to now.
     fn average_bounded_slowdown(&self) -> f64 {
         let mut sum = self.running as f64;
         let mut jobs = self.running;
-        for (i, w) in self.work.iter().enumerate() {
-            if self.task_counts[i] == 0 {
+        for (index, work) in self.work.iter().enumerate() {
+            if self.task_counts[index] == 0 {
                 continue;
             }
-            let never =
-                self.simulated_now.saturating_sub(self.arrived_at[i]).as_secs_f64() * f64::from(w.pending);
-            let mean = (self.total_delays[i] + never) / f64::from(self.task_counts[i]);
-            sum += 1.0 + mean / w.estimated_runtime.max(SLOWDOWN_FLOOR).as_secs_f64();
+            let waited_s = self.simulated_now.saturating_sub(self.arrived_at[index]).as_secs_f64();
+            let total_delay_s = self.total_delays_s[index] + waited_s * f64::from(work.pending);
+            let mean_delay_s = total_delay_s / f64::from(self.task_counts[index]);
+            sum += 1.0 + mean_delay_s / work.estimated_runtime.max(MIN_SLOWDOWN_RUNTIME).as_secs_f64();
             jobs += 1;
         }
         if jobs == 0 {
