--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -3,10 +3,14 @@
 //! The check is independent of the code under test: it reads the stored records as plain
 //! JSON, and knows from the model itself who held the lease when.
 
-use super::*;
+use super::events::SimEvent;
+use super::{World, SIM_START};
+use plankhead_core::effects::StepTime;
+use plankhead_core::protocol::{CloudRequest, KvChange, KvReply, KvRequest};
 use plankhead_fencing::action::Action;
 use plankhead_fencing::gate::Basis;
 use serde_json::Value;
+use std::time::{Duration, SystemTime};
 
 /// Who decided on a call: which process, and the lease's revision that it held then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,14 +52,14 @@
     pub(super) fn freeze(&mut self, node: usize, last: Duration, holding: bool) {
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
-        self.freezes += 1;
-        self.frozen[node] = self.frozen[node].max(self.now + last);
+        self.pauses += 1;
+        self.paused_until[node] = self.paused_until[node].max(self.now + last);
         self.holding[node] = holding;
-        self.at(self.frozen[node] - self.now, Happening::Thaw { node, boot });
+        self.schedule_in(self.paused_until[node] - self.now, SimEvent::ResumeProcess { node, boot });
     }
 
     pub(super) fn thaw(&mut self, node: usize, boot: u64) {
-        if self.now < self.frozen[node] {
+        if self.now < self.paused_until[node] {
             return;
         }
         self.holding[node] = false;
@@ -68,7 +72,7 @@
     /// The times that a node's clocks show.
     pub(super) fn times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
-        let now = EPOCH + (self.now - EPOCH).mul_f64(rate);
+        let now = SIM_START + (self.now - SIM_START).mul_f64(rate);
         let jumps = jumps.as_millis() as u64;
         let jump = if jumps > 0 { self.between(0, jumps) } else { Duration::ZERO };
         StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
@@ -76,7 +80,7 @@
 
     /// When a time on a node's clock is.
     pub(super) fn true_time(&self, node: usize, at: Duration) -> Duration {
-        EPOCH + at.saturating_sub(EPOCH).div_f64(self.clocks[node].rate)
+        SIM_START + at.saturating_sub(SIM_START).div_f64(self.clocks[node].rate)
     }
 
     /// Who acts, if the node does so now.
@@ -89,11 +93,11 @@
     }
 
     /// Counts what the cloud is about to do for an actor.
-    pub(super) fn count_effects(&mut self, actor: Actor, op: &CloudRequest) {
-        let CloudRequest::Execute(permitted) = op else { return };
+    pub(super) fn count_effects(&mut self, actor: Actor, request: &CloudRequest) {
+        let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             Action::Rent(rental) => {
-                let done = self.hires.contains_key(&rental.name);
+                let done = self.rentals.contains_key(&rental.name);
                 if done {
                     Vec::new()
                 } else {
@@ -101,8 +105,8 @@
                 }
             }
             Action::Return(back) => {
-                let there = back.hosts.iter().filter(|host| self.workers.contains_key(*host));
-                there.map(|host| (host.as_ref(), false)).collect()
+                let there = back.hosts.iter().filter(|machine| self.workers.contains_key(*machine));
+                there.map(|machine| (machine.as_ref(), false)).collect()
             }
         };
         let holder = actor.term > 0 && self.kv.stamp("lead") == Some(actor.term);
@@ -131,7 +135,7 @@
         let names = |duty: &Value| match (rental, duty["kind"].as_str()) {
             (true, Some("rent")) => duty["name"] == subject,
             (false, Some("return" | "reclaim")) => {
-                duty["hosts"].as_array().is_some_and(|hosts| hosts.iter().any(|host| host == subject))
+                duty["hosts"].as_array().is_some_and(|hosts| hosts.iter().any(|machine| machine == subject))
             }
             _ => false,
         };
@@ -140,7 +144,7 @@
 
     /// Nobody calls a job off: clocks far beyond their bounds can't keep its time.
     pub fn without_cancellations(&mut self) {
-        self.happenings.retain(|_, happening| !matches!(happening, Happening::Abort { .. }));
+        self.happenings.retain(|_, happening| !matches!(happening, SimEvent::Cancel { .. }));
     }
 
     /// Something writes into the state service.
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -1,8 +1,20 @@
 //! Machines, their workers, the cloud that rents them, and users, as the model
 //! has them; and the rules.
 
-use super::*;
+use super::deployment::{ms, secs};
+use super::events::SimEvent;
+use super::requests::PendingQuestion;
+use super::script::Trigger;
+use super::{cuts, World, SIM_START};
+use plankhead_core::protocol::{
+    CallError, CallId, CloudReply, CloudRequest, CommandReply, Event, ExitReason, Heartbeat, Instance,
+    InstanceStatus, JobStatus, MachineName, MachineType, ReportedTask, Response, TaskId, TaskStatus,
+    WorkerCommand,
+};
 use plankhead_fencing::action::{Action, Rental};
+use rand::RngExt;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 
 /// How long a machine that ended is listed as running.
 const LISTED_RUNNING: Duration = secs(30);
@@ -15,35 +27,35 @@
     pub up_at: Duration,
     pub dead: bool,
     /// Since when it is dead.
-    pub ended: Option<Duration>,
-    pub cut: Duration,
-    pub hung: Duration,
-    pub deaf: Duration,
+    pub died_at: Option<Duration>,
+    pub cut_until: Duration,
+    pub hung_until: Duration,
+    pub responses_dropped_until: Duration,
     /// Until when it can't open connections to any node.
-    pub mute: Duration,
+    pub heartbeats_dropped_until: Duration,
     /// When the cloud takes it away.
-    pub taken: Option<Duration>,
-    pub shift: u64,
-    pub tick: u64,
+    pub taken_at: Option<Duration>,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     /// When the last answered report was sent; the lease ends so long after.
-    pub leased: Duration,
+    pub leased_at: Duration,
     lease: Duration,
     pub tasks: BTreeMap<(TaskId, u64), TaskStatus>,
     pub node: usize,
     /// The tick of the report that waits for its answer.
-    pub waiting: Option<u64>,
+    pub awaited_response: Option<u64>,
     /// Fails every task.
     pub faulty: bool,
-    hired: Duration,
+    rented_at: Duration,
 }
 
 impl Worker {
-    pub fn up(&self, now: Duration) -> bool {
+    pub fn is_up(&self, now: Duration) -> bool {
         !self.dead && now >= self.up_at
     }
 
-    pub fn runs(&self) -> impl Iterator<Item = &(TaskId, u64)> {
+    pub fn running_tasks(&self) -> impl Iterator<Item = &(TaskId, u64)> {
         let on = |s: &TaskStatus| {
             matches!(s, TaskStatus::WaitingForGang | TaskStatus::Running | TaskStatus::Checkpointing)
         };
@@ -52,26 +64,26 @@
 
     /// A hanging worker notices only when it goes on.
     pub fn expire(&mut self, now: Duration) {
-        if self.dead || now < self.hung || now < self.up_at || now <= self.leased + self.lease {
+        if self.dead || now < self.hung_until || now < self.up_at || now <= self.leased_at + self.lease {
             return;
         }
         self.tasks.clear();
-        self.shift += 1;
-        self.leased = now;
+        self.incarnation += 1;
+        self.leased_at = now;
     }
 
     fn report(&mut self, now: Duration) -> Heartbeat {
-        self.tick += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             address: format!("at-{}", self.name).into(),
             machine_type: "r".into(),
             zone: self.zone.as_str().into(),
             spot: self.spot,
-            incarnation: self.shift,
-            sequence: self.tick,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
-            preemption_notice: self.taken.map(|at| at.saturating_sub(now)),
+            preemption_notice: self.taken_at.map(|at| at.saturating_sub(now)),
             tasks: self
                 .tasks
                 .iter()
@@ -88,8 +100,8 @@
 impl World {
     // ----- the cloud -----
 
-    pub(super) fn cloud(&mut self, op: CloudRequest) -> Result<CloudReply, CallError> {
-        Ok(match op {
+    pub(super) fn cloud(&mut self, request: CloudRequest) -> Result<CloudReply, CallError> {
+        Ok(match request {
             CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![MachineType {
                 name: "r".into(),
                 cpus: 8.0,
@@ -108,8 +120,8 @@
                 let now = self.now;
                 let from = |w: &&Worker| after.as_ref().is_none_or(|a| w.name > *a);
                 // Machines that were taken are listed no more; others that ended stay listed.
-                let there = |w: &&Worker| w.taken.is_none() || w.ended.is_none_or(|at| now < at + lag);
-                let known = self.workers.values().filter(|w| w.hired + lag <= now).filter(there);
+                let there = |w: &&Worker| w.taken_at.is_none() || w.died_at.is_none_or(|at| now < at + lag);
+                let known = self.workers.values().filter(|w| w.rented_at + lag <= now).filter(there);
                 let seen = known.filter(from);
                 let mut hosts: Vec<Instance> = seen
                     .map(|w| Instance {
@@ -118,16 +130,16 @@
                         machine_type: "r".into(),
                         zone: w.zone.clone(),
                         spot: w.spot,
-                        status: match w.ended {
+                        status: match w.died_at {
                             Some(at) if now >= at + LISTED_RUNNING => InstanceStatus::Failed,
                             _ if now >= w.up_at + lag => InstanceStatus::Running,
                             _ => InstanceStatus::Booting,
                         },
-                        age: now - w.hired,
+                        age: now - w.rented_at,
                     })
                     .collect();
-                let truncated = hosts.len() > self.kind.page;
-                hosts.truncate(self.kind.page);
+                let truncated = hosts.len() > self.deployment.inventory_page;
+                hosts.truncate(self.deployment.inventory_page);
                 CloudReply::Instances { instances: hosts, truncated }
             }
             CloudRequest::Execute(permitted) => return self.act(permitted.action().clone()),
@@ -137,55 +149,55 @@
     fn act(&mut self, action: Action) -> Result<CloudReply, CallError> {
         Ok(match action {
             Action::Rent(Rental { name, zone, spot, count, .. }) => {
-                if let Some(hosts) = self.hires.get(&name) {
+                if let Some(hosts) = self.rentals.get(&name) {
                     return Ok(CloudReply::Rented(hosts.clone()));
                 }
                 let held = self.workers.values().filter(|w| w.zone == zone && w.spot == spot).count() as u32;
-                let given = count.min(self.kind.pool.saturating_sub(held));
+                let given = count.min(self.deployment.machines_per_pool.saturating_sub(held));
                 if given == 0 {
                     return Ok(CloudReply::NoCapacity);
                 }
                 let mut hosts: Vec<MachineName> = Vec::new();
                 for _ in 0..given {
                     self.machines += 1;
-                    let host: MachineName = format!("i-{:06}", self.machines).into();
-                    let slowest = if self.troubles.quick { 2000 } else { 9000 };
+                    let machine: MachineName = format!("i-{:06}", self.machines).into();
+                    let slowest = if self.faults.quick_boots { 2000 } else { 9000 };
                     let boot = if self.chance(0.05) { secs(100_000) } else { self.between(300, slowest) };
                     let up_at = self.now + boot;
                     let worker = Worker {
-                        name: host.clone(),
+                        name: machine.clone(),
                         zone: zone.clone(),
                         spot,
                         up_at,
                         dead: false,
-                        ended: None,
-                        cut: Duration::ZERO,
-                        hung: Duration::ZERO,
-                        deaf: Duration::ZERO,
-                        mute: Duration::ZERO,
-                        taken: None,
-                        shift: 1,
-                        tick: 0,
+                        died_at: None,
+                        cut_until: Duration::ZERO,
+                        hung_until: Duration::ZERO,
+                        responses_dropped_until: Duration::ZERO,
+                        heartbeats_dropped_until: Duration::ZERO,
+                        taken_at: None,
+                        incarnation: 1,
+                        sequence: 0,
                         token: 0,
-                        leased: up_at,
-                        lease: self.kind.lease,
+                        leased_at: up_at,
+                        lease: self.deployment.worker_lease,
                         tasks: BTreeMap::new(),
                         node: self.rng.random_range(0..3),
-                        waiting: None,
-                        faulty: self.rng.random_range(0.0..1.0) < self.troubles.errors,
-                        hired: self.now,
+                        awaited_response: None,
+                        faulty: self.rng.random_range(0.0..1.0) < self.faults.task_errors,
+                        rented_at: self.now,
                     };
-                    self.workers.insert(host.clone(), worker);
-                    self.at(boot, Happening::Beat { host: host.clone() });
-                    hosts.push(host);
+                    self.workers.insert(machine.clone(), worker);
+                    self.schedule_in(boot, SimEvent::Heartbeat { machine: machine.clone() });
+                    hosts.push(machine);
                 }
-                self.hires.insert(name, hosts.clone());
+                self.rentals.insert(name, hosts.clone());
                 CloudReply::Rented(hosts)
             }
             Action::Return(back) => {
-                for host in back.hosts.iter().filter(|_| !self.troubles.lying_cloud) {
-                    let worker = self.workers.remove(host).filter(|w| w.up(self.now));
-                    self.killed_by_release += worker.map_or(0, |w| w.runs().count());
+                for machine in back.hosts.iter().filter(|_| !self.faults.lying_cloud) {
+                    let worker = self.workers.remove(machine).filter(|w| w.is_up(self.now));
+                    self.killed_by_release += worker.map_or(0, |w| w.running_tasks().count());
                 }
                 CloudReply::Released
             }
@@ -194,66 +206,80 @@
 
     // ----- workers -----
 
-    pub(super) fn beat(&mut self, host: MachineName) {
+    pub(super) fn beat(&mut self, machine: MachineName) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        if worker.dead || worker.waiting.is_some() {
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        if worker.dead || worker.awaited_response.is_some() {
             return;
         }
-        if now < worker.hung {
-            let pause = worker.hung - now;
-            return self.at(pause, Happening::Beat { host });
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now;
+            return self.schedule_in(pause, SimEvent::Heartbeat { machine });
         }
         worker.expire(now);
         let report = worker.report(now);
-        let (node, tick, cut) = (worker.node, worker.tick, now < worker.cut);
-        worker.waiting = Some(tick);
-        if self.chance(self.troubles.copies) {
+        let (node, sequence, cut) = (worker.node, worker.sequence, now < worker.cut_until);
+        worker.awaited_response = Some(sequence);
+        if self.chance(self.faults.duplicate_heartbeats) {
             let late = self.between(500, 40_000);
-            self.at(late, Happening::Copy { report: report.clone() });
+            self.schedule_in(late, SimEvent::DuplicateHeartbeat { heartbeat: report.clone() });
         }
-        if self.troubles.copies_next > 0.0 && self.chance(self.troubles.copies_next) {
-            self.kept.push(report.clone());
+        if self.faults.duplicates_for_next_leader > 0.0 && self.chance(self.faults.duplicates_for_next_leader)
+        {
+            self.kept_heartbeats.push(report.clone());
         }
-        self.at(secs(4), Happening::BeatGivenUp { host: host.clone(), tick });
-        let mute = self.workers.get(&host).is_some_and(|w| now < w.mute);
+        self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: machine.clone(), sequence });
+        let mute = self.workers.get(&machine).is_some_and(|w| now < w.heartbeats_dropped_until);
         let mute = mute || self.cut_of(node, cuts::Link::Reports).is_some();
-        if mute || now < self.node_cut[node] && !self.inside(node, &host) {
+        if mute || now < self.node_cut_until[node] && !self.inside(node, &machine) {
             return;
         }
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
-        self.last_ask += 1;
-        let ask = self.last_ask;
+        self.last_request += 1;
+        let request = self.last_request;
         let again = Box::new(report.clone());
-        let event = Event::Heartbeat { request: ask, heartbeat: report, relayed: false };
-        let held = if cut { self.workers[&host].cut - now } else { Duration::ZERO };
-        if !self.reach(node, &host) {
+        let event = Event::Heartbeat { request, heartbeat: report, relayed: false };
+        let held = if cut { self.workers[&machine].cut_until - now } else { Duration::ZERO };
+        if !self.zones_connected(node, &machine) {
             return;
         }
-        self.asks.insert((node, boot, ask), (now, Asked::Beat { host, sent: now, report: again }));
+        self.questions.insert(
+            (node, boot, request),
+            (now, PendingQuestion::Heartbeat { machine, sent: now, heartbeat: again }),
+        );
         // A cut holds the report back and delivers it late.
-        self.at(held + ms(1), Happening::ToNode { node, boot, event });
+        self.schedule_in(held + ms(1), SimEvent::DeliverToNode { node, boot, event });
     }
 
-    pub(super) fn answered(&mut self, asked: Asked, answer: Response) {
-        match asked {
-            Asked::Beat { sent, report, .. } if matches!(answer, Response::Relay { .. }) => {
+    pub(super) fn answered(&mut self, question: PendingQuestion, answer: Response) {
+        match question {
+            PendingQuestion::Heartbeat { sent, heartbeat: report, .. }
+                if matches!(answer, Response::Relay { .. }) =>
+            {
                 self.relay(sent, report, answer);
             }
-            Asked::Beat { host, sent, report } => {
-                let (shift, tick) = (report.incarnation, report.sequence);
-                let away = self.workers.get(&host).is_some_and(|w| self.now < w.cut.max(w.deaf));
+            PendingQuestion::Heartbeat { machine, sent, heartbeat: report } => {
+                let (incarnation, sequence) = (report.incarnation, report.sequence);
+                let away = self
+                    .workers
+                    .get(&machine)
+                    .is_some_and(|w| self.now < w.cut_until.max(w.responses_dropped_until));
                 if !away {
-                    self.at(ms(1), Happening::BeatAnswered { host, sent, shift, tick, answer });
+                    self.schedule_in(
+                        ms(1),
+                        SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, answer },
+                    );
                 }
             }
-            Asked::Shard { node, boot, call } => self.shard_answered((node, boot, call), answer),
-            Asked::Submit(job) => self.submit_answered(job, answer),
-            Asked::Odd { odd, known } => self.odd_answered(odd, known, answer),
-            Asked::Poll(0) if self.troubles.unheard => self.at(secs(2), Happening::Poll { job: 0 }),
-            Asked::Poll(job) => self.poll_answered(job, answer),
-            Asked::Abort { job, known } => self.abort_answered(job, known, answer),
+            PendingQuestion::Shard { node, boot, call } => self.shard_answered((node, boot, call), answer),
+            PendingQuestion::Submit(job) => self.submit_answered(job, answer),
+            PendingQuestion::SendOddRequest { odd, known } => self.odd_answered(odd, known, answer),
+            PendingQuestion::Poll(0) if self.faults.unanswered_first_job => {
+                self.schedule_in(secs(2), SimEvent::Poll { job: 0 })
+            }
+            PendingQuestion::Poll(job) => self.poll_answered(job, answer),
+            PendingQuestion::Cancel { job, known } => self.abort_answered(job, known, answer),
         }
     }
 
@@ -261,52 +287,55 @@
     fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
         let Response::Relay { leader: foreman } = answer else { return };
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
-        let host = report.machine.clone();
+        let machine = report.machine.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
-        let reached = !cut && self.now >= self.node_cut[node].max(self.alone[node]);
+        let reached = !cut && self.now >= self.node_cut_until[node].max(self.alone_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
             let nobody = Response::Redirect { leader: None };
-            return self.answered(Asked::Beat { host, sent, report }, nobody);
+            return self.answered(PendingQuestion::Heartbeat { machine, sent, heartbeat: report }, nobody);
         };
         let boot = *boot;
-        self.last_ask += 1;
-        let ask = self.last_ask;
-        let event = Event::Heartbeat { request: ask, heartbeat: (*report).clone(), relayed: true };
-        self.asks.insert((node, boot, ask), (self.now, Asked::Beat { host, sent, report }));
+        self.last_request += 1;
+        let request = self.last_request;
+        let event = Event::Heartbeat { request, heartbeat: (*report).clone(), relayed: true };
+        self.questions.insert(
+            (node, boot, request),
+            (self.now, PendingQuestion::Heartbeat { machine, sent, heartbeat: report }),
+        );
         self.relayed += 1;
-        self.at(ms(2), Happening::ToNode { node, boot, event });
+        self.schedule_in(ms(2), SimEvent::DeliverToNode { node, boot, event });
     }
 
     pub(super) fn beat_answered(
         &mut self,
-        host: MachineName,
+        machine: MachineName,
         sent: Duration,
-        shift: u64,
-        tick: u64,
+        incarnation: u64,
+        sequence: u64,
         answer: Response,
     ) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        if worker.waiting != Some(tick) || worker.dead || now < worker.hung {
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        if worker.awaited_response != Some(sequence) || worker.dead || now < worker.hung_until {
             return;
         }
-        worker.waiting = None;
+        worker.awaited_response = None;
         let pause = match answer {
-            Response::Commands { token, commands: orders } => {
-                if token < self.led.0 && token >= worker.token {
-                    self.held = self.held.max(now.saturating_sub(self.led.1));
+            Response::Commands { token, commands } => {
+                if token < self.latest_leader.0 && token >= worker.token {
+                    self.longest_heeded = self.longest_heeded.max(now.saturating_sub(self.latest_leader.1));
                 }
                 worker.expire(now);
-                if worker.shift == shift && token >= worker.token {
+                if worker.incarnation == incarnation && token >= worker.token {
                     worker.token = token;
-                    self.longest_gap = self.longest_gap.max(sent.saturating_sub(worker.leased));
-                    worker.leased = worker.leased.max(sent);
-                    for order in orders {
-                        self.obey(&host, order);
+                    self.longest_gap = self.longest_gap.max(sent.saturating_sub(worker.leased_at));
+                    worker.leased_at = worker.leased_at.max(sent);
+                    for order in commands {
+                        self.obey(&machine, order);
                     }
                 }
                 // Give or take a quarter.
-                let report = self.kind.report.as_millis() as u64;
+                let report = self.deployment.heartbeat_interval.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
             Response::Redirect { leader: Some(name) } => {
@@ -318,7 +347,7 @@
                 secs(1)
             }
         };
-        self.at(pause, Happening::Beat { host });
+        self.schedule_in(pause, SimEvent::Heartbeat { machine });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -327,46 +356,47 @@
         node: usize,
         boot: u64,
         call: CallId,
-        host: MachineName,
+        machine: MachineName,
         token: u64,
-        shift: u64,
-        orders: Vec<WorkerCommand>,
+        incarnation: u64,
+        commands: Vec<WorkerCommand>,
     ) {
         let now = self.now;
         let unanswered = |world: &mut Self| {
             let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
-            world.at(secs(2), Happening::ToNode { node, boot, event });
+            world.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
         };
-        let Some(worker) = self.workers.get_mut(&host) else { return unanswered(self) };
-        let away = worker.dead || now < worker.deaf;
-        if away || !self.reach(node, &host) {
+        let Some(worker) = self.workers.get_mut(&machine) else { return unanswered(self) };
+        let away = worker.dead || now < worker.responses_dropped_until;
+        if away || !self.zones_connected(node, &machine) {
             return unanswered(self);
         }
-        let Some(worker) = self.workers.get_mut(&host) else { return };
-        let held = worker.cut.max(worker.hung);
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        let held = worker.cut_until.max(worker.hung_until);
         if now < held {
             // Given up by the sender, and carried out when the worker is back.
             unanswered(self);
-            let late = Happening::OrdersArrive { node, boot: 0, call, host, token, shift, orders };
-            return self.at(held - now, late);
+            let late =
+                SimEvent::CommandsArrive { node, boot: 0, call, machine, token, incarnation, commands };
+            return self.schedule_in(held - now, late);
         }
         worker.expire(now);
-        if token >= worker.token && shift == worker.shift {
+        if token >= worker.token && incarnation == worker.incarnation {
             worker.token = token;
-            for order in orders {
-                self.obey(&host, order);
+            for order in commands {
+                self.obey(&machine, order);
             }
         }
-        let Some(worker) = self.workers.get_mut(&host) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
         let report = worker.report(now);
         if boot != 0 {
             let event = Event::CommandReply { call, reply: CommandReply::Answered(report) };
-            self.at(ms(1), Happening::ToNode { node, boot, event });
+            self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
-    fn obey(&mut self, host: &MachineName, order: WorkerCommand) {
-        let Some(worker) = self.workers.get_mut(host) else { return };
+    fn obey(&mut self, machine: &MachineName, order: WorkerCommand) {
+        let Some(worker) = self.workers.get_mut(machine) else { return };
         match order {
             WorkerCommand::Run { task, attempt } => {
                 let key = (task.clone(), attempt);
@@ -384,24 +414,27 @@
                     _ => TaskStatus::FetchingImage,
                 };
                 worker.tasks.insert(key, seen);
-                let shift = worker.shift;
+                let incarnation = worker.incarnation;
                 if seen == TaskStatus::FetchingImage {
                     let pull = self.between(0, 1500);
-                    self.at(pull, Happening::Pulled { host: host.clone(), task, attempt, shift });
+                    self.schedule_in(
+                        pull,
+                        SimEvent::ImageFetched { machine: machine.clone(), task, attempt, incarnation },
+                    );
                 }
             }
             WorkerCommand::Kill { task, attempt, grace: leeway } => {
                 let there = worker.tasks.get(&(task.clone(), attempt));
                 if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&TaskStatus::Running) {
                     let saves = self.gang_told(&task, attempt, leeway);
-                    if let Some(worker) = self.workers.get_mut(host).filter(|_| saves) {
+                    if let Some(worker) = self.workers.get_mut(machine).filter(|_| saves) {
                         worker.tasks.insert((task, attempt), TaskStatus::Checkpointing);
                         return;
                     }
                 } else if there == Some(&TaskStatus::Checkpointing) && leeway > Duration::ZERO {
                     return;
                 }
-                let Some(worker) = self.workers.get_mut(host) else { return };
+                let Some(worker) = self.workers.get_mut(machine) else { return };
                 if let Some(seen) = worker.tasks.get_mut(&(task, attempt)) {
                     if !matches!(seen, TaskStatus::Exited(_)) {
                         *seen = TaskStatus::Exited(ExitReason::Stopped);
@@ -418,18 +451,19 @@
     }
 
     /// The image is there: the task starts, and the rules apply.
-    pub(super) fn pulled(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn pulled(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
+        let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
+        else {
             return;
         };
-        if now < worker.hung {
-            let pause = worker.hung - now;
-            return self.at(pause, Happening::Pulled { host, task, attempt, shift });
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now;
+            return self.schedule_in(pause, SimEvent::ImageFetched { machine, task, attempt, incarnation });
         }
         worker.expire(now);
         let key = (task.clone(), attempt);
-        if worker.shift != shift || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
+        if worker.incarnation != incarnation || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
             return;
         }
         let gang = self.jobs[self.by_id[&task.job]].spec.gang;
@@ -439,39 +473,41 @@
         );
         let (zone, spot, faulty) = (worker.zone.clone(), worker.spot, worker.faulty);
         let job = &self.jobs[self.by_id[&task.job]];
-        let copies = self.workers.values().flat_map(|w| w.runs()).filter(|(t, _)| *t == task).count();
-        assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - EPOCH);
+        let copies =
+            self.workers.values().flat_map(|w| w.running_tasks()).filter(|(t, _)| *t == task).count();
+        assert!(copies == 1, "ran_twice: {task:?} at {:?}", now - SIM_START);
         assert!(job.spec.zone.as_ref().is_none_or(|z| *z == zone), "wrong_place: zone");
         assert!(job.spec.allows_spot || !spot, "wrong_place: spot");
         let here = |w: &&Worker| w.zone == zone;
-        let of_job = |w: &Worker| w.runs().filter(|(t, _)| t.job == task.job).count() as u32;
+        let of_job = |w: &Worker| w.running_tasks().filter(|(t, _)| t.job == task.job).count() as u32;
         let in_zone: u32 = self.workers.values().filter(here).map(of_job).sum();
         let all: u32 = self.workers.values().map(of_job).sum();
         assert!(!job.spec.single_zone || in_zone == all, "wrong_place: samePlace");
         assert!(!job.spec.spread || in_zone <= job.spec.tasks.div_ceil(2), "wrong_place: scatter");
-        let late = job.cancelled.is_some_and(|at| now > at + self.kind.cancel);
+        let late = job.cancelled_at.is_some_and(|at| now > at + self.deployment.cancel_within);
         assert!(!late, "ran_cancelled: {task:?} starts");
         let last = f64::from(task.index) / f64::from(job.spec.tasks.max(2) - 1);
-        let runs = Duration::from_secs_f64(job.runs + job.spread * last);
+        let runs = Duration::from_secs_f64(job.runtime_s + job.runtime_spread_s * last);
         self.starts += 1;
-        self.start_times.push((now, host.clone()));
+        self.start_times.push((now, machine.clone()));
         if gang && !faulty {
-            return self.gang_waits(host, task, attempt, shift);
+            return self.gang_waits(machine, task, attempt, incarnation);
         }
-        let began = &mut self.jobs[self.by_id[&task.job]].began;
+        let began = &mut self.jobs[self.by_id[&task.job]].started_at;
         began.get_or_insert(now);
         let pause = if faulty { ms(500) } else { runs };
-        self.at(pause, Happening::Ends { host, task, attempt, shift });
+        self.schedule_in(pause, SimEvent::TaskEnds { machine, task, attempt, incarnation });
     }
 
-    pub(super) fn task_ends(&mut self, host: MachineName, task: TaskId, attempt: u64, shift: u64) {
+    pub(super) fn task_ends(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&host).filter(|w| w.shift == shift && !w.dead) else {
+        let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
+        else {
             return;
         };
-        if now < worker.hung {
-            let pause = worker.hung - now + ms(500);
-            return self.at(pause, Happening::Ends { host, task, attempt, shift });
+        if now < worker.hung_until {
+            let pause = worker.hung_until - now + ms(500);
+            return self.schedule_in(pause, SimEvent::TaskEnds { machine, task, attempt, incarnation });
         }
         let faulty = worker.faulty;
         let Some(seen) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
@@ -483,10 +519,10 @@
             let job = self.by_id[&task.job];
             self.jobs[job].done.insert(task.index);
             let last = self.jobs[job].done.len() as u32 == self.jobs[job].spec.tasks;
-            let share = self.troubles.cancel_at_end;
+            let share = self.faults.cancel_at_end;
             if last && share > 0.0 && self.chance(share) {
                 let around = self.between(0, 400);
-                self.at(around, Happening::Abort { job });
+                self.schedule_in(around, SimEvent::Cancel { job });
             }
         }
     }
@@ -499,21 +535,21 @@
                 let first = !self.jobs[job].accepted;
                 if first {
                     self.look_closely(job, status);
-                    self.moment(Moment::Accepted);
+                    self.trigger(Trigger::Accepted);
                 }
                 self.jobs[job].accepted = true;
-                self.jobs[job].since.get_or_insert(self.now);
+                self.jobs[job].accepted_at.get_or_insert(self.now);
                 self.tell(job, status);
                 if first {
-                    self.at(secs(1), Happening::Poll { job });
+                    self.schedule_in(secs(1), SimEvent::Poll { job });
                     // Some users are not sure that they were understood.
                     if self.chance(0.2) {
                         let later = self.between(100, 30_000);
-                        self.at(later, Happening::Submit { job });
+                        self.schedule_in(later, SimEvent::Submit { job });
                     }
                 }
             }
-            Response::Unavailable { retry_after: retry } => self.at(retry, Happening::Submit { job }),
+            Response::Unavailable { retry_after: retry } => self.schedule_in(retry, SimEvent::Submit { job }),
             other => panic!("forgotten: a good submission gets {other:?}"),
         }
     }
@@ -523,14 +559,14 @@
             Response::Job { status, .. } => {
                 self.tell(job, status);
                 if !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
-                    self.at(secs(2), Happening::Poll { job });
+                    self.schedule_in(secs(2), SimEvent::Poll { job });
                 } else if self.chance(0.5) {
                     // Users may ask again at any later time.
                     let later = self.between(100, 60_000);
-                    self.at(later, Happening::Poll { job });
+                    self.schedule_in(later, SimEvent::Poll { job });
                 }
             }
-            Response::Unavailable { .. } => self.at(secs(2), Happening::Poll { job }),
+            Response::Unavailable { .. } => self.schedule_in(secs(2), SimEvent::Poll { job }),
             Response::NotFound => assert!(!self.jobs[job].accepted, "forgotten: {:?}", self.jobs[job].id),
             other => panic!("a poll gets {other:?}"),
         }
@@ -545,44 +581,46 @@
             Response::NotFound => {
                 assert!(!known, "forgotten: {:?}", self.jobs[job].id);
                 // Not accepted yet: the user tries again once it is.
-                self.at(secs(2), Happening::Abort { job });
+                self.schedule_in(secs(2), SimEvent::Cancel { job });
             }
-            _ => self.at(secs(1), Happening::Abort { job }),
+            _ => self.schedule_in(secs(1), SimEvent::Cancel { job }),
         }
     }
 
     pub(super) fn tell(&mut self, job: usize, status: JobStatus) {
         let now = self.now;
-        if matches!(status, JobStatus::Done | JobStatus::Cancelled) && self.jobs[job].told != Some(status) {
+        if matches!(status, JobStatus::Done | JobStatus::Cancelled)
+            && self.jobs[job].last_answer != Some(status)
+        {
             self.look_closely(job, status);
             if status == JobStatus::Cancelled {
                 let id = &self.jobs[job].id;
-                let here = |w: &Worker| w.runs().any(|(t, _)| t.job == *id);
-                self.jobs[job].cut_short = self.workers.values().any(here);
-                self.moment(Moment::Cancelled);
+                let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == *id);
+                self.jobs[job].ran_when_cancelled = self.workers.values().any(here);
+                self.trigger(Trigger::Cancelled);
             }
         }
         let j = &mut self.jobs[job];
-        j.heard = now;
+        j.last_answered_at = now;
         assert!(j.submitted, "invented: {:?}", j.id);
-        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.told {
+        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_answer {
             // What was asked before may have been read before.
-            if self.asked_at < j.told_over && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
+            if self.asked_at < j.told_ended_at && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
                 return;
             }
             assert_eq!(told, status, "went_back: {:?}", j.id);
         } else if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
-            j.told_over = now;
+            j.told_ended_at = now;
         }
         match status {
             JobStatus::Done => assert_eq!(j.done.len() as u32, j.spec.tasks, "not_done: {:?}", j.id),
             JobStatus::Cancelled => {
-                assert!(j.aborting, "went_back: {:?} was not cancelled by its user", j.id);
-                j.cancelled.get_or_insert(now);
+                assert!(j.cancelling, "went_back: {:?} was not cancelled by its user", j.id);
+                j.cancelled_at.get_or_insert(now);
             }
             _ => {}
         }
-        j.told = Some(status);
+        j.last_answer = Some(status);
     }
 
     // ----- rules that hold at every moment -----
@@ -590,23 +628,27 @@
     pub(super) fn check(&self) {
         let mut cpus: HashMap<&str, f64> = HashMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
-            for (task, _) in worker.runs() {
+            for (task, _) in worker.running_tasks() {
                 let job = &self.jobs[self.by_id[&task.job]];
                 *cpus.entry(&job.spec.team).or_default() += job.spec.demand.cpus;
-                let late = job.cancelled.is_some_and(|at| self.now > at + self.kind.cancel);
+                let late = job.cancelled_at.is_some_and(|at| self.now > at + self.deployment.cancel_within);
                 if late && std::env::var_os("WORLD_DUMP").is_some() {
-                    println!("{:?} cancelled {:?}", self.now - EPOCH, job.cancelled.map(|at| at - EPOCH));
+                    println!(
+                        "{:?} cancelled {:?}",
+                        self.now - SIM_START,
+                        job.cancelled_at.map(|at| at - SIM_START)
+                    );
                     self.dump();
                 }
                 assert!(!late, "ran_cancelled: {task:?} is still on {}", worker.name);
             }
         }
-        for job in self.jobs.iter().filter(|j| j.accepted && !j.aborting && !j.done_or_cancelled()) {
-            let silent = self.now.saturating_sub(job.heard.max(self.calm));
+        for job in self.jobs.iter().filter(|j| j.accepted && !j.cancelling && !j.has_ended()) {
+            let silent = self.now.saturating_sub(job.last_answered_at.max(self.calm_at));
             assert!(silent <= secs(75), "forgotten: nothing is told of {:?}", job.id);
         }
         for (team, used) in cpus {
-            assert!(used <= self.kind.cap + 1e-9, "quota: {team} uses {used}");
+            assert!(used <= self.deployment.cpu_limit + 1e-9, "quota: {team} uses {used}");
         }
     }
 }
