--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -1,9 +1,10 @@
 //! What a holder tells its workers.
 
-use super::{Commands, Held, Holder, HolderEvidence, MAX_ORDERS, ORDERS_LIFE};
+use super::{Commands, Held, Holder, HolderEvidence, SentCommands, ShardEpoch, MAX_ORDERS, ORDERS_LIFE};
 use crate::calls::{CallPurpose, HolderCall};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
+use crate::leadership::LeaderId;
 use crate::protocol::{CommandReply, Heartbeat, LogLevel, MachineName, TaskId, TaskStatus, WorkerCommand};
 use crate::shards::messages::{LeaderCommands, MachineCommands};
 use plankhead_sharding::freshness::Freshness;
@@ -28,7 +29,8 @@
             self.refused += 1;
             return false;
         }
-        self.set_leader(Some((message.host.clone(), message.token)), now);
+        let leader = LeaderId { token: message.token, host: message.host.clone() };
+        self.set_leader(Some(leader), now);
         self.drop_superseded_shards(&message, effects);
         for (shard, epoch) in &message.shards {
             // A record that this node has not read yet, or that another has replaced.
@@ -92,7 +94,8 @@
         });
         if let Some(shard) = shard.filter(|_| !known) {
             let epoch = self.shards.get(*shard).map_or(0, |held| held.epoch);
-            self.observe_machine(now, heartbeat, ((*shard).clone(), epoch), false);
+            let shard_epoch = ShardEpoch { shard: (*shard).clone(), epoch };
+            self.observe_machine(now, heartbeat, shard_epoch, false);
             self.unreported.remove(&heartbeat.machine);
         }
     }
@@ -206,7 +209,7 @@
     pub fn command_reply(
         &mut self,
         now: Duration,
-        (host, incarnation, starts): (MachineName, u64, Vec<(TaskId, u64)>),
+        SentCommands { machine: host, incarnation, starts }: SentCommands,
         reply: CommandReply,
         evidence: HolderEvidence,
         effects: &mut EffectSink,
@@ -216,10 +219,13 @@
         if !matches!(reply, CommandReply::Answered(_)) {
             self.unreported.insert(host.clone());
         }
-        let of = self.shard_of.get(&host).and_then(|shard| Some((shard.clone(), self.epoch(shard, now)?)));
+        let of = self
+            .shard_of
+            .get(&host)
+            .and_then(|shard| Some(ShardEpoch { shard: shard.clone(), epoch: self.epoch(shard, now)? }));
         if let (CommandReply::Answered(heartbeat), Some(of)) = (reply, of) {
             // A later token: somebody else holds the shard, and the record will say so.
-            if heartbeat.machine == host && heartbeat.token <= of.1 {
+            if heartbeat.machine == host && heartbeat.token <= of.epoch {
                 self.observe_machine(now, &heartbeat, of, true);
             }
         }
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -12,6 +12,7 @@
 use crate::calls::KeyWatchCall;
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine};
+use crate::leadership::LeaderId;
 use crate::protocol::{
     CallError, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, WorkerCommand,
 };
@@ -117,6 +118,31 @@
     cpu_starved: bool,
 }
 
+/// A shard, and the epoch under which this node holds it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ShardEpoch {
+    pub shard: ShardId,
+    pub epoch: u64,
+}
+
+/// How a heartbeat came to this node, and which other nodes it could go to.
+#[derive(Debug, Clone, Copy)]
+pub struct HeartbeatPath {
+    /// Through a peer, since the worker can't reach this node.
+    pub relayed: bool,
+    /// This node reaches neither the state service nor another node.
+    pub is_cut_off: bool,
+}
+
+/// Commands that were sent directly to a worker.
+#[derive(Debug)]
+pub struct SentCommands {
+    pub machine: MachineName,
+    pub incarnation: u64,
+    /// The attempts that they start.
+    pub starts: Vec<(TaskId, u64)>,
+}
+
 /// What a holder's decisions of one step stand on.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderEvidence {
@@ -210,8 +236,8 @@
     }
 
     /// Notes who leads. A new leader is told of all machines at once.
-    pub fn set_leader(&mut self, leader: Option<(String, u64)>, now: Duration) {
-        let Some((host, token)) = leader else { return };
+    pub fn set_leader(&mut self, leader: Option<LeaderId>, now: Duration) {
+        let Some(LeaderId { host, token }) = leader else { return };
         if self.leader.as_ref().is_some_and(|known| known.token >= token) {
             return;
         }
@@ -255,19 +281,19 @@
         Freshness { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
     }
 
-    /// Answers a report of a machine in one of the shards. `is_cut_off`: neither the state
-    /// service nor another controller is heard.
+    /// Answers a heartbeat of a machine in one of the shards.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
         heartbeat: &Heartbeat,
-        (shard, epoch): (ShardId, u64),
-        (relayed, is_cut_off): (bool, bool),
+        shard_epoch: ShardEpoch,
+        path: HeartbeatPath,
         evidence: HolderEvidence,
     ) -> Response {
         let now = times.now;
         let evidence = self.freshness(evidence);
-        let heard = self.observe_machine(now, heartbeat, (shard, epoch), false);
+        let epoch = shard_epoch.epoch;
+        let heard = self.observe_machine(now, heartbeat, shard_epoch, false);
         let settings = &self.settings;
         if !evidence.may_renew(now, settings.worker_lease, settings.cancel_within) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
@@ -279,8 +305,8 @@
             // A copy gets no orders, nor counts as heard.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
-        machine.is_relayed = relayed;
-        if machine.take_redirect(is_cut_off, self.settings.worker_lease, now) {
+        machine.is_relayed = path.relayed;
+        if machine.take_redirect(path.is_cut_off, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
         }
         machine.record_response(&orders, now);
@@ -292,7 +318,7 @@
         &mut self,
         now: Duration,
         heartbeat: &Heartbeat,
-        (shard, epoch): (ShardId, u64),
+        ShardEpoch { shard, epoch }: ShardEpoch,
         ours: bool,
     ) -> HeartbeatNews {
         let heard = match ours {
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -3,6 +3,7 @@
 
 use crate::calls::{CallPurpose, ElectionCall};
 use crate::effects::EffectSink;
+use crate::leadership::LeaderId;
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
 use plankhead_reachability::handover::HOLD_BACK;
 use serde::{Deserialize, Serialize};
@@ -58,7 +59,7 @@
     call_in_flight: bool,
     retry_at: Duration,
     /// The last known holder that is not us, with its token.
-    pub known_leader: Option<(String, u64)>,
+    pub known_leader: Option<LeaderId>,
     lease_renewed_at: Duration,
     next_renewal_at: Duration,
     renewal_in_flight: bool,
@@ -271,7 +272,7 @@
                 KvRequest::RevokeLease { lease: holder.hold },
             );
         } else {
-            self.known_leader = Some((holder.host, row.mod_revision));
+            self.known_leader = Some(LeaderId { token: row.mod_revision, host: holder.host });
         }
         self.stage = Stage::Watching { after: row.mod_revision };
         LeadershipChange::Unchanged
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.is_open
     }
 
@@ -92,14 +92,14 @@
             }
             (VersionBarrierCall::ListVersions, Ok(KvReply::Page { rows, .. })) => {
                 let shown: BTreeSet<String> = rows.iter().filter_map(shown).collect();
-                self.nodes.is_subset(&shown) && self.open_barrier(effects)
+                self.nodes.is_subset(&shown) && self.open(effects)
             }
             _ => false,
         }
     }
 
     /// The state service has lowered its limits, which it does after the upgrade only.
-    pub fn open_barrier(&mut self, effects: &mut EffectSink) -> bool {
+    pub fn open(&mut self, effects: &mut EffectSink) -> bool {
         if !std::mem::replace(&mut self.is_open, true) {
             effects.log(
                 LogLevel::Info,
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -1,66 +1,108 @@
-//! Reports of workers: who answers them, and what waits.
+//! Heartbeats of workers: which node answers them, which wait, and where workers are sent.
 
 use super::shards::HolderRoute;
 use super::Node;
 use crate::effects::StepTime;
+use crate::holder::{HeartbeatPath, ShardEpoch};
 use crate::leader::LeaderRoute;
-use crate::protocol::{Heartbeat, RequestId, Response};
+use crate::protocol::{Heartbeat, MachineName, RequestId, Response};
+use std::collections::HashMap;
 use std::time::Duration;
 
-/// A worker that comes back this long after it was sent to the leader has not
-/// reached it; after the longer time it says nothing.
-const SENT: Duration = Duration::from_secs(1);
-const SENT_LIFE: Duration = Duration::from_secs(15);
-const MAX_SENT: usize = 10_000;
+/// A worker that comes back this long after its redirect has not reached the node it was
+/// sent to; one that comes back after the timeout tells nothing.
+const MIN_REDIRECT_AGE: Duration = Duration::from_secs(1);
+const REDIRECT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Redirected workers that a node remembers.
+const MAX_REDIRECTED_WORKERS: usize = 10_000;
 
-/// How long a report waits for a leader that still reads, its worker waiting for 4 s
-/// and a sibling that passed it on for 1.5 s; and how many do.
-const HOLD: Duration = Duration::from_millis(2500);
-const HOLD_RELAYED: Duration = Duration::from_secs(1);
-const MAX_HELD: usize = 16_384;
+/// How long a heartbeat waits for a leader that still loads: its worker waits for 4 s, and a
+/// peer that relayed it for 1.5 s.
+const DEFERRAL_TIMEOUT: Duration = Duration::from_millis(2500);
+const RELAYED_DEFERRAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Heartbeats that wait at the same time.
+const MAX_DEFERRED_HEARTBEATS: usize = 16_384;
 
-/// A report that waits until a new leader has read what is known.
+/// How long a worker waits that this node can't answer now.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// A heartbeat that waits until this node has loaded what it needs for the answer.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct DeferredHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
     relayed: bool,
     pub until: Duration,
 }
 
-impl Node {
-    /// Has a report wait for whoever is to answer it here to read; gives it back where that
-    /// is not needed.
-    pub(super) fn defer_heartbeat(
-        &mut self,
-        now: Duration,
-        request: RequestId,
-        heartbeat: Heartbeat,
-        relayed: bool,
-    ) -> Option<Heartbeat> {
-        if self.deferred_heartbeats.len() >= MAX_HELD || !self.must_defer(&heartbeat, now) {
-            return Some(heartbeat);
+/// The node that a worker is sent to.
+struct RedirectTarget {
+    host: String,
+    /// The leader's fencing token, or the shard's epoch.
+    token: u64,
+}
+
+#[derive(Debug)]
+struct Redirect {
+    /// Of the node that the worker was sent to.
+    token: u64,
+    redirected_at: Duration,
+}
+
+/// Workers that this node has sent elsewhere.
+#[derive(Debug, Default)]
+pub(super) struct RedirectedWorkers {
+    by_machine: HashMap<MachineName, Redirect>,
+}
+
+impl RedirectedWorkers {
+    /// Whether the worker was sent to the holder of this token and has come back.
+    fn has_returned(&self, machine: &MachineName, token: u64, now: Duration) -> bool {
+        self.by_machine.get(machine).is_some_and(|redirect| {
+            let age = now.saturating_sub(redirect.redirected_at);
+            redirect.token == token && age > MIN_REDIRECT_AGE && age < REDIRECT_TIMEOUT
+        })
+    }
+
+    fn record(&mut self, machine: MachineName, token: u64, now: Duration) {
+        if self.by_machine.len() >= MAX_REDIRECTED_WORKERS {
+            self.by_machine
+                .retain(|_, redirect| now.saturating_sub(redirect.redirected_at) < REDIRECT_TIMEOUT);
+        }
+        if self.by_machine.len() < MAX_REDIRECTED_WORKERS {
+            self.by_machine.insert(machine, Redirect { token, redirected_at: now });
         }
-        let until = now + if relayed { HOLD_RELAYED } else { HOLD };
-        self.deferred_heartbeats.push(Held { request, heartbeat, relayed, until });
-        None
     }
 }
 
 impl Node {
-    pub(super) fn handle_heartbeat(
+    /// Answers a heartbeat, now or once this node has loaded what it needs.
+    pub(super) fn receive_heartbeat(
         &mut self,
         times: StepTime,
+        request: RequestId,
         heartbeat: Heartbeat,
         relayed: bool,
-    ) -> Response {
+    ) {
+        if self.deferred_heartbeats.len() < MAX_DEFERRED_HEARTBEATS && self.must_defer(&heartbeat, times.now)
+        {
+            let timeout = if relayed { RELAYED_DEFERRAL_TIMEOUT } else { DEFERRAL_TIMEOUT };
+            let until = times.now + timeout;
+            self.deferred_heartbeats.push(DeferredHeartbeat { request, heartbeat, relayed, until });
+            return;
+        }
+        let response = self.handle_heartbeat(times, heartbeat, relayed);
+        self.effects.respond(request, response);
+    }
+
+    fn handle_heartbeat(&mut self, times: StepTime, heartbeat: Heartbeat, relayed: bool) -> Response {
         let now = times.now;
-        // A shard's epoch is above its leader's token and says nothing of other shards.
+        // A shard's epoch is above its leader's token and tells nothing of other shards.
         if self.sharding.is_none() {
             self.token_guard.observe(heartbeat.token);
         }
         self.record_link_evidence(&heartbeat, relayed, now);
-        let is_cut_off = !self.election.is_lease_valid(now) && !self.hears_a_peer(now);
+        let is_cut_off = !self.election.is_lease_valid(now) && !self.peers.hears_any(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&heartbeat) {
                 LeaderRoute::Own => {
@@ -73,79 +115,113 @@
                     );
                 }
                 LeaderRoute::Holder { host, epoch } => {
-                    return self.redirect(now, heartbeat, (epoch, host), relayed)
+                    let holder = RedirectTarget { host, token: epoch };
+                    return self.redirect(now, heartbeat, holder, relayed);
                 }
                 LeaderRoute::HolderUnknown => {
-                    return Response::Unavailable { retry_after: Duration::from_secs(1) }
+                    return Response::Unavailable { retry_after: RETRY_AFTER };
                 }
                 LeaderRoute::Superseded => {}
             }
-            // A worker has seen a later token than ours.
-            let verdict = self.election.lease_lost();
-            self.apply_leadership(times, verdict);
+            // The worker has seen a later token than this leader's.
+            let change = self.election.lease_lost();
+            self.apply_leadership(times, change);
         }
+        self.handle_heartbeat_as_follower(times, heartbeat, relayed)
+    }
+
+    /// Answers as the holder of the machine's shard, or sends the worker to the node that may.
+    fn handle_heartbeat_as_follower(
+        &mut self,
+        times: StepTime,
+        heartbeat: Heartbeat,
+        relayed: bool,
+    ) -> Response {
+        let now = times.now;
         match self.holder_route(&heartbeat, now) {
-            HolderRoute::Own { shard, epoch } => {
-                return self.handle_heartbeat_as_holder(times, &heartbeat, (shard, epoch), relayed);
+            HolderRoute::Own(shard_epoch) => {
+                return self.handle_heartbeat_as_holder(times, &heartbeat, shard_epoch, relayed);
             }
             HolderRoute::Other { host, epoch } => {
-                return self.redirect(now, heartbeat, (epoch, host), relayed)
+                let holder = RedirectTarget { host, token: epoch };
+                return self.redirect(now, heartbeat, holder, relayed);
             }
             HolderRoute::Leader => {}
         }
-        let least = heartbeat.token.max(self.highest_token());
-        match self.known_leader(now, least) {
-            Some(leader) => self.redirect(now, heartbeat, leader, relayed),
+        let min_token = heartbeat.token.max(self.highest_token());
+        match self.known_leader(now, min_token) {
+            Some(leader) => {
+                let target = RedirectTarget { host: leader.host, token: leader.token };
+                self.redirect(now, heartbeat, target, relayed)
+            }
             None => Response::Redirect { leader: None },
         }
     }
 
-    /// Sends a worker to the node that acts for it, or passes its report on there.
+    /// Sends a worker to the node that acts for it, or has its heartbeat relayed there.
     fn redirect(
         &mut self,
         now: Duration,
         heartbeat: Heartbeat,
-        (token, leader): (u64, String),
+        target: RedirectTarget,
         relayed: bool,
     ) -> Response {
-        // Who knows that node's token, or was sent there and is back, can't reach it.
-        let back = |(to, at): &(u64, Duration)| {
-            let since = now.saturating_sub(*at);
-            *to == token && since > SENT && since < SENT_LIFE
-        };
-        let known =
-            token == heartbeat.token || self.redirected_workers.get(&heartbeat.machine).is_some_and(back);
-        if known && !relayed {
-            return Response::Relay { leader };
+        let RedirectTarget { host, token } = target;
+        // A worker that knows the node's token, or was sent there and is back, can't reach it.
+        let unreachable =
+            token == heartbeat.token || self.redirected_workers.has_returned(&heartbeat.machine, token, now);
+        if unreachable && !relayed {
+            return Response::Relay { leader: host };
         }
-        if self.redirected_workers.len() >= MAX_SENT {
-            self.redirected_workers.retain(|_, (_, at)| now.saturating_sub(*at) < SENT_LIFE);
-        }
-        if self.redirected_workers.len() < MAX_SENT {
-            self.redirected_workers.insert(heartbeat.machine, (token, now));
+        self.redirected_workers.record(heartbeat.machine, token, now);
+        Response::Redirect { leader: Some(host) }
+    }
+
+    /// Answers a heartbeat as the holder of its shard.
+    fn handle_heartbeat_as_holder(
+        &mut self,
+        times: StepTime,
+        heartbeat: &Heartbeat,
+        shard_epoch: ShardEpoch,
+        relayed: bool,
+    ) -> Response {
+        let now = times.now;
+        let evidence = self.holder_evidence(now);
+        let is_cut_off = self.is_holder_cut_off(evidence, now);
+        let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
+        let path = HeartbeatPath { relayed, is_cut_off };
+        sharding.holder.handle_heartbeat(times, heartbeat, shard_epoch, path, evidence)
+    }
+
+    /// Whether a heartbeat should wait: the leader or holder that answers it here still loads.
+    fn must_defer(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
+        if let Some(leader) = &self.leader {
+            return leader.is_loading() && matches!(leader.route(heartbeat), LeaderRoute::Own);
         }
-        Response::Redirect { leader: Some(leader) }
+        let is_loading = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.is_loading());
+        is_loading && matches!(self.holder_route(heartbeat, now), HolderRoute::Own(_))
     }
 
-    /// What a report tells of the links to workers.
+    /// Records what a heartbeat shows of the links to workers.
     fn record_link_evidence(&mut self, heartbeat: &Heartbeat, relayed: bool, now: Duration) {
-        let Some(reach) = &mut self.reachability else { return };
-        reach.heartbeat_arrived(&heartbeat.machine, relayed, now);
+        let Some(reachability) = &mut self.reachability else { return };
+        reachability.heartbeat_arrived(&heartbeat.machine, relayed, now);
         if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(heartbeat)) {
-            reach.answer_confirmed(shown, now);
+            reachability.answer_confirmed(shown, now);
         }
     }
 
-    /// Answers the reports that waited for the leader to read, once it has or has
-    /// failed to.
+    /// Answers the heartbeats that waited, once loading is over or their time is up.
     pub(super) fn answer_deferred(&mut self, times: StepTime) {
-        let (held, due): (Vec<Held>, Vec<Held>) = std::mem::take(&mut self.deferred_heartbeats)
-            .into_iter()
-            .partition(|held| times.now < held.until && self.must_defer(&held.heartbeat, times.now));
-        self.deferred_heartbeats = held;
-        for Held { request, heartbeat, relayed, .. } in due {
-            let answer = self.handle_heartbeat(times, heartbeat, relayed);
-            self.effects.respond(request, answer);
+        let deferred = std::mem::take(&mut self.deferred_heartbeats);
+        let (waiting, due): (Vec<DeferredHeartbeat>, Vec<DeferredHeartbeat>) =
+            deferred.into_iter().partition(|deferred| {
+                times.now < deferred.until && self.must_defer(&deferred.heartbeat, times.now)
+            });
+        self.deferred_heartbeats = waiting;
+        for DeferredHeartbeat { request, heartbeat, relayed, .. } in due {
+            let response = self.handle_heartbeat(times, heartbeat, relayed);
+            self.effects.respond(request, response);
         }
     }
 }
--- /dev/null
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -0,0 +1,136 @@
+//! How a node becomes the leader and stops being it, and which node it takes for the leader.
+
+use super::Node;
+use crate::effects::StepTime;
+use crate::leader::{Leader, LeaderEvidence};
+use crate::leadership::election::LeadershipChange;
+use crate::leadership::LeaderId;
+use crate::protocol::{LogLevel, PeerHeartbeat};
+use crate::reachability::Reachability;
+use plankhead_reachability::mode::Mode;
+use std::time::Duration;
+
+impl Node {
+    pub(super) fn apply_leadership(&mut self, times: StepTime, change: LeadershipChange) {
+        match change {
+            LeadershipChange::Unchanged => {}
+            LeadershipChange::Won { token } => self.start_leading(times, token),
+            LeadershipChange::Lost => self.stop_leading(),
+        }
+    }
+
+    fn start_leading(&mut self, times: StepTime, token: u64) {
+        self.token_guard.observe(token);
+        self.effects.log(LogLevel::Info, format!("leadership won: token={token}"));
+        let mut leader = Leader::new(self.settings.clone(), token, times.now);
+        leader.set_machine_types(self.machine_types.by_name().clone());
+        if self.version_barrier.is_open() {
+            leader.set_all_nodes_upgraded();
+        }
+        leader.begin_loading(times.now, &mut self.effects);
+        self.leader = Some(leader);
+        self.start_leading_shards(times);
+    }
+
+    fn stop_leading(&mut self) {
+        self.effects.log(LogLevel::Info, "leadership lost".into());
+        self.leader = None;
+        self.resume_holding();
+        if let Some(reachability) = &mut self.reachability {
+            reachability.leadership_lost();
+        }
+    }
+
+    /// Lets the leader act, where this node is it.
+    pub(super) fn tick_leader(&mut self, times: StepTime, evidence: LeaderEvidence) {
+        if let Some(leader) = &mut self.leader {
+            leader.tick(times, evidence, &mut self.requests, &mut self.effects);
+        }
+    }
+
+    pub(super) fn leader_evidence(&self, now: Duration) -> LeaderEvidence {
+        let reachability = self.reachability.as_ref();
+        LeaderEvidence {
+            lease_valid: self.election.is_lease_valid(now),
+            kv_undisputed: self.election.is_lease_undisputed(now),
+            no_peer_leads: self.peers.none_leads(now),
+            cpu_starved: self.is_cpu_starved(),
+            mode: reachability.map_or(Mode::Whole, Reachability::mode),
+            peers_agree: reachability.is_some_and(|reachability| reachability.peers_agree(now)),
+        }
+    }
+
+    /// Steps down if no worker reaches this leader and a peer could take over.
+    ///
+    /// Without the state service nobody could take over, and what this leader knows of
+    /// cancellations would be lost: its lease expires by itself then. Where all nodes
+    /// exchange coverage, that decides who should lead.
+    pub(super) fn step_down_if_isolated(&mut self, times: StepTime, evidence: LeaderEvidence) {
+        let now = times.now;
+        let coverage_decides =
+            self.reachability.as_ref().is_some_and(|reachability| reachability.is_complete(now));
+        let peer_could_lead = evidence.lease_valid && self.peers.hears_any(now) && !coverage_decides;
+        if peer_could_lead && self.leader.as_ref().is_some_and(|leader| leader.is_isolated(now)) {
+            self.effects.log(LogLevel::Info, "leader stepped down: reason=no_worker_heartbeats".into());
+            let change = self.election.step_down_for_peers(now, &mut self.effects);
+            self.apply_leadership(times, change);
+        }
+    }
+
+    /// The latest known leader under no earlier token than `min_token`: by the leader's key,
+    /// or by its own heartbeats where the state service does not answer this node.
+    pub(super) fn known_leader(&self, now: Duration, min_token: u64) -> Option<LeaderId> {
+        let claims = self.peers.fresh_heartbeats(now).map(|heartbeat| (heartbeat.token, &heartbeat.host));
+        let stored = self.election.known_leader.iter().map(|leader| (leader.token, &leader.host));
+        let candidates = claims.chain(stored).filter(|(token, _)| *token > 0 && *token >= min_token);
+        candidates.max().map(|(token, host)| LeaderId { token, host: host.clone() })
+    }
+
+    /// The highest fencing token seen, for adapters that pass answers on; 0 while fencing is
+    /// off.
+    pub fn highest_token(&self) -> u64 {
+        if self.settings.fencing.enabled {
+            self.token_guard.highest()
+        } else {
+            0
+        }
+    }
+
+    pub(super) fn handle_peer_heartbeat(&mut self, times: StepTime, mut heartbeat: PeerHeartbeat) {
+        if !self.peers.contains(&heartbeat.host) {
+            return;
+        }
+        self.drop_stale_claim(&mut heartbeat);
+        // A node that the state service does not answer can't learn from it that another one
+        // has the key, and would keep its workers.
+        if self.leader.as_ref().is_some_and(|leader| leader.token < heartbeat.token) {
+            let change = self.election.lease_lost();
+            self.apply_leadership(times, change);
+        }
+        let now = times.now;
+        if let Some(reachability) = &mut self.reachability {
+            reachability.peer_heard(&heartbeat.host, now);
+        }
+        if heartbeat.token > 0 {
+            self.requests.progress(&heartbeat.progress);
+        }
+        self.peers.record(now, heartbeat);
+    }
+
+    /// Where fencing is on, the progress that a node tells under a superseded token is
+    /// dropped. The node still counts as one that leads where this matters for workers: it
+    /// may renew leases of those that know no later token.
+    fn drop_stale_claim(&mut self, heartbeat: &mut PeerHeartbeat) {
+        if !self.settings.fencing.enabled || heartbeat.token == 0 {
+            return;
+        }
+        if let Err(stale) = self.token_guard.admit(heartbeat.token) {
+            let repeated = self.peers.has_claimed(&heartbeat.host, heartbeat.token);
+            let level = if repeated { LogLevel::Debug } else { LogLevel::Info };
+            let text =
+                format!("leadership claim rejected: peer={} reason=stale_token ({stale})", heartbeat.host);
+            self.effects.log(level, text);
+            heartbeat.progress.clear();
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/node/peers.rs
@@ -0,0 +1,110 @@
+//! The other nodes, as their peer heartbeats show them.
+
+use crate::protocol::PeerHeartbeat;
+use crate::settings::Settings;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How often a node sends its peers a heartbeat.
+const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A peer whose latest heartbeat is older counts as silent.
+const PEER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// A peer's latest heartbeat.
+#[derive(Debug)]
+struct ReceivedHeartbeat {
+    received_at: Duration,
+    heartbeat: PeerHeartbeat,
+}
+
+impl ReceivedHeartbeat {
+    fn is_fresh(&self, now: Duration) -> bool {
+        now.saturating_sub(self.received_at) < PEER_HEARTBEAT_TIMEOUT
+    }
+}
+
+/// The latest heartbeat of each peer, and when this node's own is due.
+#[derive(Debug)]
+pub(super) struct Peers {
+    settings: Arc<Settings>,
+    heartbeats: HashMap<String, ReceivedHeartbeat>,
+    next_heartbeat_at: Duration,
+}
+
+impl Peers {
+    pub fn new(settings: Arc<Settings>) -> Self {
+        Self { settings, heartbeats: HashMap::new(), next_heartbeat_at: Duration::ZERO }
+    }
+
+    /// Whether the settings name the node as a peer.
+    pub fn contains(&self, host: &String) -> bool {
+        self.settings.peers.contains(host)
+    }
+
+    /// The latest heartbeats of the peers that are not silent.
+    pub fn fresh_heartbeats(&self, now: Duration) -> impl Iterator<Item = &PeerHeartbeat> {
+        let fresh = self.heartbeats.values().filter(move |received| received.is_fresh(now));
+        fresh.map(|received| &received.heartbeat)
+    }
+
+    /// Whether at least one peer's heartbeats arrive.
+    pub fn hears_any(&self, now: Duration) -> bool {
+        self.fresh_heartbeats(now).next().is_some()
+    }
+
+    /// Whether there are peers and none of their heartbeats arrive.
+    pub fn hears_none(&self, now: Duration) -> bool {
+        !self.settings.peers.is_empty() && !self.hears_any(now)
+    }
+
+    /// Whether the state service answers a peer whose heartbeats arrive.
+    pub fn any_reaches_kv(&self, now: Duration) -> bool {
+        self.fresh_heartbeats(now).any(|heartbeat| heartbeat.kv_available)
+    }
+
+    /// Whether every peer's heartbeats arrive, and none of them claims to lead.
+    pub fn none_leads(&self, now: Duration) -> bool {
+        self.settings.peers.iter().all(|host| {
+            let received = self.heartbeats.get(host);
+            received.is_some_and(|received| received.is_fresh(now) && received.heartbeat.token == 0)
+        })
+    }
+
+    /// Whether the peer's latest heartbeat claimed to lead under this token already.
+    pub fn has_claimed(&self, host: &str, token: u64) -> bool {
+        self.heartbeats.get(host).is_some_and(|received| received.heartbeat.token == token)
+    }
+
+    pub fn record(&mut self, now: Duration, heartbeat: PeerHeartbeat) {
+        self.heartbeats.insert(heartbeat.host.clone(), ReceivedHeartbeat { received_at: now, heartbeat });
+    }
+
+    /// When this node's own heartbeat is due.
+    pub fn next_due(&self) -> Duration {
+        self.next_heartbeat_at
+    }
+
+    /// Whether this node's own heartbeat is due, which counts as sent then.
+    pub fn take_heartbeat_due(&mut self, now: Duration) -> bool {
+        let due = now >= self.next_heartbeat_at;
+        if due {
+            self.next_heartbeat_at = now + PEER_HEARTBEAT_INTERVAL;
+        }
+        due
+    }
+
+    /// The peers in the operators' view.
+    pub fn view(&self, now: Duration) -> Vec<serde_json::Value> {
+        let peer = |received: &ReceivedHeartbeat| {
+            let ReceivedHeartbeat { received_at, heartbeat } = received;
+            serde_json::json!({
+                "host": heartbeat.host,
+                "heardS": now.saturating_sub(*received_at).as_secs_f64(),
+                "stateOk": heartbeat.kv_available,
+                "leads": heartbeat.token > 0,
+            })
+        };
+        self.heartbeats.values().map(peer).collect()
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -0,0 +1,171 @@
+//! Replies to this node's calls, each handed to the part that made the call.
+
+use super::Node;
+use crate::calls::{CallPurpose, HolderCall, LeaderCall, PendingRequest};
+use crate::effects::StepTime;
+use crate::jobs::job::JobId;
+use crate::leader::Leader;
+use crate::protocol::{CallError, CallId, CloudReply, CommandReply, KvReply, LogLevel};
+use crate::shards::messages::Delivery;
+use std::time::Duration;
+
+/// An outage of the state service that lasted longer is logged.
+const MIN_LOGGED_OUTAGE: Duration = Duration::from_secs(2);
+
+/// The leader, if it still leads under the token of the term that made a call.
+fn leader_of_term(leader: &mut Option<Leader>, token: u64) -> Option<&mut Leader> {
+    leader.as_mut().filter(|leader| leader.token == token)
+}
+
+impl Node {
+    pub(super) fn handle_kv_reply(
+        &mut self,
+        times: StepTime,
+        call: CallId,
+        reply: Result<KvReply, CallError>,
+    ) {
+        let now = times.now;
+        if let Some(reachability) = &mut self.reachability {
+            reachability.kv_reply(call, &reply, now);
+        }
+        self.record_kv_health(now, &reply);
+        match self.effects.calls_in_flight.remove(&call) {
+            Some(CallPurpose::Election(call)) => {
+                let change = self.election.reply(now, call, reply, &mut self.effects);
+                self.apply_leadership(times, change);
+            }
+            Some(CallPurpose::VersionBarrier(call)) => {
+                let opened = self.version_barrier.reply(call, reply, &mut self.effects);
+                self.apply_version_barrier(opened);
+            }
+            Some(CallPurpose::Reachability(call)) => {
+                if let Some(reachability) = &mut self.reachability {
+                    reachability.reply(call, reply, now, &mut self.effects);
+                }
+            }
+            Some(CallPurpose::UserRequest(request)) => self.user_request_reply(times, request, reply),
+            Some(CallPurpose::ShardRecords(call)) => self.shard_records_reply(now, call, reply),
+            Some(CallPurpose::Holder(call)) => self.holder_kv_reply(now, call, reply),
+            Some(CallPurpose::Leader(token, call)) => self.leader_kv_reply(times, token, call, reply),
+            Some(CallPurpose::MachineTypes) | None => {}
+        }
+    }
+
+    fn record_kv_health(&mut self, now: Duration, reply: &Result<KvReply, CallError>) {
+        match reply {
+            Ok(_) => {
+                let outage = self.kv_health.record_success(now);
+                if let Some(outage) = outage.filter(|outage| *outage > MIN_LOGGED_OUTAGE) {
+                    let text = format!("state service recovered: after_s={}", outage.as_secs());
+                    self.effects.log(LogLevel::Info, text);
+                }
+            }
+            Err(CallError::RateLimited) => {}
+            Err(CallError::TooLarge) => {
+                let text = "state service write rejected: reason=too_large";
+                self.effects.log(LogLevel::Error, text.into());
+                let opened = self.version_barrier.open(&mut self.effects);
+                self.apply_version_barrier(opened);
+            }
+            Err(CallError::Refused | CallError::OutcomeUnknown) => self.kv_health.record_failure(now),
+        }
+    }
+
+    fn leader_kv_reply(
+        &mut self,
+        times: StepTime,
+        token: u64,
+        call: LeaderCall,
+        reply: Result<KvReply, CallError>,
+    ) {
+        let Some(leader) = leader_of_term(&mut self.leader, token) else { return };
+        let may_lead = leader.kv_reply(times, call, reply, &mut self.requests, &mut self.effects);
+        if !may_lead {
+            let change = self.election.release_lease(&mut self.effects);
+            self.apply_leadership(times, change);
+        }
+    }
+
+    fn user_request_reply(
+        &mut self,
+        times: StepTime,
+        request: PendingRequest,
+        reply: Result<KvReply, CallError>,
+    ) {
+        let leader = self.leader.as_ref();
+        let progress = |id: &JobId| leader.and_then(|leader| leader.progress(id));
+        let changed_rows = self.requests.reply(times, request, reply, &progress, &mut self.effects);
+        if let Some(leader) = &mut self.leader {
+            for row in changed_rows {
+                leader.job_record_changed(times, &row, &mut self.requests);
+            }
+        }
+    }
+
+    fn apply_version_barrier(&mut self, opened: bool) {
+        if opened {
+            self.requests.set_all_nodes_upgraded();
+            if let Some(leader) = &mut self.leader {
+                leader.set_all_nodes_upgraded();
+            }
+        }
+    }
+
+    pub(super) fn handle_cloud_reply(
+        &mut self,
+        times: StepTime,
+        call: CallId,
+        reply: Result<CloudReply, CallError>,
+    ) {
+        if let Some(reachability) = &mut self.reachability {
+            reachability.cloud_reply(call, &reply, times.now);
+        }
+        match self.effects.calls_in_flight.remove(&call) {
+            Some(CallPurpose::MachineTypes) => self.machine_types_reply(times.now, reply),
+            Some(CallPurpose::Leader(token, call)) => {
+                if let Some(leader) = leader_of_term(&mut self.leader, token) {
+                    leader.cloud_reply(times, call, reply, &mut self.effects);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn machine_types_reply(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
+        let listed = self.machine_types.handle_reply(now, reply);
+        if let Some(leader) = self.leader.as_mut().filter(|_| listed) {
+            leader.set_machine_types(self.machine_types.by_name().clone());
+        }
+    }
+
+    pub(super) fn handle_command_reply(&mut self, times: StepTime, call: CallId, reply: CommandReply) {
+        if let Some(reachability) = &mut self.reachability {
+            reachability.command_reply(call, &reply, times.now);
+        }
+        match self.effects.calls_in_flight.remove(&call) {
+            Some(CallPurpose::Leader(token, call)) => {
+                if let Some(leader) = leader_of_term(&mut self.leader, token) {
+                    leader.command_reply(times, call, reply, &mut self.effects);
+                }
+            }
+            Some(CallPurpose::Holder(call)) => self.holder_command_reply(times.now, call, reply),
+            _ => {}
+        }
+    }
+
+    pub(super) fn handle_shard_message_delivery(&mut self, now: Duration, call: CallId, delivery: Delivery) {
+        match self.effects.calls_in_flight.remove(&call) {
+            Some(CallPurpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
+                if let Some(sharding) = &mut self.sharding {
+                    sharding.holder.status_delivered(now, leader, machines, delivery);
+                }
+            }
+            Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, sent })) => {
+                if let Some(leader) = leader_of_term(&mut self.leader, token) {
+                    leader.shard_commands_delivered(now, &to, sent, delivery);
+                }
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -1,125 +1,115 @@
-//! A node's part in divided machines: the records of shards, the holder's role while it
-//! does not lead, and the messages between leader and holders.
+//! A node's part in sharding: the records of shards, the holder's role while it does not
+//! lead, and the messages between leader and holders.
 
-use super::{Node, BEHIND};
-use crate::calls::{CallPurpose, HolderCall, KeyWatchCall, LeaderCall};
+use super::Node;
+use crate::calls::{HolderCall, KeyWatchCall};
 use crate::effects::StepTime;
-use crate::holder::{Holder, HolderEvidence};
-use crate::leader::LeaderRoute;
-use crate::protocol::{CallError, CallId, CommandReply, Heartbeat, KvReply, LogLevel, Response};
+use crate::holder::{Holder, HolderEvidence, SentCommands, ShardEpoch};
+use crate::leadership::LeaderId;
+use crate::protocol::{CallError, CommandReply, Heartbeat, KvReply, LogLevel};
 use crate::settings::Settings;
 use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
 use crate::shards::records::RecordWatch;
-use plankhead_sharding::shard::ShardId;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A record that was not seen for so long says nothing of who holds a shard now.
-const ADRIFT: Duration = Duration::from_secs(5);
-/// The state service must have failed a node for this long before it says so.
-const FAILING: Duration = Duration::from_secs(1);
+/// Records that were last read longer ago tell nothing of which node holds a shard now.
+const MAX_RECORDS_AGE: Duration = Duration::from_secs(5);
+/// The state service must have failed a node for this long before it counts as failing.
+const KV_FAILING_AFTER: Duration = Duration::from_secs(1);
 /// How long records of a former leader's term tell where a worker should go.
-const FORMER_TERM: Duration = Duration::from_secs(15);
+const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Who answers a report at a node that does not lead.
+/// Which node answers a heartbeat that came to one that does not lead.
 #[derive(Debug)]
 pub(super) enum HolderRoute {
-    /// This node, for the shard and under the epoch.
-    Own { shard: ShardId, epoch: u64 },
+    /// This node, as the holder of the machine's shard.
+    Own(ShardEpoch),
     /// The holder of the machine's shard.
     Other { host: String, epoch: u64 },
-    /// Nobody is known to hold it: the leader.
+    /// No node is known to hold it: the leader.
     Leader,
 }
 
-/// What a node that divides machines has beside the rest.
+/// The parts of a node that exist only where machines are sharded.
 #[derive(Debug)]
 pub(super) struct Sharding {
     pub records: RecordWatch,
     pub holder: Holder,
-    /// Messages that could not be read.
+    /// Messages that could not be decoded.
     malformed_messages: u64,
-    /// The latest leader's token that this node knows, and since when.
-    term: (u64, Duration),
+    term: KnownTerm,
+}
+
+/// The latest leader's term that this node knows of.
+#[derive(Debug, Default)]
+struct KnownTerm {
+    /// 0: none is known.
+    token: u64,
+    known_since: Duration,
 }
 
 impl Sharding {
     pub fn new(settings: Arc<Settings>) -> Self {
         let holder = Holder::new(settings);
-        Self { records: RecordWatch::default(), holder, malformed_messages: 0, term: (0, Duration::ZERO) }
+        Self { records: RecordWatch::default(), holder, malformed_messages: 0, term: KnownTerm::default() }
     }
 }
 
 impl Node {
-    fn holder_evidence(&self, now: Duration) -> HolderEvidence {
-        let records = self.sharding.as_ref().and_then(|sharding| sharding.records.synced_at());
-        let failing = self.kv_failing_since.is_some_and(|since| now.saturating_sub(since) > FAILING);
+    pub(super) fn holder_evidence(&self, now: Duration) -> HolderEvidence {
         HolderEvidence {
-            records_synced_at: records,
-            kv_failing: failing,
-            cpu_starved: self.timer_lag > BEHIND,
+            records_synced_at: self.sharding.as_ref().and_then(|sharding| sharding.records.synced_at()),
+            kv_failing: self.kv_health.is_failing_for_longer_than(KV_FAILING_AFTER, now),
+            cpu_starved: self.is_cpu_starved(),
         }
     }
 
-    /// Where the table sends a report of this machine.
+    /// Where the records send a heartbeat of this machine.
     pub(super) fn holder_route(&self, heartbeat: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
             let shard = table.shard_of(&heartbeat.zone, &heartbeat.machine)?;
             let known = table.get(&shard)?;
-            // The worker knows a later one: the record is not read yet, or is over.
+            // The worker knows a later epoch: this node has not read its record yet, or the
+            // record is superseded.
             (known.epoch() >= heartbeat.token).then_some((sharding, shard, known))
         });
         let Some((sharding, shard, known)) = found else { return HolderRoute::Leader };
         if known.record.holder == self.settings.host {
             let epoch = sharding.holder.epoch(&shard, now);
-            return epoch.map_or(HolderRoute::Leader, |epoch| HolderRoute::Own { shard, epoch });
+            return epoch.map_or(HolderRoute::Leader, |epoch| HolderRoute::Own(ShardEpoch { shard, epoch }));
         }
-        let (term, since) = sharding.term;
-        let current = known.record.term >= term || now.saturating_sub(since) < FORMER_TERM;
-        let is_cut_off = sharding.records.synced_at().is_none_or(|at| now.saturating_sub(at) > ADRIFT);
-        if !current || is_cut_off {
+        let term = &sharding.term;
+        let is_current =
+            known.record.term >= term.token || now.saturating_sub(term.known_since) < FORMER_TERM_TIMEOUT;
+        let records_stale =
+            sharding.records.synced_at().is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
+        if !is_current || records_stale {
             return HolderRoute::Leader;
         }
         HolderRoute::Other { host: known.record.holder.clone(), epoch: known.epoch() }
     }
 
-    /// Answers a report as the holder of its shard.
-    pub(super) fn handle_heartbeat_as_holder(
-        &mut self,
-        times: StepTime,
-        heartbeat: &Heartbeat,
-        of: (ShardId, u64),
-        relayed: bool,
-    ) -> Response {
-        let now = times.now;
-        let evidence = self.holder_evidence(now);
-        let blind = evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > ADRIFT);
-        let is_cut_off = (blind || evidence.kv_failing) && !self.hears_a_peer(now);
-        let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
-        sharding.holder.handle_heartbeat(times, heartbeat, of, (relayed, is_cut_off), evidence)
-    }
-
-    /// Whether a report should wait: whoever is to answer it here still reads.
-    pub(super) fn must_defer(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
-        if let Some(leader) = &self.leader {
-            return leader.is_loading() && matches!(leader.route(heartbeat), LeaderRoute::Own);
-        }
-        let reads = self.sharding.as_ref().is_some_and(|sharding| sharding.holder.is_loading());
-        reads && matches!(self.holder_route(heartbeat, now), HolderRoute::Own { .. })
+    /// Whether this node, as a holder, sees neither the records nor the state service, and no
+    /// peer either.
+    pub(super) fn is_holder_cut_off(&self, evidence: HolderEvidence, now: Duration) -> bool {
+        let records_stale =
+            evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
+        (records_stale || evidence.kv_failing) && !self.peers.hears_any(now)
     }
 
     pub(super) fn tick_sharding(&mut self, times: StepTime) {
         let now = times.now;
         let evidence = self.holder_evidence(now);
         let leader = match &self.leader {
-            Some(leader) => Some((self.settings.host.clone(), leader.token)),
-            None => self.known_leader(now, 0).map(|(token, host)| (host, token)),
+            Some(leader) => Some(LeaderId { token: leader.token, host: self.settings.host.clone() }),
+            None => self.known_leader(now, 0),
         };
         let Some(sharding) = &mut self.sharding else { return };
         sharding.records.tick(now, &mut self.effects);
-        if let Some((_, token)) = leader.as_ref().filter(|(_, token)| *token > sharding.term.0) {
-            sharding.term = (*token, now);
+        if let Some(leader) = leader.as_ref().filter(|leader| leader.token > sharding.term.token) {
+            sharding.term = KnownTerm { token: leader.token, known_since: now };
         }
         sharding.holder.set_leader(leader, now);
         if self.leader.is_none() {
@@ -163,19 +153,14 @@
 
     pub(super) fn holder_command_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
         let evidence = self.holder_evidence(now);
-        let (Some(sharding), HolderCall::SendCommands { machine: host, incarnation, starts }) =
+        let (Some(sharding), HolderCall::SendCommands { machine, incarnation, starts }) =
             (&mut self.sharding, call)
         else {
             return;
         };
         if self.leader.is_none() {
-            sharding.holder.command_reply(
-                now,
-                (host, incarnation, starts),
-                reply,
-                evidence,
-                &mut self.effects,
-            );
+            let sent = SentCommands { machine, incarnation, starts };
+            sharding.holder.command_reply(now, sent, reply, evidence, &mut self.effects);
         }
     }
 
@@ -190,18 +175,19 @@
         match (message, &mut self.leader) {
             (Err(fault), _) => {
                 sharding.malformed_messages += 1;
-                self.effects.log(LogLevel::Info, format!("a message about shards was refused: {fault}"));
+                self.effects
+                    .log(LogLevel::Info, format!("shard message rejected: reason=malformed ({fault})"));
                 Delivery::Rejected
             }
-            (Ok(ShardMessage::HolderStatus(heartbeat)), Some(leader)) => {
-                leader.handle_holder_status(times, *heartbeat, &mut self.effects)
+            (Ok(ShardMessage::HolderStatus(status)), Some(leader)) => {
+                leader.handle_holder_status(times, *status, &mut self.effects)
             }
             (Ok(ShardMessage::LeaderCommands(commands)), None)
                 if self.settings.peers.contains(&commands.host) =>
             {
-                let taken =
+                let accepted =
                     sharding.holder.handle_leader_commands(times.now, *commands, evidence, &mut self.effects);
-                if taken {
+                if accepted {
                     Delivery::Accepted
                 } else {
                     Delivery::Rejected
@@ -211,23 +197,7 @@
         }
     }
 
-    pub(super) fn shard_message_delivered(&mut self, now: Duration, call: CallId, delivery: Delivery) {
-        match self.effects.calls_in_flight.remove(&call) {
-            Some(CallPurpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
-                if let Some(sharding) = &mut self.sharding {
-                    sharding.holder.status_delivered(now, leader, machines, delivery);
-                }
-            }
-            Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, sent: told })) => {
-                if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
-                    leader.shard_commands_delivered(now, &to, told, delivery);
-                }
-            }
-            _ => {}
-        }
-    }
-
-    /// This node leads from now on: what it knew as a holder is the leader's.
+    /// This node leads from now on: what it knew as a holder goes to the leader.
     pub(super) fn start_leading_shards(&mut self, times: StepTime) {
         let (Some(sharding), Some(leader)) = (&mut self.sharding, &mut self.leader) else { return };
         let records = &sharding.records;
@@ -237,7 +207,7 @@
         }
     }
 
-    /// This node leads no more: it holds what the records say.
+    /// This node no longer leads: it holds the shards that the records give it.
     pub(super) fn resume_holding(&mut self) {
         if let Some(sharding) = &mut self.sharding {
             sharding.holder.apply_records(&sharding.records.table, &mut self.effects);
--- /dev/null
+++ b/crates/plankhead-core/src/node/view.rs
@@ -0,0 +1,22 @@
+//! The operators' view of one node, `GET /view`.
+
+use super::Node;
+use crate::effects::StepTime;
+
+impl Node {
+    /// The JSON document. The subcommands of other versions read some of its keys:
+    /// `leader`, `sharding`, `reachability` and what is inside keep their names.
+    pub(super) fn view(&self, times: StepTime) -> serde_json::Value {
+        serde_json::json!({
+            "host": self.settings.host,
+            "stateOk": self.kv_health.is_available(),
+            "allNew": self.version_barrier.is_open(),
+            "leader": self.leader.as_ref().map(|leader| leader.view(times)),
+            "foreman": self.known_leader(times.now, 0).map(|leader| leader.host),
+            "tokens": {"highest": self.token_guard.highest(), "refused": self.token_guard.refused()},
+            "siblings": self.peers.view(times.now),
+            "sharding": self.sharding_view(times.now),
+            "reachability": self.reachability.as_ref().map(|reachability| reachability.view(times.now)),
+        })
+    }
+}
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -255,13 +255,13 @@
         );
         version_barrier
     };
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).open());
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).open());
+    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).is_open());
+    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).is_open());
     let mut version_barrier =
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
-    assert!(version_barrier.open());
+    assert!(version_barrier.is_open());
     let mut out = EffectSink::default();
     version_barrier.reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
-    assert!(version_barrier.open() && out.queued.is_empty());
+    assert!(version_barrier.is_open() && out.queued.is_empty());
 }
