--- a/crates/plankhead-core/src/node/peers.rs
+++ b/crates/plankhead-core/src/node/peers.rs
@@ -101,7 +101,7 @@
             serde_json::json!({
                 "host": heartbeat.host,
                 "heardS": now.saturating_sub(*received_at).as_secs_f64(),
-                "stateOk": heartbeat.kv_available,
+                "kvAvailable": heartbeat.kv_available,
                 "leads": heartbeat.token > 0,
             })
         };
--- a/crates/plankhead-core/src/node/view.rs
+++ b/crates/plankhead-core/src/node/view.rs
@@ -9,12 +9,12 @@
     pub(super) fn view(&self, times: StepTime) -> serde_json::Value {
         serde_json::json!({
             "host": self.settings.host,
-            "stateOk": self.kv_health.is_available(),
-            "allNew": self.version_barrier.is_open(),
+            "kvAvailable": self.kv_health.is_available(),
+            "allNodesUpgraded": self.version_barrier.is_open(),
             "leader": self.leader.as_ref().map(|leader| leader.view(times)),
-            "foreman": self.known_leader(times.now, 0).map(|leader| leader.host),
+            "leaderHost": self.known_leader(times.now, 0).map(|leader| leader.host),
             "tokens": {"highest": self.token_guard.highest(), "refused": self.token_guard.refused()},
-            "siblings": self.peers.view(times.now),
+            "peers": self.peers.view(times.now),
             "sharding": self.sharding_view(times.now),
             "reachability": self.reachability.as_ref().map(|reachability| reachability.view(times.now)),
         })
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -120,22 +120,25 @@
     assert!(table(&differ).contains("plank-2          does not answer"));
 }
 
+/// Also one of a node of the version before, which names the leader and the peers otherwise.
 #[test]
 fn a_view_is_read_with_and_without_reachability() {
-    let with = json!({"host": "plank-0", "leader": null, "foreman": "plank-1", "siblings": [],
-        "reachability": {"mode": "state-only", "sinceS": 4.5, "heard": 3, "links": [
-            {"link": "reportsIn", "peer": null, "condition": "down"},
-            {"link": "peerIn", "peer": "plank-1", "condition": "down"},
-            {"link": "peerIn", "peer": "plank-2", "condition": "up"}]}});
-    let read_view = read(&with);
-    assert_eq!((read_view.mode.as_str(), read_view.since_s, read_view.heard), ("state-only", 4.5, 3));
-    assert_eq!(read_view.leader.as_deref(), Some("plank-1"));
-    assert_eq!(read_view.down, ["reportsIn", "peerIn plank-1"]);
-    assert_eq!(read_view.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
-    let without = json!({"host": "plank-0", "leader": {}, "reachability": null,
-        "siblings": [{"host": "plank-1", "heardS": 0.4}, {"host": "plank-2", "heardS": 9.0}]});
-    let read_view = read(&without);
-    assert_eq!(read_view.mode, "not judged");
-    assert_eq!(read_view.leader.as_deref(), Some("plank-0"));
-    assert_eq!(read_view.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
+    for (leader_key, peers_key) in [("leaderHost", "peers"), ("foreman", "siblings")] {
+        let with = json!({"host": "plank-0", "leader": null, leader_key: "plank-1", peers_key: [],
+            "reachability": {"mode": "state-only", "sinceS": 4.5, "heard": 3, "links": [
+                {"link": "reportsIn", "peer": null, "condition": "down"},
+                {"link": "peerIn", "peer": "plank-1", "condition": "down"},
+                {"link": "peerIn", "peer": "plank-2", "condition": "up"}]}});
+        let read_view = read(&with);
+        assert_eq!((read_view.mode.as_str(), read_view.since_s, read_view.heard), ("state-only", 4.5, 3));
+        assert_eq!(read_view.leader.as_deref(), Some("plank-1"));
+        assert_eq!(read_view.down, ["reportsIn", "peerIn plank-1"]);
+        assert_eq!(read_view.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
+        let without = json!({"host": "plank-0", "leader": {}, "reachability": null,
+            peers_key: [{"host": "plank-1", "heardS": 0.4}, {"host": "plank-2", "heardS": 9.0}]});
+        let read_view = read(&without);
+        assert_eq!(read_view.mode, "not judged");
+        assert_eq!(read_view.leader.as_deref(), Some("plank-0"));
+        assert_eq!(read_view.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
+    }
 }
--- a/crates/plankhead/src/tests/service.rs
+++ b/crates/plankhead/src/tests/service.rs
@@ -151,7 +151,7 @@
     let (_, view) =
         service.peers.call(Method::GET, "/view", Vec::new(), Duration::from_secs(1)).await.unwrap();
     let view: Value = serde_json::from_slice(&view).unwrap();
-    assert_eq!(view["allNew"], json!(true));
+    assert_eq!(view["allNodesUpgraded"], json!(true));
     assert_eq!(view["leader"]["gangsWaiting"][0]["waitsFor"], json!("room for all tasks at once"), "{view}");
 }
 
--- a/crates/plankhead/src/views.rs
+++ b/crates/plankhead/src/views.rs
@@ -63,13 +63,15 @@
     };
     let heartbeats = links.iter().filter(|link| link["link"] == "peerIn");
     let hears = heartbeats.filter_map(|link| Some((text(&link["peer"])?, link["condition"] != "down")));
-    let siblings = view["siblings"].as_array().into_iter().flatten();
-    let told = siblings.filter_map(|peer| Some((text(&peer["host"])?, peer["heardS"].as_f64()? < 4.0)));
+    // Nodes of the version before name the leader `foreman` and the peers `siblings`.
+    let leader_host = view.get("leaderHost").unwrap_or(&view["foreman"]);
+    let peers = view.get("peers").unwrap_or(&view["siblings"]).as_array().into_iter().flatten();
+    let told = peers.filter_map(|peer| Some((text(&peer["host"])?, peer["heardS"].as_f64()? < 4.0)));
     let hears: BTreeMap<String, bool> = if reach.is_null() { told.collect() } else { hears.collect() };
     NodeView {
         mode: text(&reach["mode"]).unwrap_or_else(|| "not judged".into()),
         since_s: reach["sinceS"].as_f64().unwrap_or_default(),
-        leader: if leads { text(&view["host"]) } else { text(&view["foreman"]) },
+        leader: if leads { text(&view["host"]) } else { text(leader_host) },
         down: links.iter().filter(|link| link["condition"] == "down").map(link_name).collect(),
         heard: reach["heard"].as_u64().unwrap_or_default(),
         hears,
