--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -3,7 +3,7 @@
 use crate::calls::{CallPurpose, HolderCall, KeyWatchCall};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
-use crate::key_watch::{KeyWatch, Read};
+use crate::key_watch::{KeyUpdate, KeyWatch};
 use crate::protocol::{CallError, JobStatus, KeyValue, KvReply, WatchEvent};
 use crate::requests::RequestHandler;
 use std::collections::BTreeSet;
@@ -71,11 +71,11 @@
     ) -> JobUpdate {
         let mut news = JobUpdate::default();
         match self.watch.reply(now, step, reply) {
-            Read::Page { rows, .. } => rows.iter().for_each(|row| self.row(row, requests, &mut news)),
-            Read::Events(events) => {
+            KeyUpdate::Page { rows, .. } => rows.iter().for_each(|row| self.row(row, requests, &mut news)),
+            KeyUpdate::Events(events) => {
                 events.into_iter().for_each(|event| self.event(event, requests, &mut news));
             }
-            Read::Failed => {}
+            KeyUpdate::Failed => {}
         }
         news
     }
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -5,16 +5,14 @@
 use std::time::Duration;
 
 /// The pause after a failure.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a reply brought.
 #[derive(Debug, PartialEq)]
-pub enum Read {
-    /// A part of the list; `complete`: the last one.
-    Page {
-        rows: Vec<KeyValue>,
-        complete: bool,
-    },
+pub enum KeyUpdate {
+    /// A page of the list; `complete`: the last one.
+    Page { rows: Vec<KeyValue>, complete: bool },
+    /// Changes since the list, or since the watch before.
     Events(Vec<WatchEvent>),
     /// Nothing: a list that was begun begins anew.
     Failed,
@@ -26,41 +24,50 @@
     prefix: &'static str,
     /// How long a watch waits before it is opened anew. Its return shows that nothing up to
     /// its start is unseen.
-    wait: Duration,
+    watch_timeout: Duration,
     /// When the latest complete read was asked for.
     pub synced_at: Option<Duration>,
-    /// The revision up to which the keys are known.
+    /// The revision up to which the keys are known; until it is, they are listed.
     revision: Option<u64>,
-    after_key: Option<String>,
-    list_sent: Option<Duration>,
-    list_revision: Option<u64>,
+    list: ListProgress,
     /// Reading failed since it last succeeded.
     last_read_failed: bool,
     call_in_flight: bool,
     next_call_at: Duration,
 }
 
+/// How far the list has come.
+#[derive(Debug, Default)]
+struct ListProgress {
+    /// The last key of the page before.
+    after_key: Option<String>,
+    /// When its first page was asked for.
+    started_at: Option<Duration>,
+    /// The store's revision at its first page: what changed since is for the watch.
+    revision: Option<u64>,
+}
+
 impl KeyWatch {
-    pub fn new(prefix: &'static str, wait: Duration) -> Self {
+    /// A reader that has read nothing yet; `watch_timeout`: how long each watch waits.
+    pub fn new(prefix: &'static str, watch_timeout: Duration) -> Self {
         Self {
             prefix,
-            wait,
+            watch_timeout,
             synced_at: None,
             revision: None,
-            after_key: None,
-            list_sent: None,
-            list_revision: None,
+            list: ListProgress::default(),
             last_read_failed: false,
             call_in_flight: false,
             next_call_at: Duration::ZERO,
         }
     }
 
-    /// Whether the keys are being read for the first time, and nothing says that they can't.
+    /// Whether the keys are being read for the first time, and no read has failed so far.
     pub fn is_loading(&self) -> bool {
         self.synced_at.is_none() && !self.last_read_failed
     }
 
+    /// When [`KeyWatch::tick`] has a call next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.call_in_flight).then_some(self.next_call_at)
     }
@@ -73,44 +80,48 @@
         self.call_in_flight = true;
         let prefix = self.prefix.into();
         if let Some(after) = self.revision {
-            return Some((
-                KeyWatchCall::Watch { sent: now },
-                KvRequest::Watch { prefix, after, wait: self.wait },
-            ));
+            let request = KvRequest::Watch { prefix, after, wait: self.watch_timeout };
+            return Some((KeyWatchCall::Watch { sent: now }, request));
         }
-        let sent = *self.list_sent.get_or_insert(now);
-        let after = self.after_key.clone();
+        let sent = *self.list.started_at.get_or_insert(now);
+        let after = self.list.after_key.clone();
         Some((KeyWatchCall::List { sent }, KvRequest::List { prefix, after }))
     }
 
-    pub fn reply(&mut self, now: Duration, step: KeyWatchCall, reply: Result<KvReply, CallError>) -> Read {
+    /// Handles a reply, and returns what it brought.
+    pub fn reply(
+        &mut self,
+        now: Duration,
+        call: KeyWatchCall,
+        reply: Result<KvReply, CallError>,
+    ) -> KeyUpdate {
         self.call_in_flight = false;
-        match (step, reply) {
-            (KeyWatchCall::List { sent }, Ok(KvReply::Page { rows, truncated, revision: epoch })) => {
-                self.after_key = rows.last().map(|row| row.key.clone());
-                let revision = *self.list_revision.get_or_insert(epoch);
+        match (call, reply) {
+            (KeyWatchCall::List { sent }, Ok(KvReply::Page { rows, truncated, revision })) => {
+                self.list.after_key = rows.last().map(|row| row.key.clone());
+                let list_revision = *self.list.revision.get_or_insert(revision);
                 if !truncated {
-                    self.restart();
-                    self.revision = Some(revision);
+                    self.list = ListProgress::default();
+                    self.revision = Some(list_revision);
                     self.mark_synced(sent);
                 }
-                Read::Page { rows, complete: !truncated }
+                KeyUpdate::Page { rows, complete: !truncated }
             }
-            (KeyWatchCall::Watch { sent }, Ok(KvReply::Events { revision: epoch, events })) => {
-                self.revision = self.revision.max(Some(epoch));
+            (KeyWatchCall::Watch { sent }, Ok(KvReply::Events { revision, events })) => {
+                self.revision = self.revision.max(Some(revision));
                 self.mark_synced(sent);
-                Read::Events(events)
+                KeyUpdate::Events(events)
             }
             (KeyWatchCall::Watch { .. }, Ok(KvReply::Compacted)) => {
                 self.revision = None;
-                self.restart();
-                Read::Failed
+                self.list = ListProgress::default();
+                KeyUpdate::Failed
             }
             _ => {
                 self.last_read_failed = true;
-                self.next_call_at = now + PAUSE;
-                self.restart();
-                Read::Failed
+                self.next_call_at = now + RETRY_INTERVAL;
+                self.list = ListProgress::default();
+                KeyUpdate::Failed
             }
         }
     }
@@ -119,10 +130,4 @@
         self.last_read_failed = false;
         self.synced_at = self.synced_at.max(Some(sent));
     }
-
-    fn restart(&mut self) {
-        self.after_key = None;
-        self.list_sent = None;
-        self.list_revision = None;
-    }
 }
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -1,5 +1,5 @@
-//! Who leads: the node that wrote the key `lead` under its grant. The revision
-//! of that write is the fencing token.
+//! The leader election: the node leads that wrote the key `lead` under its lease. The
+//! revision of that write is the fencing token.
 
 use crate::calls::{CallPurpose, ElectionCall};
 use crate::effects::EffectSink;
@@ -9,334 +9,386 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
+/// The leader's key in the state service.
 pub const KEY: &str = "lead";
-/// How often the leader renews its grant.
-const TOUCH: Duration = Duration::from_millis(400);
+/// How often the leader renews its lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a follower's watch waits before it is opened anew.
-const WATCH: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// The pause after a failed attempt to read or to write.
-const PAUSE: Duration = Duration::from_millis(250);
-/// How long a node that stepped down leaves the key to others.
-const ABSTAIN: Duration = Duration::from_secs(8);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a node that stepped down leaves the key to its peers.
+const STEP_DOWN_PAUSE: Duration = Duration::from_secs(8);
 
-/// The value of the key.
+/// The value of the leader's key, as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Holder {
+pub struct LeaderRecord {
+    /// The node that leads.
     pub host: String,
-    pub boot: u64,
-    pub hold: u64,
+    /// Tells one start of its process from another.
+    #[serde(rename = "boot")]
+    pub boot_id: u64,
+    /// The lease under which the key was written.
+    #[serde(rename = "hold")]
+    pub lease: u64,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+/// This node's time as the leader under one fencing token.
+#[derive(Debug, Clone, Copy)]
+struct Term {
+    token: u64,
+    lease: u64,
+    /// When the latest renewal that succeeded was sent.
+    renewed_at: Duration,
+    next_renewal_at: Duration,
+    renewal_in_flight: bool,
+    last_renewal_failed: bool,
+}
+
+/// What this node knows of the leader's key.
+#[derive(Debug, Clone, Copy)]
+enum KeyState {
     /// The key must be read.
     Unknown,
-    /// Somebody holds it; we watch.
-    Watching {
-        after: u64,
-    },
-    /// Nobody holds it; we try to.
-    Vacant,
-    Leading {
-        token: u64,
-        hold: u64,
-    },
+    /// Another node holds it; its changes after the revision are watched.
+    HeldByPeer { revision: u64 },
+    /// No node holds it, so that this one tries to.
+    Vacant { since: Duration },
+    /// This node holds it, and leads.
+    Held(Term),
 }
 
-/// What the election tells the node.
+/// What became of this node's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
+    /// It leads as before, or does not lead as before.
     Unchanged,
+    /// It leads from now on, under this fencing token.
     Won { token: u64 },
+    /// It leads no longer.
     Lost,
 }
 
+/// One node's part in the leader election.
 #[derive(Debug)]
 pub struct Election {
     host: String,
     boot_id: u64,
-    stage: Stage,
+    key: KeyState,
+    /// A call other than a renewal or a revocation is in flight.
     call_in_flight: bool,
     retry_at: Duration,
-    /// The last known holder that is not us, with its token.
+    /// The last known leader that is not this node.
     pub known_leader: Option<LeaderId>,
-    lease_renewed_at: Duration,
-    next_renewal_at: Duration,
-    renewal_in_flight: bool,
-    /// The last renewal of the grant failed.
-    last_renewal_failed: bool,
-    /// The grant of a claim whose answer was lost: it alone may still win the key
-    /// without being asked again.
+    /// The lease of a claim whose reply was lost: it alone may still win the key without
+    /// being asked for again.
     uncertain_claim: Option<u64>,
     /// How long the key outlives its leader.
-    lease: Duration,
-    /// Others are better placed to lead.
+    lease_duration: Duration,
+    /// Peers are better placed to lead.
     defers_to_peers: bool,
-    /// Since when the key is vacant.
-    vacant_since: Duration,
 }
 
 impl Election {
-    pub fn new(host: String, boot: u64, lease: Duration) -> Self {
+    /// The election as a node sees it that has just started; `lease`: how long its key is to
+    /// outlive it.
+    pub fn new(host: String, boot_id: u64, lease: Duration) -> Self {
         Self {
-            lease,
             host,
-            boot_id: boot,
-            stage: Stage::Unknown,
+            boot_id,
+            key: KeyState::Unknown,
             call_in_flight: false,
             retry_at: Duration::ZERO,
             known_leader: None,
-            lease_renewed_at: Duration::ZERO,
-            next_renewal_at: Duration::ZERO,
-            renewal_in_flight: false,
-            last_renewal_failed: false,
             uncertain_claim: None,
+            lease_duration: lease,
             defers_to_peers: false,
-            vacant_since: Duration::ZERO,
         }
     }
 
-    /// Whether others are better placed: a vacant key is left to them for a moment, and no
-    /// longer, since they may be gone.
-    pub fn set_defers_to_peers(&mut self, holds_back: bool) {
-        self.defers_to_peers = holds_back;
-    }
-
-    fn key_vacant(&mut self, now: Duration) {
-        self.stage = Stage::Vacant;
-        self.vacant_since = now;
+    /// Sets whether peers are better placed to lead: a vacant key is left to them for a
+    /// moment, and no longer, since they may have failed.
+    pub fn set_defers_to_peers(&mut self, defers: bool) {
+        self.defers_to_peers = defers;
     }
 
-    /// Until when a vacant key is left to others.
+    /// Until when a vacant key is left to peers.
     fn deferred_until(&self) -> Option<Duration> {
-        let held = self.defers_to_peers && self.stage == Stage::Vacant;
-        held.then_some(self.vacant_since + HOLD_BACK)
+        match self.key {
+            KeyState::Vacant { since } if self.defers_to_peers => Some(since + HOLD_BACK),
+            _ => None,
+        }
     }
 
-    pub fn token(&self) -> Option<u64> {
-        match self.stage {
-            Stage::Leading { token, .. } => Some(token),
+    fn term(&self) -> Option<&Term> {
+        match &self.key {
+            KeyState::Held(term) => Some(term),
             _ => None,
         }
     }
 
-    /// Whether the grant was renewed lately enough that writes make sense.
+    /// The fencing token under which this node leads.
+    pub fn token(&self) -> Option<u64> {
+        self.term().map(|term| term.token)
+    }
+
+    /// Whether this node leads and has renewed its lease within its time, so that writes make
+    /// sense.
     pub fn is_lease_valid(&self, now: Duration) -> bool {
-        self.token().is_some() && now.saturating_sub(self.lease_renewed_at) < self.lease
+        self.term().is_some_and(|term| now.saturating_sub(term.renewed_at) < self.lease_duration)
     }
 
-    /// Whether, beyond that, nothing says that the state service fails this node:
-    /// another may have the key soon and confirm what this one can't see.
+    /// Whether, beyond that, the last renewal has not failed: otherwise another node may have
+    /// the key soon and confirm what this one can't see.
     pub fn is_lease_undisputed(&self, now: Duration) -> bool {
-        self.is_lease_valid(now) && !self.last_renewal_failed
+        self.is_lease_valid(now) && self.term().is_some_and(|term| !term.last_renewal_failed)
     }
 
     /// When [`Election::tick`] has something to do next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
-        match self.stage {
-            Stage::Leading { .. } => (!self.renewal_in_flight).then_some(self.next_renewal_at),
+        match &self.key {
+            KeyState::Held(term) => (!term.renewal_in_flight).then_some(term.next_renewal_at),
             _ => (!self.call_in_flight).then(|| self.retry_at.max(self.deferred_until().unwrap_or_default())),
         }
     }
 
+    /// Makes the next call, if one is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
-        if let Stage::Leading { hold, .. } = self.stage {
-            if !self.renewal_in_flight && now >= self.next_renewal_at {
-                self.renewal_in_flight = true;
-                effects.call_kv(
-                    CallPurpose::Election(ElectionCall::RenewLease { lease: hold, sent: now }),
-                    KvRequest::RenewLease { lease: hold },
-                );
+        let is_deferred = self.deferred_until().is_some_and(|until| now < until);
+        let can_call = !self.call_in_flight && now >= self.retry_at && !is_deferred;
+        let (call, request) = match &mut self.key {
+            KeyState::Held(term) => return term.renew_if_due(now, effects),
+            _ if !can_call => return,
+            KeyState::Unknown => (ElectionCall::Read, KvRequest::Get { key: KEY.into() }),
+            KeyState::HeldByPeer { revision } => {
+                let request = KvRequest::Watch { prefix: KEY.into(), after: *revision, wait: WATCH_TIMEOUT };
+                (ElectionCall::Watch, request)
             }
-            return;
-        }
-        if self.call_in_flight
-            || now < self.retry_at
-            || self.deferred_until().is_some_and(|until| now < until)
-        {
-            return;
-        }
-        self.call_in_flight = true;
-        let (step, op) = match self.stage {
-            Stage::Unknown => (ElectionCall::Read, KvRequest::Get { key: KEY.into() }),
-            Stage::Watching { after } => {
-                (ElectionCall::Watch, KvRequest::Watch { prefix: KEY.into(), after, wait: WATCH })
+            KeyState::Vacant { .. } => {
+                (ElectionCall::GrantLease, KvRequest::GrantLease { ttl: self.lease_duration })
             }
-            _ => (ElectionCall::GrantLease, KvRequest::GrantLease { ttl: self.lease }),
         };
-        effects.call_kv(CallPurpose::Election(step), op);
+        self.call_in_flight = true;
+        effects.call_kv(CallPurpose::Election(call), request);
     }
 
+    /// Handles the reply to one of the election's calls.
     pub fn reply(
         &mut self,
         now: Duration,
-        step: ElectionCall,
+        call: ElectionCall,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> LeadershipChange {
-        if let ElectionCall::RenewLease { lease: hold, sent } = step {
-            return self.lease_renewal_reply(now, hold, sent, reply);
-        }
-        if step == ElectionCall::RevokeLease {
-            return LeadershipChange::Unchanged;
-        }
-        self.call_in_flight = false;
-        match (step, reply) {
-            (ElectionCall::Read, Ok(KvReply::Value(row))) => return self.key_read(now, row, effects),
-            (ElectionCall::Watch, Ok(KvReply::Events { revision: epoch, events })) => {
-                let mut verdict = LeadershipChange::Unchanged;
-                for event in events {
-                    match event {
-                        WatchEvent::Put(row) if row.key == KEY => {
-                            verdict = self.key_read(now, Some(row), effects);
-                        }
-                        WatchEvent::Delete { key, .. } if key == KEY => {
-                            self.key_vacant(now);
-                        }
-                        _ => {}
-                    }
+        match call {
+            ElectionCall::RenewLease { lease, sent } => self.renewal_reply(now, lease, sent, reply),
+            ElectionCall::RevokeLease => LeadershipChange::Unchanged,
+            ElectionCall::Read => {
+                self.call_in_flight = false;
+                match reply {
+                    Ok(KvReply::Value(row)) => self.apply_key(now, row, effects),
+                    _ => self.retry_later(now),
                 }
-                if let Stage::Watching { after } = &mut self.stage {
-                    *after = (*after).max(epoch);
-                }
-                return verdict;
-            }
-            (ElectionCall::GrantLease, Ok(KvReply::LeaseGranted { lease: hold })) => {
-                self.claim(hold, effects)
             }
-            (ElectionCall::Claim { lease: hold }, Ok(KvReply::Committed { revision: epoch })) => {
-                return self.won(now, epoch, hold);
+            ElectionCall::Watch => {
+                self.call_in_flight = false;
+                match reply {
+                    Ok(KvReply::Events { revision, events }) => {
+                        self.apply_events(now, revision, events, effects)
+                    }
+                    _ => self.retry_later(now),
+                }
             }
-            (ElectionCall::Claim { lease: hold }, Ok(_))
-            | (
-                ElectionCall::Claim { lease: hold },
-                Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge),
-            ) => {
-                effects.call_kv(
-                    CallPurpose::Election(ElectionCall::RevokeLease),
-                    KvRequest::RevokeLease { lease: hold },
-                );
-                self.stage = Stage::Unknown;
+            ElectionCall::GrantLease => {
+                self.call_in_flight = false;
+                match reply {
+                    Ok(KvReply::LeaseGranted { lease }) => self.claim(lease, effects),
+                    _ => self.retry_later(now),
+                }
             }
-            // A lost claim may have been carried out: the key tells.
-            (ElectionCall::Claim { lease: hold }, Err(CallError::OutcomeUnknown)) => {
-                self.uncertain_claim = Some(hold);
-                self.stage = Stage::Unknown;
-                self.retry_at = now + PAUSE;
+            ElectionCall::Claim { lease } => {
+                self.call_in_flight = false;
+                self.claim_reply(now, lease, reply, effects)
             }
-            _ => {
-                self.stage = Stage::Unknown;
-                self.retry_at = now + PAUSE;
+        }
+    }
+
+    fn retry_later(&mut self, now: Duration) -> LeadershipChange {
+        self.key = KeyState::Unknown;
+        self.retry_at = now + RETRY_INTERVAL;
+        LeadershipChange::Unchanged
+    }
+
+    fn apply_events(
+        &mut self,
+        now: Duration,
+        revision: u64,
+        events: Vec<WatchEvent>,
+        effects: &mut EffectSink,
+    ) -> LeadershipChange {
+        let mut change = LeadershipChange::Unchanged;
+        for event in events {
+            match event {
+                WatchEvent::Put(row) if row.key == KEY => {
+                    change = self.apply_key(now, Some(row), effects);
+                }
+                WatchEvent::Delete { key, .. } if key == KEY => {
+                    self.key = KeyState::Vacant { since: now };
+                }
+                _ => {}
             }
         }
+        if let KeyState::HeldByPeer { revision: watched } = &mut self.key {
+            *watched = (*watched).max(revision);
+        }
+        change
+    }
+
+    /// Writes the leader's key under the lease, if no node holds it.
+    fn claim(&mut self, lease: u64, effects: &mut EffectSink) -> LeadershipChange {
+        let record = LeaderRecord { host: self.host.clone(), boot_id: self.boot_id, lease };
+        if let Ok(value) = serde_json::to_string(&record) {
+            self.call_in_flight = true;
+            effects.call_kv(
+                CallPurpose::Election(ElectionCall::Claim { lease }),
+                KvRequest::Txn {
+                    conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
+                    changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(lease) }],
+                },
+            );
+        }
         LeadershipChange::Unchanged
     }
 
-    fn claim(&mut self, hold: u64, effects: &mut EffectSink) {
-        let holder = Holder { host: self.host.clone(), boot: self.boot_id, hold };
-        let Ok(value) = serde_json::to_string(&holder) else { return };
-        self.call_in_flight = true;
-        effects.call_kv(
-            CallPurpose::Election(ElectionCall::Claim { lease: hold }),
-            KvRequest::Txn {
-                conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
-                changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(hold) }],
-            },
-        );
+    fn claim_reply(
+        &mut self,
+        now: Duration,
+        lease: u64,
+        reply: Result<KvReply, CallError>,
+        effects: &mut EffectSink,
+    ) -> LeadershipChange {
+        match reply {
+            Ok(KvReply::Committed { revision }) => self.won(now, revision, lease),
+            Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
+                revoke_lease(lease, effects);
+                self.key = KeyState::Unknown;
+                LeadershipChange::Unchanged
+            }
+            // The claim may have been carried out: the key will show it.
+            Err(CallError::OutcomeUnknown) => {
+                self.uncertain_claim = Some(lease);
+                self.retry_later(now)
+            }
+        }
     }
 
-    fn key_read(
+    fn apply_key(
         &mut self,
         now: Duration,
         row: Option<KeyValue>,
         effects: &mut EffectSink,
     ) -> LeadershipChange {
         let Some(row) = row else {
-            self.key_vacant(now);
+            self.key = KeyState::Vacant { since: now };
             return LeadershipChange::Unchanged;
         };
-        let Ok(holder) = serde_json::from_str::<Holder>(&row.value) else {
-            effects.log(LogLevel::Error, "the key of the leader holds something strange".into());
-            self.retry_at = now + PAUSE;
+        let Ok(record) = serde_json::from_str::<LeaderRecord>(&row.value) else {
+            effects.log(LogLevel::Error, "leader key unreadable: reason=malformed".into());
+            self.retry_at = now + RETRY_INTERVAL;
             return LeadershipChange::Unchanged;
         };
-        if holder.host == self.host {
-            if self.uncertain_claim == Some(holder.hold) && holder.boot == self.boot_id {
-                return self.won(now, row.mod_revision, holder.hold);
+        if record.host == self.host {
+            if self.uncertain_claim == Some(record.lease) && record.boot_id == self.boot_id {
+                return self.won(now, row.mod_revision, record.lease);
             }
-            // An earlier life of this process held it, or this one, which stepped
-            // down: its end of the grant was lost or comes late. To lead twice under
-            // one token would make commands of the first time look like own ones.
-            effects.call_kv(
-                CallPurpose::Election(ElectionCall::RevokeLease),
-                KvRequest::RevokeLease { lease: holder.hold },
-            );
+            // An earlier start of this process held it, or this one, which stepped down: the
+            // revocation of its lease was lost or comes late. Leading twice under one token
+            // would make commands of the first time look like those of the second.
+            revoke_lease(record.lease, effects);
         } else {
-            self.known_leader = Some(LeaderId { token: row.mod_revision, host: holder.host });
+            self.known_leader = Some(LeaderId { token: row.mod_revision, host: record.host });
         }
-        self.stage = Stage::Watching { after: row.mod_revision };
+        self.key = KeyState::HeldByPeer { revision: row.mod_revision };
         LeadershipChange::Unchanged
     }
 
-    fn won(&mut self, now: Duration, token: u64, hold: u64) -> LeadershipChange {
-        self.stage = Stage::Leading { token, hold };
+    fn won(&mut self, now: Duration, token: u64, lease: u64) -> LeadershipChange {
+        self.key = KeyState::Held(Term {
+            token,
+            lease,
+            renewed_at: now,
+            next_renewal_at: now,
+            renewal_in_flight: false,
+            last_renewal_failed: false,
+        });
         self.known_leader = None;
-        self.lease_renewed_at = now;
-        self.next_renewal_at = now;
-        self.renewal_in_flight = false;
-        self.last_renewal_failed = false;
         self.uncertain_claim = None;
         LeadershipChange::Won { token }
     }
 
-    fn lease_renewal_reply(
+    fn renewal_reply(
         &mut self,
         now: Duration,
-        renewed: u64,
+        lease: u64,
         sent: Duration,
         reply: Result<KvReply, CallError>,
     ) -> LeadershipChange {
-        // One of an earlier term says nothing of this one.
-        if !matches!(self.stage, Stage::Leading { hold, .. } if hold == renewed) {
-            return LeadershipChange::Unchanged;
-        }
-        self.renewal_in_flight = false;
-        self.last_renewal_failed = reply.is_err();
+        let term = match &mut self.key {
+            KeyState::Held(term) if term.lease == lease => term,
+            // Of an earlier term, which tells nothing of this one.
+            _ => return LeadershipChange::Unchanged,
+        };
+        term.renewal_in_flight = false;
+        term.last_renewal_failed = reply.is_err();
         match reply {
             Ok(KvReply::LeaseRenewed) => {
-                self.lease_renewed_at = self.lease_renewed_at.max(sent);
-                self.next_renewal_at = now.max(sent + TOUCH);
+                term.renewed_at = term.renewed_at.max(sent);
+                term.next_renewal_at = now.max(sent + RENEWAL_INTERVAL);
             }
             Ok(KvReply::NoSuchLease) => return self.lease_lost(),
-            _ => self.next_renewal_at = now + PAUSE,
+            _ => term.next_renewal_at = now + RETRY_INTERVAL,
         }
         LeadershipChange::Unchanged
     }
 
-    /// Steps down of its own will, so that a node that hears the workers can
-    /// lead.
+    /// Steps down by its own decision, so that a peer that hears the workers can lead.
     pub fn step_down_for_peers(&mut self, now: Duration, effects: &mut EffectSink) -> LeadershipChange {
-        let verdict = self.release_lease(effects);
-        self.retry_at = now + ABSTAIN;
-        verdict
+        let change = self.release_lease(effects);
+        self.retry_at = now + STEP_DOWN_PAUSE;
+        change
     }
 
-    /// Gives the key up, if it is still there.
+    /// Steps down and gives the key up, if this node still holds it.
     pub fn release_lease(&mut self, effects: &mut EffectSink) -> LeadershipChange {
-        if let Stage::Leading { hold, .. } = self.stage {
-            effects.call_kv(
-                CallPurpose::Election(ElectionCall::RevokeLease),
-                KvRequest::RevokeLease { lease: hold },
-            );
+        if let Some(term) = self.term() {
+            revoke_lease(term.lease, effects);
         }
         self.lease_lost()
     }
 
-    /// Steps down: the key is somebody else's, or will be.
+    /// Steps down: another node has the key, or will have it.
     pub fn lease_lost(&mut self) -> LeadershipChange {
-        self.stage = Stage::Unknown;
+        self.key = KeyState::Unknown;
         self.call_in_flight = false;
         self.retry_at = Duration::ZERO;
         LeadershipChange::Lost
     }
 }
+
+impl Term {
+    fn renew_if_due(&mut self, now: Duration, effects: &mut EffectSink) {
+        if self.renewal_in_flight || now < self.next_renewal_at {
+            return;
+        }
+        self.renewal_in_flight = true;
+        let lease = self.lease;
+        effects.call_kv(
+            CallPurpose::Election(ElectionCall::RenewLease { lease, sent: now }),
+            KvRequest::RenewLease { lease },
+        );
+    }
+}
+
+fn revoke_lease(lease: u64, effects: &mut EffectSink) {
+    effects.call_kv(CallPurpose::Election(ElectionCall::RevokeLease), KvRequest::RevokeLease { lease });
+}
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{CallPurpose, KeyWatchCall};
 use crate::effects::EffectSink;
-use crate::key_watch::{KeyWatch, Read};
+use crate::key_watch::{KeyUpdate, KeyWatch};
 use crate::protocol::{CallError, KeyValue, KvReply, LogLevel, WatchEvent};
 use plankhead_sharding::shard::PREFIX;
 use plankhead_sharding::table::ShardTable;
@@ -51,7 +51,7 @@
         effects: &mut EffectSink,
     ) -> bool {
         match self.watch.reply(now, step, reply) {
-            Read::Page { rows, complete } => {
+            KeyUpdate::Page { rows, complete } => {
                 self.listed_keys.extend(rows.iter().map(|row| row.key.clone()));
                 rows.iter().for_each(|row| self.write(row, effects));
                 if complete {
@@ -59,12 +59,12 @@
                 }
                 complete
             }
-            Read::Events(events) => {
+            KeyUpdate::Events(events) => {
                 let news = !events.is_empty();
                 events.into_iter().for_each(|event| self.event(event, effects));
                 news
             }
-            Read::Failed => {
+            KeyUpdate::Failed => {
                 self.listed_keys.clear();
                 false
             }
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -7,7 +7,7 @@
 use plankhead_core::jobs::job::{JobId, JobRecord};
 use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable};
 use plankhead_core::leader::Target;
-use plankhead_core::leadership::election::Holder;
+use plankhead_core::leadership::election::LeaderRecord;
 use plankhead_fencing::record;
 use plankhead_reachability::numbering::{self, MachineNumbering};
 use plankhead_sharding::record::Record;
@@ -54,7 +54,7 @@
 
 #[test]
 fn the_leader_and_the_target_are_the_same_bytes() {
-    same_bytes::<Holder>("lead");
+    same_bytes::<LeaderRecord>("lead");
     same_bytes::<Target>("target");
 }
 
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -11,7 +11,7 @@
 use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, TaskState};
 use plankhead_core::leader::{Size, Target};
-use plankhead_core::leadership::election::Holder;
+use plankhead_core::leadership::election::LeaderRecord;
 use plankhead_core::leadership::version_barrier::VersionBarrier;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings, Sizing};
@@ -47,7 +47,7 @@
         assert!(before::reads("job/job-000412", &text));
     }
     let holder = r#"{"host":"plank-1","boot":7,"hold":9}"#;
-    let read: Holder = serde_json::from_str(holder).unwrap();
+    let read: LeaderRecord = serde_json::from_str(holder).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), holder);
     let target = r#"{"round":4,"at_ms":1790000000123,"rigs":{"r":{"machines":7,"ordinary":2}}}"#;
     let read: Target = serde_json::from_str(target).unwrap();
--- a/crates/plankhead/src/duties.rs
+++ b/crates/plankhead/src/duties.rs
@@ -5,7 +5,7 @@
 use crate::state;
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use plankhead_core::leadership::election::{self, Holder};
+use plankhead_core::leadership::election::{self, LeaderRecord};
 use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
 use plankhead_fencing::duty::Intent;
 use plankhead_fencing::record::{self, RecordError};
@@ -74,7 +74,7 @@
 }
 
 fn leadership(row: &KeyValue) -> Option<Leadership> {
-    let holder: Holder = serde_json::from_str(&row.value).ok()?;
+    let holder: LeaderRecord = serde_json::from_str(&row.value).ok()?;
     Some(Leadership { host: holder.host, token: row.mod_revision })
 }
 
