--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -70,27 +70,37 @@
 /// What a call on behalf of users' requests is for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingRequest {
+    /// Writes the records of new jobs.
     Create(Vec<JobCreation>),
-    /// `archived`: under the key of archived jobs, since the other one is missing.
-    Lookup {
-        request: RequestId,
-        id: JobId,
-        reason: LookupReason,
-        archived: bool,
-    },
-    Cancel {
-        request: RequestId,
-        id: JobId,
-        record: Box<JobRecord>,
-        attempts: u32,
-    },
+    Lookup(Lookup),
+    Cancel(Box<Cancellation>),
+}
+
+/// A read of a job's record for a user.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Lookup {
+    pub(crate) request: RequestId,
+    pub(crate) id: JobId,
+    pub(crate) reason: LookupReason,
+    /// Under the key of archived jobs, since there was none under that of live ones.
+    pub(crate) archived: bool,
+}
+
+/// A write of a job's record as cancelled.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Cancellation {
+    pub(crate) request: RequestId,
+    pub(crate) id: JobId,
+    pub(crate) record: JobRecord,
+    /// Attempts before this one, which failed since the record had changed.
+    pub(crate) attempts: u32,
 }
 
 /// Why a job's record is read for a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LookupReason {
     Status,
-    /// A repeated submission, or one whose commit is in doubt.
+    /// A repeated submission, or one whose outcome is unknown.
     RepeatedSubmission,
     /// If the job is not known, this is the answer.
     RejectUnlessKnown(Response),
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::leadership::version_barrier::VersionBarrier;
 use crate::protocol::{Effect, Event, JobProgress, PeerHeartbeat, Response};
 use crate::reachability::Reachability;
-use crate::requests::RequestHandler;
+use crate::requests::{RequestHandler, Submission, SubmissionContext};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
 use heartbeats::{DeferredHeartbeat, RedirectedWorkers};
@@ -167,8 +167,12 @@
         let now = times.now;
         match event {
             Event::Submit { request, id, job } => {
-                let context = (self.machine_types.by_name(), self.version_barrier.is_open());
-                self.requests.submit(times, request, id, job, context, &mut self.effects);
+                let context = SubmissionContext {
+                    machine_types: self.machine_types.by_name(),
+                    gangs_allowed: self.version_barrier.is_open(),
+                };
+                let submission = Submission { request, id, job };
+                self.requests.submit(times, submission, context, &mut self.effects);
             }
             Event::Poll { request, id } => self.requests.poll(now, request, id, &mut self.effects),
             Event::Cancel { request, id } => {
--- a/crates/plankhead-core/src/protocol.rs
+++ b/crates/plankhead-core/src/protocol.rs
@@ -7,6 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 
 /// A request that waits for an answer.
 pub type RequestId = u64;
@@ -19,7 +20,7 @@
     Submit {
         request: RequestId,
         id: JobId,
-        job: Result<JobSpec, String>,
+        job: Result<JobSpec, InvalidSpec>,
     },
     Poll {
         request: RequestId,
@@ -139,8 +140,10 @@
         done: u32,
         running: u32,
     },
-    BadRequest(String),
-    Unprocessable(String),
+    /// 400: the job can't be read or stored.
+    BadRequest(InvalidSpec),
+    /// 422: no fleet that is allowed could run the job.
+    Unprocessable(UnsatisfiableSpec),
     NotFound,
     /// 503, with the time after which to try again.
     Unavailable {
@@ -164,6 +167,33 @@
     ShardMessageDelivery(Delivery),
 }
 
+/// Why a job's specification can't be used, in the text that its user gets.
+#[derive(Debug, Error, Clone, PartialEq, Eq)]
+pub enum InvalidSpec {
+    /// The submitted document could not be decoded.
+    #[error("{0}")]
+    Malformed(String),
+    /// Its record would not fit under one key of the state service.
+    #[error("the job's description is too long")]
+    TooLong,
+}
+
+/// Why no allowed fleet could run a job, in the text that its user gets.
+#[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
+pub enum UnsatisfiableSpec {
+    #[error("no such team")]
+    UnknownTeam,
+    #[error("one task needs more than the team's limit")]
+    TaskOverTeamLimit,
+    #[error("all tasks together need more than the team's limit")]
+    GangOverTeamLimit,
+    #[error("the tasks can't all be in one zone and at most half of them in each")]
+    SpreadInOneZone,
+    #[error("no allowed machine type can hold a task")]
+    NoMachineTypeFits,
+}
+
+/// A job's state as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobStatus {
     Queued,
--- /dev/null
+++ b/crates/plankhead-core/src/requests/ended_jobs.rs
@@ -0,0 +1,45 @@
+//! The memory of jobs that are over, whose state never changes again.
+
+use crate::jobs::job::JobId;
+use crate::protocol::JobStatus;
+use std::collections::{HashMap, VecDeque};
+
+/// Jobs kept in memory; the state of others is read again.
+const MAX_ENDED_JOBS: usize = 50_000;
+
+/// How a job ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct EndedJob {
+    pub status: JobStatus,
+    /// Its tasks that completed.
+    pub done: u32,
+}
+
+/// The jobs that ended last.
+#[derive(Debug, Default)]
+pub(super) struct EndedJobs {
+    by_id: HashMap<JobId, EndedJob>,
+    /// In the order in which they were recorded.
+    order: VecDeque<JobId>,
+}
+
+impl EndedJobs {
+    pub fn get(&self, id: &JobId) -> Option<EndedJob> {
+        self.by_id.get(id).copied()
+    }
+
+    pub fn contains(&self, id: &JobId) -> bool {
+        self.by_id.contains_key(id)
+    }
+
+    pub fn record(&mut self, id: &JobId, job: EndedJob) {
+        if self.by_id.insert(id.clone(), job).is_none() {
+            self.order.push_back(id.clone());
+        }
+        while self.order.len() > MAX_ENDED_JOBS {
+            if let Some(oldest) = self.order.pop_front() {
+                self.by_id.remove(&oldest);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/requests/submission.rs
@@ -0,0 +1,288 @@
+//! Submission of jobs: which are accepted, and their records, written in batches.
+
+use super::validation::check_satisfiable;
+use super::{respond_unavailable, RequestHandler, RETRY_AFTER};
+use crate::calls::{CallPurpose, JobCreation, LookupReason, PendingRequest};
+use crate::effects::{EffectSink, StepTime};
+use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
+use crate::jobs::job_table::tasks_per_chunk;
+use crate::protocol::{
+    CallError, Condition, InvalidSpec, JobStatus, KeyValue, KvChange, KvReply, KvRequest, MachineType,
+    RequestId, Response,
+};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Transactions with new jobs in flight at the same time.
+const MAX_BATCHES_IN_FLIGHT: usize = 4;
+/// How long a new job may wait for the write budget.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(700);
+/// The pause after the state service refused a write as one too many.
+const RATE_LIMIT_PAUSE: Duration = Duration::from_millis(100);
+/// A transaction's size, with room left below the limit of 64 KiB.
+const MAX_TXN_BYTES: usize = 56 * 1024;
+/// What a job takes in a transaction beside its value.
+const CREATION_OVERHEAD_BYTES: usize = 300;
+/// Room that a new job's record leaves for what the leader adds to it.
+const RECORD_HEADROOM_BYTES: usize = 200;
+
+/// A user's request to run a job.
+#[derive(Debug)]
+pub struct Submission {
+    pub request: RequestId,
+    pub id: JobId,
+    pub job: Result<JobSpec, InvalidSpec>,
+}
+
+/// What a submission is judged by, beside the settings.
+#[derive(Debug, Clone, Copy)]
+pub struct SubmissionContext<'a> {
+    /// Empty until the list was read once.
+    pub machine_types: &'a BTreeMap<String, MachineType>,
+    /// Every node knows gangs: older ones would take one for a job array.
+    pub gangs_allowed: bool,
+}
+
+/// Whether a valid job can be accepted now.
+enum Verdict {
+    Accepted(JobSpec),
+    /// The answer, unless the job is known already.
+    Rejected(Response),
+}
+
+impl RequestHandler {
+    /// A user submits a job.
+    pub fn submit(
+        &mut self,
+        times: StepTime,
+        submission: Submission,
+        context: SubmissionContext<'_>,
+        effects: &mut EffectSink,
+    ) {
+        let Submission { request, id, job } = submission;
+        if self.answer_if_ended(request, &id, effects) {
+            return;
+        }
+        if !self.permissions.accept {
+            return respond_unavailable(request, effects);
+        }
+        if !self.admit(times.now, request, effects) {
+            return;
+        }
+        let spec = match self.judge(job, context) {
+            Verdict::Accepted(spec) => spec,
+            Verdict::Rejected(response) => {
+                return self.reject_unless_known(times.now, request, id, response, effects);
+            }
+        };
+        if let Some(queued) = self.queued.iter_mut().find(|creation| creation.id == id) {
+            queued.requests.push(request);
+            return;
+        }
+        match self.encode_new_record(spec, times) {
+            Ok(value) => {
+                self.requests_in_flight += 1;
+                let requests = vec![request];
+                self.queued.push_back(JobCreation { requests, id, value, queued_at: times.now });
+            }
+            Err(reason) => {
+                let response = Response::BadRequest(reason);
+                self.reject_unless_known(times.now, request, id, response, effects);
+            }
+        }
+    }
+
+    fn judge(&self, job: Result<JobSpec, InvalidSpec>, context: SubmissionContext<'_>) -> Verdict {
+        let spec = match job {
+            Ok(spec) => spec,
+            Err(reason) => return Verdict::Rejected(Response::BadRequest(reason)),
+        };
+        if context.machine_types.is_empty() {
+            return Verdict::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
+        }
+        if let Err(reason) = check_satisfiable(&spec, &self.settings, context.machine_types) {
+            return Verdict::Rejected(Response::Unprocessable(reason));
+        }
+        if spec.gang && !context.gangs_allowed {
+            return Verdict::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
+        }
+        Verdict::Accepted(spec)
+    }
+
+    /// A known id is answered with the job's state, whatever the body says.
+    fn reject_unless_known(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        id: JobId,
+        response: Response,
+        effects: &mut EffectSink,
+    ) {
+        self.lookup(now, request, id, LookupReason::RejectUnlessKnown(response), effects);
+    }
+
+    fn encode_new_record(&self, spec: JobSpec, times: StepTime) -> Result<String, InvalidSpec> {
+        let record = JobRecord {
+            phase: JobPhase::Active,
+            tasks: spec.tasks,
+            per_chunk: tasks_per_chunk(self.settings.max_value_bytes),
+            spec: Some(spec),
+            accepted_ms: times.wall_ms(),
+            cancelled_ms: None,
+        };
+        match serde_json::to_string(&record) {
+            Ok(value) if value.len() + RECORD_HEADROOM_BYTES <= self.settings.max_value_bytes => Ok(value),
+            _ => Err(InvalidSpec::TooLong),
+        }
+    }
+
+    /// Whether new jobs wait for the write budget.
+    pub fn has_queued(&self) -> bool {
+        !self.queued.is_empty()
+    }
+
+    /// Writes the jobs that wait, as far as the write budget goes, and refuses those that
+    /// have waited too long.
+    pub fn tick(&mut self, times: StepTime, effects: &mut EffectSink) {
+        let now = times.now;
+        self.refuse_expired(now, effects);
+        while !self.queued.is_empty()
+            && self.batches_in_flight < MAX_BATCHES_IN_FLIGHT
+            && now >= self.writes_paused_until
+        {
+            let batch = self.take_batch(now);
+            if batch.is_empty() || !self.write_budget.take(now, batch.len()) {
+                self.queued.extend(batch);
+                return;
+            }
+            self.batches_in_flight += 1;
+            write_batch(batch, effects);
+        }
+    }
+
+    fn refuse_expired(&mut self, now: Duration, effects: &mut EffectSink) {
+        let is_expired = |creation: &JobCreation| now.saturating_sub(creation.queued_at) > QUEUE_TIMEOUT;
+        while self.queued.front().is_some_and(is_expired) {
+            if let Some(creation) = self.queued.pop_front() {
+                self.requests_in_flight = self.requests_in_flight.saturating_sub(1);
+                for request in creation.requests {
+                    respond_unavailable(request, effects);
+                }
+            }
+        }
+    }
+
+    fn take_batch(&mut self, now: Duration) -> Vec<JobCreation> {
+        let max_changes = self.settings.max_txn_changes.min(self.write_budget.available(now));
+        let mut bytes = 0;
+        let mut batch = Vec::new();
+        while let Some(creation) = self.queued.front() {
+            bytes += creation.value.len() + CREATION_OVERHEAD_BYTES;
+            if batch.len() >= max_changes || bytes > MAX_TXN_BYTES {
+                break;
+            }
+            batch.extend(self.queued.pop_front());
+        }
+        batch
+    }
+
+    /// Handles the reply to a batch; returns the rows that it has written.
+    pub(super) fn creation_reply(
+        &mut self,
+        now: Duration,
+        batch: Vec<JobCreation>,
+        reply: Result<KvReply, CallError>,
+        effects: &mut EffectSink,
+    ) -> Vec<KeyValue> {
+        match reply {
+            Ok(KvReply::Committed { revision }) => {
+                return self.batch_committed(batch, revision, effects);
+            }
+            Ok(KvReply::Conflict { failed }) => self.batch_conflicted(now, batch, &failed, effects),
+            Err(CallError::Refused | CallError::TooLarge) => {
+                for request in batch.into_iter().flat_map(|creation| creation.requests) {
+                    respond_unavailable(request, effects);
+                }
+            }
+            // Others have used the rate: there is some again within the queue's timeout.
+            Err(CallError::RateLimited) => {
+                self.requests_in_flight += batch.len();
+                self.writes_paused_until = now + RATE_LIMIT_PAUSE;
+                for creation in batch.into_iter().rev() {
+                    self.queued.push_front(creation);
+                }
+            }
+            // It may have been committed: only the jobs' keys show it.
+            _ => {
+                for creation in batch {
+                    self.lookup_for_all(now, creation, effects);
+                }
+            }
+        }
+        Vec::new()
+    }
+
+    fn batch_committed(
+        &mut self,
+        batch: Vec<JobCreation>,
+        revision: u64,
+        effects: &mut EffectSink,
+    ) -> Vec<KeyValue> {
+        let mut written = Vec::new();
+        for JobCreation { requests, id, value, .. } in batch {
+            for request in requests {
+                // The job may have been cancelled while the reply was on its way.
+                if self.answer_if_ended(request, &id, effects) {
+                    continue;
+                }
+                let (status, done, running) = (JobStatus::Queued, 0, 0);
+                let response = Response::Job { created: true, id: id.clone(), status, done, running };
+                effects.respond(request, response);
+            }
+            written.push(KeyValue { key: id.key(), value, mod_revision: revision });
+        }
+        written
+    }
+
+    /// Some of the batch's jobs exist, `failed` has their keys; the others are tried again.
+    fn batch_conflicted(
+        &mut self,
+        now: Duration,
+        batch: Vec<JobCreation>,
+        failed: &[String],
+        effects: &mut EffectSink,
+    ) {
+        for creation in batch {
+            if failed.contains(&creation.id.key()) || failed.contains(&creation.id.archive_key()) {
+                self.lookup_for_all(now, creation, effects);
+            } else {
+                self.requests_in_flight += 1;
+                self.queued.push_front(creation);
+            }
+        }
+    }
+
+    /// Reads the job's record for each request that waits for it.
+    fn lookup_for_all(&mut self, now: Duration, creation: JobCreation, effects: &mut EffectSink) {
+        for request in creation.requests {
+            let id = creation.id.clone();
+            self.lookup(now, request, id, LookupReason::RepeatedSubmission, effects);
+        }
+    }
+}
+
+/// Creates the jobs in one transaction, if none of them exists, live or archived.
+fn write_batch(batch: Vec<JobCreation>, effects: &mut EffectSink) {
+    let keys = batch.iter().flat_map(|creation| [creation.id.key(), creation.id.archive_key()]);
+    let conditions = keys.map(|key| Condition { key, mod_revision: 0 }).collect();
+    let put = |creation: &JobCreation| KvChange::Put {
+        key: creation.id.key(),
+        value: creation.value.clone(),
+        lease: None,
+    };
+    let changes = batch.iter().map(put).collect();
+    effects.call_kv(
+        CallPurpose::UserRequest(PendingRequest::Create(batch)),
+        KvRequest::Txn { conditions, changes },
+    );
+}
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -621,3 +621,23 @@
         "nothing was placed at all"
     );
 }
+
+/// The reasons for which jobs are refused, as users get them.
+#[test]
+fn refusals_keep_their_texts() {
+    use plankhead_core::protocol::{InvalidSpec, UnsatisfiableSpec};
+    let text = |reason: UnsatisfiableSpec| reason.to_string();
+    assert_eq!(InvalidSpec::Malformed("a field is missing".into()).to_string(), "a field is missing");
+    assert_eq!(InvalidSpec::TooLong.to_string(), "the job's description is too long");
+    assert_eq!(text(UnsatisfiableSpec::UnknownTeam), "no such team");
+    assert_eq!(text(UnsatisfiableSpec::TaskOverTeamLimit), "one task needs more than the team's limit");
+    assert_eq!(
+        text(UnsatisfiableSpec::GangOverTeamLimit),
+        "all tasks together need more than the team's limit"
+    );
+    assert_eq!(
+        text(UnsatisfiableSpec::SpreadInOneZone),
+        "the tasks can't all be in one zone and at most half of them in each"
+    );
+    assert_eq!(text(UnsatisfiableSpec::NoMachineTypeFits), "no allowed machine type can hold a task");
+}
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -2,6 +2,7 @@
 //! beyond asking for their jobs.
 
 use super::*;
+use plankhead_core::protocol::InvalidSpec;
 
 /// An instant inside a history, seen by the model alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -260,7 +261,11 @@
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
         let event = |ask| match odd {
-            Odd::Malformed => Event::Submit { request: ask, id, job: Err("a field is missing".into()) },
+            Odd::Malformed => Event::Submit {
+                request: ask,
+                id,
+                job: Err(InvalidSpec::Malformed("a field is missing".into())),
+            },
             Odd::Impossible => Event::Submit { request: ask, id, job: Ok(spec) },
             Odd::Unknown if ask % 2 == 0 => Event::Poll { request: ask, id },
             Odd::Unknown => Event::Cancel { request: ask, id },
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -9,7 +9,7 @@
 use plankhead_core::effects::StepTime;
 use plankhead_core::jobs::job::{JobId, JobSpec};
 use plankhead_core::node::Node;
-use plankhead_core::protocol::{CallId, Effect, Event, Heartbeat, RequestId, Response};
+use plankhead_core::protocol::{CallId, Effect, Event, Heartbeat, InvalidSpec, RequestId, Response};
 use plankhead_core::shards::messages::{Delivery, ShardMessage, ShardMessageError};
 use plankhead_reachability::coverage::Coverage;
 use std::collections::{HashMap, VecDeque};
@@ -57,7 +57,9 @@
 impl CoreRequest {
     fn event(self, ask: RequestId) -> Event {
         match self {
-            CoreRequest::Submit { id, job } => Event::Submit { request: ask, id, job },
+            CoreRequest::Submit { id, job } => {
+                Event::Submit { request: ask, id, job: job.map_err(InvalidSpec::Malformed) }
+            }
             CoreRequest::Poll { id } => Event::Poll { request: ask, id },
             CoreRequest::Cancel { id } => Event::Cancel { request: ask, id },
             CoreRequest::Heartbeat { report, relayed } => {
--- a/crates/plankhead/src/wire.rs
+++ b/crates/plankhead/src/wire.rs
@@ -153,8 +153,8 @@
             let (done, running) = (*done, *running);
             (code, text(&JobResponse { name_id: id.as_str(), status: status(*s), done, running }), None)
         }
-        Response::BadRequest(reason) => (400, error(reason), None),
-        Response::Unprocessable(reason) => (422, error(reason), None),
+        Response::BadRequest(reason) => (400, error(&reason.to_string()), None),
+        Response::Unprocessable(reason) => (422, error(&reason.to_string()), None),
         Response::NotFound => (404, error("no such job"), None),
         Response::Unavailable { retry_after: retry } => (503, error("try again later"), Some(*retry)),
         Response::Commands { token, commands: orders } => {
