--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -461,7 +461,7 @@
     let led = |b: &Bench| {
         b.effects
             .iter()
-            .filter(|e| matches!(e, Effect::Log(_, text) if text.starts_with("leads under")))
+            .filter(|e| matches!(e, Effect::Log(_, text) if text.starts_with("leadership won: token=")))
             .count()
     };
     assert_eq!(led(&bench), 1);
