--- /dev/null
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -0,0 +1,18 @@
+//! The core's messages, by the counterpart that they are exchanged with. The adapters map
+//! the published protocol to these types and back.
+
+mod cloud;
+mod events;
+mod kv;
+mod peers;
+mod users;
+mod worker;
+
+pub use cloud::{CloudReply, CloudRequest, Instance, InstanceStatus, MachineType, Pool};
+pub use events::{CallId, Effect, Event, LogLevel, RequestId};
+pub use kv::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, WatchEvent};
+pub use peers::{JobProgress, PeerHeartbeat};
+pub use users::{InvalidSpec, JobStatus, Response, UnsatisfiableSpec};
+pub use worker::{
+    CommandReply, ExitReason, Heartbeat, MachineName, ReportedTask, TaskId, TaskStatus, WorkerCommand,
+};
