--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -127,8 +127,7 @@
         if let Err(stale) = self.token_guard.admit(heartbeat.token) {
             let repeated = self.peers.has_claimed(&heartbeat.host, heartbeat.token);
             let level = if repeated { LogLevel::Debug } else { LogLevel::Info };
-            let text =
-                format!("leadership claim rejected: peer={} reason=stale_token ({stale})", heartbeat.host);
+            let text = format!("leadership claim rejected: peer={} reason=\"{stale}\"", heartbeat.host);
             self.effects.log(level, text);
             heartbeat.progress.clear();
         }
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -175,8 +175,7 @@
         match (message, &mut self.leader) {
             (Err(fault), _) => {
                 sharding.malformed_messages += 1;
-                self.effects
-                    .log(LogLevel::Info, format!("shard message rejected: reason=malformed ({fault})"));
+                self.effects.log(LogLevel::Info, format!("shard message rejected: reason=\"{fault}\""));
                 Delivery::Rejected
             }
             (Ok(ShardMessage::HolderStatus(status)), Some(leader)) => {
--- /dev/null
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -0,0 +1,114 @@
+//! Evidence of which links work: what calls, heartbeats and messages confirm.
+
+use super::Reachability;
+use crate::protocol::{CallError, CallId, CommandReply, Effect, KvReply, KvRequest, MachineName};
+use plankhead_reachability::link::LinkId;
+use std::time::Duration;
+
+/// The link that a request to the state service uses.
+fn kv_link(request: &KvRequest) -> LinkId {
+    match request {
+        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::StateReads,
+        KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => {
+            LinkId::StateWrites
+        }
+        KvRequest::RenewLease { .. } => LinkId::StateRenewal,
+        KvRequest::Watch { .. } => LinkId::StateWatch,
+    }
+}
+
+impl Reachability {
+    /// Records the calls among a step's effects.
+    pub fn calls_sent(&mut self, effects: &[Effect], now: Duration) {
+        for effect in effects {
+            let (call, link) = match effect {
+                Effect::CallKv { call, request } => (*call, kv_link(request)),
+                Effect::CallCloud { call, .. } => (*call, LinkId::Cloud),
+                Effect::SendCommands { call, .. } => (*call, LinkId::Commands),
+                _ => continue,
+            };
+            self.links_of_calls.insert(call, link);
+            // A watch waits by its nature, and a machine that hangs is no link's fault.
+            if !matches!(link, LinkId::StateWatch | LinkId::Commands) {
+                self.monitor.sent(link, call, now);
+            }
+        }
+    }
+
+    /// Records what became of a call to the state service.
+    pub fn kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        match reply {
+            Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
+            // The service is reached, and has too much to do.
+            Err(CallError::RateLimited) => self.monitor.dropped(link, call),
+            Err(CallError::Refused | CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
+        }
+    }
+
+    /// Records what became of a call to the cloud.
+    pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        match reply {
+            Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
+            _ => self.monitor.answered(link, call, now),
+        }
+    }
+
+    /// Records what became of commands sent directly to a worker.
+    pub fn command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
+        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        match reply {
+            CommandReply::Answered(_) => self.monitor.confirmed(link, now),
+            CommandReply::NotSent | CommandReply::Unanswered => self.monitor.failed(link, now),
+        }
+    }
+
+    /// Records a worker's heartbeat; `relayed`: it came through a peer.
+    pub fn heartbeat_arrived(&mut self, machine: &MachineName, relayed: bool, now: Duration) {
+        self.monitor.report_arrived(now);
+        if relayed {
+            return;
+        }
+        if self.heard_machines.is_empty() {
+            // Workers begin to report here: their leader may not hear them.
+            self.next_coverage_at = now;
+        }
+        self.heard_machines.record(machine, now);
+    }
+
+    /// Records that a worker reported again after an answer, and whether it shows that it got
+    /// the answer.
+    pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
+        match shown {
+            true => self.monitor.confirmed(LinkId::Answers, now),
+            false => self.monitor.failed(LinkId::Answers, now),
+        }
+    }
+
+    fn peer_index(&self, host: &str) -> Option<usize> {
+        self.settings.peers.iter().position(|peer| peer == host)
+    }
+
+    /// Records a peer's heartbeat.
+    pub fn peer_heard(&mut self, host: &str, now: Duration) {
+        if let Some(peer) = self.peer_index(host) {
+            self.monitor.peer_heard(peer, now);
+        }
+    }
+
+    /// Records whether a peer answered a message.
+    pub fn peer_delivery(&mut self, host: &str, confirmed: bool, now: Duration) {
+        let Some(peer) = self.peer_index(host) else { return };
+        match confirmed {
+            true => self.monitor.confirmed(LinkId::PeerOut(peer), now),
+            false => self.monitor.failed(LinkId::PeerOut(peer), now),
+        }
+    }
+
+    /// This node no longer leads: nothing uses the links of a leader any more.
+    pub fn leadership_lost(&mut self) {
+        self.monitor.forget_link(LinkId::StateRenewal);
+        self.monitor.forget_link(LinkId::Answers);
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/reachability/numbering.rs
@@ -0,0 +1,148 @@
+//! The numbering of machines as this node reads it from the state service, and as the
+//! leader extends it. Coverage names machines by these numbers.
+
+use crate::calls::{CallPurpose, ReachabilityCall};
+use crate::effects::EffectSink;
+use crate::leadership::election;
+use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, MachineName};
+use plankhead_reachability::numbering::{MachineNumbering, PREFIX};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Time between two reads of the numbering, and after one that failed.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(15);
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two checks of the leader for machines without a number.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+
+/// The numbering, and the calls that keep it up to date.
+#[derive(Debug)]
+pub(super) struct NumberingStore {
+    numbering: MachineNumbering,
+    /// All pages were read once.
+    loaded: bool,
+    list_in_flight: bool,
+    /// The last key of the page before, while a list has more pages.
+    list_after_key: Option<String>,
+    next_list_at: Duration,
+    write_in_flight: bool,
+    next_check_at: Duration,
+}
+
+impl NumberingStore {
+    pub fn new(now: Duration) -> Self {
+        Self {
+            numbering: MachineNumbering::default(),
+            loaded: false,
+            list_in_flight: false,
+            list_after_key: None,
+            next_list_at: now,
+            write_in_flight: false,
+            next_check_at: now,
+        }
+    }
+
+    /// The numbering as it was last read.
+    pub fn current(&self) -> &MachineNumbering {
+        &self.numbering
+    }
+
+    /// When the numbering is to be read next, unless a read is in flight.
+    pub fn next_due(&self) -> Option<Duration> {
+        (!self.list_in_flight).then_some(self.next_list_at)
+    }
+
+    /// A peer has a later numbering: it is read as soon as can be.
+    pub fn refresh_soon(&mut self, now: Duration) {
+        self.next_list_at = self.next_list_at.min(now);
+    }
+
+    /// Reads the numbering, if it is time.
+    pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
+        if !self.list_in_flight && now >= self.next_list_at {
+            self.list_in_flight = true;
+            self.list_page(effects);
+        }
+    }
+
+    fn list_page(&self, effects: &mut EffectSink) {
+        let request = KvRequest::List { prefix: PREFIX.into(), after: self.list_after_key.clone() };
+        effects.call_kv(CallPurpose::Reachability(ReachabilityCall::ListPages), request);
+    }
+
+    pub fn list_reply(&mut self, reply: Result<KvReply, CallError>, now: Duration, effects: &mut EffectSink) {
+        let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
+            self.list_in_flight = false;
+            self.list_after_key = None;
+            self.next_list_at = now + RETRY_INTERVAL;
+            return;
+        };
+        for row in &rows {
+            self.apply_page(row, effects);
+        }
+        self.list_after_key = rows.last().map(|row| row.key.clone()).filter(|_| truncated);
+        if truncated {
+            return self.list_page(effects);
+        }
+        self.loaded = true;
+        self.list_in_flight = false;
+        self.next_list_at = now + REFRESH_INTERVAL;
+    }
+
+    fn apply_page(&mut self, row: &KeyValue, effects: &mut EffectSink) {
+        if let Err(fault) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
+            effects.log(LogLevel::Debug, format!("numbering page ignored: reason=\"{fault}\""));
+        }
+    }
+
+    /// Whether the leader should check now for machines without a number; counts as checked.
+    pub fn take_check_due(&mut self, now: Duration) -> bool {
+        let due = self.loaded && !self.write_in_flight && now >= self.next_check_at;
+        if due {
+            self.next_check_at = now + CHECK_INTERVAL;
+        }
+        due
+    }
+
+    /// Writes a page with numbers for machines that have none, as the leader with this
+    /// fencing token.
+    pub fn write_page(
+        &mut self,
+        machines: &BTreeSet<MachineName>,
+        token: u64,
+        max_value_bytes: usize,
+        effects: &mut EffectSink,
+    ) {
+        let Some(write) = self.numbering.next_write(machines, max_value_bytes) else { return };
+        self.write_in_flight = true;
+        let still_leads = Condition { key: election::KEY.into(), mod_revision: token };
+        let page_unchanged = Condition { key: write.key.clone(), mod_revision: write.revision };
+        let (key, value) = (write.key, write.value);
+        let changes = vec![KvChange::Put { key: key.clone(), value: value.clone(), lease: None }];
+        let call = ReachabilityCall::WritePage { key, value };
+        effects.call_kv(
+            CallPurpose::Reachability(call),
+            KvRequest::Txn { conditions: vec![still_leads, page_unchanged], changes },
+        );
+    }
+
+    pub fn write_reply(
+        &mut self,
+        key: String,
+        value: String,
+        reply: Result<KvReply, CallError>,
+        now: Duration,
+        effects: &mut EffectSink,
+    ) {
+        self.write_in_flight = false;
+        match reply {
+            Ok(KvReply::Committed { revision }) => {
+                self.apply_page(&KeyValue { key, value, mod_revision: revision }, effects);
+                // More may be left to write.
+                self.next_check_at = now;
+            }
+            // The page has changed since it was read, or may have.
+            _ => self.next_list_at = now,
+        }
+    }
+}
--- a/crates/plankhead-standins/src/cuts.rs
+++ b/crates/plankhead-standins/src/cuts.rs
@@ -186,5 +186,9 @@
     }
     running.stop();
     let verdict = finals::check_all(&history, load);
-    Ok(Outcome { verdict, cuts: cuts.cuts, mode_changes: cluster.count_logged(" sees ") })
+    Ok(Outcome {
+        verdict,
+        cuts: cuts.cuts,
+        mode_changes: cluster.count_logged("reachability mode changed: "),
+    })
 }
