--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::jobs::job_table::{tasks_per_chunk, EncodedChunk, JobTable, StoredJob, TaskState};
 use plankhead_core::leader::{Size, Target};
-use plankhead_core::leadership::election::Holder;
+use plankhead_core::leadership::election::LeaderRecord;
 use plankhead_core::leadership::version_barrier::VersionBarrier;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::Settings;
@@ -49,7 +49,7 @@
         assert!(before::reads("job/job-000412", &text));
     }
     let holder = r#"{"host":"plank-1","boot":7,"hold":9}"#;
-    let read: Holder = serde_json::from_str(holder).unwrap();
+    let read: LeaderRecord = serde_json::from_str(holder).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), holder);
     let target = r#"{"round":4,"at_ms":1790000000123,"rigs":{"r":{"machines":7,"ordinary":2}}}"#;
     let read: Target = serde_json::from_str(target).unwrap();
@@ -248,13 +248,13 @@
         );
         version_barrier
     };
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).open());
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).open());
+    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).is_open());
+    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).is_open());
     let mut version_barrier =
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
-    assert!(version_barrier.open());
+    assert!(version_barrier.is_open());
     let mut out = EffectSink::default();
     version_barrier.reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
-    assert!(version_barrier.open() && out.queued.is_empty());
+    assert!(version_barrier.is_open() && out.queued.is_empty());
 }
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -9,7 +9,7 @@
 use super::{cuts, World, SIM_START};
 use plankhead_core::jobs::job::{JobId, Priority};
 use plankhead_core::protocol::{
-    Event, JobStatus, KvChange, KvRequest, Response, TaskId, TaskStatus, WorkerCommand,
+    Event, InvalidSpec, JobStatus, KvChange, KvRequest, Response, TaskId, TaskStatus, WorkerCommand,
 };
 use rand::RngExt;
 use std::collections::{BTreeSet, HashMap};
@@ -274,7 +274,9 @@
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
         let event = |request| match odd {
-            OddRequest::Malformed => Event::Submit { request, id, job: Err("a field is missing".into()) },
+            OddRequest::Malformed => {
+                Event::Submit { request, id, job: Err(InvalidSpec::Malformed("a field is missing".into())) }
+            }
             OddRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
             OddRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
             OddRequest::Unknown => Event::Cancel { request, id },
