--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -364,7 +364,7 @@
     }
 
     pub(super) fn list_intents(&mut self, effects: &mut EffectSink) {
-        let after = self.load_after_key.clone();
+        let after = self.loading.after_key();
         if after.is_none() {
             self.intents.log.begin_reading();
         }
@@ -384,7 +384,7 @@
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.retry_loading(times.now);
         };
-        self.load_after_key = rows.last().map(|row| row.key.clone());
+        self.loading.page_loaded(&rows);
         for row in &rows {
             for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
                 effects.log(LogLevel::Error, format!("left alone: {fault}"));
@@ -393,7 +393,7 @@
         if truncated {
             return self.list_intents(effects);
         }
-        self.load_after_key = None;
+        self.loading.list_completed();
         self.read_target(effects);
     }
 
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,6 +1,6 @@
 //! Taking over: a new leader reads all that is known.
 
-use super::{ChunkRow, Leader, Stage, Target, MAX_ARRIVALS, PAUSE, RUSH, TARGET};
+use super::{Leader, Target, MAX_ARRIVALS, PAUSE, RUSH, TARGET};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
@@ -11,27 +11,96 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Whether a new leader knows yet what is stored.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+enum Stage {
+    #[default]
+    Loading,
+    Ready,
+}
+
+/// A chunk as it is stored, until every chunk is loaded.
+#[derive(Debug)]
+struct StoredChunk {
+    job: JobId,
+    /// It is one of the smaller chunks that replace those of the former limits.
+    rechunked: bool,
+    number: u32,
+    value: String,
+    mod_revision: u64,
+}
+
+/// How far the leader is with loading all state. The lists of jobs, chunks and intents
+/// are read one after the other, each page by page.
+#[derive(Debug, Default)]
+pub(super) struct JobLoading {
+    stage: Stage,
+    /// The last key of the page before, within the present list.
+    after_key: Option<String>,
+    /// When loading starts over, after a call that failed.
+    retry_at: Option<Duration>,
+    /// A call has failed in this term.
+    failed: bool,
+    chunks: Vec<StoredChunk>,
+}
+
+impl JobLoading {
+    pub(super) fn is_ready(&self) -> bool {
+        self.stage == Stage::Ready
+    }
+
+    /// When loading starts over, if a call has failed.
+    pub(super) fn retry_due(&self) -> Option<Duration> {
+        self.retry_at
+    }
+
+    /// Whether loading is to start over now. It starts with an empty state, whatever
+    /// call failed: rows are idempotent.
+    pub(super) fn take_due_retry(&mut self, now: Duration) -> bool {
+        let due = self.retry_at.is_some_and(|due| now >= due);
+        if due {
+            self.retry_at = None;
+            self.after_key = None;
+            self.chunks.clear();
+        }
+        due
+    }
+
+    /// Where the next page of the present list begins.
+    pub(super) fn after_key(&self) -> Option<String> {
+        self.after_key.clone()
+    }
+
+    /// Notes how far the present list is read.
+    pub(super) fn page_loaded(&mut self, rows: &[KeyValue]) {
+        self.after_key = rows.last().map(|row| row.key.clone());
+    }
+
+    /// The present list is read; the next one starts from its first key.
+    pub(super) fn list_completed(&mut self) {
+        self.after_key = None;
+    }
+}
+
 impl Leader {
     pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
-        if self.jobs_revision.is_none() {
-            self.jobs_synced_at = now;
-        }
-        let after = self.load_after_key.clone();
+        self.job_watch.loading_began(now);
+        let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, effects);
     }
 
     /// Whether it still reads what is known, and nothing says that it can't.
     pub fn is_loading(&self) -> bool {
-        self.stage == Stage::Loading && !self.loading_failed
+        !self.loading.is_ready() && !self.loading.failed
     }
 
     pub(super) fn retry_loading(&mut self, now: Duration) {
-        self.load_retry_at = Some(now + PAUSE);
-        self.loading_failed = true;
+        self.loading.retry_at = Some(now + PAUSE);
+        self.loading.failed = true;
     }
 
     pub(super) fn list_chunks(&mut self, effects: &mut EffectSink) {
-        let after = self.load_after_key.clone();
+        let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, effects);
     }
 
@@ -42,18 +111,18 @@
         requests: &mut RequestHandler,
         effects: &mut EffectSink,
     ) {
-        let Ok(KvReply::Page { rows, truncated, revision: epoch }) = reply else {
+        let Ok(KvReply::Page { rows, truncated, revision }) = reply else {
             return self.retry_loading(times.now);
         };
-        self.jobs_revision.get_or_insert(epoch);
-        self.load_after_key = rows.last().map(|r| r.key.clone());
+        self.job_watch.first_page_loaded(revision);
+        self.loading.page_loaded(&rows);
         for row in &rows {
             self.job_record_changed(times, row, requests);
         }
         if truncated {
             return self.begin_loading(times.now, effects);
         }
-        self.load_after_key = None;
+        self.loading.list_completed();
         self.list_chunks(effects);
     }
 
@@ -66,20 +135,21 @@
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.retry_loading(times.now);
         };
-        self.load_after_key = rows.last().map(|r| r.key.clone());
+        self.loading.page_loaded(&rows);
         for row in rows {
             let mut parts = row.key.splitn(3, '/').skip(1);
             let id = parts.next().and_then(|id| JobId::parse(id).ok());
             let number = parts.next().and_then(|n| match n.strip_prefix('s') {
-                Some(small) => Some((true, small.parse::<u32>().ok()?)),
+                Some(number) => Some((true, number.parse::<u32>().ok()?)),
                 None => Some((false, n.parse::<u32>().ok()?)),
             });
             match (id, number) {
                 (Some(id), Some(_)) if !self.job_table.jobs.contains_key(&id) => {
                     self.garbage.push(StoredKey { key: row.key, revision: Some(row.mod_revision) });
                 }
-                (Some(id), Some(number)) => {
-                    self.loaded_chunks.push((id, number, row.value, row.mod_revision))
+                (Some(job), Some((rechunked, number))) => {
+                    let (value, mod_revision) = (row.value, row.mod_revision);
+                    self.loading.chunks.push(StoredChunk { job, rechunked, number, value, mod_revision });
                 }
                 _ => effects.log(LogLevel::Error, format!("strange key {}", row.key)),
             }
@@ -87,7 +157,7 @@
         if truncated {
             return self.list_chunks(effects);
         }
-        self.load_after_key = None;
+        self.loading.list_completed();
         if self.intents.is_fenced() {
             return self.list_intents(effects);
         }
@@ -108,15 +178,15 @@
             return self.retry_loading(times.now);
         };
         let now = times.now;
-        let rows = std::mem::take(&mut self.loaded_chunks);
+        let chunks = std::mem::take(&mut self.loading.chunks);
         // Smaller chunks exist only where no version is left that doesn't know them.
-        let (small, rows): (Vec<_>, Vec<_>) = rows.into_iter().partition(|(_, (small, _), ..)| *small);
-        self.all_nodes_upgraded |= !small.is_empty();
-        self.load_chunks(rows, now, effects);
+        let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
+        self.all_nodes_upgraded |= !rechunked.is_empty();
+        self.load_chunks(original, now, effects);
         if self.all_nodes_upgraded {
             self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
-        self.load_chunks(small, now, effects);
+        self.load_chunks(rechunked, now, effects);
         self.job_table.finish_loading();
         self.stop_broken_gangs(now, effects);
         // Not a new service: the jobs that are there came one after the other.
@@ -142,7 +212,7 @@
             }
         }
         self.adopt_intents(now, effects);
-        self.stage = Stage::Ready;
+        self.loading.stage = Stage::Ready;
         let heartbeats: Vec<Heartbeat> =
             self.fleet.machines.values().filter_map(|m| m.last_heartbeat.clone()).collect();
         for heartbeat in heartbeats {
@@ -160,12 +230,12 @@
         self.pass_needed = true;
     }
 
-    fn load_chunks(&mut self, rows: Vec<ChunkRow>, now: Duration, effects: &mut EffectSink) {
-        for (id, (_, number), value, mod_revision) in rows {
-            if let Err(error) = self.job_table.load_chunk(&id, number, &value, mod_revision, now) {
+    fn load_chunks(&mut self, chunks: Vec<StoredChunk>, now: Duration, effects: &mut EffectSink) {
+        for StoredChunk { job, number, value, mod_revision, .. } in chunks {
+            if let Err(error) = self.job_table.load_chunk(&job, number, &value, mod_revision, now) {
                 // Nothing may be started for a job whose attempts are unknown.
-                effects.log(LogLevel::Error, format!("placements of {id} can't be read: {error}"));
-                self.job_table.remove(&id);
+                effects.log(LogLevel::Error, format!("placements unreadable: job={job} reason={error}"));
+                self.job_table.remove(&job);
             }
         }
     }
@@ -183,7 +253,7 @@
                 requests.record_ended(&id, JobStatus::Done, record.tasks);
                 let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
                 let news = self.job_table.job_finished(&id);
-                if self.stage == Stage::Loading || news {
+                if !self.loading.is_ready() || news {
                     let job = FinishedJob { id: id.clone(), mod_revision: row.mod_revision, record };
                     self.to_archive.push_back(job);
                 }
@@ -198,7 +268,7 @@
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
             // comes with the first events.
-            JobPhase::Active if self.stage == Stage::Ready && requests.is_ended(&id) => return,
+            JobPhase::Active if self.loading.is_ready() && requests.is_ended(&id) => return,
             JobPhase::Active => {}
         }
         let accepted = times.monotonic_of(record.accepted_ms);
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -1,11 +1,11 @@
 //! What time alone brings about.
 
-use super::{Leader, LeaderEvidence, Stage, MIND, PASS_PATIENCE, WATCH};
+use super::{Leader, LeaderEvidence, MIND, PASS_PATIENCE};
 use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Machine, RemovalReason};
 use crate::jobs::job_table::tasks_per_chunk;
-use crate::protocol::{CloudRequest, KvRequest, MachineName};
+use crate::protocol::{CloudRequest, MachineName};
 use crate::requests::RequestHandler;
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::Action;
@@ -30,15 +30,11 @@
         if !evidence.kv_undisputed {
             self.lease_doubted_at = Some(now);
         }
-        if std::mem::take(&mut self.direct_heartbeat_arrived) || self.stage == Stage::Loading {
+        if std::mem::take(&mut self.direct_heartbeat_arrived) || !self.loading.is_ready() {
             self.last_direct_heartbeat_at = now;
         }
-        if self.stage == Stage::Loading {
-            if self.load_retry_at.is_some_and(|due| now >= due) {
-                // Whatever failed, reading starts over: rows are idempotent.
-                self.load_retry_at = None;
-                self.load_after_key = None;
-                self.loaded_chunks.clear();
+        if !self.loading.is_ready() {
+            if self.loading.take_due_retry(now) {
                 self.garbage.clear();
                 self.to_archive.clear();
                 self.urgent_garbage = 0;
@@ -53,12 +49,7 @@
             self.list_instances(now, effects);
             return;
         }
-        if let Some(epoch) = self.jobs_revision.filter(|_| !self.watch_in_flight && now >= self.next_watch_at)
-        {
-            self.watch_in_flight = true;
-            let op = KvRequest::Watch { prefix: "job/".into(), after: epoch, wait: WATCH };
-            self.call_kv(LeaderCall::WatchJobs { sent: now }, op, effects);
-        }
+        self.watch_jobs(now, effects);
         let places = firm && self.permits(Action::Place, now);
         let rents = firm && self.inventory_complete && self.permits(Action::Rent, now);
         // What could not be written yet could not start either: the next pass
@@ -115,14 +106,15 @@
     /// `retry`: when to look again at what waits for a budget or for the state service,
     /// whose time cannot be told.
     pub fn next_due(&self, now: Duration, retry: Duration) -> Duration {
-        if self.stage == Stage::Loading {
+        if !self.loading.is_ready() {
             return self
-                .load_retry_at
+                .loading
+                .retry_due()
                 .map_or(self.next_maintenance_at, |due| due.min(self.next_maintenance_at));
         }
         let mut due = self.next_maintenance_at;
-        if !self.watch_in_flight && self.jobs_revision.is_some() {
-            due = due.min(self.next_watch_at);
+        if let Some(watch) = self.job_watch.next_due() {
+            due = due.min(watch);
         }
         if self.pass_needed {
             due = due.min(if self.next_pass_at > now { self.next_pass_at } else { retry });
@@ -166,7 +158,7 @@
     /// should try to lead.
     pub fn is_isolated(&self, now: Duration) -> bool {
         let patience = self.settings.heartbeat_timeout() + Duration::from_secs(3);
-        self.stage == Stage::Ready
+        self.loading.is_ready()
             && now.saturating_sub(self.last_direct_heartbeat_at) > patience
             && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
     }
@@ -187,8 +179,8 @@
     /// A leader that has not read yet does not know how old its ignorance is, and
     /// doesn't wait; but it takes the silence of many for its own fault.
     fn remove_silent_beyond_lease(&mut self, now: Duration, evidence: LeaderEvidence) {
-        let reading = self.stage == Stage::Loading;
-        let due = reading || now.saturating_sub(self.jobs_synced_at) >= self.cancel_grace();
+        let reading = !self.loading.is_ready();
+        let due = reading || now.saturating_sub(self.job_watch.synced_at()) >= self.cancel_grace();
         if due && evidence.no_peer_leads && self.is_cloud_reachable(now) {
             let silence = self.settings.worker_lease + Duration::from_secs(1);
             self.fleet.mark_silent_beyond_lease(now, silence, reading);
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -2,6 +2,7 @@
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
 mod intents;
+mod job_watch;
 mod loading;
 mod maintenance;
 mod permissions;
@@ -17,7 +18,7 @@
 use crate::calls::{CallPurpose, FinishedJob, LeaderCall, PendingRental, StoredKey, WriteBatch};
 use crate::effects::EffectSink;
 use crate::fleet::Fleet;
-use crate::jobs::job::{JobId, JobSpec};
+use crate::jobs::job::JobSpec;
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
 use crate::placement::index::PlacementIndex;
@@ -33,9 +34,6 @@
 use std::time::Duration;
 
 const TARGET: &str = "target";
-/// How long the watch on the jobs waits; its return proves that no
-/// cancellation up to its start is unseen.
-const WATCH: Duration = Duration::from_secs(1);
 const PAUSE: Duration = Duration::from_millis(250);
 /// Ends that need no hurry are written together after this time.
 const ENDS_WAIT: Duration = Duration::from_secs(4);
@@ -80,10 +78,6 @@
 const MIN_WINDOW: Duration = Duration::from_secs(20);
 const RUSH: Duration = Duration::from_secs(5);
 
-/// A chunk as it is stored: of which job, whether laid anew, its number, its value
-/// and its stamp.
-type ChunkRow = (JobId, (bool, u32), String, u64);
-
 /// A round's decision, as the state service keeps it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Target {
@@ -118,34 +112,19 @@
     pub peers_agree: bool,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
-    Loading,
-    Ready,
-}
-
 #[derive(Debug)]
 pub struct Leader {
     settings: Arc<Settings>,
     pub token: u64,
     started_at: Duration,
-    stage: Stage,
+    loading: loading::JobLoading,
+    job_watch: job_watch::JobWatch,
     pub job_table: JobTable,
     pub fleet: Fleet,
-    loaded_chunks: Vec<ChunkRow>,
     /// Every node has this version: what older ones can't read may be stored.
     pub all_nodes_upgraded: bool,
     /// Some job's chunks are still to be laid anew.
     rechunk_pending: bool,
-    load_after_key: Option<String>,
-    load_retry_at: Option<Duration>,
-    /// Reading failed since it last succeeded.
-    loading_failed: bool,
-    /// The revision up to which the jobs are known; `fresh`: as of when.
-    jobs_revision: Option<u64>,
-    jobs_synced_at: Duration,
-    watch_in_flight: bool,
-    next_watch_at: Duration,
     txns_in_flight: usize,
     writes_paused_until: Duration,
     write_budget: TokenBucket,
@@ -223,19 +202,12 @@
         Self {
             token,
             started_at: now,
-            stage: Stage::Loading,
+            loading: loading::JobLoading::default(),
+            job_watch: job_watch::JobWatch::new(now),
             job_table: JobTable::default(),
             fleet: Fleet::default(),
-            loaded_chunks: Vec::new(),
             all_nodes_upgraded: false,
             rechunk_pending: false,
-            load_after_key: None,
-            load_retry_at: None,
-            loading_failed: false,
-            jobs_revision: None,
-            jobs_synced_at: now,
-            watch_in_flight: false,
-            next_watch_at: now,
             txns_in_flight: 0,
             writes_paused_until: Duration::ZERO,
             write_budget: write_budget(settings.kv_changes_per_s),
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -1,7 +1,7 @@
 //! What the leader may do with what this node reaches: the one table, and the evidence
 //! that its bounds name.
 
-use super::{Leader, Stage, BLIND_MARGIN, STALE};
+use super::{Leader, BLIND_MARGIN, STALE};
 use crate::protocol::{Heartbeat, MachineName};
 use crate::reachability::LeaderFacts;
 use plankhead_reachability::permission::{Action, Permission, Precondition};
@@ -19,7 +19,7 @@
     }
 
     fn is_within(&self, bound: Precondition, now: Duration) -> bool {
-        let blind = now.saturating_sub(self.jobs_synced_at);
+        let blind = now.saturating_sub(self.job_watch.synced_at());
         match bound {
             Precondition::JobsSynced => blind < STALE,
             // Leases must run out before a cancellation that was not seen is due.
@@ -42,7 +42,7 @@
         LeaderFacts {
             token: self.token,
             leading_since: self.started_at,
-            lease_undisputed: steady && self.stage == Stage::Ready,
+            lease_undisputed: steady && self.loading.is_ready(),
             machines_up: up().count(),
             heard_directly: direct.map(|machine| machine.name.clone()).collect(),
             confirmed_commands: reached.map(|machine| machine.name.clone()).collect(),
@@ -61,7 +61,7 @@
 
     /// Machines that should report to this leader.
     pub fn machines_expected(&self) -> usize {
-        if self.stage == Stage::Ready {
+        if self.loading.is_ready() {
             self.fleet
                 .machines
                 .values()
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -6,7 +6,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobPhase, JobRecord};
 use crate::leadership::election;
-use crate::protocol::{CallError, CloudReply, CommandReply, JobStatus, KvReply, LogLevel, WatchEvent};
+use crate::protocol::{CallError, CloudReply, CommandReply, JobStatus, KvReply, LogLevel};
 use crate::requests::RequestHandler;
 use plankhead_fencing::duty::IdempotencyKey;
 use std::collections::BTreeSet;
@@ -33,21 +33,7 @@
             }
             LeaderCall::ReadIntents { page, sent } => self.intents_reread(now, page, sent, reply),
             LeaderCall::WatchJobs { sent } => {
-                self.watch_in_flight = false;
-                match reply {
-                    Ok(KvReply::Events { revision: epoch, events }) => {
-                        for event in events {
-                            if let WatchEvent::Put(row) = event {
-                                self.job_record_changed(times, &row, requests);
-                            }
-                        }
-                        self.jobs_revision = self.jobs_revision.max(Some(epoch));
-                        self.jobs_synced_at = self.jobs_synced_at.max(sent);
-                        self.kill_cancelled(now, effects);
-                    }
-                    Ok(KvReply::Compacted) => return false,
-                    _ => self.next_watch_at = now + PAUSE,
-                }
+                return self.jobs_watched(times, sent, reply, requests, effects);
             }
             LeaderCall::Commit(batch) => return self.batch_written(times, batch, reply, requests, effects),
             LeaderCall::ReadChunk(id, number) => {
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,6 +1,6 @@
 //! Renting machines and giving them back.
 
-use super::{Leader, LeaderEvidence, Stage, IDLE};
+use super::{Leader, LeaderEvidence, IDLE};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
 use crate::fleet::RemovalReason;
@@ -161,7 +161,7 @@
         evidence: LeaderEvidence,
         effects: &mut EffectSink,
     ) {
-        let free = evidence.lease_valid && self.stage == Stage::Ready;
+        let free = evidence.lease_valid && self.loading.is_ready();
         if now < self.next_release_at || !(free || self.is_cloud_reachable(now)) {
             return;
         }
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -1,6 +1,6 @@
 //! What users and operators see of the leader.
 
-use super::{Leader, Stage, LATE_SCAN, STUCK};
+use super::{Leader, LATE_SCAN, STUCK};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobId, JobPhase};
 use crate::jobs::job_table::JobEntry;
@@ -119,11 +119,11 @@
         let up = self.fleet.machines.values().filter(|m| m.is_up()).count();
         serde_json::json!({
             "token": self.token,
-            "ready": self.stage == Stage::Ready,
+            "ready": self.loading.is_ready(),
             "jobs": self.job_table.jobs.len(),
             "machines": {"held": self.fleet.machines.len(), "up": up},
             "target": self.target,
-            "blindS": now.saturating_sub(self.jobs_synced_at).as_secs_f64(),
+            "blindS": now.saturating_sub(self.job_watch.synced_at()).as_secs_f64(),
             "lateOrStuck": jobs,
             "gangsWaiting": gangs,
             "fencing": self.intents.view(),
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -1,6 +1,6 @@
 //! Reports of workers and orders for them.
 
-use super::{Leader, Stage, FULL_PAUSE, MAX_LEEWAY, MAX_ORDERS};
+use super::{Leader, FULL_PAUSE, MAX_LEEWAY, MAX_ORDERS};
 use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
@@ -23,13 +23,14 @@
     /// takeovers in a row, each of which kept the leases for some seconds of its own,
     /// would keep a cancelled task for longer than `cancel_s`.
     pub(super) fn may_renew_leases(&self, now: Duration) -> bool {
-        self.stage == Stage::Ready && self.permits(Action::KeepLeases, now)
+        self.loading.is_ready() && self.permits(Action::KeepLeases, now)
     }
 
     /// Whether starts may be sent: no cancellation is likely to have been confirmed
     /// unseen. Where the state service has just failed this node, another may have.
     pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
-        self.permits(Action::Start, now) && self.lease_doubted_at.is_none_or(|at| at < self.jobs_synced_at)
+        self.permits(Action::Start, now)
+            && self.lease_doubted_at.is_none_or(|at| at < self.job_watch.synced_at())
     }
 
     /// Answers a report. `is_cut_off`: neither the state service nor any sibling is
@@ -99,7 +100,7 @@
             false => self.fleet.observe_heartbeat(heartbeat, self.token, times.now),
         };
         self.pass_needed |= up(&self.fleet) != before;
-        if heard != HeartbeatNews::Stale && self.stage == Stage::Ready {
+        if heard != HeartbeatNews::Stale && self.loading.is_ready() {
             self.observe_tasks(times, heartbeat, heard, effects);
         }
         heard
