--- /dev/null
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -0,0 +1,175 @@
+//! Stored keys that nobody needs any more, and the archive of ended jobs.
+
+use super::Leader;
+use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::effects::EffectSink;
+use crate::jobs::job::{JobId, JobPhase};
+use crate::leadership::election;
+use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest};
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// What is to be deleted or archived once there is room to write.
+#[derive(Debug, Default)]
+pub(super) struct Garbage {
+    keys: Vec<StoredKey>,
+    /// How many of the keys, at the front, should go soon.
+    urgent: usize,
+    /// Records of jobs that are over, to be moved out of the next leader's way.
+    to_archive: VecDeque<FinishedJob>,
+    write_in_flight: bool,
+}
+
+impl Garbage {
+    pub(super) fn add(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
+        self.keys.extend(keys);
+    }
+
+    /// Adds keys that a next leader would wait for.
+    pub(super) fn add_urgent(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
+        let before = self.keys.len();
+        self.keys.extend(keys);
+        let added = self.keys.len() - before;
+        self.keys.rotate_right(added);
+        self.urgent += added;
+    }
+
+    /// Has the record of an ended job moved to the archive.
+    pub(super) fn archive(&mut self, job: FinishedJob) {
+        self.to_archive.push_back(job);
+    }
+
+    /// Forgets everything, since loading starts over.
+    pub(super) fn clear(&mut self) {
+        self.keys.clear();
+        self.to_archive.clear();
+        self.urgent = 0;
+    }
+}
+
+impl Leader {
+    /// Drops chunks that nobody needs, when there is room to write.
+    pub(super) fn delete_garbage(&mut self, now: Duration, effects: &mut EffectSink) {
+        let spare = self.persistence.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
+        let due = spare || self.garbage.urgent > 0;
+        if self.garbage.write_in_flight || !due || self.persistence.is_paused(now) {
+            return;
+        }
+        if self.garbage.keys.is_empty() {
+            return self.archive_finished_jobs(now, effects);
+        }
+        let most =
+            if spare { self.garbage.keys.len() } else { self.garbage.urgent.min(self.garbage.keys.len()) };
+        let most = self.settings.max_txn_changes.min(most).min(self.persistence.available(now));
+        let mut keys: Vec<StoredKey> = self.garbage.keys.drain(..most).collect();
+        keys.sort_by(|a, b| a.key.cmp(&b.key));
+        keys.dedup_by(|a, b| a.key == b.key);
+        self.garbage.urgent = self.garbage.urgent.saturating_sub(keys.len());
+        if self.intents.is_fenced() {
+            keys = self.with_known_revision(keys, effects);
+        }
+        if keys.is_empty() || !self.persistence.take(now, keys.len()) {
+            return self.garbage.keys.extend(keys);
+        }
+        self.garbage.write_in_flight = true;
+        let mut conditions = vec![self.leader_condition()];
+        if self.intents.is_fenced() {
+            let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), mod_revision: k.revision? });
+            conditions.extend(keys.iter().filter_map(revision));
+        }
+        let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
+        self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
+    }
+
+    /// Where duties are fenced, a key goes only at the revision that is known to be over:
+    /// where that is in doubt it is read first.
+    fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
+        let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
+        for StoredKey { key, .. } in unknown {
+            self.call_kv(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, effects);
+        }
+        known
+    }
+
+    /// Some keys had other revisions than were known: nothing went.
+    fn doubt_garbage(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
+        let revised = |mut stored: StoredKey| {
+            if failed.contains(&stored.key) {
+                stored.revision = None;
+            }
+            stored
+        };
+        self.garbage.keys.extend(keys.into_iter().map(revised));
+    }
+
+    /// The reply to a question after a key that is to go. A job of that name may be there
+    /// again: then its records are its own.
+    pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
+        let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
+        let needed =
+            job.is_some_and(|id| self.job_table.jobs.get(&id).is_some_and(|e| e.phase == JobPhase::Active));
+        match reply {
+            _ if needed => {}
+            Ok(KvReply::Value(None)) => {}
+            Ok(KvReply::Value(Some(row))) => {
+                self.garbage.keys.push(StoredKey { key, revision: Some(row.mod_revision) });
+            }
+            _ => self.garbage.keys.push(StoredKey { key, revision: None }),
+        }
+    }
+
+    /// Moves records of jobs that are over to where no new leader reads them.
+    fn archive_finished_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
+        let most = (self.settings.max_txn_changes / 2).min(self.garbage.to_archive.len());
+        if most == 0 || !self.persistence.take(now, most * 2) {
+            return;
+        }
+        self.garbage.write_in_flight = true;
+        let finals: Vec<FinishedJob> = self.garbage.to_archive.drain(..most).collect();
+        let mut conditions = vec![self.leader_condition()];
+        let mut changes = Vec::new();
+        for job in &finals {
+            let Ok(value) = serde_json::to_string(&job.record) else { continue };
+            conditions.push(Condition { key: job.id.key(), mod_revision: job.mod_revision });
+            changes.push(KvChange::Put { key: job.id.archive_key(), value, lease: None });
+            changes.push(KvChange::Delete { key: job.id.key() });
+        }
+        self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, effects);
+    }
+
+    /// Takes in the reply to a deletion; false: somebody else leads.
+    pub(super) fn garbage_deleted(
+        &mut self,
+        keys: Vec<StoredKey>,
+        reply: Result<KvReply, CallError>,
+    ) -> bool {
+        self.garbage.write_in_flight = false;
+        match reply {
+            Ok(KvReply::Committed { .. }) => {}
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => return false,
+            Ok(KvReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
+            _ => self.garbage.keys.extend(keys),
+        }
+        true
+    }
+
+    /// Takes in the reply to a move into the archive; false: somebody else leads.
+    pub(super) fn jobs_archived(
+        &mut self,
+        jobs: Vec<FinishedJob>,
+        reply: Result<KvReply, CallError>,
+    ) -> bool {
+        self.garbage.write_in_flight = false;
+        match reply {
+            Ok(KvReply::Committed { .. }) => {}
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => return false,
+            // Moved already, by a transaction whose reply was lost.
+            Ok(KvReply::Conflict { failed }) => {
+                let left = jobs.into_iter().filter(|job| !failed.contains(&job.id.key()));
+                self.garbage.to_archive.extend(left);
+            }
+            _ => self.garbage.to_archive.extend(jobs),
+        }
+        true
+    }
+}
--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -2,8 +2,9 @@
 //! former leader left open is finished. `plankhead-fencing` decides; this carries its
 //! decisions to the state service and the cloud.
 
+use super::persistence::MAX_TXN_BYTES;
 use super::scaling::RentalRetry;
-use super::{Leader, LeaderEvidence, PAUSE, TXN_BYTES};
+use super::{Leader, LeaderEvidence};
 use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::RemovalReason;
@@ -62,7 +63,7 @@
         let limits = Limits {
             value_bytes: settings.max_value_bytes,
             changes: settings.max_txn_changes,
-            transaction_bytes: TXN_BYTES,
+            transaction_bytes: MAX_TXN_BYTES,
         };
         Self {
             settings: fencing,
@@ -258,7 +259,7 @@
     }
 
     fn read_uncertain_pages(&mut self, now: Duration, effects: &mut EffectSink) {
-        if now < self.writes_paused_until {
+        if self.persistence.is_paused(now) {
             return;
         }
         for page in self.intents.log.uncertain_pages() {
@@ -275,7 +276,7 @@
     fn write_intents(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let urgent = !self.intents.forced.is_empty();
         // Without the lease a write would only fail, which a forced return must know.
-        if !evidence.lease_valid && !urgent || now < self.writes_paused_until {
+        if !evidence.lease_valid && !urgent || self.persistence.is_paused(now) {
             return;
         }
         let tidy = evidence.lease_valid && now >= self.intents.tidy_due;
@@ -284,13 +285,13 @@
         if !(due || tidy && self.intents.log.needs_compaction()) {
             return;
         }
-        let most = self.write_budget.available(now).min(self.settings.max_txn_changes);
+        let most = self.persistence.available(now).min(self.settings.max_txn_changes);
         let Some(changes) =
             (most > 0).then(|| self.intents.log.begin_write(most, tidy || !urgent && lacks)).flatten()
         else {
             return;
         };
-        self.write_budget.take(now, changes.len());
+        self.persistence.take(now, changes.len());
         self.intents.write_due = now + self.intents.settings.write_interval;
         self.intents.tidy_due = now + self.intents.settings.compaction_interval;
         let (conditions, changes) = self.intent_transaction(changes);
@@ -331,7 +332,7 @@
             _ => WriteOutcome::Lost,
         };
         if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Lost) {
-            self.writes_paused_until = self.writes_paused_until.max(now + PAUSE);
+            self.persistence.pause(now);
         }
         let durable = self.intents.log.end_write(outcome);
         if !fresh {
@@ -353,9 +354,9 @@
         self.intents.reading.remove(&page);
         match reply {
             Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
-            Err(CallError::RateLimited) => self.writes_paused_until = now + PAUSE,
+            Err(CallError::RateLimited) => self.persistence.pause(now),
             _ => {
-                self.writes_paused_until = now + PAUSE;
+                self.persistence.pause(now);
                 if now.saturating_sub(sent) < FRESH_FAILURE {
                     self.intents.log.reread_failed();
                 }
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -5,7 +5,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
-use crate::jobs::job_table::{tasks_per_chunk, JobEntry};
+use crate::jobs::job_table::tasks_per_chunk;
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
 use std::sync::Arc;
@@ -145,7 +145,7 @@
             });
             match (id, number) {
                 (Some(id), Some(_)) if !self.job_table.jobs.contains_key(&id) => {
-                    self.garbage.push(StoredKey { key: row.key, revision: Some(row.mod_revision) });
+                    self.garbage.add([StoredKey { key: row.key, revision: Some(row.mod_revision) }]);
                 }
                 (Some(job), Some((rechunked, number))) => {
                     let (value, mod_revision) = (row.value, row.mod_revision);
@@ -255,10 +255,10 @@
                 let news = self.job_table.job_finished(&id);
                 if !self.loading.is_ready() || news {
                     let job = FinishedJob { id: id.clone(), mod_revision: row.mod_revision, record };
-                    self.to_archive.push_back(job);
+                    self.garbage.archive(job);
                 }
                 if news {
-                    self.garbage.extend(stored);
+                    self.garbage.add(stored);
                 }
                 return;
             }
@@ -288,8 +288,4 @@
         self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
         self.pass_needed = true;
     }
-
-    pub(super) fn delete_chunks_of(&mut self, id: &JobId, entry: &JobEntry) {
-        self.garbage.extend(entry.stored_keys(id));
-    }
 }
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -36,8 +36,6 @@
         if !self.loading.is_ready() {
             if self.loading.take_due_retry(now) {
                 self.garbage.clear();
-                self.to_archive.clear();
-                self.urgent_garbage = 0;
                 self.begin_loading(now, effects);
             }
             if now >= self.next_maintenance_at {
@@ -55,7 +53,7 @@
         // What could not be written yet could not start either: the next pass
         // waits for it and so puts more into one write, but not for long.
         let backlog = self.job_table.dirty_placements.len();
-        let written = backlog == 0 || backlog <= self.write_budget.available(now);
+        let written = backlog == 0 || backlog <= self.persistence.available(now);
         let due = if written { self.next_pass_at } else { self.next_pass_at + PASS_PATIENCE };
         if places && self.pass_needed && now >= due {
             self.pass_needed = false;
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's role: it knows every job, places tasks, minds the workers and
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
+mod garbage;
 mod intents;
 mod job_watch;
 mod loading;
@@ -15,31 +16,26 @@
 mod view;
 mod workers;
 
-use crate::calls::{CallPurpose, FinishedJob, LeaderCall, PendingRental, StoredKey, WriteBatch};
+use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::EffectSink;
 use crate::fleet::Fleet;
 use crate::jobs::job::JobSpec;
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
 use crate::placement::index::PlacementIndex;
-use crate::protocol::{Condition, Instance, KvChange, KvRequest, MachineName, MachineType};
+use crate::protocol::{Condition, Instance, KvRequest, MachineName, MachineType};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
 use crate::token_bucket::TokenBucket;
 use plankhead_reachability::mode::Mode;
 use serde::{Deserialize, Serialize};
 pub use shards::LeaderRoute;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
 const TARGET: &str = "target";
 const PAUSE: Duration = Duration::from_millis(250);
-/// Ends that need no hurry are written together after this time.
-const ENDS_WAIT: Duration = Duration::from_secs(4);
-/// Transactions under way at most.
-const MAX_TXNS: usize = 4;
-const TXN_BYTES: usize = 56 * 1024;
 /// Jobs that one pass looks at.
 const MAX_WORK: usize = 400;
 /// Orders in one answer to a worker: its lines must stay below 64 KiB.
@@ -66,8 +62,6 @@
 const PASS_PATIENCE: Duration = Duration::from_secs(1);
 /// How often machines are judged, rented and given back.
 const MIND: Duration = Duration::from_millis(200);
-/// How often ends are looked through for ones to write.
-const ENDS_LOOK: Duration = Duration::from_millis(250);
 /// A task that needed more attempts than this is not stopped again.
 const MAX_PREEMPTED: u64 = 2;
 /// Time between rounds while no machine is up yet.
@@ -119,23 +113,15 @@
     started_at: Duration,
     loading: loading::JobLoading,
     job_watch: job_watch::JobWatch,
+    persistence: persistence::Persistence,
+    garbage: garbage::Garbage,
     pub job_table: JobTable,
     pub fleet: Fleet,
     /// Every node has this version: what older ones can't read may be stored.
     pub all_nodes_upgraded: bool,
     /// Some job's chunks are still to be laid anew.
     rechunk_pending: bool,
-    txns_in_flight: usize,
-    writes_paused_until: Duration,
-    write_budget: TokenBucket,
     cloud_budget: TokenBucket,
-    keys_being_read: HashSet<String>,
-    garbage: Vec<StoredKey>,
-    /// How many of these, at the front, should go soon.
-    urgent_garbage: usize,
-    /// Records of jobs that are over, to be moved out of the next leader's way.
-    to_archive: VecDeque<FinishedJob>,
-    garbage_write_in_flight: bool,
     /// It has sent its first starts.
     first_start_sent: bool,
     /// Something changed that may let tasks start.
@@ -144,9 +130,6 @@
     next_preemption_at: Duration,
     /// When what time alone brings about is looked at again.
     next_maintenance_at: Duration,
-    /// Some key's stamp is in doubt.
-    has_uncertain_revisions: bool,
-    next_end_flush_at: Duration,
     pub target: Target,
     next_round_at: Duration,
     round: Option<sizing_rounds::Round>,
@@ -204,29 +187,21 @@
             started_at: now,
             loading: loading::JobLoading::default(),
             job_watch: job_watch::JobWatch::new(now),
+            persistence: persistence::Persistence::new(settings.kv_changes_per_s, now),
+            garbage: garbage::Garbage::default(),
             job_table: JobTable::default(),
             fleet: Fleet::default(),
             all_nodes_upgraded: false,
             rechunk_pending: false,
-            txns_in_flight: 0,
-            writes_paused_until: Duration::ZERO,
-            write_budget: write_budget(settings.kv_changes_per_s),
             cloud_budget: TokenBucket::new(
                 settings.cloud_requests_per_s * 0.8,
                 settings.cloud_requests_per_s,
             ),
-            keys_being_read: HashSet::new(),
-            garbage: Vec::new(),
-            urgent_garbage: 0,
-            to_archive: VecDeque::new(),
-            garbage_write_in_flight: false,
             first_start_sent: false,
             pass_needed: true,
             next_pass_at: now,
             next_preemption_at: now,
             next_maintenance_at: now,
-            has_uncertain_revisions: false,
-            next_end_flush_at: now,
             target: Target::default(),
             next_round_at: now,
             round: None,
@@ -285,7 +260,7 @@
         if !std::mem::replace(&mut self.all_nodes_upgraded, true) {
             let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
             if next < now {
-                self.write_budget = write_budget(next);
+                self.persistence.limit_rate(next);
             }
             self.rechunk_pending = true;
         }
@@ -300,26 +275,3 @@
         Condition { key: election::KEY.into(), mod_revision: self.token }
     }
 }
-
-/// The leader's part of the changes that the state service takes.
-fn write_budget(write_rps: f64) -> TokenBucket {
-    TokenBucket::new(write_rps * 0.8, write_rps * 0.6)
-}
-
-/// A transaction in the making.
-#[derive(Debug, Default)]
-struct Txn {
-    conditions: Vec<Condition>,
-    changes: Vec<KvChange>,
-    batch: WriteBatch,
-    bytes: usize,
-}
-
-impl Txn {
-    fn condition(&mut self, condition: Condition) {
-        if !self.conditions.contains(&condition) {
-            self.bytes += condition.key.len() + 40;
-            self.conditions.push(condition);
-        }
-    }
-}
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,30 +1,123 @@
 //! Making decisions durable, within the write budget.
 
-use super::{Leader, Txn, ENDS_LOOK, ENDS_WAIT, MAX_TXNS, TARGET, TXN_BYTES};
-use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use super::{Leader, PAUSE, TARGET};
+use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
+use crate::leadership::election;
 use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
 use crate::requests::RequestHandler;
+use crate::token_bucket::TokenBucket;
+use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
 
+/// How long task ends that need no hurry are collected before they are written.
+const END_FLUSH_DELAY: Duration = Duration::from_secs(4);
+/// How often chunks are searched for ends to write.
+const END_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
+/// Transactions under way at a time.
+const MAX_TXNS_IN_FLIGHT: usize = 4;
+/// Bytes of one transaction.
+pub(super) const MAX_TXN_BYTES: usize = 56 * 1024;
+
+/// The leader's writes to the state service: their budget, and what is in doubt.
+#[derive(Debug)]
+pub(super) struct Persistence {
+    budget: TokenBucket,
+    paused_until: Duration,
+    txns_in_flight: usize,
+    /// Keys whose revisions are being read again.
+    keys_being_read: HashSet<String>,
+    /// Some key's revision is in doubt.
+    has_uncertain_revisions: bool,
+    next_end_flush_at: Duration,
+}
+
+impl Persistence {
+    pub(super) fn new(kv_changes_per_s: f64, now: Duration) -> Self {
+        Self {
+            budget: write_budget(kv_changes_per_s),
+            paused_until: Duration::ZERO,
+            txns_in_flight: 0,
+            keys_being_read: HashSet::new(),
+            has_uncertain_revisions: false,
+            next_end_flush_at: now,
+        }
+    }
+
+    /// Replaces the budget by that of a lower limit, in changes per second.
+    pub(super) fn limit_rate(&mut self, kv_changes_per_s: f64) {
+        self.budget = write_budget(kv_changes_per_s);
+    }
+
+    /// How many changes may be written now.
+    pub(super) fn available(&mut self, now: Duration) -> usize {
+        self.budget.available(now)
+    }
+
+    /// Takes so many changes from the budget; false: there are fewer.
+    pub(super) fn take(&mut self, now: Duration, changes: usize) -> bool {
+        self.budget.take(now, changes)
+    }
+
+    /// Whether writes pause after a failure.
+    pub(super) fn is_paused(&self, now: Duration) -> bool {
+        now < self.paused_until
+    }
+
+    /// The state service refused or failed a call: writes pause.
+    pub(super) fn pause(&mut self, now: Duration) {
+        self.paused_until = now + PAUSE;
+    }
+
+    /// A key whose revision was in doubt has been read, or reading failed.
+    pub(super) fn key_read(&mut self, key: &str) {
+        self.keys_being_read.remove(key);
+    }
+}
+
+/// The leader's part of the changes that the state service takes.
+fn write_budget(kv_changes_per_s: f64) -> TokenBucket {
+    TokenBucket::new(kv_changes_per_s * 0.8, kv_changes_per_s * 0.6)
+}
+
+/// A transaction in the making.
+#[derive(Debug, Default)]
+struct Txn {
+    conditions: Vec<Condition>,
+    changes: Vec<KvChange>,
+    batch: WriteBatch,
+    /// About how long the request will be.
+    bytes: usize,
+}
+
+impl Txn {
+    /// Adds a condition unless it is there.
+    fn add_condition(&mut self, condition: Condition) {
+        if !self.conditions.contains(&condition) {
+            self.bytes += condition.key.len() + 40;
+            self.conditions.push(condition);
+        }
+    }
+}
+
 impl Leader {
     /// Sends transactions: finished jobs first, then placements, the more urgent
     /// ones before others, then ends.
     pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, effects: &mut EffectSink) {
-        if now < self.writes_paused_until {
+        if self.persistence.is_paused(now) {
             return;
         }
-        if self.has_uncertain_revisions {
+        if self.persistence.has_uncertain_revisions {
             self.reread_uncertain(effects);
         }
         self.close_ended_jobs(requests);
-        let ends = now >= self.next_end_flush_at;
+        let ends = now >= self.persistence.next_end_flush_at;
         if ends {
-            self.next_end_flush_at = now + ENDS_LOOK;
+            self.persistence.next_end_flush_at = now + END_FLUSH_INTERVAL;
         }
-        while self.txns_in_flight < MAX_TXNS {
-            let available = self.write_budget.available(now);
+        while self.persistence.txns_in_flight < MAX_TXNS_IN_FLIGHT {
+            let available = self.persistence.budget.available(now);
             let most = self.settings.max_txn_changes.min(available);
             if most == 0 {
                 return;
@@ -35,17 +128,17 @@
             self.add_chunks(placing, most, &mut txn);
             if ends {
                 // Ends leave room for the placements that may come next.
-                let spare = available.saturating_sub(self.write_budget.burst() / 2);
+                let spare = available.saturating_sub(self.persistence.budget.burst() / 2);
                 let ending = self.ends_to_write(now);
                 self.add_chunks(ending, most.min(spare), &mut txn);
             }
             if self.target_dirty && !self.target_write_in_flight && txn.changes.is_empty() {
                 return self.write_target(now, effects);
             }
-            if txn.changes.is_empty() || !self.write_budget.take(now, txn.changes.len()) {
+            if txn.changes.is_empty() || !self.persistence.budget.take(now, txn.changes.len()) {
                 return;
             }
-            self.txns_in_flight += 1;
+            self.persistence.txns_in_flight += 1;
             let op = KvRequest::Txn { conditions: txn.conditions, changes: txn.changes };
             self.call_kv(LeaderCall::Commit(txn.batch), op, effects);
         }
@@ -66,7 +159,7 @@
         let since = |(id, number): &(JobId, u32)| {
             let chunk = self.job_table.jobs.get(id)?.chunks.get(number)?;
             let at = chunk.ends_pending_since?;
-            (!chunk.write_in_flight && now.saturating_sub(at) >= ENDS_WAIT)
+            (!chunk.write_in_flight && now.saturating_sub(at) >= END_FLUSH_DELAY)
                 .then(|| (at, (id.clone(), *number)))
         };
         let mut waiting: Vec<(Duration, (JobId, u32))> =
@@ -77,7 +170,7 @@
 
     fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, most: usize, txn: &mut Txn) {
         for (id, number) in keys {
-            if txn.changes.len() >= most || txn.bytes > TXN_BYTES {
+            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
@@ -94,12 +187,12 @@
                 continue;
             }
             let Some((value, version)) = self.job_table.encode_chunk(&id, number) else { continue };
-            if txn.bytes + value.len() > TXN_BYTES && !txn.changes.is_empty() {
+            if txn.bytes + value.len() > MAX_TXN_BYTES && !txn.changes.is_empty() {
                 return;
             }
             let key = id.chunk_key(number, entry.rechunked);
-            txn.condition(Condition { key: id.key(), mod_revision: entry.mod_revision });
-            txn.condition(Condition { key: key.clone(), mod_revision: chunk.mod_revision });
+            txn.add_condition(Condition { key: id.key(), mod_revision: entry.mod_revision });
+            txn.add_condition(Condition { key: key.clone(), mod_revision: chunk.mod_revision });
             txn.bytes += value.len() + 400;
             txn.changes.push(KvChange::Put { key, value, lease: None });
             txn.batch.chunks.push((id.clone(), number, version));
@@ -112,7 +205,7 @@
     /// Finished jobs: the final record makes all their ends durable at once.
     fn add_final_records(&mut self, most: usize, txn: &mut Txn) {
         for id in self.job_table.ended_jobs.clone() {
-            if txn.changes.len() >= most || txn.bytes > TXN_BYTES {
+            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get_mut(&id) else { continue };
@@ -128,7 +221,7 @@
             let Ok(value) = serde_json::to_string(&record) else { continue };
             entry.final_write_in_flight = true;
             let mod_revision = entry.mod_revision;
-            txn.condition(Condition { key: id.key(), mod_revision });
+            txn.add_condition(Condition { key: id.key(), mod_revision });
             txn.bytes += value.len() + 200;
             txn.changes.push(KvChange::Put { key: id.key(), value, lease: None });
             txn.batch.finals.push(id.clone());
@@ -156,13 +249,9 @@
             requests.record_ended(&id, JobStatus::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
                 // The next leader would wait for proof of all that is left here.
-                let before = self.garbage.len();
-                self.delete_chunks_of(&id, &entry);
+                self.garbage.add_urgent(entry.stored_keys(&id));
                 let record = JobRecord::finished(JobPhase::Cancelled, 0);
-                self.to_archive.push_back(FinishedJob { id, mod_revision: entry.mod_revision, record });
-                let added = self.garbage.len() - before;
-                self.garbage.rotate_right(added);
-                self.urgent_garbage += added;
+                self.garbage.archive(FinishedJob { id, mod_revision: entry.mod_revision, record });
             }
         }
     }
@@ -170,7 +259,7 @@
     /// Reads again what is in doubt.
     fn reread_uncertain(&mut self, effects: &mut EffectSink) {
         let mut calls = Vec::new();
-        self.has_uncertain_revisions = false;
+        self.persistence.has_uncertain_revisions = false;
         for (id, number) in &self.job_table.dirty_chunks {
             let stale = self
                 .job_table
@@ -178,15 +267,15 @@
                 .get(id)
                 .and_then(|e| e.chunks.get(number))
                 .is_some_and(|c| c.revision_uncertain);
-            self.has_uncertain_revisions |= stale;
+            self.persistence.has_uncertain_revisions |= stale;
             let key = self.chunk_key(id, *number);
-            if stale && self.keys_being_read.insert(key.clone()) {
+            if stale && self.persistence.keys_being_read.insert(key.clone()) {
                 calls.push((LeaderCall::ReadChunk(id.clone(), *number), key));
             }
         }
         for (id, entry) in &self.job_table.jobs {
-            self.has_uncertain_revisions |= entry.revision_uncertain;
-            if entry.revision_uncertain && self.keys_being_read.insert(id.key()) {
+            self.persistence.has_uncertain_revisions |= entry.revision_uncertain;
+            if entry.revision_uncertain && self.persistence.keys_being_read.insert(id.key()) {
                 calls.push((LeaderCall::ReadJob(id.clone()), id.key()));
             }
         }
@@ -201,7 +290,7 @@
             self.target_dirty = false;
             return effects.log(LogLevel::Error, "the target is too large to be stored".into());
         }
-        if !self.write_budget.take(now, 1) {
+        if !self.persistence.budget.take(now, 1) {
             return;
         }
         self.target_dirty = false;
@@ -214,91 +303,66 @@
         );
     }
 
-    /// Drops chunks that nobody needs, when there is room to write.
-    pub(super) fn delete_garbage(&mut self, now: Duration, effects: &mut EffectSink) {
-        let spare = self.write_budget.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
-        let due = spare || self.urgent_garbage > 0;
-        if self.garbage_write_in_flight || !due || now < self.writes_paused_until {
-            return;
-        }
-        if self.garbage.is_empty() {
-            return self.archive_finished_jobs(now, effects);
-        }
-        let most = if spare { self.garbage.len() } else { self.urgent_garbage.min(self.garbage.len()) };
-        let most = self.settings.max_txn_changes.min(most).min(self.write_budget.available(now));
-        let mut keys: Vec<StoredKey> = self.garbage.drain(..most).collect();
-        keys.sort_by(|a, b| a.key.cmp(&b.key));
-        keys.dedup_by(|a, b| a.key == b.key);
-        self.urgent_garbage = self.urgent_garbage.saturating_sub(keys.len());
-        if self.intents.is_fenced() {
-            keys = self.with_known_revision(keys, effects);
-        }
-        if keys.is_empty() || !self.write_budget.take(now, keys.len()) {
-            return self.garbage.extend(keys);
-        }
-        self.garbage_write_in_flight = true;
-        let mut conditions = vec![self.leader_condition()];
-        if self.intents.is_fenced() {
-            let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), mod_revision: k.revision? });
-            conditions.extend(keys.iter().filter_map(revision));
-        }
-        let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
-        self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
-    }
-
-    /// Where duties are fenced, a key goes only at the revision that is known to be over:
-    /// where that is in doubt it is read first.
-    fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
-        let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
-        for StoredKey { key, .. } in unknown {
-            self.call_kv(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, effects);
-        }
-        known
-    }
-
-    /// Some keys had other revisions than were known: nothing went.
-    pub(super) fn doubt_garbage(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
-        let revised = |mut stored: StoredKey| {
-            if failed.contains(&stored.key) {
-                stored.revision = None;
-            }
-            stored
-        };
-        self.garbage.extend(keys.into_iter().map(revised));
-    }
-
-    /// The reply to a question after a key that is to go. A job of that name may be there
-    /// again: then its records are its own.
-    pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
-        let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
-        let needed =
-            job.is_some_and(|id| self.job_table.jobs.get(&id).is_some_and(|e| e.phase == JobPhase::Active));
+    /// Takes in the reply to a transaction; false: somebody else leads.
+    pub(super) fn batch_written(
+        &mut self,
+        now: Duration,
+        batch: WriteBatch,
+        reply: Result<KvReply, CallError>,
+        requests: &mut RequestHandler,
+        effects: &mut EffectSink,
+    ) -> bool {
+        self.persistence.txns_in_flight -= 1;
+        let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
-            _ if needed => {}
-            Ok(KvReply::Value(None)) => {}
-            Ok(KvReply::Value(Some(row))) => {
-                self.garbage.push(StoredKey { key, revision: Some(row.mod_revision) });
+            Ok(KvReply::Committed { revision }) => {
+                let mut machines = BTreeSet::new();
+                for (id, number, version) in &batch.chunks {
+                    machines.extend(self.job_table.chunk_committed(id, *number, *version, revision));
+                }
+                for id in &batch.finals {
+                    let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
+                    // Only now: chunks that went before a final record that was lost
+                    // would have the next leader begin the job anew.
+                    let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
+                    if self.job_table.job_finished(id) {
+                        self.garbage.add(stored);
+                        requests.record_ended(id, JobStatus::Done, tasks);
+                        let record = JobRecord::finished(JobPhase::Done, tasks);
+                        self.garbage.archive(FinishedJob { id: id.clone(), mod_revision: revision, record });
+                    }
+                }
+                for machine in machines {
+                    self.send_commands(now, &machine, effects);
+                }
+                return true;
             }
-            _ => self.garbage.push(StoredKey { key, revision: None }),
+            Ok(KvReply::Conflict { failed: keys }) => failed = keys,
+            Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
+                self.persistence.pause(now);
+            }
+            _ => lost = true,
         }
-    }
-
-    /// Moves records of jobs that are over to where no new leader reads them.
-    fn archive_finished_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
-        let most = (self.settings.max_txn_changes / 2).min(self.to_archive.len());
-        if most == 0 || !self.write_budget.take(now, most * 2) {
-            return;
+        if failed.iter().any(|k| k == election::KEY) {
+            return false;
+        }
+        self.persistence.has_uncertain_revisions = true;
+        // A transaction whose reply was lost may still be applied: before the
+        // next write, the stamps are read again.
+        for (id, number, _) in &batch.chunks {
+            let stale = lost || failed.contains(&self.chunk_key(id, *number));
+            self.job_table.chunk_write_failed(id, *number, stale);
         }
-        self.garbage_write_in_flight = true;
-        let finals: Vec<FinishedJob> = self.to_archive.drain(..most).collect();
-        let mut conditions = vec![self.leader_condition()];
-        let mut changes = Vec::new();
-        for job in &finals {
-            let Ok(value) = serde_json::to_string(&job.record) else { continue };
-            conditions.push(Condition { key: job.id.key(), mod_revision: job.mod_revision });
-            changes.push(KvChange::Put { key: job.id.archive_key(), value, lease: None });
-            changes.push(KvChange::Delete { key: job.id.key() });
+        let jobs = batch.chunks.iter().map(|(id, ..)| id).chain(&batch.finals);
+        for id in jobs {
+            if let Some(entry) = self.job_table.jobs.get_mut(id) {
+                entry.revision_uncertain |= failed.contains(&id.key());
+                if batch.finals.contains(id) {
+                    entry.final_write_in_flight = false;
+                    entry.revision_uncertain |= lost;
+                }
+            }
         }
-        self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, effects);
+        true
     }
 }
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -2,14 +2,11 @@
 
 use super::scaling::RentalRetry;
 use super::{Leader, PAUSE};
-use crate::calls::{FinishedJob, LeaderCall, PendingRental, WriteBatch};
+use crate::calls::{LeaderCall, PendingRental};
 use crate::effects::{EffectSink, StepTime};
-use crate::jobs::job::{JobPhase, JobRecord};
-use crate::leadership::election;
-use crate::protocol::{CallError, CloudReply, CommandReply, JobStatus, KvReply, LogLevel};
+use crate::protocol::{CallError, CloudReply, CommandReply, KvReply, LogLevel};
 use crate::requests::RequestHandler;
 use plankhead_fencing::duty::IdempotencyKey;
-use std::collections::BTreeSet;
 
 impl Leader {
     /// Handles a reply of the state service; false: somebody else leads.
@@ -35,53 +32,29 @@
             LeaderCall::WatchJobs { sent } => {
                 return self.jobs_watched(times, sent, reply, requests, effects);
             }
-            LeaderCall::Commit(batch) => return self.batch_written(times, batch, reply, requests, effects),
+            LeaderCall::Commit(batch) => return self.batch_written(now, batch, reply, requests, effects),
             LeaderCall::ReadChunk(id, number) => {
-                self.keys_being_read.remove(&self.chunk_key(&id, number));
+                self.persistence.key_read(&self.chunk_key(&id, number));
                 if let Ok(KvReply::Value(row)) = reply {
                     self.job_table.set_chunk_revision(&id, number, row.map_or(0, |r| r.mod_revision));
                 } else {
-                    self.writes_paused_until = now + PAUSE;
+                    self.persistence.pause(now);
                 }
             }
             LeaderCall::ReadJob(id) => {
-                self.keys_being_read.remove(&id.key());
+                self.persistence.key_read(&id.key());
                 match reply {
                     Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
                     Ok(KvReply::Value(None)) => {
                         effects.log(LogLevel::Error, format!("the record of {id} is missing"));
-                        self.writes_paused_until = now + PAUSE;
+                        self.persistence.pause(now);
                     }
-                    _ => self.writes_paused_until = now + PAUSE,
-                }
-            }
-            LeaderCall::DeleteGarbage(keys) => {
-                self.garbage_write_in_flight = false;
-                match reply {
-                    Ok(KvReply::Committed { .. }) => {}
-                    Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
-                        return false;
-                    }
-                    Ok(KvReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
-                    _ => self.garbage.extend(keys),
+                    _ => self.persistence.pause(now),
                 }
             }
+            LeaderCall::DeleteGarbage(keys) => return self.garbage_deleted(keys, reply),
             LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
-            LeaderCall::ArchiveJobs(finals) => {
-                self.garbage_write_in_flight = false;
-                match reply {
-                    Ok(KvReply::Committed { .. }) => {}
-                    Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
-                        return false;
-                    }
-                    // Moved already, by a transaction whose reply was lost.
-                    Ok(KvReply::Conflict { failed }) => {
-                        self.to_archive
-                            .extend(finals.into_iter().filter(|job| !failed.contains(&job.id.key())));
-                    }
-                    _ => self.to_archive.extend(finals),
-                }
-            }
+            LeaderCall::ArchiveJobs(jobs) => return self.jobs_archived(jobs, reply),
             LeaderCall::WriteTarget => {
                 self.target_write_in_flight = false;
                 match reply {
@@ -95,73 +68,6 @@
         true
     }
 
-    pub(super) fn batch_written(
-        &mut self,
-        times: StepTime,
-        batch: WriteBatch,
-        reply: Result<KvReply, CallError>,
-        requests: &mut RequestHandler,
-        effects: &mut EffectSink,
-    ) -> bool {
-        let now = times.now;
-        self.txns_in_flight -= 1;
-        let (mut failed, mut lost) = (Vec::new(), false);
-        match reply {
-            Ok(KvReply::Committed { revision: epoch }) => {
-                let mut hosts = BTreeSet::new();
-                for (id, number, version) in &batch.chunks {
-                    hosts.extend(self.job_table.chunk_committed(id, *number, *version, epoch));
-                }
-                for id in &batch.finals {
-                    let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
-                    // Only now: chunks that went before a final record that was lost
-                    // would have the next leader begin the job anew.
-                    let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
-                    if self.job_table.job_finished(id) {
-                        self.garbage.extend(stored);
-                        requests.record_ended(id, JobStatus::Done, tasks);
-                        let record = JobRecord::finished(JobPhase::Done, tasks);
-                        self.to_archive.push_back(FinishedJob {
-                            id: id.clone(),
-                            mod_revision: epoch,
-                            record,
-                        });
-                    }
-                }
-                for host in hosts {
-                    self.send_commands(now, &host, effects);
-                }
-                return true;
-            }
-            Ok(KvReply::Conflict { failed: keys }) => failed = keys,
-            Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
-                self.writes_paused_until = now + PAUSE;
-            }
-            _ => lost = true,
-        }
-        if failed.iter().any(|k| k == election::KEY) {
-            return false;
-        }
-        self.has_uncertain_revisions = true;
-        // A transaction whose reply was lost may still be applied: before the
-        // next write, the stamps are read again.
-        for (id, number, _) in &batch.chunks {
-            let stale = lost || failed.contains(&self.chunk_key(id, *number));
-            self.job_table.chunk_write_failed(id, *number, stale);
-        }
-        let jobs = batch.chunks.iter().map(|(id, ..)| id).chain(&batch.finals);
-        for id in jobs {
-            if let Some(entry) = self.job_table.jobs.get_mut(id) {
-                entry.revision_uncertain |= failed.contains(&id.key());
-                if batch.finals.contains(id) {
-                    entry.final_write_in_flight = false;
-                    entry.revision_uncertain |= lost;
-                }
-            }
-        }
-        true
-    }
-
     pub fn cloud_reply(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn write_records(&mut self, now: Duration, effects: &mut EffectSink) {
-        let most = self.settings.max_txn_changes.min(self.write_budget.available(now));
+        let most = self.settings.max_txn_changes.min(self.persistence.available(now));
         let around = self.registry_input(now);
         let Some(shards) = &mut self.shards else { return };
         shards.next_write_at = shards.registry.next_due(now);
@@ -73,7 +73,7 @@
         if writes.is_empty() {
             return;
         }
-        self.write_budget.take(now, writes.len());
+        self.persistence.take(now, writes.len());
         let condition =
             |write: &RecordWrite| Condition { key: write.shard.key(), mod_revision: write.revision };
         let conditions = [self.leader_condition()].into_iter().chain(writes.iter().map(condition)).collect();
