--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -24,15 +24,7 @@
     ) {
         let (now, firm) = (times.now, evidence.lease_valid);
         self.intents.wall_ms = times.wall_ms();
-        self.cpu_starved = evidence.cpu_starved;
-        self.mode = evidence.mode;
-        self.peers_agree = evidence.peers_agree;
-        if !evidence.kv_undisputed {
-            self.lease_doubted_at = Some(now);
-        }
-        if std::mem::take(&mut self.direct_heartbeat_arrived) || !self.loading.is_ready() {
-            self.last_direct_heartbeat_at = now;
-        }
+        self.evidence.update(&evidence, !self.loading.is_ready(), now);
         if !self.loading.is_ready() {
             if self.loading.take_due_retry(now) {
                 self.garbage.clear();
@@ -155,9 +147,9 @@
     /// Whether no worker at all has reached this node for so long that another
     /// should try to lead.
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let patience = self.settings.heartbeat_timeout() + Duration::from_secs(3);
+        let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(3);
         self.loading.is_ready()
-            && now.saturating_sub(self.last_direct_heartbeat_at) > patience
+            && self.evidence.time_without_direct_heartbeat(now) > timeout
             && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
     }
 
@@ -198,13 +190,13 @@
     fn check_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let contact = self.hears_workers(now);
         // Where no node hears any worker, the silence is theirs.
-        let silence_tells = contact || self.mode == Mode::StateOnly;
+        let silence_tells = contact || self.evidence.mode() == Mode::StateOnly;
         if evidence.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
-            if !std::mem::replace(&mut self.silence_is_reliable, true) {
+            if self.evidence.trust_silence() {
                 self.fleet.reset_silence(now);
             }
             self.pass_needed |= self.fleet.mark_for_removal(now, &self.settings) > 0;
-            if !self.cpu_starved {
+            if !self.evidence.is_cpu_starved() {
                 self.probe_late_machines(now, effects);
             }
         } else {
@@ -213,7 +205,9 @@
             // a whole healthy fleet. While it hears workers, the others' silence is
             // theirs: forgiven after every lost renewal, machines that were gone kept
             // their tasks for ever under a lossy state service.
-            self.silence_is_reliable &= contact;
+            if !contact {
+                self.evidence.distrust_silence();
+            }
             self.remove_silent_beyond_lease(now, evidence);
         }
         // A cancelled task that is not proven gone takes its machine along, whoever
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's role: it knows every job, places tasks, minds the workers and
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
+mod evidence;
 mod garbage;
 mod intents;
 mod job_watch;
@@ -27,7 +28,7 @@
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
 use crate::token_bucket::TokenBucket;
-use plankhead_reachability::mode::Mode;
+pub use evidence::LeaderEvidence;
 use serde::{Deserialize, Serialize};
 pub use shards::LeaderRoute;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -89,23 +90,6 @@
     pub ordinary: u32,
 }
 
-/// How well a leader sees what others do.
-#[derive(Debug, Clone, Copy)]
-pub struct LeaderEvidence {
-    /// Its grant was renewed lately, so that its writes make sense.
-    pub lease_valid: bool,
-    /// And the state service has not failed it since.
-    pub kv_undisputed: bool,
-    /// It hears every sibling, and none of them leads.
-    pub no_peer_leads: bool,
-    /// The process has no processor time left.
-    pub cpu_starved: bool,
-    /// Which sides this node sees.
-    pub mode: Mode,
-    /// Every other node hears no worker either.
-    pub peers_agree: bool,
-}
-
 #[derive(Debug)]
 pub struct Leader {
     settings: Arc<Settings>,
@@ -113,6 +97,7 @@
     started_at: Duration,
     loading: loading::JobLoading,
     job_watch: job_watch::JobWatch,
+    evidence: evidence::Evidence,
     persistence: persistence::Persistence,
     garbage: garbage::Garbage,
     pub job_table: JobTable,
@@ -158,18 +143,6 @@
     /// Run time over estimate, by class.
     runtime_ratios: HashMap<String, f64>,
     next_lateness_scan_at: Duration,
-    /// A worker reached this node itself; `contact`: when that was last looked at.
-    direct_heartbeat_arrived: bool,
-    last_direct_heartbeat_at: Duration,
-    /// Whether silence of a machine could be blamed on the machine.
-    silence_is_reliable: bool,
-    /// When the state service last failed this node, or was about to.
-    lease_doubted_at: Option<Duration>,
-    /// The process is behind: starts go with the answers to reports only.
-    cpu_starved: bool,
-    /// Which sides this node sees, and whether the others hear no worker either.
-    mode: Mode,
-    peers_agree: bool,
     /// When the cloud last answered.
     cloud_replied_at: Option<Duration>,
     /// The jobs of the last interval: when each came, and what it was.
@@ -187,6 +160,7 @@
             started_at: now,
             loading: loading::JobLoading::default(),
             job_watch: job_watch::JobWatch::new(now),
+            evidence: evidence::Evidence::new(now),
             persistence: persistence::Persistence::new(settings.kv_changes_per_s, now),
             garbage: garbage::Garbage::default(),
             job_table: JobTable::default(),
@@ -224,13 +198,6 @@
             team_indices: settings.teams.keys().cloned().zip(0..).collect(),
             runtime_ratios: HashMap::new(),
             next_lateness_scan_at: now,
-            direct_heartbeat_arrived: false,
-            last_direct_heartbeat_at: now,
-            silence_is_reliable: true,
-            lease_doubted_at: None,
-            cpu_starved: false,
-            mode: Mode::Whole,
-            peers_agree: false,
             cloud_replied_at: None,
             recent_arrivals: VecDeque::new(),
             first_job_at: None,
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -11,7 +11,7 @@
 impl Leader {
     /// Whether the table allows an action at present.
     pub(super) fn permits(&self, action: Action, now: Duration) -> bool {
-        match self.settings.reachability.table.of(self.mode, action) {
+        match self.settings.reachability.table.of(self.evidence.mode(), action) {
             Permission::Allowed => true,
             Permission::Within(bound) => self.is_within(bound, now),
             Permission::Deferred(_) | Permission::Forbidden(_) => false,
@@ -27,7 +27,7 @@
                 let settings = &self.settings;
                 blind < settings.cancel_within.saturating_sub(settings.worker_lease + BLIND_MARGIN)
             }
-            Precondition::PeersAgree => self.peers_agree,
+            Precondition::PeersAgree => self.evidence.peers_agree(),
         }
     }
 
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -49,7 +49,9 @@
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
-        self.direct_heartbeat_arrived |= !message.updates.is_empty() || !alive.is_empty();
+        if !message.updates.is_empty() || !alive.is_empty() {
+            self.evidence.direct_heartbeat_arrived();
+        }
         let mut taken = true;
         for news in message.updates {
             taken &= self.apply_machine_update(times, &message.host, news, effects);
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -146,7 +146,8 @@
         }
         let Some(round) = self.round.as_mut().filter(|_| now >= self.next_replay_slice_at) else { return };
         let over = round.advance(self.cpu_budget);
-        self.next_replay_slice_at = now + self.cpu_budget.slice_interval(round.machines(), self.cpu_starved);
+        self.next_replay_slice_at =
+            now + self.cpu_budget.slice_interval(round.machines(), self.evidence.is_cpu_starved());
         if !over {
             return;
         }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -29,8 +29,7 @@
     /// Whether starts may be sent: no cancellation is likely to have been confirmed
     /// unseen. Where the state service has just failed this node, another may have.
     pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
-        self.permits(Action::Start, now)
-            && self.lease_doubted_at.is_none_or(|at| at < self.job_watch.synced_at())
+        self.permits(Action::Start, now) && !self.evidence.is_lease_doubted_since(self.job_watch.synced_at())
     }
 
     /// Answers a report. `is_cut_off`: neither the state service nor any sibling is
@@ -44,7 +43,9 @@
         effects: &mut EffectSink,
     ) -> Response {
         let now = times.now;
-        self.direct_heartbeat_arrived |= !relayed;
+        if !relayed {
+            self.evidence.direct_heartbeat_arrived();
+        }
         if !self.permits(Action::AnswerReports, now) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
@@ -363,7 +364,7 @@
         let told = |t: &TaskId| self.job_table.attempt(t).is_some_and(|a| a.start_sent);
         // A command of its own costs several times an answer, and the answer to the next
         // report carries the same: what can wait for that gives way first.
-        let starts: Vec<(TaskId, u64)> = match self.cpu_starved {
+        let starts: Vec<(TaskId, u64)> = match self.evidence.is_cpu_starved() {
             true => Vec::new(),
             false => self.due_starts(now, machine).filter(|(t, _)| !told(t)).collect(),
         };
