--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -227,7 +227,7 @@
                 now.saturating_sub(self.started_at).as_millis()
             ),
         );
-        self.pass_needed = true;
+        self.placement.request_pass();
     }
 
     fn load_chunks(&mut self, chunks: Vec<StoredChunk>, now: Duration, effects: &mut EffectSink) {
@@ -286,6 +286,6 @@
             }
         }
         self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
-        self.pass_needed = true;
+        self.placement.request_pass();
     }
 }
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -1,6 +1,6 @@
 //! What time alone brings about.
 
-use super::{Leader, LeaderEvidence, MIND, PASS_PATIENCE};
+use super::{Leader, LeaderEvidence, MIND};
 use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Machine, RemovalReason};
@@ -46,10 +46,8 @@
         // waits for it and so puts more into one write, but not for long.
         let backlog = self.job_table.dirty_placements.len();
         let written = backlog == 0 || backlog <= self.persistence.available(now);
-        let due = if written { self.next_pass_at } else { self.next_pass_at + PASS_PATIENCE };
-        if places && self.pass_needed && now >= due {
-            self.pass_needed = false;
-            self.next_pass_at = now + self.cpu_budget.pass_interval();
+        if places && self.placement.is_pass_due(now, written) {
+            self.placement.pass_began(now + self.cpu_budget.pass_interval());
             self.run_placement_pass(now, effects);
         }
         // A new leader that had not seen the machines yet took the fleet for none: it
@@ -106,8 +104,8 @@
         if let Some(watch) = self.job_watch.next_due() {
             due = due.min(watch);
         }
-        if self.pass_needed {
-            due = due.min(if self.next_pass_at > now { self.next_pass_at } else { retry });
+        if let Some(pass) = self.placement.next_pass_due(now, retry) {
+            due = due.min(pass);
         }
         let waits = !self.job_table.dirty_placements.is_empty()
             || !self.job_table.ended_jobs.is_empty()
@@ -195,7 +193,9 @@
             if self.evidence.trust_silence() {
                 self.fleet.reset_silence(now);
             }
-            self.pass_needed |= self.fleet.mark_for_removal(now, &self.settings) > 0;
+            if self.fleet.mark_for_removal(now, &self.settings) > 0 {
+                self.placement.request_pass();
+            }
             if !self.evidence.is_cpu_starved() {
                 self.probe_late_machines(now, effects);
             }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -23,7 +23,6 @@
 use crate::jobs::job::JobSpec;
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
-use crate::placement::index::PlacementIndex;
 use crate::protocol::{Condition, Instance, KvRequest, MachineName, MachineType};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
@@ -31,7 +30,7 @@
 pub use evidence::LeaderEvidence;
 use serde::{Deserialize, Serialize};
 pub use shards::LeaderRoute;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -59,8 +58,6 @@
 const STOPPING: Duration = Duration::from_millis(300);
 /// Tasks stopped for others in one pass at most.
 const MAX_STOPS: usize = 64;
-/// How much longer a pass waits for earlier placements to be written.
-const PASS_PATIENCE: Duration = Duration::from_secs(1);
 /// How often machines are judged, rented and given back.
 const MIND: Duration = Duration::from_millis(200);
 /// A task that needed more attempts than this is not stopped again.
@@ -98,6 +95,7 @@
     loading: loading::JobLoading,
     job_watch: job_watch::JobWatch,
     evidence: evidence::Evidence,
+    placement: placement::Placement,
     persistence: persistence::Persistence,
     garbage: garbage::Garbage,
     pub job_table: JobTable,
@@ -109,10 +107,6 @@
     cloud_budget: TokenBucket,
     /// It has sent its first starts.
     first_start_sent: bool,
-    /// Something changed that may let tasks start.
-    pass_needed: bool,
-    next_pass_at: Duration,
-    next_preemption_at: Duration,
     /// When what time alone brings about is looked at again.
     next_maintenance_at: Duration,
     pub target: Target,
@@ -135,13 +129,8 @@
     inventory_pages: Vec<Instance>,
     /// The whole machine list was read once: what is held is known.
     inventory_complete: bool,
-    placement_index: PlacementIndex,
     /// Where a gang that waits for machines will have most of its room.
     wanted_zone: Option<String>,
-    /// Each team's place among the teams.
-    team_indices: HashMap<String, usize>,
-    /// Run time over estimate, by class.
-    runtime_ratios: HashMap<String, f64>,
     next_lateness_scan_at: Duration,
     /// When the cloud last answered.
     cloud_replied_at: Option<Duration>,
@@ -161,6 +150,7 @@
             loading: loading::JobLoading::default(),
             job_watch: job_watch::JobWatch::new(now),
             evidence: evidence::Evidence::new(now),
+            placement: placement::Placement::new(&settings, now),
             persistence: persistence::Persistence::new(settings.kv_changes_per_s, now),
             garbage: garbage::Garbage::default(),
             job_table: JobTable::default(),
@@ -172,9 +162,6 @@
                 settings.cloud_requests_per_s,
             ),
             first_start_sent: false,
-            pass_needed: true,
-            next_pass_at: now,
-            next_preemption_at: now,
             next_maintenance_at: now,
             target: Target::default(),
             next_round_at: now,
@@ -193,10 +180,7 @@
             inventory_in_flight: false,
             inventory_pages: Vec::new(),
             inventory_complete: false,
-            placement_index: PlacementIndex::default(),
             wanted_zone: None,
-            team_indices: settings.teams.keys().cloned().zip(0..).collect(),
-            runtime_ratios: HashMap::new(),
             next_lateness_scan_at: now,
             cloud_replied_at: None,
             recent_arrivals: VecDeque::new(),
@@ -211,14 +195,14 @@
         self.fleet.machine_types = machine_types;
         for machine_type in self.fleet.machine_types.keys() {
             for pool in self.fleet.pools(machine_type) {
-                self.placement_index.pool_index(&pool);
-                self.placement_index.zone_index(&pool.zone);
+                self.placement.index.pool_index(&pool);
+                self.placement.index.zone_index(&pool.zone);
             }
         }
         for machine in self.fleet.machines.values_mut() {
             machine.cached_slot = None;
         }
-        self.pass_needed = true;
+        self.placement.request_pass();
     }
 
     /// Every node has this version by now: the limits may be lowered at any time, and
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -7,16 +7,85 @@
 use crate::jobs::job_table::JobEntry;
 use crate::placement::backfill::{self, Running, Slot};
 use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
+use crate::placement::index::PlacementIndex;
 use crate::protocol::{MachineName, TaskId};
-use crate::settings::Team;
+use crate::settings::{Settings, Team};
 use crate::sizing::replay::Arrival;
-use std::collections::BTreeSet;
+use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
+/// How much longer a pass waits for earlier placements to be written.
+const MAX_PASS_DELAY: Duration = Duration::from_secs(1);
+/// How much the latest run time of a class counts beside the earlier ones.
+const RUNTIME_SMOOTHING: f64 = 0.1;
+
+/// When passes are due, and what they know beside the jobs and the fleet.
+#[derive(Debug)]
+pub(super) struct Placement {
+    /// The numbers of pools, zones and images.
+    pub(super) index: PlacementIndex,
+    /// Something changed that may let tasks start.
+    pass_needed: bool,
+    next_pass_at: Duration,
+    next_preemption_at: Duration,
+    /// Each team's place among the teams.
+    team_indices: HashMap<String, usize>,
+    /// Run time over estimate, by class.
+    runtime_ratios: HashMap<String, f64>,
+}
+
+impl Placement {
+    pub(super) fn new(settings: &Settings, now: Duration) -> Self {
+        Self {
+            index: PlacementIndex::default(),
+            pass_needed: true,
+            next_pass_at: now,
+            next_preemption_at: now,
+            team_indices: settings.teams.keys().cloned().zip(0..).collect(),
+            runtime_ratios: HashMap::new(),
+        }
+    }
+
+    /// Something changed that may let tasks start.
+    pub(super) fn request_pass(&mut self) {
+        self.pass_needed = true;
+    }
+
+    /// Whether a pass is needed and due. While earlier placements are not all written it
+    /// waits a little longer, so that more of them go into one write.
+    pub(super) fn is_pass_due(&self, now: Duration, all_written: bool) -> bool {
+        let due = if all_written { self.next_pass_at } else { self.next_pass_at + MAX_PASS_DELAY };
+        self.pass_needed && now >= due
+    }
+
+    /// A pass begins; the next one may begin at `next_at`.
+    pub(super) fn pass_began(&mut self, next_at: Duration) {
+        self.pass_needed = false;
+        self.next_pass_at = next_at;
+    }
+
+    /// When a needed pass is to be looked at; `retry`: when to look again at one that waits.
+    pub(super) fn next_pass_due(&self, now: Duration, retry: Duration) -> Option<Duration> {
+        let due = if self.next_pass_at > now { self.next_pass_at } else { retry };
+        self.pass_needed.then_some(due)
+    }
+
+    /// Takes in how long a task ran, as a multiple of its estimate.
+    pub(super) fn record_runtime(&mut self, class: &str, ratio: f64) {
+        let mean = self.runtime_ratios.entry(class.to_owned()).or_insert(1.0);
+        *mean += RUNTIME_SMOOTHING * (ratio - *mean);
+    }
+
+    /// Run time over estimate of a class.
+    fn runtime_ratio(&self, class: &str) -> f64 {
+        self.runtime_ratios.get(class).copied().unwrap_or(1.0)
+    }
+}
+
 impl Leader {
     pub(super) fn estimated_runtime(&self, spec: &JobSpec) -> Duration {
-        let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
+        let ratio = self.placement.runtime_ratio(&spec.class);
         Duration::from_secs_f64((spec.estimated_runtime_s * ratio).clamp(0.1, 1e6))
     }
 
@@ -70,7 +139,7 @@
 
     /// The place of the job's team among the teams.
     pub(super) fn team_index(&self, spec: &JobSpec) -> Option<usize> {
-        self.team_indices.get(&spec.team).copied()
+        self.placement.team_indices.get(&spec.team).copied()
     }
 
     /// A whole job as work for a pass.
@@ -85,7 +154,7 @@
             demand: spec.demand,
             image: self.image_number(spec),
             image_gb: spec.image_gb,
-            allowed_pools: self.placement_index.allowed_pools(spec),
+            allowed_pools: self.placement.index.allowed_pools(spec),
             single_zone: spec.single_zone,
             max_per_zone: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
             estimated_runtime: self.estimated_runtime(spec),
@@ -99,15 +168,15 @@
     /// The number of the job's image. When there are too many, what machines
     /// hold is learned anew.
     pub(super) fn image_number(&mut self, spec: &JobSpec) -> u32 {
-        if let Some(image) = self.placement_index.image_index(&spec.image, spec.image_gb) {
+        if let Some(image) = self.placement.index.image_index(&spec.image, spec.image_gb) {
             return image;
         }
-        self.placement_index.forget_images();
+        self.placement.index.forget_images();
         for machine in self.fleet.machines.values_mut() {
             machine.cached_images.clear();
             machine.cached_slot = None;
         }
-        self.placement_index.image_index(&spec.image, spec.image_gb).unwrap_or(0)
+        self.placement.index.image_index(&spec.image, spec.image_gb).unwrap_or(0)
     }
 
     /// The jobs of the last interval, as if they came again in the next and on.
@@ -162,7 +231,7 @@
             work.attempts_by_zone = entry
                 .attempts_by_zone
                 .iter()
-                .map(|(z, n)| (self.placement_index.zone_index(z), *n))
+                .map(|(z, n)| (self.placement.index.zone_index(z), *n))
                 .collect();
             both.push((id, work));
         }
@@ -184,8 +253,8 @@
         let total = self.fleet.resources(&machine.pool.machine_type)?;
         let machine_type = self.fleet.machine_types.get(&machine.pool.machine_type)?;
         let mut slot = Slot {
-            pool: self.placement_index.pool_index(&machine.pool),
-            zone: self.placement_index.zone_index(&machine.pool.zone),
+            pool: self.placement.index.pool_index(&machine.pool),
+            zone: self.placement.index.zone_index(&machine.pool.zone),
             price: if machine.pool.spot { machine_type.spot_price } else { machine_type.price },
             free: total,
             ready_at: Duration::ZERO,
@@ -204,7 +273,7 @@
             let estimate = self.estimated_runtime(spec);
             let mut end = attempt.running_since.unwrap_or(attempt.placed_at) + estimate;
             let mut grace = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
-            let image = self.placement_index.image_index(&spec.image, spec.image_gb);
+            let image = self.placement.index.image_index(&spec.image, spec.image_gb);
             if let Some(image) = image.filter(|i| !slot.images.contains(i)) {
                 slot.fetches_in_progress += 1;
                 slot.images.push(image);
@@ -286,10 +355,12 @@
         let starts = backfill::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
         // The rest has its turn after what else there is to do.
         let cut = starts.iter().filter(|s| s.at <= now).count() >= most;
-        self.pass_needed |= cut;
+        if cut {
+            self.placement.request_pass();
+        }
         for start in starts.into_iter().filter(|s| s.at <= now) {
             let host = &hosts[start.slot_index];
-            let zone = self.placement_index.zone_name(slots[start.slot_index].zone);
+            let zone = self.placement.index.zone_name(slots[start.slot_index].zone);
             if let Some(machine) = self.fleet.machines.get_mut(host) {
                 let Some(shift) = machine.incarnation() else { continue };
                 machine.idle_since = None;
@@ -299,8 +370,8 @@
         for (id, _) in ids.iter().zip(&work).filter(|(_, w)| w.gang) {
             self.job_table.break_incomplete_gang(id);
         }
-        if !cut && now >= self.next_preemption_at {
-            self.next_preemption_at = now + self.cpu_budget.preemption_interval();
+        if !cut && now >= self.placement.next_preemption_at {
+            self.placement.next_preemption_at = now + self.cpu_budget.preemption_interval();
             self.preempt(now, &slots, &hosts, &mut work, &mut teams, effects);
         }
     }
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -123,7 +123,7 @@
                     }
                 }
                 self.stop_broken_gangs(now, effects);
-                self.pass_needed = true;
+                self.placement.request_pass();
             }
             (LeaderCall::Release { intent, .. }, _) if self.intents.is_fenced() => {
                 self.return_failed(now, intent);
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -164,7 +164,9 @@
     /// A holder of the machine's shard has seen whether it is there, and when it heard it.
     fn confirm_by_holder(&mut self, host: &MachineName, proven: bool, at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
-        self.pass_needed |= !std::mem::replace(&mut machine.confirmed, true);
+        if !std::mem::replace(&mut machine.confirmed, true) {
+            self.placement.request_pass();
+        }
         machine.last_heard_at = machine.last_heard_at.max(at);
         machine.last_direct_at = machine.last_direct_at.max(at);
         machine.is_relayed = false;
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -219,10 +219,10 @@
         let ordinary: Vec<(usize, usize)> = kind
             .zones
             .iter()
-            .map(|z| (self.placement_index.pool_index(&pool(z, false)), self.placement_index.zone_index(z)))
+            .map(|z| (self.placement.index.pool_index(&pool(z, false)), self.placement.index.zone_index(z)))
             .collect();
         let spot: Vec<usize> =
-            kind.zones.iter().map(|z| self.placement_index.pool_index(&pool(z, true))).collect();
+            kind.zones.iter().map(|z| self.placement.index.pool_index(&pool(z, true))).collect();
         let suits = |w: &Work| {
             let bound = !spot.iter().any(|p| w.allows(*p));
             ordinary.iter().any(|(p, _)| w.allows(*p)) && (!strict || bound)
@@ -276,7 +276,7 @@
         let mut pools = Vec::new();
         for (pool, machines) in &held {
             let room = self.fleet.resources(&pool.machine_type).unwrap_or_default();
-            pools.push((self.placement_index.pool_index(pool), pool.zone.clone(), *machines, room));
+            pools.push((self.placement.index.pool_index(pool), pool.zone.clone(), *machines, room));
         }
         self.wanted_zone = None;
         for w in work {
@@ -301,9 +301,9 @@
                 let pool =
                     |zone: &String, spot| Pool { machine_type: name.clone(), zone: zone.clone(), spot };
                 let ordinary =
-                    rig.zones.iter().any(|z| w.allows(self.placement_index.pool_index(&pool(z, false))));
+                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, false))));
                 let spot =
-                    rig.zones.iter().any(|z| w.allows(self.placement_index.pool_index(&pool(z, true))));
+                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, true))));
                 if ordinary && w.demand.fits(&room) {
                     fits.push((rig.price, name.clone(), !spot));
                 }
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -100,7 +100,9 @@
             true => self.fleet.observe_command_reply(heartbeat, self.token, times.now),
             false => self.fleet.observe_heartbeat(heartbeat, self.token, times.now),
         };
-        self.pass_needed |= up(&self.fleet) != before;
+        if up(&self.fleet) != before {
+            self.placement.request_pass();
+        }
         if heard != HeartbeatNews::Stale && self.loading.is_ready() {
             self.observe_tasks(times, heartbeat, heard, effects);
         }
@@ -135,12 +137,12 @@
             }
             if let Some(spec) = self.job_table.jobs.get(&listed.task.job).map(|e| e.spec.clone()) {
                 let image = self.image_number(&spec);
-                self.fleet.record_image(&heartbeat.machine, image, &self.placement_index);
+                self.fleet.record_image(&heartbeat.machine, image, &self.placement.index);
             }
         }
         for end in ended {
             self.attempt_ended(now, &heartbeat.machine, &end, effects);
-            self.pass_needed = true;
+            self.placement.request_pass();
         }
         if let Some(left) = heartbeat.preemption_notice {
             self.evacuate(now, &heartbeat.machine, left, effects);
@@ -152,7 +154,7 @@
             {
                 (true, None) => {
                     machine.idle_since = Some(now);
-                    self.pass_needed = true;
+                    self.placement.request_pass();
                 }
                 (false, Some(_)) => machine.idle_since = None,
                 _ => {}
@@ -202,8 +204,7 @@
                 entry.failed_machines.clear();
                 if let Some(ran) = end.ran.filter(|_| entry.spec.estimated_runtime_s > 0.5) {
                     let ratio = (ran.as_secs_f64() / entry.spec.estimated_runtime_s).clamp(0.2, 5.0);
-                    let mean = self.runtime_ratios.entry(entry.spec.class.clone()).or_insert(1.0);
-                    *mean += 0.1 * (ratio - *mean);
+                    self.placement.record_runtime(&entry.spec.class, ratio);
                 }
             }
             Some(ExitReason::Failed) => {
