--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,6 +1,6 @@
 //! Taking over: a new leader reads all that is known.
 
-use super::{Leader, Target, MAX_ARRIVALS, PAUSE, RUSH, TARGET};
+use super::{Leader, Target, PAUSE};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
@@ -8,7 +8,6 @@
 use crate::jobs::job_table::tasks_per_chunk;
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
-use std::sync::Arc;
 use std::time::Duration;
 
 /// Whether a new leader knows yet what is stored.
@@ -164,10 +163,6 @@
         self.read_target(effects);
     }
 
-    pub(super) fn read_target(&self, effects: &mut EffectSink) {
-        self.call_kv(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET.into() }, effects);
-    }
-
     pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
@@ -191,12 +186,13 @@
         self.stop_broken_gangs(now, effects);
         // Not a new service: the jobs that are there came one after the other.
         if row.is_some() {
-            self.first_job_at = Some(Duration::ZERO);
+            self.arrivals.service_is_running();
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
             let at = times.monotonic_of(target.at_ms);
-            self.next_round_at = (at + self.round_interval()).min(now + self.round_interval());
-            self.target = target;
+            let interval = self.round_interval();
+            self.sizing.schedule((at + interval).min(now + interval));
+            self.target.loaded(target);
         }
         for machine in self.fleet.machines.values_mut() {
             machine.last_heard_at = machine.last_heard_at.max(now);
@@ -275,15 +271,7 @@
         let cancelled = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
         let per_chunk = record.per_chunk.max(1);
         if record.phase == JobPhase::Active && !self.job_table.jobs.contains_key(&id) {
-            // What waits when a service opens is a backlog and tells no rate.
-            let opened = *self.first_job_at.get_or_insert(accepted);
-            let rush = accepted < opened + RUSH;
-            if let Some(spec) = record.spec.as_ref().filter(|_| !rush) {
-                self.recent_arrivals.push_back((accepted, Arc::new(spec.clone())));
-                if self.recent_arrivals.len() > MAX_ARRIVALS {
-                    self.recent_arrivals.pop_front();
-                }
-            }
+            self.arrivals.record(accepted, record.spec.as_ref());
         }
         self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
         self.placement.request_pass();
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -109,11 +109,11 @@
         }
         let waits = !self.job_table.dirty_placements.is_empty()
             || !self.job_table.ended_jobs.is_empty()
-            || self.target_dirty
+            || self.target.is_dirty()
             || self.rechunk_pending
             || self.intents.has_pending_work();
-        if self.round.is_some() {
-            due = due.min(self.next_replay_slice_at);
+        if let Some(slice) = self.sizing.next_slice_due() {
+            due = due.min(slice);
         }
         if waits {
             due = due.min(retry);
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's role: it knows every job, places tasks, minds the workers and
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
+mod arrivals;
 mod evidence;
 mod garbage;
 mod intents;
@@ -14,13 +15,14 @@
 mod scaling;
 mod shards;
 mod sizing_rounds;
+mod target;
 mod view;
+mod wide_jobs;
 mod workers;
 
 use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::EffectSink;
 use crate::fleet::Fleet;
-use crate::jobs::job::JobSpec;
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
 use crate::protocol::{Condition, Instance, KvRequest, MachineName, MachineType};
@@ -28,13 +30,12 @@
 use crate::sizing::cpu_budget::CpuBudget;
 use crate::token_bucket::TokenBucket;
 pub use evidence::LeaderEvidence;
-use serde::{Deserialize, Serialize};
 pub use shards::LeaderRoute;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
+pub use target::{Size, Target};
 
-const TARGET: &str = "target";
 const PAUSE: Duration = Duration::from_millis(250);
 /// Jobs that one pass looks at.
 const MAX_WORK: usize = 400;
@@ -62,30 +63,6 @@
 const MIND: Duration = Duration::from_millis(200);
 /// A task that needed more attempts than this is not stopped again.
 const MAX_PREEMPTED: u64 = 2;
-/// Time between rounds while no machine is up yet.
-const COLD_ROUND: Duration = Duration::from_secs(5);
-/// Arrivals remembered for the replay, and the shortest time that they are
-/// taken to tell a rate.
-const MAX_ARRIVALS: usize = 1_000;
-const MIN_WINDOW: Duration = Duration::from_secs(20);
-const RUSH: Duration = Duration::from_secs(5);
-
-/// A round's decision, as the state service keeps it.
-#[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Target {
-    pub round: u64,
-    pub at_ms: u64,
-    #[serde(rename = "rigs")]
-    pub sizes: BTreeMap<String, Size>,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Size {
-    /// Machines of the type.
-    pub machines: u32,
-    /// How many of them must not be spot.
-    pub ordinary: u32,
-}
 
 #[derive(Debug)]
 pub struct Leader {
@@ -109,14 +86,10 @@
     first_start_sent: bool,
     /// When what time alone brings about is looked at again.
     next_maintenance_at: Duration,
-    pub target: Target,
-    next_round_at: Duration,
-    round: Option<sizing_rounds::Round>,
-    /// When the round may go on.
-    next_replay_slice_at: Duration,
+    target: target::TargetState,
+    sizing: sizing_rounds::SizingRounds,
+    arrivals: arrivals::ArrivalHistory,
     cpu_budget: CpuBudget,
-    target_dirty: bool,
-    target_write_in_flight: bool,
     rental_counter: u64,
     /// Rentals without an answer.
     rentals_in_flight: Vec<PendingRental>,
@@ -129,15 +102,9 @@
     inventory_pages: Vec<Instance>,
     /// The whole machine list was read once: what is held is known.
     inventory_complete: bool,
-    /// Where a gang that waits for machines will have most of its room.
-    wanted_zone: Option<String>,
     next_lateness_scan_at: Duration,
     /// When the cloud last answered.
     cloud_replied_at: Option<Duration>,
-    /// The jobs of the last interval: when each came, and what it was.
-    recent_arrivals: VecDeque<(Duration, Arc<JobSpec>)>,
-    /// When the service's first job came; zero if that was before this leader.
-    first_job_at: Option<Duration>,
     /// Who holds which machines, where they are divided.
     shards: Option<shards::LeaderShards>,
 }
@@ -163,13 +130,10 @@
             ),
             first_start_sent: false,
             next_maintenance_at: now,
-            target: Target::default(),
-            next_round_at: now,
-            round: None,
-            next_replay_slice_at: now,
+            target: target::TargetState::default(),
+            sizing: sizing_rounds::SizingRounds::new(now),
+            arrivals: arrivals::ArrivalHistory::default(),
             cpu_budget: CpuBudget::new(settings.cpu_share),
-            target_dirty: false,
-            target_write_in_flight: false,
             rental_counter: 0,
             rentals_in_flight: Vec::new(),
             rental_retries: Vec::new(),
@@ -180,11 +144,8 @@
             inventory_in_flight: false,
             inventory_pages: Vec::new(),
             inventory_complete: false,
-            wanted_zone: None,
             next_lateness_scan_at: now,
             cloud_replied_at: None,
-            recent_arrivals: VecDeque::new(),
-            first_job_at: None,
             shards: settings.sharding.enabled.then(|| shards::LeaderShards::new(&settings, token, now)),
             settings,
         }
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,11 +1,11 @@
 //! Making decisions durable, within the write budget.
 
-use super::{Leader, PAUSE, TARGET};
+use super::{Leader, PAUSE};
 use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::leadership::election;
-use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
+use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest};
 use crate::requests::RequestHandler;
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeSet, HashSet};
@@ -132,7 +132,7 @@
                 let ending = self.ends_to_write(now);
                 self.add_chunks(ending, most.min(spare), &mut txn);
             }
-            if self.target_dirty && !self.target_write_in_flight && txn.changes.is_empty() {
+            if self.target.may_write() && txn.changes.is_empty() {
                 return self.write_target(now, effects);
             }
             if txn.changes.is_empty() || !self.persistence.budget.take(now, txn.changes.len()) {
@@ -284,25 +284,6 @@
         }
     }
 
-    fn write_target(&mut self, now: Duration, effects: &mut EffectSink) {
-        let Ok(value) = serde_json::to_string(&self.target) else { return };
-        if value.len() > self.settings.max_value_bytes {
-            self.target_dirty = false;
-            return effects.log(LogLevel::Error, "the target is too large to be stored".into());
-        }
-        if !self.persistence.budget.take(now, 1) {
-            return;
-        }
-        self.target_dirty = false;
-        self.target_write_in_flight = true;
-        let changes = vec![KvChange::Put { key: TARGET.into(), value, lease: None }];
-        self.call_kv(
-            LeaderCall::WriteTarget,
-            KvRequest::Txn { conditions: vec![self.leader_condition()], changes },
-            effects,
-        );
-    }
-
     /// Takes in the reply to a transaction; false: somebody else leads.
     pub(super) fn batch_written(
         &mut self,
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -1,6 +1,6 @@
 //! Which task goes where, and who must make room.
 
-use super::{Leader, MAX_PREEMPTED, MAX_STOPS, MAX_WORK, MIN_WINDOW, STOPPING};
+use super::{Leader, MAX_PREEMPTED, MAX_STOPS, MAX_WORK, STOPPING};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
 use crate::jobs::job::{JobId, JobPhase, JobSpec, Priority, Resources};
@@ -10,7 +10,6 @@
 use crate::placement::index::PlacementIndex;
 use crate::protocol::{MachineName, TaskId};
 use crate::settings::{Settings, Team};
-use crate::sizing::replay::Arrival;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -179,30 +178,6 @@
         self.placement.index.image_index(&spec.image, spec.image_gb).unwrap_or(0)
     }
 
-    /// The jobs of the last interval, as if they came again in the next and on.
-    pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
-        let interval = self.round_interval();
-        let window = interval.min(now.saturating_sub(self.started_at).max(MIN_WINDOW));
-        let from = now.saturating_sub(window);
-        self.recent_arrivals.retain(|(at, _)| *at >= from);
-        let mut expected = Vec::new();
-        let mut shift = window;
-        let seen: Vec<(Duration, Arc<JobSpec>)> = self.recent_arrivals.iter().cloned().collect();
-        // Half an interval more shows whether a backlog grows. A leader younger than
-        // the interval repeats what it saw.
-        let horizon = interval + interval / 2;
-        while shift < horizon + window {
-            for (at, spec) in &seen {
-                let at = *at + shift;
-                if let Some(team) = self.team_index(spec).filter(|_| at < now + horizon) {
-                    expected.push(Arrival { arrives_at: at, work: self.whole_job_as_work(spec, team, at) });
-                }
-            }
-            shift += window;
-        }
-        expected
-    }
-
     /// The pending work, with the ids of its jobs.
     pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
         let live = |e: &JobEntry| e.phase == JobPhase::Active && e.done < e.spec.tasks;
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -55,14 +55,7 @@
             LeaderCall::DeleteGarbage(keys) => return self.garbage_deleted(keys, reply),
             LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
             LeaderCall::ArchiveJobs(jobs) => return self.jobs_archived(jobs, reply),
-            LeaderCall::WriteTarget => {
-                self.target_write_in_flight = false;
-                match reply {
-                    Ok(KvReply::Committed { .. }) => {}
-                    Ok(KvReply::Conflict { .. }) => return false,
-                    _ => self.target_dirty = true,
-                }
-            }
+            LeaderCall::WriteTarget => return self.target_written(reply),
             _ => {}
         }
         true
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -33,7 +33,7 @@
 impl Leader {
     pub(super) fn rent_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         self.retry_rentals(now, effects);
-        for (machine_type, size) in self.target.sizes.clone() {
+        for (machine_type, size) in self.target.current().sizes.clone() {
             let coming = |spot: Option<bool>| -> u32 {
                 let such = |r: &&PendingRental| {
                     r.pool.machine_type == machine_type && spot.is_none_or(|s| s == r.pool.spot)
@@ -66,7 +66,7 @@
             let cheap = pools.iter().any(|p| p.spot);
             pools.retain(|p| p.spot == cheap);
             // A gang that waits for room in its zone comes before an even spread.
-            let wanted = |p: &Pool| self.wanted_zone.as_ref() == Some(&p.zone);
+            let wanted = |p: &Pool| self.target.preferred_zone.as_ref() == Some(&p.zone);
             pools.sort_by_key(|p| (!wanted(p), self.fleet.machines_staying(p)));
             let mut left = if strict > 0 { strict } else { want };
             let share = left.div_ceil(pools.len().max(1) as u32);
@@ -110,7 +110,7 @@
     /// Chooses the machines that go back: those above the target as they fall idle,
     /// and empty ones that are about to be taken.
     pub(super) fn remove_surplus(&mut self, now: Duration) {
-        for (machine_type, size) in self.target.sizes.clone() {
+        for (machine_type, size) in self.target.current().sizes.clone() {
             let mut surplus = self.fleet.machines_of_type(&machine_type).saturating_sub(size.machines);
             let mut idle: Vec<(bool, Duration, MachineName)> = self
                 .fleet
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -1,8 +1,8 @@
-//! The fleet's size: rounds, and raises for jobs that are wider than it.
+//! Sizing rounds: the search for the fleet's size over a replay of the backlog, in slices.
 
-use super::{Leader, Size, Target, COLD_ROUND};
+use super::wide_jobs::min_machines;
+use super::{Leader, Size, Target};
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::Machine;
 use crate::jobs::job::{JobPhase, Resources};
 use crate::jobs::job_table::JobEntry;
 use crate::placement::backfill::Slot;
@@ -16,12 +16,40 @@
 
 /// Without a U of the operators, how far the fleet may grow under overload, as a
 /// multiple of what the guarantees would fill.
-const BORROWED: f64 = 1.5;
+const OVERLOAD_FACTOR: f64 = 1.5;
 /// Without an interval of the operators, rounds come as often as the slower of
 /// the usual boots allows, in boot times.
-const ROUND_BOOTS: f64 = 1.5;
-const MIN_ROUND: Duration = Duration::from_secs(20);
-/// What a climb replays.
+const ROUND_INTERVAL_IN_BOOTS: f64 = 1.5;
+const MIN_ROUND_INTERVAL: Duration = Duration::from_secs(20);
+/// Time between rounds while no machine is up yet.
+const COLD_ROUND_INTERVAL: Duration = Duration::from_secs(5);
+
+/// When rounds are due, and the one under way.
+#[derive(Debug)]
+pub(super) struct SizingRounds {
+    next_round_at: Duration,
+    round: Option<Round>,
+    /// When the round may go on.
+    next_slice_at: Duration,
+}
+
+impl SizingRounds {
+    pub(super) fn new(now: Duration) -> Self {
+        Self { next_round_at: now, round: None, next_slice_at: now }
+    }
+
+    /// Sets when the next round is due.
+    pub(super) fn schedule(&mut self, at: Duration) {
+        self.next_round_at = at;
+    }
+
+    /// When the round under way goes on.
+    pub(super) fn next_slice_due(&self) -> Option<Duration> {
+        self.round.is_some().then_some(self.next_slice_at)
+    }
+}
+
+/// What a size search replays.
 #[derive(Debug)]
 struct ReplayInput {
     now: Duration,
@@ -56,7 +84,7 @@
 /// A round under way: the climbs one after the other, in portions, since the
 /// replays of a large backlog would hold up everything else.
 #[derive(Debug)]
-pub(super) struct Round {
+struct Round {
     began: Duration,
     cold: bool,
     trials: Vec<SizeTrial>,
@@ -97,24 +125,6 @@
     }
 }
 
-/// How many such tasks an empty machine holds.
-fn most_on(work: &Work, room: &Resources) -> u32 {
-    let of = |have: f64, need: f64| if need > 0.0 { (have / need + 1e-6).floor() } else { f64::MAX };
-    let Resources { cpus, gpus, ram_gb: ram } = work.demand;
-    of(room.cpus, cpus).min(of(room.gpus, gpus)).min(of(room.ram_gb, ram)).min(1e6) as u32
-}
-
-/// Machines that a job takes at least at a time: a gang all of it, and so many in
-/// each zone if it must be in one.
-fn width(work: &Work, room: &Resources, zones: usize) -> u32 {
-    let machines = work.min_simultaneous().div_ceil(most_on(work, room).max(1));
-    if work.gang && work.single_zone && machines > 1 {
-        machines.saturating_mul(zones as u32)
-    } else {
-        machines
-    }
-}
-
 impl Leader {
     /// U for a type: set, or learned, or what the guarantees would fill; and how
     /// far it goes under overload.
@@ -125,48 +135,54 @@
         let set = self.settings.sizing.max_machines;
         let known = self.fleet.known_capacity(rig, now).unwrap_or(u32::MAX);
         let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
-        (bound(1.0), bound(BORROWED))
+        (bound(1.0), bound(OVERLOAD_FACTOR))
     }
 
     /// The time between rounds: longer than a boot, so that each sees what the one
     /// before brought.
     pub(super) fn round_interval(&self) -> Duration {
         let boot = self.fleet.machine_types.values().map(|r| r.boot_time).max().unwrap_or_default();
-        self.settings.sizing.interval.unwrap_or(MIN_ROUND.max(boot.mul_f64(ROUND_BOOTS)))
+        self.settings.sizing.interval.unwrap_or(MIN_ROUND_INTERVAL.max(boot.mul_f64(ROUND_INTERVAL_IN_BOOTS)))
     }
 
     /// Begins rounds, carries the one under way on by a portion, and ends it.
-    pub(super) fn advance_sizing(&mut self, times: StepTime, out: &mut EffectSink) {
+    pub(super) fn advance_sizing(&mut self, times: StepTime, effects: &mut EffectSink) {
         let now = times.now;
         if self.fleet.machine_types.is_empty() {
             return;
         }
-        if self.round.is_none() {
+        if self.sizing.round.is_none() {
             self.begin_round(times);
         }
-        let Some(round) = self.round.as_mut().filter(|_| now >= self.next_replay_slice_at) else { return };
+        let Some(round) = self.sizing.round.as_mut().filter(|_| now >= self.sizing.next_slice_at) else {
+            return;
+        };
         let over = round.advance(self.cpu_budget);
-        self.next_replay_slice_at =
+        self.sizing.next_slice_at =
             now + self.cpu_budget.slice_interval(round.machines(), self.evidence.is_cpu_starved());
         if !over {
             return;
         }
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.sizing.round.take() else { return };
         let mut target =
-            Target { round: self.target.round + 1, at_ms: times.wall_ms(), sizes: round.sizes() };
+            Target { round: self.target.current().round + 1, at_ms: times.wall_ms(), sizes: round.sizes() };
         if round.cold {
-            for (rig, before) in &self.target.sizes {
-                let size = target.sizes.entry(rig.clone()).or_default();
+            for (machine_type, before) in &self.target.current().sizes {
+                let size = target.sizes.entry(machine_type.clone()).or_default();
                 size.machines = size.machines.max(before.machines);
                 size.ordinary = size.ordinary.max(before.ordinary);
             }
         }
-        let level = if target.sizes == self.target.sizes { LogLevel::Debug } else { LogLevel::Info };
+        let level =
+            if target.sizes == self.target.current().sizes { LogLevel::Debug } else { LogLevel::Info };
         let took = now.saturating_sub(round.began).as_millis();
         let trials = round.trace.join(" ");
-        out.log(level, format!("round {}: {:?} in {took} ms, {trials}", target.round, target.sizes));
-        self.target = target;
-        self.target_dirty = true;
+        let (number, sizes) = (target.round, &target.sizes);
+        effects.log(
+            level,
+            format!("sizing round ended: round={number} sizes={sizes:?} took_ms={took} trials=[{trials}]"),
+        );
+        self.target.set(target);
     }
 
     fn begin_round(&mut self, times: StepTime) {
@@ -174,20 +190,22 @@
         // Before any machine is up, whichever job came first would size the fleet
         // for a whole interval: rounds follow quickly and only raise.
         let none_up = self.fleet.machines.values().all(|m| m.last_heartbeat_id.is_none() && !m.known_up);
-        if now < self.next_round_at && !(none_up && now + COLD_ROUND < self.next_round_at) {
+        if now < self.sizing.next_round_at
+            && !(none_up && now + COLD_ROUND_INTERVAL < self.sizing.next_round_at)
+        {
             return;
         }
         let teams = self.team_usage();
         let (_, work) = self.pending_work(now, &teams);
         let cold = none_up && !work.is_empty();
         if cold {
-            self.next_round_at = self.next_round_at.min(now + COLD_ROUND);
+            self.sizing.next_round_at = self.sizing.next_round_at.min(now + COLD_ROUND_INTERVAL);
         }
         // The first round waits for something to replay.
-        if now < self.next_round_at || (self.target.round == 0 && work.is_empty()) {
+        if now < self.sizing.next_round_at || (self.target.current().round == 0 && work.is_empty()) {
             return;
         }
-        self.next_round_at = now + self.round_interval();
+        self.sizing.next_round_at = now + self.round_interval();
         // Nor does the rush of the first seconds tell what comes later.
         let expected = if cold { Vec::new() } else { self.expected_arrivals(now) };
         let slots: Vec<Slot> = self.available_slots(now).into_iter().map(|(_, slot)| slot).collect();
@@ -200,7 +218,7 @@
                 trials.extend(self.build_trial(now, &rig, strict, input, &teams, running));
             }
         }
-        self.round = Some(Round { began: now, cold, trials, replay: None, trace: Vec::new() });
+        self.sizing.round = Some(Round { began: now, cold, trials, replay: None, trace: Vec::new() });
     }
 
     /// The climb for one type, over the jobs that can use it; `strict`: only
@@ -238,7 +256,7 @@
         }
         let busy = if strict { 0 } else { held.iter().filter(|s| !s.running.is_empty()).count() as u32 };
         let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram_gb: kind.ram };
-        let widest = work.iter().map(|w| width(w, &total, kind.zones.len())).max();
+        let widest = work.iter().map(|w| min_machines(w, &total, kind.zones.len())).max();
         let least = busy.max(widest.unwrap_or(0));
         let (most, beyond) = self.max_fleet_size(rig, now);
         let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.max_slowdown);
@@ -262,72 +280,4 @@
             ReplayInput { now, held, new_machines: fresh, work, expected_arrivals: expected, teams, running };
         Some(SizeTrial { machine_type: rig.into(), ordinary_only: strict, search: climb, input: backlog })
     }
-
-    /// A job wider than the fleet raises it at once. An array's width is one
-    /// task, so this is a job that no machine we have can hold; a gang's is all of
-    /// it, in one zone where asked.
-    pub(super) fn raise_for_wide_jobs(&mut self, work: &[Work]) {
-        let staying = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
-        let mut held: BTreeMap<Pool, u32> = BTreeMap::new();
-        for machine in self.fleet.machines.values().filter(staying) {
-            *held.entry(machine.pool.clone()).or_default() += 1;
-        }
-        // Pool, zone, machines, and what one of them holds.
-        let mut pools = Vec::new();
-        for (pool, machines) in &held {
-            let room = self.fleet.resources(&pool.machine_type).unwrap_or_default();
-            pools.push((self.placement.index.pool_index(pool), pool.zone.clone(), *machines, room));
-        }
-        self.wanted_zone = None;
-        for w in work {
-            let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-            for (_, zone, machines, room) in pools.iter().filter(|(p, ..)| w.allows(*p)) {
-                let zone = if w.gang && w.single_zone { zone.as_str() } else { "" };
-                let held = zones.entry(zone).or_default();
-                *held = held.saturating_add(machines.saturating_mul(most_on(w, room)));
-            }
-            let widest = zones.into_iter().map(|(zone, n)| (n, zone)).max();
-            let (room, zone) = widest.unwrap_or_default();
-            if room >= w.min_simultaneous() {
-                continue;
-            }
-            let lacking = w.min_simultaneous() - room;
-            if !zone.is_empty() {
-                self.wanted_zone = Some(zone.into());
-            }
-            let mut fits = Vec::new();
-            for (name, rig) in &self.fleet.machine_types {
-                let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram };
-                let pool =
-                    |zone: &String, spot| Pool { machine_type: name.clone(), zone: zone.clone(), spot };
-                let ordinary =
-                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, false))));
-                let spot =
-                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, true))));
-                if ordinary && w.demand.fits(&room) {
-                    fits.push((rig.price, name.clone(), !spot));
-                }
-            }
-            fits.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((_, rig, strict)) = fits.into_iter().next() else { continue };
-            let count = self.fleet.machines_of_type(&rig);
-            let more = lacking.div_ceil(most_on(w, &self.fleet.resources(&rig).unwrap_or_default()).max(1));
-            let ordinary: u32 = self
-                .fleet
-                .pools(&rig)
-                .iter()
-                .filter(|p| !p.spot)
-                .map(|p| self.fleet.machines_staying(p))
-                .sum();
-            let size = self.target.sizes.entry(rig).or_default();
-            if size.machines <= count && self.rentals_in_flight.is_empty() {
-                size.machines = count + more;
-                self.target_dirty = true;
-            }
-            if strict && size.ordinary < ordinary + more && self.rentals_in_flight.is_empty() {
-                size.ordinary = ordinary + more;
-                self.target_dirty = true;
-            }
-        }
-    }
 }
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -122,7 +122,7 @@
             "ready": self.loading.is_ready(),
             "jobs": self.job_table.jobs.len(),
             "machines": {"held": self.fleet.machines.len(), "up": up},
-            "target": self.target,
+            "target": self.target.current(),
             "blindS": now.saturating_sub(self.job_watch.synced_at()).as_secs_f64(),
             "lateOrStuck": jobs,
             "gangsWaiting": gangs,
