--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -3,7 +3,6 @@
 //! decisions to the state service and the cloud.
 
 use super::persistence::MAX_TXN_BYTES;
-use super::scaling::RentalRetry;
 use super::{Leader, LeaderEvidence};
 use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::{EffectSink, StepTime};
@@ -232,7 +231,7 @@
         }
         let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.intents.returns_due);
         for (at, key) in due {
-            if at <= now && self.cloud_budget.take(now, 1) {
+            if at <= now && self.scaling.take_request(now) {
                 self.intents.ready.push_back(key);
             } else {
                 self.intents.returns_due.push((at, key));
@@ -253,7 +252,7 @@
                     .log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
                 self.end_intent(&key, State::Abandoned, effects);
             } else {
-                self.retry_rental(now, refused.rental);
+                self.scaling.retry_rental(now, refused.rental);
             }
         }
     }
@@ -406,10 +405,10 @@
             self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
-                Action::Rent(rental) => self.retry_rental(now, rental.clone().into()),
+                Action::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
                 Action::Return(back) => {
                     self.fleet.returns_inherited(&back.hosts);
-                    self.releasing.extend(back.hosts.iter().cloned());
+                    self.scaling.release_requested(back.hosts.iter().cloned());
                     self.intents.returns_due.push((now, key.clone()));
                 }
             }
@@ -419,12 +418,6 @@
         }
     }
 
-    /// Has a rental asked for again as soon as the cloud's rate allows.
-    fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
-        self.rentals_in_flight.push(rental.clone());
-        self.rental_retries.push(RentalRetry { due: now, rental });
-    }
-
     /// A duty is over.
     fn end_intent(&mut self, key: &IdempotencyKey, last: State, effects: &mut EffectSink) {
         let ended = match last {
@@ -480,7 +473,7 @@
         let key = self.intents.log.next_key();
         let hosts = back.hosts.clone();
         if !hosts.is_empty() && self.request_cloud_action(key.clone(), Action::Return(back), effects) {
-            self.releasing.extend(hosts);
+            self.scaling.release_requested(hosts);
             if forced && self.intents.is_fenced() {
                 self.intents.forced.insert(key, blind);
             }
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -5,7 +5,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Machine, RemovalReason};
 use crate::jobs::job_table::tasks_per_chunk;
-use crate::protocol::{CloudRequest, MachineName};
+use crate::protocol::MachineName;
 use crate::requests::RequestHandler;
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::Action;
@@ -41,7 +41,7 @@
         }
         self.watch_jobs(now, effects);
         let places = firm && self.permits(Action::Place, now);
-        let rents = firm && self.inventory_complete && self.permits(Action::Rent, now);
+        let rents = firm && self.inventory.is_complete() && self.permits(Action::Rent, now);
         // What could not be written yet could not start either: the next pass
         // waits for it and so puts more into one write, but not for long.
         let backlog = self.job_table.dirty_placements.len();
@@ -121,18 +121,6 @@
         due
     }
 
-    pub(super) fn list_instances(&mut self, now: Duration, effects: &mut EffectSink) {
-        if !self.inventory_in_flight && now >= self.next_inventory_at && self.cloud_budget.take(now, 1) {
-            self.inventory_in_flight = true;
-            self.next_inventory_at = now + self.settings.inventory_lag.max(Duration::from_secs(3));
-            let after = self.inventory_pages.last().map(|h| h.name.clone());
-            effects.call_cloud(
-                CallPurpose::Leader(self.token, LeaderCall::ListInstances),
-                CloudRequest::ListInstances { after },
-            );
-        }
-    }
-
     /// Whether some worker was heard lately, or none could be: those of machines that the
     /// cloud lists no more are not there, whatever fails this node.
     pub(super) fn hears_workers(&self, now: Duration) -> bool {
@@ -151,13 +139,6 @@
             && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
     }
 
-    /// Whether the cloud has answered lately, so that what it is asked takes effect now
-    /// and not when some cut ends.
-    pub(super) fn is_cloud_reachable(&self, now: Duration) -> bool {
-        let lately = self.settings.inventory_lag.max(Duration::from_secs(3)) * 2 + Duration::from_secs(1);
-        self.cloud_replied_at.is_some_and(|at| now.saturating_sub(at) < lately)
-    }
-
     /// Without the state service nobody knows what was cancelled last. A machine that
     /// hangs keeps such a task beyond its lease, for as long as it hangs. It goes when
     /// a cancellation that this leader did not see would be due, if its lease has run
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -5,6 +5,7 @@
 mod evidence;
 mod garbage;
 mod intents;
+mod inventory;
 mod job_watch;
 mod loading;
 mod maintenance;
@@ -20,18 +21,17 @@
 mod wide_jobs;
 mod workers;
 
-use crate::calls::{CallPurpose, LeaderCall, PendingRental};
+use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::EffectSink;
 use crate::fleet::Fleet;
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
-use crate::protocol::{Condition, Instance, KvRequest, MachineName, MachineType};
+use crate::protocol::{Condition, KvRequest, MachineType};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
-use crate::token_bucket::TokenBucket;
 pub use evidence::LeaderEvidence;
 pub use shards::LeaderRoute;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 pub use target::{Size, Target};
@@ -53,8 +53,6 @@
 const LATE_SCAN: Duration = Duration::from_secs(5);
 /// A job is stuck when nothing of it has started for this long.
 const STUCK: Duration = Duration::from_secs(120);
-/// A machine without work goes back after this time at the earliest.
-const IDLE: Duration = Duration::from_secs(3);
 /// How long a stopped task takes to be gone, usually.
 const STOPPING: Duration = Duration::from_millis(300);
 /// Tasks stopped for others in one pass at most.
@@ -81,7 +79,6 @@
     pub all_nodes_upgraded: bool,
     /// Some job's chunks are still to be laid anew.
     rechunk_pending: bool,
-    cloud_budget: TokenBucket,
     /// It has sent its first starts.
     first_start_sent: bool,
     /// When what time alone brings about is looked at again.
@@ -90,21 +87,10 @@
     sizing: sizing_rounds::SizingRounds,
     arrivals: arrivals::ArrivalHistory,
     cpu_budget: CpuBudget,
-    rental_counter: u64,
-    /// Rentals without an answer.
-    rentals_in_flight: Vec<PendingRental>,
-    rental_retries: Vec<scaling::RentalRetry>,
-    releasing: BTreeSet<MachineName>,
+    scaling: scaling::Scaling,
+    inventory: inventory::Inventory,
     intents: intents::Intents,
-    next_release_at: Duration,
-    next_inventory_at: Duration,
-    inventory_in_flight: bool,
-    inventory_pages: Vec<Instance>,
-    /// The whole machine list was read once: what is held is known.
-    inventory_complete: bool,
     next_lateness_scan_at: Duration,
-    /// When the cloud last answered.
-    cloud_replied_at: Option<Duration>,
     /// Who holds which machines, where they are divided.
     shards: Option<shards::LeaderShards>,
 }
@@ -124,28 +110,16 @@
             fleet: Fleet::default(),
             all_nodes_upgraded: false,
             rechunk_pending: false,
-            cloud_budget: TokenBucket::new(
-                settings.cloud_requests_per_s * 0.8,
-                settings.cloud_requests_per_s,
-            ),
             first_start_sent: false,
             next_maintenance_at: now,
             target: target::TargetState::default(),
             sizing: sizing_rounds::SizingRounds::new(now),
             arrivals: arrivals::ArrivalHistory::default(),
             cpu_budget: CpuBudget::new(settings.cpu_share),
-            rental_counter: 0,
-            rentals_in_flight: Vec::new(),
-            rental_retries: Vec::new(),
-            releasing: BTreeSet::new(),
+            scaling: scaling::Scaling::new(&settings, now),
+            inventory: inventory::Inventory::new(now),
             intents: intents::Intents::new(&settings, token, now),
-            next_release_at: now,
-            next_inventory_at: now,
-            inventory_in_flight: false,
-            inventory_pages: Vec::new(),
-            inventory_complete: false,
             next_lateness_scan_at: now,
-            cloud_replied_at: None,
             shards: settings.sharding.enabled.then(|| shards::LeaderShards::new(&settings, token, now)),
             settings,
         }
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -322,7 +322,7 @@
         if work.is_empty() {
             return;
         }
-        if self.inventory_complete {
+        if self.inventory.is_complete() {
             self.raise_for_wide_jobs(&work);
         }
         let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.available_slots(now).into_iter().unzip();
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -1,12 +1,10 @@
 //! What comes back from the state service, the cloud and workers.
 
-use super::scaling::RentalRetry;
-use super::{Leader, PAUSE};
-use crate::calls::{LeaderCall, PendingRental};
+use super::Leader;
+use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
 use crate::protocol::{CallError, CloudReply, CommandReply, KvReply, LogLevel};
 use crate::requests::RequestHandler;
-use plankhead_fencing::duty::IdempotencyKey;
 
 impl Leader {
     /// Handles a reply of the state service; false: somebody else leads.
@@ -61,6 +59,7 @@
         true
     }
 
+    /// Handles a reply of the cloud.
     pub fn cloud_reply(
         &mut self,
         times: StepTime,
@@ -70,62 +69,13 @@
     ) {
         let now = times.now;
         if reply.is_ok() {
-            self.cloud_replied_at = Some(now);
+            self.inventory.cloud_replied(now);
         }
-        match (leader_call, reply) {
-            (LeaderCall::ListInstances, Ok(CloudReply::Instances { instances: hosts, truncated })) => {
-                self.inventory_in_flight = false;
-                self.inventory_pages.extend(hosts);
-                if truncated {
-                    self.next_inventory_at = now;
-                } else {
-                    let list = std::mem::take(&mut self.inventory_pages);
-                    self.fleet.observe_inventory(&list, now);
-                    self.inventory_complete = true;
-                }
-            }
-            (LeaderCall::ListInstances, _) => {
-                self.inventory_in_flight = false;
-                self.inventory_pages.clear();
-            }
-            (LeaderCall::Rent(PendingRental { name, pool, count }), Ok(CloudReply::Rented(hosts))) => {
-                self.rentals_in_flight.retain(|rental| rental.name != name);
-                self.fleet.rented(&hosts, &pool, count, now);
-                self.confirm_intent(&IdempotencyKey::new(&name), effects);
-            }
-            (LeaderCall::Rent(rental), Ok(CloudReply::NoCapacity)) => {
-                self.rentals_in_flight.retain(|other| other.name != rental.name);
-                let pool = &rental.pool;
-                self.fleet.capacity_refused(pool, now);
-                effects.log(LogLevel::Debug, format!("no capacity in {} (spot: {})", pool.zone, pool.spot));
-                self.rental_refused(now, rental, effects);
-            }
-            // In doubt, the same name is used again: it rents once at most.
-            (LeaderCall::Rent(rental), _) => {
-                self.rental_retries.push(RentalRetry { due: now + PAUSE * 4, rental });
-            }
-            (LeaderCall::Release { machines: hosts, intent }, Ok(CloudReply::Released)) => {
-                self.confirm_intent(&intent, effects);
-                for host in hosts {
-                    self.releasing.remove(&host);
-                    self.fleet.instance_released(&host);
-                    self.machine_gone(&host);
-                    let freed = self.job_table.machine_gone(&host, now);
-                    if freed > 0 {
-                        effects.log(LogLevel::Debug, format!("{host} is gone with {freed} tasks"));
-                    }
-                }
-                self.stop_broken_gangs(now, effects);
-                self.placement.request_pass();
-            }
-            (LeaderCall::Release { intent, .. }, _) if self.intents.is_fenced() => {
-                self.return_failed(now, intent);
-            }
-            (LeaderCall::Release { machines: hosts, .. }, _) => {
-                for host in hosts {
-                    self.releasing.remove(&host);
-                }
-                self.next_release_at = now + PAUSE * 2;
+        match leader_call {
+            LeaderCall::ListInstances => self.instances_listed(now, reply),
+            LeaderCall::Rent(rental) => self.rental_answered(now, rental, reply, effects),
+            LeaderCall::Release { machines, intent } => {
+                self.release_answered(now, machines, intent, reply, effects);
             }
             _ => {}
         }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,14 +1,24 @@
 //! Renting machines and giving them back.
 
-use super::{Leader, LeaderEvidence, IDLE};
+use super::{Leader, LeaderEvidence, PAUSE};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
 use crate::fleet::RemovalReason;
-use crate::protocol::{MachineName, Pool};
+use crate::protocol::{CallError, CloudReply, LogLevel, MachineName, Pool};
+use crate::settings::Settings;
+use crate::token_bucket::TokenBucket;
 use plankhead_fencing::action::{Action, Rental, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
 use plankhead_fencing::duty::IdempotencyKey;
+use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// A machine without work goes back after this time at the earliest.
+const MIN_IDLE_TIME: Duration = Duration::from_secs(3);
+/// The pause before a rental whose answer was lost is asked for again.
+const RENTAL_RETRY_INTERVAL: Duration = PAUSE.saturating_mul(4);
+/// The pause after a release that failed.
+const RELEASE_RETRY_INTERVAL: Duration = PAUSE.saturating_mul(2);
+
 impl From<PendingRental> for Rental {
     fn from(rental: PendingRental) -> Self {
         let Pool { machine_type, zone, spot } = rental.pool;
@@ -25,9 +35,62 @@
 
 /// A rental to be asked for again.
 #[derive(Debug)]
-pub(super) struct RentalRetry {
-    pub due: Duration,
-    pub rental: PendingRental,
+struct RentalRetry {
+    due: Duration,
+    rental: PendingRental,
+}
+
+/// What is under way with the cloud.
+#[derive(Debug)]
+pub(super) struct Scaling {
+    cloud_budget: TokenBucket,
+    /// Numbers the rentals of this term.
+    rental_counter: u64,
+    /// Rentals without a final answer.
+    rentals_in_flight: Vec<PendingRental>,
+    rental_retries: Vec<RentalRetry>,
+    /// Machines whose release was requested.
+    releasing: BTreeSet<MachineName>,
+    next_release_at: Duration,
+}
+
+impl Scaling {
+    pub(super) fn new(settings: &Settings, now: Duration) -> Self {
+        let per_s = settings.cloud_requests_per_s;
+        Self {
+            cloud_budget: TokenBucket::new(per_s * 0.8, per_s),
+            rental_counter: 0,
+            rentals_in_flight: Vec::new(),
+            rental_retries: Vec::new(),
+            releasing: BTreeSet::new(),
+            next_release_at: now,
+        }
+    }
+
+    /// Takes one request to the cloud from the budget; false: there is none left.
+    pub(super) fn take_request(&mut self, now: Duration) -> bool {
+        self.cloud_budget.take(now, 1)
+    }
+
+    /// Whether some rental has no final answer yet.
+    pub(super) fn is_renting(&self) -> bool {
+        !self.rentals_in_flight.is_empty()
+    }
+
+    /// Has a rental asked for again as soon as the cloud's rate allows.
+    pub(super) fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
+        self.rentals_in_flight.push(rental.clone());
+        self.rental_retries.push(RentalRetry { due: now, rental });
+    }
+
+    /// The release of these machines was requested.
+    pub(super) fn release_requested(&mut self, machines: impl IntoIterator<Item = MachineName>) {
+        self.releasing.extend(machines);
+    }
+
+    fn rental_ended(&mut self, name: &str) {
+        self.rentals_in_flight.retain(|rental| rental.name != name);
+    }
 }
 
 impl Leader {
@@ -38,7 +101,7 @@
                 let such = |r: &&PendingRental| {
                     r.pool.machine_type == machine_type && spot.is_none_or(|s| s == r.pool.spot)
                 };
-                self.rentals_in_flight.iter().filter(such).map(|r| r.count).sum()
+                self.scaling.rentals_in_flight.iter().filter(such).map(|r| r.count).sum()
             };
             let ordinary = self
                 .fleet
@@ -57,7 +120,8 @@
             }
             let mut pools: Vec<Pool> = self.fleet.pools(&machine_type);
             pools.retain(|p| {
-                self.fleet.may_rent_from(p, now) && !self.rentals_in_flight.iter().any(|r| r.pool == *p)
+                self.fleet.may_rent_from(p, now)
+                    && !self.scaling.rentals_in_flight.iter().any(|r| r.pool == *p)
             });
             if strict > 0 {
                 pools.retain(|p| !p.spot);
@@ -72,14 +136,14 @@
             let share = left.div_ceil(pools.len().max(1) as u32);
             for pool in pools {
                 let count = share.min(left).min(MAX_RENTAL_COUNT);
-                if count == 0 || !self.cloud_budget.take(now, 1) {
+                if count == 0 || !self.scaling.take_request(now) {
                     break;
                 }
                 left -= count;
-                self.rental_counter += 1;
-                let name = format!("{}-{}-{}", self.settings.host, self.token, self.rental_counter);
+                self.scaling.rental_counter += 1;
+                let name = format!("{}-{}-{}", self.settings.host, self.token, self.scaling.rental_counter);
                 let rental = PendingRental { name, pool, count };
-                self.rentals_in_flight.push(rental.clone());
+                self.scaling.rentals_in_flight.push(rental.clone());
                 self.rent(rental, effects);
             }
         }
@@ -87,14 +151,14 @@
 
     /// Asks again for rentals whose answers were lost, under their names.
     fn retry_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
-        let all = std::mem::take(&mut self.rental_retries);
+        let all = std::mem::take(&mut self.scaling.rental_retries);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|retry| retry.due <= now);
-        self.rental_retries = later;
+        self.scaling.rental_retries = later;
         for retry in due {
-            if self.cloud_budget.take(now, 1) {
+            if self.scaling.take_request(now) {
                 self.rent(retry.rental, effects);
             } else {
-                self.rental_retries.push(retry);
+                self.scaling.rental_retries.push(retry);
             }
         }
     }
@@ -103,7 +167,7 @@
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
         if !self.request_cloud_action(key, Action::Rent(rental.into()), effects) {
-            self.rentals_in_flight.retain(|other| other.name != name);
+            self.scaling.rental_ended(&name);
         }
     }
 
@@ -120,7 +184,7 @@
                     m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
                 })
                 .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
-                .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= IDLE))
+                .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= MIN_IDLE_TIME))
                 .map(|m| (m.pool.spot, m.rented_at, m.name.clone()))
                 .collect();
             idle.sort();
@@ -162,7 +226,7 @@
         effects: &mut EffectSink,
     ) {
         let free = evidence.lease_valid && self.loading.is_ready();
-        if now < self.next_release_at || !(free || self.is_cloud_reachable(now)) {
+        if now < self.scaling.next_release_at || !(free || self.is_cloud_reachable(now)) {
             return;
         }
         let may = |why: RemovalReason| match why {
@@ -172,16 +236,93 @@
         };
         let machines = self.fleet.machines.values();
         let leaving = machines.filter_map(|m| m.removal.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
-        let mut leaving: Vec<(MachineName, RemovalReason)> =
-            leaving.filter(|(host, _)| !self.releasing.contains(host)).take(MAX_RETURN_HOSTS).collect();
+        let mut leaving: Vec<(MachineName, RemovalReason)> = leaving
+            .filter(|(host, _)| !self.scaling.releasing.contains(host))
+            .take(MAX_RETURN_HOSTS)
+            .collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
         let due = leaving.iter().any(|(_, why)| *why == RemovalReason::CancellationDue);
         if due && self.intents.is_fenced() {
             leaving.retain(|(_, why)| *why == RemovalReason::CancellationDue);
         }
-        if !leaving.is_empty() && self.cloud_budget.take(now, 1) {
+        if !leaving.is_empty() && self.scaling.take_request(now) {
             self.return_machines(&leaving, (due || !free, !due), effects);
         }
     }
+
+    /// Takes in the reply to a rental.
+    pub(super) fn rental_answered(
+        &mut self,
+        now: Duration,
+        rental: PendingRental,
+        reply: Result<CloudReply, CallError>,
+        effects: &mut EffectSink,
+    ) {
+        match reply {
+            Ok(CloudReply::Rented(machines)) => {
+                self.scaling.rental_ended(&rental.name);
+                self.fleet.rented(&machines, &rental.pool, rental.count, now);
+                self.confirm_intent(&IdempotencyKey::new(&rental.name), effects);
+            }
+            Ok(CloudReply::NoCapacity) => {
+                self.scaling.rental_ended(&rental.name);
+                let pool = &rental.pool;
+                self.fleet.capacity_refused(pool, now);
+                effects.log(
+                    LogLevel::Debug,
+                    format!(
+                        "scale-out refused: reason=no_capacity type={} zone={} spot={}",
+                        pool.machine_type, pool.zone, pool.spot
+                    ),
+                );
+                self.rental_refused(now, rental, effects);
+            }
+            // In doubt, the same name is used again: it rents once at most.
+            _ => self.scaling.rental_retries.push(RentalRetry { due: now + RENTAL_RETRY_INTERVAL, rental }),
+        }
+    }
+
+    /// Takes in the reply to a release.
+    pub(super) fn release_answered(
+        &mut self,
+        now: Duration,
+        machines: Vec<MachineName>,
+        intent: IdempotencyKey,
+        reply: Result<CloudReply, CallError>,
+        effects: &mut EffectSink,
+    ) {
+        match reply {
+            Ok(CloudReply::Released) => self.machines_released(now, machines, &intent, effects),
+            _ if self.intents.is_fenced() => self.return_failed(now, intent),
+            _ => {
+                for machine in machines {
+                    self.scaling.releasing.remove(&machine);
+                }
+                self.scaling.next_release_at = now + RELEASE_RETRY_INTERVAL;
+            }
+        }
+    }
+
+    fn machines_released(
+        &mut self,
+        now: Duration,
+        machines: Vec<MachineName>,
+        intent: &IdempotencyKey,
+        effects: &mut EffectSink,
+    ) {
+        self.confirm_intent(intent, effects);
+        for machine in machines {
+            self.scaling.releasing.remove(&machine);
+            self.fleet.instance_released(&machine);
+            self.machine_gone(&machine);
+            let lost = self.job_table.machine_gone(&machine, now);
+            if lost > 0 {
+                let text = format!("machine released with tasks: machine={machine} tasks={lost}");
+                effects.log(LogLevel::Debug, text);
+            }
+        }
+        self.stop_broken_gangs(now, effects);
+        self.placement.request_pass();
+    }
 }
--- a/crates/plankhead-core/src/leader/wide_jobs.rs
+++ b/crates/plankhead-core/src/leader/wide_jobs.rs
@@ -84,7 +84,7 @@
                 .map(|p| self.fleet.machines_staying(p))
                 .sum();
             let size = self.target.current().sizes.get(&rig).copied().unwrap_or_default();
-            let may_raise = self.rentals_in_flight.is_empty();
+            let may_raise = !self.scaling.is_renting();
             let raise = (may_raise && size.machines <= count).then_some(count + more);
             let raise_ordinary =
                 (may_raise && strict && size.ordinary < ordinary + more).then_some(ordinary + more);
