--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -12,6 +12,7 @@
 mod permissions;
 mod persistence;
 mod placement;
+mod preemption;
 mod replies;
 mod scaling;
 mod shards;
@@ -55,12 +56,8 @@
 const STUCK: Duration = Duration::from_secs(120);
 /// How long a stopped task takes to be gone, usually.
 const STOPPING: Duration = Duration::from_millis(300);
-/// Tasks stopped for others in one pass at most.
-const MAX_STOPS: usize = 64;
 /// How often machines are judged, rented and given back.
 const MIND: Duration = Duration::from_millis(200);
-/// A task that needed more attempts than this is not stopped again.
-const MAX_PREEMPTED: u64 = 2;
 
 #[derive(Debug)]
 pub struct Leader {
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -1,16 +1,17 @@
-//! Which task goes where, and who must make room.
+//! Placement passes: which task goes where.
 
-use super::{Leader, MAX_PREEMPTED, MAX_STOPS, MAX_WORK, STOPPING};
+use super::preemption::PassOutcome;
+use super::{Leader, MAX_WORK, STOPPING};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
-use crate::jobs::job::{JobId, JobPhase, JobSpec, Priority, Resources};
+use crate::jobs::job::{JobId, JobPhase, JobSpec, Resources};
 use crate::jobs::job_table::JobEntry;
 use crate::placement::backfill::{self, Running, Slot};
 use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
 use crate::placement::index::PlacementIndex;
-use crate::protocol::{MachineName, TaskId};
+use crate::protocol::MachineName;
 use crate::settings::{Settings, Team};
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -347,195 +348,8 @@
         }
         if !cut && now >= self.placement.next_preemption_at {
             self.placement.next_preemption_at = now + self.cpu_budget.preemption_interval();
-            self.preempt(now, &slots, &hosts, &mut work, &mut teams, effects);
+            let pass = PassOutcome { machines: &hosts, slots: &slots, work: &mut work, teams: &mut teams };
+            self.preempt(now, pass, effects);
         }
     }
-
-    /// Stops lesser work for urgent tasks that would start too late otherwise,
-    /// the least progressed first. What is stopped comes back to the queue.
-    pub(super) fn preempt(
-        &mut self,
-        now: Duration,
-        slots: &[Slot],
-        hosts: &[MachineName],
-        work: &mut [Work],
-        teams: &mut [TeamUsage],
-        effects: &mut EffectSink,
-    ) {
-        // As many tasks of a job as find no room in time; those of a gang that must be
-        // in one zone, in the zone that lacks least.
-        let late = |w: &Work| {
-            let lacking = |zone: Option<usize>| {
-                let mut left = if w.priority >= Priority::Urgent { w.pending } else { 0 };
-                let here = |s: &&Slot| w.allows(s.pool) && zone.is_none_or(|z| z == s.zone);
-                for slot in slots.iter().filter(here) {
-                    if left == 0 {
-                        break;
-                    }
-                    left -= slot.fits_by(&w.demand, w.latest_start.max(now), left);
-                }
-                left
-            };
-            if !w.gang || !w.single_zone {
-                return (lacking(None), None);
-            }
-            let zones: BTreeSet<usize> = slots.iter().filter(|s| w.allows(s.pool)).map(|s| s.zone).collect();
-            zones.into_iter().map(|z| (lacking(Some(z)), Some(z))).min().unwrap_or_default()
-        };
-        let late: Vec<(u32, Option<usize>)> = work.iter().map(late).collect();
-        let mut order: Vec<usize> = (0..work.len()).filter(|i| late[*i].0 > 0).collect();
-        if order.is_empty() {
-            return;
-        }
-        for (w, (_, zone)) in work.iter_mut().zip(&late) {
-            if let Some(zone) = zone {
-                w.add_to_zone(*zone);
-            }
-        }
-        order.sort_by_key(|i| {
-            (std::cmp::Reverse(work[*i].priority), !work[*i].guaranteed, work[*i].latest_start)
-        });
-        let mut lesser: Vec<PreemptionCandidates> = hosts
-            .iter()
-            .zip(slots)
-            .map(|(host, slot)| match slot.ready_at <= now {
-                true => self.preemption_candidates(now, host, slot.free),
-                false => PreemptionCandidates::default(),
-            })
-            .collect();
-        let mut told: BTreeSet<MachineName> = BTreeSet::new();
-        let mut stops = 0;
-        for i in order {
-            let (each, urgency) = (work[i].demand, work[i].priority);
-            let mut left = late[i].0;
-            let (mut chosen, before) = (Vec::new(), work[i].gang.then(|| lesser.clone()));
-            while left > 0 && teams[work[i].team].admits(&each) && stops + chosen.len() < MAX_STOPS {
-                let fit = |(place, slot): (usize, &Slot)| {
-                    let suits = work[i].allows(slot.pool) && work[i].admits_zone(slot.zone);
-                    let found = suits.then(|| lesser[place].victims_needed(&each, urgency)).flatten();
-                    found.map(|(gang, loss, count)| (gang, loss, place, count))
-                };
-                let Some((_, _, place, count)) = slots.iter().enumerate().filter_map(fit).min() else {
-                    break;
-                };
-                let victims: Vec<Victim> = lesser[place].tasks.drain(..count).collect();
-                for victim in victims {
-                    lesser[place].room.add(&victim.demand);
-                    if victim.gang {
-                        // The others end with it and make room where they are.
-                        lesser.iter_mut().for_each(|l| l.remove_job(&victim.task.job));
-                    }
-                    chosen.push((place, victim.task));
-                }
-                lesser[place].room.sub(&each);
-                teams[work[i].team].used.add(&each);
-                work[i].add_to_zone(slots[place].zone);
-                left -= 1;
-            }
-            // Room for some of a gang is of no use: nothing is stopped for it then.
-            if let Some(before) = before.filter(|_| left > 0) {
-                lesser = before;
-                continue;
-            }
-            stops += chosen.len();
-            for (place, task) in chosen {
-                self.job_table.stop(&task);
-                told.insert(hosts[place].clone());
-            }
-        }
-        told.append(&mut self.job_table.machines_to_stop);
-        for host in told {
-            self.send_commands(now, &host, effects);
-        }
-    }
-
-    /// What may be stopped on a machine: young tasks below the highest urgency,
-    /// the least progressed first.
-    fn preemption_candidates(
-        &self,
-        now: Duration,
-        host: &MachineName,
-        free: Resources,
-    ) -> PreemptionCandidates {
-        let mut found = PreemptionCandidates { room: free, tasks: Vec::new() };
-        for task in self.job_table.by_machine(host) {
-            let (Some(entry), Some(attempt)) =
-                (self.job_table.jobs.get(&task.job), self.job_table.attempt(task))
-            else {
-                continue;
-            };
-            let (each, urgency) = (entry.spec.demand, entry.spec.priority);
-            if attempt.stop_requested {
-                found.room.add(&each);
-                continue;
-            }
-            let ran = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            let young = ran < self.estimated_runtime(&entry.spec) / 2;
-            let often = attempt.number > MAX_PREEMPTED;
-            // To stop one task of a gang costs the progress of all, or the time they
-            // need to save: they come last.
-            let gang = entry.gang.is_some();
-            let ran = if gang { ran * entry.spec.tasks } else { ran };
-            if attempt.reported_status.is_some() && young && !often && urgency < Priority::Critical {
-                found.tasks.push(Victim {
-                    ran_for: ran,
-                    task: task.clone(),
-                    demand: each,
-                    priority: urgency,
-                    gang,
-                });
-            }
-        }
-        found.tasks.sort_by_key(|v| (v.priority, v.gang, v.ran_for));
-        found
-    }
-}
-
-/// A task that may be stopped for a more urgent one.
-#[derive(Debug, Clone)]
-struct Victim {
-    ran_for: Duration,
-    task: TaskId,
-    demand: Resources,
-    priority: Priority,
-    gang: bool,
-}
-
-/// The tasks of a machine that may be stopped, the least urgent first, and the
-/// room beside them.
-#[derive(Debug, Clone, Default)]
-struct PreemptionCandidates {
-    room: Resources,
-    tasks: Vec<Victim>,
-}
-
-impl PreemptionCandidates {
-    /// The job's tasks are being stopped.
-    fn remove_job(&mut self, job: &JobId) {
-        let room = &mut self.room;
-        self.tasks.retain(|v| {
-            let ends = v.task.job == *job;
-            if ends {
-                room.add(&v.demand);
-            }
-            !ends
-        });
-    }
-
-    /// How many of the tasks would have to stop for one more, the progress lost, and
-    /// first of all whether a gang would have to.
-    fn victims_needed(&self, each: &Resources, urgency: Priority) -> Option<(bool, Duration, usize)> {
-        let mut room = self.room;
-        let (mut gang, mut loss) = (false, Duration::ZERO);
-        let mut count = 0;
-        let mut tasks = self.tasks.iter().take_while(|v| v.priority < urgency);
-        while !each.fits(&room) {
-            let victim = tasks.next()?;
-            room.add(&victim.demand);
-            gang |= victim.gang;
-            loss += victim.ran_for;
-            count += 1;
-        }
-        Some((gang, loss, count))
-    }
 }
