--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -7,6 +7,7 @@
 mod intents;
 mod inventory;
 mod job_watch;
+mod job_work;
 mod loading;
 mod maintenance;
 mod permissions;
@@ -17,6 +18,7 @@
 mod scaling;
 mod shards;
 mod sizing_rounds;
+mod slots;
 mod target;
 mod view;
 mod wide_jobs;
@@ -38,8 +40,6 @@
 pub use target::{Size, Target};
 
 const PAUSE: Duration = Duration::from_millis(250);
-/// Jobs that one pass looks at.
-const MAX_WORK: usize = 400;
 /// Orders in one answer to a worker: its lines must stay below 64 KiB.
 const MAX_ORDERS: usize = 300;
 /// Time a saving task is given at the most.
@@ -54,8 +54,6 @@
 const LATE_SCAN: Duration = Duration::from_secs(5);
 /// A job is stuck when nothing of it has started for this long.
 const STUCK: Duration = Duration::from_secs(120);
-/// How long a stopped task takes to be gone, usually.
-const STOPPING: Duration = Duration::from_millis(300);
 /// How often machines are judged, rented and given back.
 const MIND: Duration = Duration::from_millis(200);
 
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -196,7 +196,7 @@
             return;
         }
         let teams = self.team_usage();
-        let (_, work) = self.pending_work(now, &teams);
+        let work = self.pending_work(now, &teams).work;
         let cold = none_up && !work.is_empty();
         if cold {
             self.sizing.next_round_at = self.sizing.next_round_at.min(now + COLD_ROUND_INTERVAL);
@@ -208,7 +208,7 @@
         self.sizing.next_round_at = now + self.round_interval();
         // Nor does the rush of the first seconds tell what comes later.
         let expected = if cold { Vec::new() } else { self.expected_arrivals(now) };
-        let slots: Vec<Slot> = self.available_slots(now).into_iter().map(|(_, slot)| slot).collect();
+        let slots = self.available_slots(now).slots;
         let running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
         let running = self.job_table.jobs.values().filter(running).count();
         let mut trials = Vec::new();
