--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -1,20 +1,18 @@
 //! What time alone brings about.
 
-use super::{Leader, LeaderEvidence, MIND};
-use crate::calls::{CallPurpose, LeaderCall};
+use super::{Leader, LeaderEvidence};
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::{Machine, RemovalReason};
+use crate::fleet::RemovalReason;
 use crate::jobs::job_table::tasks_per_chunk;
-use crate::protocol::MachineName;
 use crate::requests::RequestHandler;
-use plankhead_reachability::mode::Mode;
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// What a release takes at the most, usually.
-const RELEASE: Duration = Duration::from_secs(3);
+/// How often machines are judged, rented and given back.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Leader {
+    /// Does what is due by time alone. Every event brings such a step.
     pub fn tick(
         &mut self,
         times: StepTime,
@@ -22,67 +20,88 @@
         requests: &mut RequestHandler,
         effects: &mut EffectSink,
     ) {
-        let (now, firm) = (times.now, evidence.lease_valid);
+        let (now, lease_valid) = (times.now, evidence.lease_valid);
         self.intents.wall_ms = times.wall_ms();
         self.evidence.update(&evidence, !self.loading.is_ready(), now);
         if !self.loading.is_ready() {
-            if self.loading.take_due_retry(now) {
-                self.garbage.clear();
-                self.begin_loading(now, effects);
-            }
-            if now >= self.next_maintenance_at {
-                self.next_maintenance_at = now + MIND;
-                self.remove_silent_beyond_lease(now, evidence);
-                self.release_removed_machines(now, evidence, effects);
-            }
-            self.advance_intents(times, evidence, effects);
-            self.list_instances(now, effects);
-            return;
+            return self.tick_loading(times, evidence, effects);
         }
         self.watch_jobs(now, effects);
-        let places = firm && self.permits(Action::Place, now);
-        let rents = firm && self.inventory.is_complete() && self.permits(Action::Rent, now);
-        // What could not be written yet could not start either: the next pass
-        // waits for it and so puts more into one write, but not for long.
-        let backlog = self.job_table.dirty_placements.len();
-        let written = backlog == 0 || backlog <= self.persistence.available(now);
-        if places && self.placement.is_pass_due(now, written) {
-            self.placement.pass_began(now + self.cpu_budget.pass_interval());
-            self.run_placement_pass(now, effects);
-        }
+        let may_place = lease_valid && self.permits(Action::Place, now);
         // A new leader that had not seen the machines yet took the fleet for none: it
-        // hired all anew, and its round gave back what then turned up.
-        if rents {
+        // rented all anew, and its round gave back what then turned up.
+        let may_rent = lease_valid && self.inventory.is_complete() && self.permits(Action::Rent, now);
+        self.place_when_due(now, may_place, effects);
+        if may_rent {
             self.advance_sizing(times, effects);
         }
-        // At the first step of a leader that has read all, too: nothing larger than
+        // At the first step of a leader that has loaded all, too: nothing larger than
         // what may be written is ever sent.
         if self.rechunk_pending {
             self.rechunk_pending = self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
         self.advance_intents(times, evidence, effects);
-        self.tick_shards(now, firm, requests, effects);
-        if firm {
+        self.tick_shards(now, lease_valid, requests, effects);
+        if lease_valid {
             self.flush(now, requests, effects);
         }
-        // Every report brings a step: what costs time with every machine or job
-        // has a beat of its own.
-        if now < self.next_maintenance_at {
-            return;
+        // Every heartbeat brings a step: what costs time with every machine or job
+        // has an interval of its own.
+        if now >= self.next_maintenance_at {
+            self.next_maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.maintain(now, evidence, may_rent, effects);
         }
-        self.next_maintenance_at = now + MIND;
+    }
+
+    /// A step of a leader that still loads: it only finishes what former leaders asked of
+    /// the cloud, and gives back what a cancellation forces it to.
+    fn tick_loading(&mut self, times: StepTime, evidence: LeaderEvidence, effects: &mut EffectSink) {
+        let now = times.now;
+        if self.loading.take_due_retry(now) {
+            self.garbage.clear();
+            self.begin_loading(now, effects);
+        }
+        if now >= self.next_maintenance_at {
+            self.next_maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.remove_silent_beyond_lease(now, evidence);
+            self.release_removed_machines(now, evidence, effects);
+        }
+        self.advance_intents(times, evidence, effects);
+        self.list_instances(now, effects);
+    }
+
+    fn place_when_due(&mut self, now: Duration, may_place: bool, effects: &mut EffectSink) {
+        // What could not be written yet could not start either: the next pass
+        // waits for it and so puts more into one write, but not for long.
+        let backlog = self.job_table.dirty_placements.len();
+        let all_written = backlog == 0 || backlog <= self.persistence.available(now);
+        if may_place && self.placement.is_pass_due(now, all_written) {
+            self.placement.pass_began(now + self.cpu_budget.pass_interval());
+            self.run_placement_pass(now, effects);
+        }
+    }
+
+    /// Judges, rents and releases machines, and deletes garbage.
+    fn maintain(
+        &mut self,
+        now: Duration,
+        evidence: LeaderEvidence,
+        may_rent: bool,
+        effects: &mut EffectSink,
+    ) {
+        let lease_valid = evidence.lease_valid;
         self.check_machines(now, evidence, effects);
         // A new leader's rentals took the cloud's rate while a cancellation was due.
         if self.fleet.machines.values().any(|m| m.removal == Some(RemovalReason::CancellationDue)) {
             self.release_removed_machines(now, evidence, effects);
         }
-        if rents {
+        if may_rent {
             self.rent_machines(now, effects);
         }
-        if firm && self.permits(Action::Return, now) {
+        if lease_valid && self.permits(Action::Return, now) {
             self.remove_surplus(now);
         }
-        if firm {
+        if lease_valid {
             self.delete_garbage(now, effects);
         }
         self.release_removed_machines(now, evidence, effects);
@@ -107,7 +126,7 @@
         if let Some(pass) = self.placement.next_pass_due(now, retry) {
             due = due.min(pass);
         }
-        let waits = !self.job_table.dirty_placements.is_empty()
+        let has_backlog = !self.job_table.dirty_placements.is_empty()
             || !self.job_table.ended_jobs.is_empty()
             || self.target.is_dirty()
             || self.rechunk_pending
@@ -115,129 +134,9 @@
         if let Some(slice) = self.sizing.next_slice_due() {
             due = due.min(slice);
         }
-        if waits {
+        if has_backlog {
             due = due.min(retry);
         }
         due
     }
-
-    /// Whether some worker was heard lately, or none could be: those of machines that the
-    /// cloud lists no more are not there, whatever fails this node.
-    pub(super) fn hears_workers(&self, now: Duration) -> bool {
-        let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
-        let there = |m: &&Machine| m.is_up() && !m.is_unlisted();
-        let mut up = self.fleet.machines.values().filter(there).peekable();
-        up.peek().is_none() || up.any(|m| now.saturating_sub(m.last_heard_at) < recent)
-    }
-
-    /// Whether no worker at all has reached this node for so long that another
-    /// should try to lead.
-    pub fn is_isolated(&self, now: Duration) -> bool {
-        let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(3);
-        self.loading.is_ready()
-            && self.evidence.time_without_direct_heartbeat(now) > timeout
-            && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
-    }
-
-    /// Without the state service nobody knows what was cancelled last. A machine that
-    /// hangs keeps such a task beyond its lease, for as long as it hangs. It goes when
-    /// a cancellation that this leader did not see would be due, if its lease has run
-    /// out: where every sibling is heard and none leads, nobody else has renewed it, so
-    /// that whatever was on it is lost anyway.
-    ///
-    /// A leader that has not read yet does not know how old its ignorance is, and
-    /// doesn't wait; but it takes the silence of many for its own fault.
-    fn remove_silent_beyond_lease(&mut self, now: Duration, evidence: LeaderEvidence) {
-        let reading = !self.loading.is_ready();
-        let due = reading || now.saturating_sub(self.job_watch.synced_at()) >= self.cancel_grace();
-        if due && evidence.no_peer_leads && self.is_cloud_reachable(now) {
-            let silence = self.settings.worker_lease + Duration::from_secs(1);
-            self.fleet.mark_silent_beyond_lease(now, silence, reading);
-        }
-    }
-
-    /// How long after a cancellation a machine goes back that may still have a task.
-    fn cancel_grace(&self) -> Duration {
-        self.cancel_due().saturating_sub(Duration::from_secs(7))
-    }
-
-    /// When a cancellation is due, for certain, on whatever clock it was told.
-    fn cancel_due(&self) -> Duration {
-        self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
-    }
-
-    fn check_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
-        let contact = self.hears_workers(now);
-        // Where no node hears any worker, the silence is theirs.
-        let silence_tells = contact || self.evidence.mode() == Mode::StateOnly;
-        if evidence.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
-            if self.evidence.trust_silence() {
-                self.fleet.reset_silence(now);
-            }
-            if self.fleet.mark_for_removal(now, &self.settings) > 0 {
-                self.placement.request_pass();
-            }
-            if !self.evidence.is_cpu_starved() {
-                self.probe_late_machines(now, effects);
-            }
-        } else {
-            // A leader that is cut off hears nobody, and its requests to the
-            // cloud may be carried out when the cut ends: it would give back
-            // a whole healthy fleet. While it hears workers, the others' silence is
-            // theirs: forgiven after every lost renewal, machines that were gone kept
-            // their tasks for ever under a lossy state service.
-            if !contact {
-                self.evidence.distrust_silence();
-            }
-            self.remove_silent_beyond_lease(now, evidence);
-        }
-        // A cancelled task that is not proven gone takes its machine along, whoever
-        // else is silent: in an outage, or where all machines hang, too.
-        let (due, grace) = (self.cancel_due(), self.cancel_grace());
-        let heard = now.saturating_sub(self.started_at) > self.settings.failover_heartbeat_timeout();
-        let overdue: Vec<MachineName> = self
-            .job_table
-            .jobs
-            .values()
-            .filter(|e| e.placed > 0 && e.cancelled_at.is_some_and(|at| now.saturating_sub(at) >= grace))
-            .flat_map(|e| self.job_table.attempts_of(e).map(|a| (e.cancelled_at.unwrap_or_default(), a)))
-            // What an earlier leader placed may have ended under it, which the
-            // first reports to us show, if the time left allows to wait for them.
-            // A leader that comes when hardly any is left does not wait: it waited for
-            // silence then, and a hung machine kept its task beyond the time.
-            .filter(|(at, a)| {
-                let last = *at + due.saturating_sub(RELEASE);
-                a.reported_status.is_some()
-                    || a.offered_under_token.is_some()
-                    || heard
-                    || (self.started_at < *at + due && now >= last)
-            })
-            .map(|(_, a)| a.machine.clone())
-            .collect();
-        let reclaims = self.permits(Action::ReclaimOverdue, now);
-        for host in overdue.into_iter().filter(|_| reclaims) {
-            self.fleet.expect_machine(&host, now);
-            if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.removal.get_or_insert(RemovalReason::CancellationDue);
-            }
-        }
-    }
-
-    /// Asks machines whose reports are late directly whether they are there.
-    fn probe_late_machines(&mut self, now: Duration, effects: &mut EffectSink) {
-        for host in self
-            .fleet
-            .machines_to_probe(now, self.settings.heartbeat_timeout(), |machine| self.is_own_machine(machine))
-        {
-            let token = self.token_for(&host);
-            let Some(machine) = self.fleet.machines.get_mut(&host) else { continue };
-            let Some(incarnation) = machine.incarnation() else { continue };
-            let address = machine.begin_command(&[]);
-            let call = CallPurpose::Leader(
-                self.token,
-                LeaderCall::SendCommands { machine: host, incarnation, starts: Vec::new() },
-            );
-            effects.send_commands(call, address, token, incarnation, Vec::new());
-        }
-    }
 }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -9,6 +9,7 @@
 mod job_watch;
 mod job_work;
 mod loading;
+mod machine_checks;
 mod maintenance;
 mod permissions;
 mod persistence;
@@ -54,8 +55,6 @@
 const LATE_SCAN: Duration = Duration::from_secs(5);
 /// A job is stuck when nothing of it has started for this long.
 const STUCK: Duration = Duration::from_secs(120);
-/// How often machines are judged, rented and given back.
-const MIND: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
 pub struct Leader {
