--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -2,8 +2,10 @@
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
 mod arrivals;
+mod commands;
 mod evidence;
 mod garbage;
+mod heartbeats;
 mod intents;
 mod inventory;
 mod job_watch;
@@ -23,7 +25,6 @@
 mod target;
 mod view;
 mod wide_jobs;
-mod workers;
 
 use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::EffectSink;
@@ -34,6 +35,7 @@
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
 pub use evidence::LeaderEvidence;
+pub use heartbeats::HeartbeatPath;
 pub use shards::LeaderRoute;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -41,17 +43,11 @@
 pub use target::{Size, Target};
 
 const PAUSE: Duration = Duration::from_millis(250);
-/// Orders in one answer to a worker: its lines must stay below 64 KiB.
-const MAX_ORDERS: usize = 300;
-/// Time a saving task is given at the most.
-const MAX_LEEWAY: Duration = Duration::from_secs(10);
 /// What answers of a leader without sight end sooner than leases and cancellations
 /// ask for: for the drift of clocks and for what is under way.
 const BLIND_MARGIN: Duration = Duration::from_secs(2);
 /// No starts once the jobs were not seen afresh for this long.
 const STALE: Duration = Duration::from_secs(4);
-/// A worker that refused a task for room is left alone this long.
-const FULL_PAUSE: Duration = Duration::from_secs(2);
 const LATE_SCAN: Duration = Duration::from_secs(5);
 /// A job is stuck when nothing of it has started for this long.
 const STUCK: Duration = Duration::from_secs(120);
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -5,7 +5,7 @@
 use crate::calls::{CallPurpose, LeaderCall, SentShardCommands};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
-use crate::protocol::{Heartbeat, LogLevel, MachineName, TaskStatus, WorkerCommand};
+use crate::protocol::{Heartbeat, MachineName, TaskStatus, WorkerCommand};
 use crate::requests::RequestHandler;
 use crate::shards::messages::{
     Delivery, LeaderCommands, MachineCommands, ShardMessage, MAX_MACHINES, MAX_TASKS,
@@ -15,6 +15,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+fn has_starts(machine: &MachineCommands) -> bool {
+    machine.commands.iter().any(|command| matches!(command, WorkerCommand::Run { .. }))
+}
+
 impl Leader {
     /// The commands for a machine may have changed: its holder is told.
     pub(in crate::leader) fn mark_commands_due(&mut self, host: &MachineName) {
@@ -118,7 +122,9 @@
         for MachineCommands { commands: orders, shard, .. } in &machines {
             self.record_offered_starts(orders, held[*shard].1);
         }
-        self.log_first_start(now, &machines, effects);
+        if machines.iter().any(has_starts) {
+            self.log_first_start(now, effects);
+        }
         let Some(shards) = &mut self.shards else { return };
         shards.sequence += 1;
         let sequence = shards.sequence;
@@ -153,21 +159,6 @@
         effects.send_shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
     }
 
-    pub(super) fn log_first_start(
-        &mut self,
-        now: Duration,
-        machines: &[MachineCommands],
-        effects: &mut EffectSink,
-    ) {
-        let run = |machine: &MachineCommands| {
-            machine.commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }))
-        };
-        if machines.iter().any(run) && !std::mem::replace(&mut self.first_start_sent, true) {
-            let after = now.saturating_sub(self.started_at).as_millis();
-            effects.log(LogLevel::Info, format!("first starts {after} ms after it leads"));
-        }
-    }
-
     /// The newest reports of the machines of these shards.
     pub(super) fn snapshot(&self, shards: &BTreeSet<ShardId>) -> Vec<Heartbeat> {
         if shards.is_empty() {
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::shards::HolderRoute;
 use super::Node;
 use crate::effects::StepTime;
-use crate::leader::LeaderRoute;
+use crate::leader::{HeartbeatPath, LeaderRoute};
 use crate::protocol::{Heartbeat, RequestId, Response};
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
                     return leader.handle_heartbeat(
                         times,
                         heartbeat,
-                        (relayed, is_cut_off),
+                        HeartbeatPath { relayed, is_cut_off },
                         &self.requests,
                         &mut self.effects,
                     );
