--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -24,7 +24,7 @@
             LeaderCall::ListIntents => self.intents_page_loaded(times, reply, effects),
             LeaderCall::WriteIntents { sent } => return self.intents_written(now, sent, reply, effects),
             LeaderCall::WriteShards { writes, sent } => {
-                return self.shards_written(now, (writes, sent), reply, effects);
+                return self.shards_written(now, writes, sent, reply, effects);
             }
             LeaderCall::ReadIntents { page, sent } => self.intents_reread(now, page, sent, reply),
             LeaderCall::WatchJobs { sent } => {
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's side of divided machines: it names the holders of shards, takes in what
-//! they tell, and has them pass its commands on.
+//! The leader's side of sharding: it names the holders of shards, takes in what they
+//! report, and has them pass its commands on.
 
 mod commands;
 mod records;
@@ -18,32 +18,40 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Until commands are repeated that did not arrive.
-const RETRY: Duration = Duration::from_millis(100);
-/// How often machines are looked through for commands that nothing else brings up, such as
-/// acknowledgements of ends that have become durable.
-const REFRESH: Duration = Duration::from_millis(500);
-/// Pause after a write that was not carried out.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+/// The pause after a write that was not carried out.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Who answers the report of a machine.
+/// Which node answers a machine's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaderRoute {
     /// The leader itself.
     Own,
     /// The holder of the machine's shard.
-    Holder { host: String, epoch: u64 },
+    Holder {
+        /// The node.
+        host: String,
+        /// The shard's epoch.
+        epoch: u64,
+    },
     /// Perhaps a holder whose record this leader has not seen yet.
     HolderUnknown,
     /// The worker knows a later leader's token.
     Superseded,
 }
 
-/// A controller that may hold shards, as its messages tell.
+/// The commands for a machine that its holder has.
+#[derive(Debug)]
+struct SentCommands {
+    /// The worker's incarnation that they are meant for.
+    incarnation: u64,
+    commands: Vec<WorkerCommand>,
+}
+
+/// A controller that may hold shards, as its messages show.
 #[derive(Debug, Default)]
 struct Peer {
     last_heard_at: Duration,
-    /// Which start of its process it is.
+    /// Tells one start of its process from another.
     boot_id: u64,
     zone: String,
     sees_records: bool,
@@ -51,13 +59,13 @@
     names: Names,
     /// Machines whose commands may have changed.
     due: BTreeSet<MachineName>,
-    /// What it has been told last of each machine: in which session, and which commands.
-    sent: HashMap<MachineName, (u64, Vec<WorkerCommand>)>,
-    /// Shards that it holds only now: it is told what is known of their machines.
+    /// The commands for each machine that were sent to it last.
+    sent: HashMap<MachineName, SentCommands>,
+    /// Shards that it holds only now: it is sent what is known of their machines.
     newly_held: BTreeSet<ShardId>,
     /// A shard was taken from it, and it may not have read so.
     shard_taken: bool,
-    /// Machines that were given back since.
+    /// Machines that were released since.
     removed: BTreeSet<MachineName>,
     /// The number of its latest message.
     latest_sequence: u64,
@@ -65,7 +73,7 @@
     retry_at: Duration,
 }
 
-/// What a leader that divides machines has beside the rest.
+/// The state of a leader whose machines are divided into shards.
 #[derive(Debug)]
 pub struct LeaderShards {
     registry: ShardRegistry,
@@ -98,7 +106,7 @@
         Some(shards.registry.shard_of(&machine.pool.zone, &machine.name))
     }
 
-    /// Whether this leader tells the machine's worker itself.
+    /// Whether this leader commands the machine's worker itself.
     pub(in crate::leader) fn is_own_machine(&self, machine: &Machine) -> bool {
         self.holder_of(machine).is_none()
     }
@@ -120,7 +128,7 @@
         (holder != own && shards.peers.contains_key(holder)).then(|| (holder.to_owned(), epoch))
     }
 
-    /// The fencing token of what this leader tells a machine itself.
+    /// The fencing token of this leader's own commands for a machine.
     pub(in crate::leader) fn token_for(&self, host: &MachineName) -> u64 {
         let machine = self.fleet.machines.get(host);
         let shard = machine.and_then(|machine| self.shard_of(machine));
@@ -128,7 +136,7 @@
         held.filter(|(holder, _)| *holder == self.settings.host).map_or(self.token, |(_, epoch)| epoch)
     }
 
-    /// Who answers a report.
+    /// Which node answers a heartbeat.
     pub fn route(&self, heartbeat: &Heartbeat) -> LeaderRoute {
         let Some(shards) = &self.shards else {
             return if heartbeat.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
@@ -144,7 +152,7 @@
         }
     }
 
-    /// Takes in the records as this node has read them.
+    /// Takes in the records as this node has read them; `seen`: as of when.
     pub fn apply_shard_records(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
         if let Some(shards) = &mut self.shards {
             shards.registry.apply_records(table, seen, now);
@@ -161,21 +169,21 @@
         }
     }
 
-    /// A holder of the machine's shard has seen whether it is there, and when it heard it.
-    fn confirm_by_holder(&mut self, host: &MachineName, proven: bool, at: Duration) {
-        let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
+    /// The holder of the machine's shard has found whether it is there, and when it was heard.
+    fn confirm_by_holder(&mut self, name: &MachineName, confirmed: bool, heard_at: Duration) {
+        let Some(machine) = self.fleet.machines.get_mut(name).filter(|_| confirmed) else { return };
         if !std::mem::replace(&mut machine.confirmed, true) {
             self.placement.request_pass();
         }
-        machine.last_heard_at = machine.last_heard_at.max(at);
-        machine.last_direct_at = machine.last_direct_at.max(at);
+        machine.last_heard_at = machine.last_heard_at.max(heard_at);
+        machine.last_direct_at = machine.last_direct_at.max(heard_at);
         machine.is_relayed = false;
     }
 
-    /// For the operators: shards, holders, epochs, and why a move waits.
+    /// What operators see: shards, holders, epochs, and why a move waits.
     pub(in crate::leader) fn shards_view(&self, now: Duration) -> serde_json::Value {
         let Some(shards) = &self.shards else { return serde_json::Value::Null };
-        let around = self.registry_input(now);
+        let input = self.registry_input(now);
         let rows: Vec<serde_json::Value> = shards
             .registry
             .current()
@@ -183,7 +191,7 @@
                 serde_json::json!({"shard": shard.to_string(), "state": state.to_string(),
                     "holder": state.holder(), "epoch": state.epoch(), "next": state.next_holder(),
                     "waitsFor": shards.registry.waits_for(shard),
-                    "machines": around.machines.get(shard).copied().unwrap_or(0)})
+                    "machines": input.machines.get(shard).copied().unwrap_or(0)})
             })
             .collect();
         let peers: Vec<serde_json::Value> = shards
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -1,7 +1,7 @@
-//! Naming the holders of shards: what is decided by, the records, and what follows.
+//! Naming the holders of shards: the input of the decision, the records, and what follows.
 
 use super::super::Leader;
-use super::{Peer, WRITE_PAUSE};
+use super::{Peer, WRITE_RETRY_INTERVAL};
 use crate::calls::LeaderCall;
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
@@ -16,60 +16,61 @@
     /// What the registry decides by.
     pub(super) fn registry_input(&self, now: Duration) -> RegistryInput {
         let settings = &self.settings.sharding;
-        let mut around = RegistryInput::default();
-        let Some(shards) = &self.shards else { return around };
-        let there = |peer: &&Peer| {
+        let mut input = RegistryInput::default();
+        let Some(shards) = &self.shards else { return input };
+        let is_alive = |peer: &&Peer| {
             peer.sees_records && now.saturating_sub(peer.last_heard_at) < settings.holder_timeout
         };
         let own = (&self.settings.host, &self.settings.zone, settings.leader_capacity, self.settings.boot_id);
-        let peers = shards.peers.iter().filter(|(_, peer)| there(peer));
+        let peers = shards.peers.iter().filter(|(_, peer)| is_alive(peer));
         let peers = peers.map(|(host, peer)| (host, &peer.zone, 1.0, peer.boot_id));
         for (host, zone, capacity, boot) in peers.chain([own]) {
-            around.alive.insert(host.clone(), boot);
+            input.alive.insert(host.clone(), boot);
             if !settings.drained.contains(host) {
                 let (host, zone) = (host.clone(), zone.clone());
-                around.candidates.push(Candidate { host, zone, capacity });
+                input.candidates.push(Candidate { host, zone, capacity });
             }
         }
         for machine in self.fleet.machines.values() {
             if let Some(shard) = self.shard_of(machine) {
-                *around.machines.entry(shard).or_default() += 1;
+                *input.machines.entry(shard).or_default() += 1;
             }
         }
-        around.zones = self
+        input.zones = self
             .fleet
             .machine_types
             .values()
             .flat_map(|machine_type| machine_type.zones.iter().cloned())
             .collect();
-        around
+        input
     }
 
-    /// Names holders where that is due, and tells them what has changed.
+    /// Names holders where that is due, and sends them the commands that have changed.
     pub(in crate::leader) fn tick_shards(
         &mut self,
         now: Duration,
-        firm: bool,
+        lease_valid: bool,
         requests: &RequestHandler,
         effects: &mut EffectSink,
     ) {
         let Some(shards) = &self.shards else { return };
-        if firm && now >= shards.next_write_at {
+        if lease_valid && now >= shards.next_write_at {
             self.write_records(now, effects);
         }
         self.refresh_due_commands(now);
         self.flush_shard_commands(now, requests, effects);
     }
 
-    pub(super) fn write_records(&mut self, now: Duration, effects: &mut EffectSink) {
-        let most = self.settings.max_txn_changes.min(self.persistence.available(now));
-        let around = self.registry_input(now);
+    /// Writes the records that are due, within the write budget.
+    fn write_records(&mut self, now: Duration, effects: &mut EffectSink) {
+        let max_changes = self.settings.max_txn_changes.min(self.persistence.available(now));
+        let input = self.registry_input(now);
         let Some(shards) = &mut self.shards else { return };
         shards.next_write_at = shards.registry.next_due(now);
-        if most == 0 {
+        if max_changes == 0 {
             return;
         }
-        let writes = shards.registry.next_writes(&around, most, now);
+        let writes = shards.registry.next_writes(&input, max_changes, now);
         if writes.is_empty() {
             return;
         }
@@ -90,16 +91,18 @@
         self.call_kv(call, KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// What became of a write of records; false: somebody else leads.
+    /// Takes in the reply to a write of records that was sent at `sent`; false: somebody
+    /// else leads.
     pub(in crate::leader) fn shards_written(
         &mut self,
         now: Duration,
-        (writes, sent): (Vec<RecordWrite>, Duration),
+        writes: Vec<RecordWrite>,
+        sent: Duration,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> bool {
         let outcome = match reply {
-            Ok(KvReply::Committed { revision: epoch }) => WriteOutcome::Committed { revision: epoch },
+            Ok(KvReply::Committed { revision }) => WriteOutcome::Committed { revision },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
                 return false;
             }
@@ -110,7 +113,7 @@
         };
         let Some(shards) = &mut self.shards else { return true };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
-        shards.next_write_at = if committed { now } else { now + WRITE_PAUSE };
+        shards.next_write_at = if committed { now } else { now + WRITE_RETRY_INTERVAL };
         let named: Vec<Named> = writes
             .iter()
             .filter_map(|write| shards.registry.write_completed(write, outcome, sent, now))
@@ -122,23 +125,25 @@
     }
 
     /// A shard has a holder from now on.
-    pub(super) fn holder_named(&mut self, now: Duration, named: Named, effects: &mut EffectSink) {
+    fn holder_named(&mut self, now: Duration, named: Named, effects: &mut EffectSink) {
         let Named { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
         if moved {
-            let before = from.as_deref().unwrap_or("nobody");
-            let text = format!("shard {shard} goes from {before} to {to} under {epoch} ({reason:?})");
+            let from = from.as_deref().unwrap_or("none");
+            let text = format!(
+                "shard holder changed: from={from} to={to} shard={shard} epoch={epoch} reason={reason:?}"
+            );
             effects.log(LogLevel::Info, text);
         }
-        let here = |machine: &&Machine| self.shard_of(machine).is_some_and(|of| of == shard);
-        let hosts: Vec<MachineName> =
-            self.fleet.machines.values().filter(here).map(|machine| machine.name.clone()).collect();
+        let is_of_shard = |machine: &&Machine| self.shard_of(machine).is_some_and(|of| of == shard);
+        let machines: Vec<MachineName> =
+            self.fleet.machines.values().filter(is_of_shard).map(|machine| machine.name.clone()).collect();
         let own = to == self.settings.host;
         let Some(shards) = &mut self.shards else { return };
         for peer in shards.peers.values_mut() {
-            for host in &hosts {
-                peer.sent.remove(host);
-                peer.due.remove(host);
+            for name in &machines {
+                peer.sent.remove(name);
+                peer.due.remove(name);
             }
             peer.newly_held.remove(&shard);
         }
@@ -146,17 +151,17 @@
             peer.shard_taken = true;
         }
         if let Some(peer) = shards.peers.get_mut(&to).filter(|_| !own) {
-            peer.due.extend(hosts.iter().cloned());
+            peer.due.extend(machines.iter().cloned());
             if reason != Reason::Renewed {
                 peer.newly_held.insert(shard);
             }
         }
-        for host in hosts {
+        for name in machines {
             if moved {
-                self.fleet.extend_for_reroute(&host, now);
+                self.fleet.extend_for_reroute(&name, now);
             }
             if own {
-                self.send_commands(now, &host, effects);
+                self.send_commands(now, &name, effects);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -1,4 +1,4 @@
-//! What holders of shards tell the leader.
+//! Status messages from the holders of shards.
 
 use super::super::Leader;
 use crate::effects::{EffectSink, StepTime};
@@ -17,11 +17,14 @@
         effects: &mut EffectSink,
     ) -> Delivery {
         let now = times.now;
-        let peer = self.settings.peers.contains(&message.host);
+        let is_peer = self.settings.peers.contains(&message.host);
         let Some(shards) = self.shards.as_mut() else { return Delivery::Unsupported };
-        let meant = peer && message.term == self.token;
-        let admitted =
-            if meant { shards.sequence_guard.admit(&message.host, message.stamp).ok() } else { None };
+        let is_for_this_term = is_peer && message.term == self.token;
+        let admitted = if is_for_this_term {
+            shards.sequence_guard.admit(&message.host, message.stamp).ok()
+        } else {
+            None
+        };
         let Some(admission) = admitted else {
             shards.refused += 1;
             return Delivery::Rejected;
@@ -39,11 +42,11 @@
             peer.names = Names::default();
         }
         if restarted {
-            // A process that has begun anew knows nothing of what it was told.
+            // A process that has begun anew has none of the commands that were sent to it.
             peer.due.extend(std::mem::take(&mut peer.sent).into_keys());
         }
-        for news in &message.updates {
-            peer.names.assign(news.number, news.heartbeat.machine.clone());
+        for update in &message.updates {
+            peer.names.assign(update.number, update.heartbeat.machine.clone());
         }
         let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
@@ -52,39 +55,39 @@
         if !message.updates.is_empty() || !alive.is_empty() {
             self.evidence.direct_heartbeat_arrived();
         }
-        let mut taken = true;
-        for news in message.updates {
-            taken &= self.apply_machine_update(times, &message.host, news, effects);
+        let mut all_taken = true;
+        for update in message.updates {
+            all_taken &= self.apply_machine_update(times, &message.host, update, effects);
         }
-        let heard = now.saturating_sub(message.alive_age);
-        for host in alive {
-            if self.is_held_by(&host, &message.host) {
-                self.fleet.observe_alive(&host, heard);
+        let heard_at = now.saturating_sub(message.alive_age);
+        for name in alive {
+            if self.is_held_by(&name, &message.host) {
+                self.fleet.observe_alive(&name, heard_at);
             }
         }
-        match (taken, other_stream && !message.first) {
+        match (all_taken, other_stream && !message.first) {
             (false, _) => Delivery::Rejected,
             (true, true) => Delivery::FullSyncNeeded,
             (true, false) => Delivery::Accepted,
         }
     }
 
-    pub(super) fn is_held_by(&self, host: &MachineName, holder: &str) -> bool {
-        let machine = self.fleet.machines.get(host);
+    fn is_held_by(&self, name: &MachineName, holder: &str) -> bool {
+        let machine = self.fleet.machines.get(name);
         machine.and_then(|machine| self.holder_of(machine)).is_some_and(|(of, _)| of == holder)
     }
 
-    /// What a holder tells of one of its machines. False: it is somebody else's machine by
-    /// now, or this leader does not know yet that the record was written, in which case it
-    /// wants to be told again.
-    pub(super) fn apply_machine_update(
+    /// Takes in a holder's update of one of its machines. False: another node holds the
+    /// machine by now, or this leader does not know yet that the record was written, in
+    /// which case the holder has to repeat the update.
+    fn apply_machine_update(
         &mut self,
         times: StepTime,
         holder: &str,
-        news: MachineUpdate,
+        update: MachineUpdate,
         effects: &mut EffectSink,
     ) -> bool {
-        let heartbeat = &news.heartbeat;
+        let heartbeat = &update.heartbeat;
         let shards = self.shards.as_mut();
         let Some(shard) = shards.map(|shards| shards.registry.shard_of(&heartbeat.zone, &heartbeat.machine))
         else {
@@ -97,10 +100,10 @@
             return false;
         }
         self.observe_machine(times, heartbeat, false, effects);
-        self.confirm_by_holder(&heartbeat.machine, news.confirmed, times.now.saturating_sub(news.age));
+        self.confirm_by_holder(&heartbeat.machine, update.confirmed, times.now.saturating_sub(update.age));
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.unanswered_commands = news.unanswered_commands;
-            if news.ignores_commands {
+            machine.unanswered_commands = update.unanswered_commands;
+            if update.ignores_commands {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
         }
--- a/crates/plankhead-standins/src/moves.rs
+++ b/crates/plankhead-standins/src/moves.rs
@@ -14,7 +14,7 @@
 /// How often it is looked whether all jobs are over.
 const LOOK: Duration = Duration::from_millis(500);
 /// What nodes log when a shard changes hands.
-const MOVED: &str = " goes from plank-";
+const MOVED: &str = "shard holder changed: from=plank-";
 
 /// Which troubles come while shards move.
 #[derive(Debug, Clone, clap::Args)]
