--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -13,6 +13,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine};
 use crate::leadership::LeaderId;
+use crate::protocol::HeartbeatPath;
 use crate::protocol::{
     CallError, Heartbeat, KvReply, LogLevel, MachineName, Response, TaskId, WorkerCommand,
 };
@@ -125,15 +126,6 @@
     pub epoch: u64,
 }
 
-/// How a heartbeat came to this node, and which other nodes it could go to.
-#[derive(Debug, Clone, Copy)]
-pub struct HeartbeatPath {
-    /// Through a peer, since the worker can't reach this node.
-    pub relayed: bool,
-    /// This node reaches neither the state service nor another node.
-    pub is_cut_off: bool,
-}
-
 /// Commands that were sent directly to a worker.
 #[derive(Debug)]
 pub struct SentCommands {
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -1,495 +1,194 @@
-//! Which task goes where, and who must make room.
+//! Placement passes: which task goes where.
 
-use super::{Leader, MAX_PREEMPTED, MAX_STOPS, MAX_WORK, MIN_WINDOW, STOPPING};
+use super::preemption::PassOutcome;
+use super::slots::AvailableSlots;
+use super::Leader;
 use crate::effects::EffectSink;
-use crate::fleet::Machine;
-use crate::jobs::job::{JobId, JobPhase, JobSpec, Priority, Resources};
+use crate::jobs::job::{JobId, JobPhase, JobSpec, Resources};
 use crate::jobs::job_table::JobEntry;
-use crate::placement::backfill::{self, Running, Slot};
+use crate::placement::backfill;
 use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
-use crate::protocol::{MachineName, TaskId};
-use crate::settings::Team;
-use crate::sizing::replay::Arrival;
-use std::collections::BTreeSet;
+use crate::placement::index::PlacementIndex;
+use crate::settings::Settings;
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-impl Leader {
-    pub(super) fn estimated_runtime(&self, spec: &JobSpec) -> Duration {
-        let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
-        Duration::from_secs_f64((spec.estimated_runtime_s * ratio).clamp(0.1, 1e6))
-    }
+/// How much longer a pass waits for earlier placements to be written.
+const MAX_PASS_DELAY: Duration = Duration::from_secs(1);
+/// How much the latest run time of a class counts beside the earlier ones.
+const RUNTIME_SMOOTHING: f64 = 0.1;
+
+/// Jobs that one pass looks at.
+const MAX_JOBS_PER_PASS: usize = 400;
+
+/// The pending work, each with its job at the same place.
+#[derive(Debug, Default)]
+pub(super) struct PendingWork {
+    pub jobs: Vec<JobId>,
+    pub work: Vec<Work>,
+}
+
+/// A job with tasks to be placed, before its work is known.
+struct WaitingJob {
+    id: JobId,
+    spec: Arc<JobSpec>,
+    team: usize,
+    /// The place of its demand among those of all live jobs.
+    demand_index: usize,
+}
 
-    /// When a job should start at the latest, by its deadline and by what its
-    /// class expects.
-    pub(super) fn latest_start(&self, spec: &JobSpec, accepted: Duration) -> Duration {
-        let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
-        let done = self
-            .completion_objective(spec)
-            .map(|within| (accepted + within).saturating_sub(self.estimated_runtime(spec)));
-        let wait = expected.start_within.map(|within| accepted + within);
-        let default = accepted + Duration::from_secs(600);
-        [done, wait].into_iter().flatten().min().unwrap_or(default)
+/// When passes are due, and what they know beside the jobs and the fleet.
+#[derive(Debug)]
+pub(super) struct Placement {
+    /// The numbers of pools, zones and images.
+    pub(super) index: PlacementIndex,
+    /// Something changed that may let tasks start.
+    pass_needed: bool,
+    next_pass_at: Duration,
+    next_preemption_at: Duration,
+    /// Each team's place among the teams.
+    team_indices: HashMap<String, usize>,
+    /// Run time over estimate, by class.
+    runtime_ratios: HashMap<String, f64>,
+}
+
+impl Placement {
+    pub(super) fn new(settings: &Settings, now: Duration) -> Self {
+        Self {
+            index: PlacementIndex::default(),
+            pass_needed: true,
+            next_pass_at: now,
+            next_preemption_at: now,
+            team_indices: settings.teams.keys().cloned().zip(0..).collect(),
+            runtime_ratios: HashMap::new(),
+        }
     }
 
-    /// Until when a task can start so that it may be lost with its machine, unseen,
-    /// and still be done in time.
-    fn latest_restart(&self, spec: &JobSpec, accepted: Duration) -> Duration {
-        let need = self.estimated_runtime(spec) * 2 + self.settings.failover_heartbeat_timeout();
-        self.completion_objective(spec)
-            .map_or(Duration::MAX, |within| (accepted + within).saturating_sub(need))
+    /// Something changed that may let tasks start.
+    pub(super) fn request_pass(&mut self) {
+        self.pass_needed = true;
     }
 
-    /// The time in which a job should be done, by its deadline and its class.
-    pub(super) fn completion_objective(&self, spec: &JobSpec) -> Option<Duration> {
-        let expected = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
-        let deadline = spec.deadline_s.map(|d| Duration::from_secs_f64(d.min(1e7)));
-        [deadline, expected.finish_within].into_iter().flatten().min()
+    /// Whether a pass is needed and due. While earlier placements are not all written it
+    /// waits a little longer, so that more of them go into one write.
+    pub(super) fn is_pass_due(&self, now: Duration, all_written: bool) -> bool {
+        let due = if all_written { self.next_pass_at } else { self.next_pass_at + MAX_PASS_DELAY };
+        self.pass_needed && now >= due
     }
 
-    pub(super) fn team_usage(&self) -> Vec<TeamUsage> {
-        let room = |team: &Team| TeamUsage {
-            guaranteed: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
-            limit: Resources { cpus: team.max_cpus, gpus: team.max_gpus, ram_gb: 0.0 },
-            used: Resources::default(),
-        };
-        let mut rooms: Vec<TeamUsage> = self.settings.teams.values().map(room).collect();
-        for entry in self.job_table.jobs.values().filter(|e| e.placed > 0) {
-            if let Some(team) = self.team_index(&entry.spec) {
-                let each = &entry.spec.demand;
-                let many = f64::from(entry.placed);
-                rooms[team].used.add(&Resources {
-                    cpus: each.cpus * many,
-                    gpus: each.gpus * many,
-                    ram_gb: each.ram_gb * many,
-                });
-            }
-        }
-        rooms
+    /// A pass begins; the next one may begin at `next_at`.
+    pub(super) fn pass_began(&mut self, next_at: Duration) {
+        self.pass_needed = false;
+        self.next_pass_at = next_at;
     }
 
-    /// The place of the job's team among the teams.
-    pub(super) fn team_index(&self, spec: &JobSpec) -> Option<usize> {
-        self.team_indices.get(&spec.team).copied()
+    /// When a needed pass is to be looked at; `retry`: when to look again at one that waits.
+    pub(super) fn next_pass_due(&self, now: Duration, retry: Duration) -> Option<Duration> {
+        let due = if self.next_pass_at > now { self.next_pass_at } else { retry };
+        self.pass_needed.then_some(due)
     }
 
-    /// A whole job as work for a pass.
-    pub(super) fn whole_job_as_work(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
-        Work {
-            team,
-            priority: spec.priority,
-            guaranteed: false,
-            accepted_at: accepted,
-            latest_start: self.latest_start(spec, accepted),
-            latest_restart: self.latest_restart(spec, accepted),
-            demand: spec.demand,
-            image: self.image_number(spec),
-            image_gb: spec.image_gb,
-            allowed_pools: self.placement_index.allowed_pools(spec),
-            single_zone: spec.single_zone,
-            max_per_zone: if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX },
-            estimated_runtime: self.estimated_runtime(spec),
-            pending: spec.tasks,
-            gang: spec.gang,
-            has_started: false,
-            attempts_by_zone: Vec::new(),
-        }
+    /// Takes in how long a task ran, as a multiple of its estimate.
+    pub(super) fn record_runtime(&mut self, class: &str, ratio: f64) {
+        let mean = self.runtime_ratios.entry(class.to_owned()).or_insert(1.0);
+        *mean += RUNTIME_SMOOTHING * (ratio - *mean);
     }
 
-    /// The number of the job's image. When there are too many, what machines
-    /// hold is learned anew.
-    pub(super) fn image_number(&mut self, spec: &JobSpec) -> u32 {
-        if let Some(image) = self.placement_index.image_index(&spec.image, spec.image_gb) {
-            return image;
-        }
-        self.placement_index.forget_images();
-        for machine in self.fleet.machines.values_mut() {
-            machine.cached_images.clear();
-            machine.cached_slot = None;
-        }
-        self.placement_index.image_index(&spec.image, spec.image_gb).unwrap_or(0)
+    /// A team's place among the teams.
+    pub(super) fn team_index(&self, team: &str) -> Option<usize> {
+        self.team_indices.get(team).copied()
     }
 
-    /// The jobs of the last interval, as if they came again in the next and on.
-    pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
-        let interval = self.round_interval();
-        let window = interval.min(now.saturating_sub(self.started_at).max(MIN_WINDOW));
-        let from = now.saturating_sub(window);
-        self.recent_arrivals.retain(|(at, _)| *at >= from);
-        let mut expected = Vec::new();
-        let mut shift = window;
-        let seen: Vec<(Duration, Arc<JobSpec>)> = self.recent_arrivals.iter().cloned().collect();
-        // Half an interval more shows whether a backlog grows. A leader younger than
-        // the interval repeats what it saw.
-        let horizon = interval + interval / 2;
-        while shift < horizon + window {
-            for (at, spec) in &seen {
-                let at = *at + shift;
-                if let Some(team) = self.team_index(spec).filter(|_| at < now + horizon) {
-                    expected.push(Arrival { arrives_at: at, work: self.whole_job_as_work(spec, team, at) });
-                }
-            }
-            shift += window;
-        }
-        expected
+    /// Run time over estimate of a class.
+    pub(super) fn runtime_ratio(&self, class: &str) -> f64 {
+        self.runtime_ratios.get(class).copied().unwrap_or(1.0)
     }
+}
 
+impl Leader {
     /// The pending work, with the ids of its jobs.
-    pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> (Vec<JobId>, Vec<Work>) {
+    pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> PendingWork {
         let live = |e: &JobEntry| e.phase == JobPhase::Active && e.done < e.spec.tasks;
-        let mut needs = Vec::new();
-        let mut waiting: Vec<(JobId, Arc<JobSpec>, usize, usize)> = Vec::new();
+        let mut demands = Vec::new();
+        let mut waiting: Vec<WaitingJob> = Vec::new();
         for (id, entry) in self.job_table.jobs.iter().filter(|(_, e)| live(e)) {
             let Some(team) = self.team_index(&entry.spec) else { continue };
-            let (each, many) = (&entry.spec.demand, f64::from(entry.unfinished()));
-            let need = Resources { cpus: each.cpus * many, gpus: each.gpus * many, ram_gb: 0.0 };
+            let (demand, unfinished) = (&entry.spec.demand, f64::from(entry.unfinished()));
+            let resources =
+                Resources { cpus: demand.cpus * unfinished, gpus: demand.gpus * unfinished, ram_gb: 0.0 };
             if !entry.revision_uncertain && entry.backoff_until <= now && entry.is_placeable() {
-                waiting.push((id.clone(), entry.spec.clone(), team, needs.len()));
+                let (id, spec) = (id.clone(), entry.spec.clone());
+                waiting.push(WaitingJob { id, spec, team, demand_index: demands.len() });
             }
-            needs.push(QuotaDemand { team, accepted_at: entry.accepted_at, resources: need });
+            demands.push(QuotaDemand { team, accepted_at: entry.accepted_at, resources });
         }
         if waiting.is_empty() {
-            return Default::default();
+            return PendingWork::default();
         }
-        let guaranteed = guaranteed(&needs, teams);
-        let mut both: Vec<(JobId, Work)> = Vec::with_capacity(waiting.len());
-        for (id, spec, team, need) in waiting {
-            let mut work = self.whole_job_as_work(&spec, team, needs[need].accepted_at);
+        let guaranteed = guaranteed(&demands, teams);
+        let mut pending: Vec<(JobId, Work)> = Vec::with_capacity(waiting.len());
+        for WaitingJob { id, spec, team, demand_index } in waiting {
+            let mut work = self.whole_job_as_work(&spec, team, demands[demand_index].accepted_at);
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
-            work.guaranteed = guaranteed[need];
+            work.guaranteed = guaranteed[demand_index];
             work.pending = entry.pending();
             work.has_started = entry.first_unplaced > 0;
             work.attempts_by_zone = entry
                 .attempts_by_zone
                 .iter()
-                .map(|(z, n)| (self.placement_index.zone_index(z), *n))
+                .map(|(z, n)| (self.placement.index.zone_index(z), *n))
                 .collect();
-            both.push((id, work));
+            pending.push((id, work));
         }
-        if both.len() > MAX_WORK {
-            both.sort_by_key(|(_, w)| (std::cmp::Reverse(w.priority), !w.guaranteed, w.latest_start));
-            // Whoever has waited longest has a machine kept, however much urgent
+        if pending.len() > MAX_JOBS_PER_PASS {
+            pending.sort_by_key(|(_, w)| (std::cmp::Reverse(w.priority), !w.guaranteed, w.latest_start));
+            // The job that has waited longest has a machine kept, however much urgent
             // work stands before it.
-            let oldest =
-                (0..both.len()).min_by_key(|i| (both[*i].1.has_started, both[*i].1.accepted_at)).unwrap_or(0);
-            both.swap(oldest.max(MAX_WORK - 1), MAX_WORK - 1);
-            both.truncate(MAX_WORK);
-        }
-        both.into_iter().unzip()
-    }
-
-    /// A machine as the passes see it, whatever the time.
-    fn build_slot(&mut self, host: &MachineName) -> Option<Slot> {
-        let machine = self.fleet.machines.get(host)?;
-        let total = self.fleet.resources(&machine.pool.machine_type)?;
-        let machine_type = self.fleet.machine_types.get(&machine.pool.machine_type)?;
-        let mut slot = Slot {
-            pool: self.placement_index.pool_index(&machine.pool),
-            zone: self.placement_index.zone_index(&machine.pool.zone),
-            price: if machine.pool.spot { machine_type.spot_price } else { machine_type.price },
-            free: total,
-            ready_at: Duration::ZERO,
-            running: Vec::new(),
-            images: machine.cached_images.iter().copied().collect(),
-            fetches_in_progress: 0,
-            image_fetch_gb_per_s: machine_type.image_fetch_gb_per_s,
-        };
-        for task in self.job_table.by_machine(host) {
-            let (Some(entry), Some(attempt)) =
-                (self.job_table.jobs.get(&task.job), self.job_table.attempt(task))
-            else {
-                continue;
-            };
-            let spec = &entry.spec;
-            let estimate = self.estimated_runtime(spec);
-            let mut end = attempt.running_since.unwrap_or(attempt.placed_at) + estimate;
-            let mut grace = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
-            let image = self.placement_index.image_index(&spec.image, spec.image_gb);
-            if let Some(image) = image.filter(|i| !slot.images.contains(i)) {
-                slot.fetches_in_progress += 1;
-                slot.images.push(image);
-                if slot.image_fetch_gb_per_s > 0.0 {
-                    let fetch = (spec.image_gb / slot.image_fetch_gb_per_s).min(3600.0);
-                    end += Duration::from_secs_f64(fetch);
-                }
-            }
-            if attempt.stop_requested {
-                (end, grace) = (Duration::ZERO, STOPPING);
-            }
-            let team = self.team_index(spec).unwrap_or(0);
-            slot.add_running(Running {
-                ends_at: end,
-                grace,
-                demand: spec.demand,
-                team,
-                is_reservation: false,
-            });
-        }
-        Some(slot)
-    }
-
-    /// The machines that take tasks, as passes see them. What has not changed
-    /// since the last time is taken from there.
-    pub(super) fn available_slots(&mut self, now: Duration) -> Vec<(MachineName, Slot)> {
-        for host in std::mem::take(&mut self.job_table.changed_machines) {
-            if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.cached_slot = None;
-            }
-        }
-        let new: Vec<MachineName> = self
-            .fleet
-            .machines
-            .values()
-            .filter(|m| m.cached_slot.is_none())
-            .map(|m| m.name.clone())
-            .collect();
-        for host in new {
-            let slot = self.build_slot(&host);
-            if let Some(machine) = self.fleet.machines.get_mut(&host) {
-                machine.cached_slot = slot;
-            }
+            let oldest = (0..pending.len())
+                .min_by_key(|i| (pending[*i].1.has_started, pending[*i].1.accepted_at))
+                .unwrap_or(0);
+            pending.swap(oldest.max(MAX_JOBS_PER_PASS - 1), MAX_JOBS_PER_PASS - 1);
+            pending.truncate(MAX_JOBS_PER_PASS);
         }
-        let usable = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
-        let mut slots = Vec::with_capacity(self.fleet.machines.len());
-        for machine in self.fleet.machines.values().filter(usable) {
-            let (Some(sketch), Some(machine_type)) =
-                (&machine.cached_slot, self.fleet.machine_types.get(&machine.pool.machine_type))
-            else {
-                continue;
-            };
-            let mut slot = sketch.clone();
-            slot.extend_overdue(now);
-            slot.ready_at = if !machine.confirmed {
-                (machine.rented_at + machine_type.boot_time).max(now + Duration::from_secs(3))
-            } else if machine.is_start_doubtful(now, self.settings.heartbeat_timeout()) {
-                now + self.settings.heartbeat_interval
-            } else {
-                now.max(machine.no_starts_until)
-            };
-            slots.push((machine.name.clone(), slot));
-        }
-        slots
+        let (jobs, work) = pending.into_iter().unzip();
+        PendingWork { jobs, work }
     }
 
     /// Starts what may start now. Several changes share a pass.
     pub(super) fn run_placement_pass(&mut self, now: Duration, effects: &mut EffectSink) {
         let mut teams = self.team_usage();
-        let (ids, mut work) = self.pending_work(now, &teams);
+        let PendingWork { jobs, mut work } = self.pending_work(now, &teams);
         if work.is_empty() {
             return;
         }
-        if self.inventory_complete {
+        if self.inventory.is_complete() {
             self.raise_for_wide_jobs(&work);
         }
-        let (hosts, mut slots): (Vec<MachineName>, Vec<Slot>) = self.available_slots(now).into_iter().unzip();
-        let most = self.cpu_budget.max_starts_per_pass();
-        let starts = backfill::pass_up_to(now, &mut slots, &mut work, &mut teams, most);
+        let AvailableSlots { machines, mut slots } = self.available_slots(now);
+        let max_starts = self.cpu_budget.max_starts_per_pass();
+        let starts = backfill::pass_up_to(now, &mut slots, &mut work, &mut teams, max_starts);
         // The rest has its turn after what else there is to do.
-        let cut = starts.iter().filter(|s| s.at <= now).count() >= most;
-        self.pass_needed |= cut;
+        let cut_short = starts.iter().filter(|s| s.at <= now).count() >= max_starts;
+        if cut_short {
+            self.placement.request_pass();
+        }
         for start in starts.into_iter().filter(|s| s.at <= now) {
-            let host = &hosts[start.slot_index];
-            let zone = self.placement_index.zone_name(slots[start.slot_index].zone);
-            if let Some(machine) = self.fleet.machines.get_mut(host) {
-                let Some(shift) = machine.incarnation() else { continue };
+            let name = &machines[start.slot_index];
+            let zone = self.placement.index.zone_name(slots[start.slot_index].zone);
+            if let Some(machine) = self.fleet.machines.get_mut(name) {
+                let Some(incarnation) = machine.incarnation() else { continue };
                 machine.idle_since = None;
-                self.job_table.place(&ids[start.work_index], host, shift, &zone, now);
+                self.job_table.place(&jobs[start.work_index], name, incarnation, &zone, now);
             }
         }
-        for (id, _) in ids.iter().zip(&work).filter(|(_, w)| w.gang) {
+        for (id, _) in jobs.iter().zip(&work).filter(|(_, w)| w.gang) {
             self.job_table.break_incomplete_gang(id);
         }
-        if !cut && now >= self.next_preemption_at {
-            self.next_preemption_at = now + self.cpu_budget.preemption_interval();
-            self.preempt(now, &slots, &hosts, &mut work, &mut teams, effects);
-        }
-    }
-
-    /// Stops lesser work for urgent tasks that would start too late otherwise,
-    /// the least progressed first. What is stopped comes back to the queue.
-    pub(super) fn preempt(
-        &mut self,
-        now: Duration,
-        slots: &[Slot],
-        hosts: &[MachineName],
-        work: &mut [Work],
-        teams: &mut [TeamUsage],
-        effects: &mut EffectSink,
-    ) {
-        // As many tasks of a job as find no room in time; those of a gang that must be
-        // in one zone, in the zone that lacks least.
-        let late = |w: &Work| {
-            let lacking = |zone: Option<usize>| {
-                let mut left = if w.priority >= Priority::Urgent { w.pending } else { 0 };
-                let here = |s: &&Slot| w.allows(s.pool) && zone.is_none_or(|z| z == s.zone);
-                for slot in slots.iter().filter(here) {
-                    if left == 0 {
-                        break;
-                    }
-                    left -= slot.fits_by(&w.demand, w.latest_start.max(now), left);
-                }
-                left
-            };
-            if !w.gang || !w.single_zone {
-                return (lacking(None), None);
-            }
-            let zones: BTreeSet<usize> = slots.iter().filter(|s| w.allows(s.pool)).map(|s| s.zone).collect();
-            zones.into_iter().map(|z| (lacking(Some(z)), Some(z))).min().unwrap_or_default()
-        };
-        let late: Vec<(u32, Option<usize>)> = work.iter().map(late).collect();
-        let mut order: Vec<usize> = (0..work.len()).filter(|i| late[*i].0 > 0).collect();
-        if order.is_empty() {
-            return;
-        }
-        for (w, (_, zone)) in work.iter_mut().zip(&late) {
-            if let Some(zone) = zone {
-                w.add_to_zone(*zone);
-            }
-        }
-        order.sort_by_key(|i| {
-            (std::cmp::Reverse(work[*i].priority), !work[*i].guaranteed, work[*i].latest_start)
-        });
-        let mut lesser: Vec<PreemptionCandidates> = hosts
-            .iter()
-            .zip(slots)
-            .map(|(host, slot)| match slot.ready_at <= now {
-                true => self.preemption_candidates(now, host, slot.free),
-                false => PreemptionCandidates::default(),
-            })
-            .collect();
-        let mut told: BTreeSet<MachineName> = BTreeSet::new();
-        let mut stops = 0;
-        for i in order {
-            let (each, urgency) = (work[i].demand, work[i].priority);
-            let mut left = late[i].0;
-            let (mut chosen, before) = (Vec::new(), work[i].gang.then(|| lesser.clone()));
-            while left > 0 && teams[work[i].team].admits(&each) && stops + chosen.len() < MAX_STOPS {
-                let fit = |(place, slot): (usize, &Slot)| {
-                    let suits = work[i].allows(slot.pool) && work[i].admits_zone(slot.zone);
-                    let found = suits.then(|| lesser[place].victims_needed(&each, urgency)).flatten();
-                    found.map(|(gang, loss, count)| (gang, loss, place, count))
-                };
-                let Some((_, _, place, count)) = slots.iter().enumerate().filter_map(fit).min() else {
-                    break;
-                };
-                let victims: Vec<Victim> = lesser[place].tasks.drain(..count).collect();
-                for victim in victims {
-                    lesser[place].room.add(&victim.demand);
-                    if victim.gang {
-                        // The others end with it and make room where they are.
-                        lesser.iter_mut().for_each(|l| l.remove_job(&victim.task.job));
-                    }
-                    chosen.push((place, victim.task));
-                }
-                lesser[place].room.sub(&each);
-                teams[work[i].team].used.add(&each);
-                work[i].add_to_zone(slots[place].zone);
-                left -= 1;
-            }
-            // Room for some of a gang is of no use: nothing is stopped for it then.
-            if let Some(before) = before.filter(|_| left > 0) {
-                lesser = before;
-                continue;
-            }
-            stops += chosen.len();
-            for (place, task) in chosen {
-                self.job_table.stop(&task);
-                told.insert(hosts[place].clone());
-            }
-        }
-        told.append(&mut self.job_table.machines_to_stop);
-        for host in told {
-            self.send_commands(now, &host, effects);
-        }
-    }
-
-    /// What may be stopped on a machine: young tasks below the highest urgency,
-    /// the least progressed first.
-    fn preemption_candidates(
-        &self,
-        now: Duration,
-        host: &MachineName,
-        free: Resources,
-    ) -> PreemptionCandidates {
-        let mut found = PreemptionCandidates { room: free, tasks: Vec::new() };
-        for task in self.job_table.by_machine(host) {
-            let (Some(entry), Some(attempt)) =
-                (self.job_table.jobs.get(&task.job), self.job_table.attempt(task))
-            else {
-                continue;
-            };
-            let (each, urgency) = (entry.spec.demand, entry.spec.priority);
-            if attempt.stop_requested {
-                found.room.add(&each);
-                continue;
-            }
-            let ran = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            let young = ran < self.estimated_runtime(&entry.spec) / 2;
-            let often = attempt.number > MAX_PREEMPTED;
-            // To stop one task of a gang costs the progress of all, or the time they
-            // need to save: they come last.
-            let gang = entry.gang.is_some();
-            let ran = if gang { ran * entry.spec.tasks } else { ran };
-            if attempt.reported_status.is_some() && young && !often && urgency < Priority::Critical {
-                found.tasks.push(Victim {
-                    ran_for: ran,
-                    task: task.clone(),
-                    demand: each,
-                    priority: urgency,
-                    gang,
-                });
-            }
-        }
-        found.tasks.sort_by_key(|v| (v.priority, v.gang, v.ran_for));
-        found
-    }
-}
-
-/// A task that may be stopped for a more urgent one.
-#[derive(Debug, Clone)]
-struct Victim {
-    ran_for: Duration,
-    task: TaskId,
-    demand: Resources,
-    priority: Priority,
-    gang: bool,
-}
-
-/// The tasks of a machine that may be stopped, the least urgent first, and the
-/// room beside them.
-#[derive(Debug, Clone, Default)]
-struct PreemptionCandidates {
-    room: Resources,
-    tasks: Vec<Victim>,
-}
-
-impl PreemptionCandidates {
-    /// The job's tasks are being stopped.
-    fn remove_job(&mut self, job: &JobId) {
-        let room = &mut self.room;
-        self.tasks.retain(|v| {
-            let ends = v.task.job == *job;
-            if ends {
-                room.add(&v.demand);
-            }
-            !ends
-        });
-    }
-
-    /// How many of the tasks would have to stop for one more, the progress lost, and
-    /// first of all whether a gang would have to.
-    fn victims_needed(&self, each: &Resources, urgency: Priority) -> Option<(bool, Duration, usize)> {
-        let mut room = self.room;
-        let (mut gang, mut loss) = (false, Duration::ZERO);
-        let mut count = 0;
-        let mut tasks = self.tasks.iter().take_while(|v| v.priority < urgency);
-        while !each.fits(&room) {
-            let victim = tasks.next()?;
-            room.add(&victim.demand);
-            gang |= victim.gang;
-            loss += victim.ran_for;
-            count += 1;
+        if !cut_short && now >= self.placement.next_preemption_at {
+            self.placement.next_preemption_at = now + self.cpu_budget.preemption_interval();
+            let pass = PassOutcome { machines: &machines, slots: &slots, work: &mut work, teams: &mut teams };
+            self.preempt(now, pass, effects);
         }
-        Some((gang, loss, count))
     }
 }
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -113,3 +113,13 @@
     /// They may be carried out at any later time.
     Unanswered,
 }
+
+/// How a heartbeat reached this node.
+#[derive(Debug, Clone, Copy)]
+pub struct HeartbeatPath {
+    /// It came through a peer, since the worker can't reach this node.
+    pub relayed: bool,
+    /// Neither the state service nor any peer is heard, so that another node may lead by
+    /// now.
+    pub is_cut_off: bool,
+}
