--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -1,8 +1,9 @@
-//! Which machines each controller hears and reaches, as the controllers tell each other.
+//! Coverage: which machines each node hears and reaches, as the nodes tell each other.
 //!
-//! Coverage is a hint for service: who should lead, and whether a silence is the worker's
-//! or our own. It is never evidence that an attempt is gone.
+//! It is a hint, by which the leader is chosen and a worker's silence is told from a failure of
+//! the node's own links. It is never evidence that an attempt is over.
 
+use crate::bitmap::{self, BitmapError};
 use crate::mode::Mode;
 use crate::numbering::{MachineNumbering, MAX_NUMBER};
 use roaring::RoaringBitmap;
@@ -10,84 +11,95 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What others told this long ago counts no more.
+/// Coverage that was received this long ago is ignored.
 pub const COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Bytes of one bitmap: four thousand machines need a few hundred to eight thousand.
+/// The most bytes of one bitmap: four thousand machines take a few hundred to eight thousand.
 pub const MAX_BITMAP_BYTES: usize = 64 * 1024;
+/// The longest name of a node, in bytes.
 const MAX_NAME_BYTES: usize = 200;
+/// The most peers that a message names.
 const MAX_PEERS: usize = 64;
-/// Former starts of a peer that are remembered.
-const FORMER_BOOTS: usize = 8;
+/// How many former starts of a peer are remembered.
+const MAX_FORMER_BOOTS: usize = 8;
 
-/// What one controller tells the others.
+/// The message that a node sends to its peers.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Coverage {
+    /// The sender's name.
     pub host: String,
-    /// Tells one start of the sender from another.
+    /// The id of the start of the sender's process.
     pub boot: u64,
-    /// Rises with every message of one start.
+    /// Increases with every message of one start.
     pub sequence: u64,
-    /// The token under which the sender leads, or 0.
+    /// The fencing token under which the sender leads, or 0.
     pub token: u64,
+    /// The sender's reachability mode.
     pub mode: Mode,
-    /// The numbering's revision that the bitmaps are over.
+    /// The revision of the numbering that the bitmaps refer to.
     pub numbering: u64,
-    /// Machines whose reports reach the sender itself.
+    /// Machines whose heartbeats reach the sender directly.
     pub heard: RoaringBitmap,
-    /// Machines that confirmed an answer or a command of the sender.
+    /// Machines that confirmed a reply or a command of the sender.
     pub reached: RoaringBitmap,
-    /// Machines that the sender hears or should hear.
+    /// How many machines the sender hears or should hear.
     pub expected: u32,
     /// Peers whose heartbeats reach the sender.
     pub peers: Vec<String>,
-    /// To whom the sender is handing its lease over.
+    /// The node to which the sender hands over its lease.
     pub successor: Option<String>,
 }
 
-/// Why a message was refused. Nothing is changed by it.
+/// Why a message was refused. A refused message changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CoverageError {
+    /// A bitmap or the message is too large.
     #[error("it is larger than {MAX_BITMAP_BYTES} bytes a bitmap")]
     TooLarge,
+    /// The message does not decode, or a field is out of range.
     #[error("it is malformed: {0}")]
     Malformed(String),
+    /// The sender is not in this node's configuration.
     #[error("{0:?} is no controller of this cluster")]
     UnknownPeer(String),
+    /// The sender uses this node's name.
     #[error("it claims this node's own name")]
     OwnName,
+    /// A later message of the sender was received before.
     #[error("{0} has told something later already")]
     Outdated(String),
+    /// The sender claims to lead under another node's token.
     #[error("{host} claims the lease under {token}, which {holder} holds")]
-    NotTheHolder { host: String, token: u64, holder: String },
+    NotTheHolder {
+        /// The sender.
+        host: String,
+        /// The fencing token.
+        token: u64,
+        /// The node that leads under that token.
+        holder: String,
+    },
+    /// Its numbering is later than what this node has read.
     #[error("it is over numbers of machines that are not read yet")]
     NumberingAhead,
+    /// It has numbers that stand for no machine.
     #[error("it names {0} machines that nobody knows")]
     UnknownMachines(u64),
 }
 
-/// The holder of the lease, as far as this node knows.
+/// The leader, as far as this node knows.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownLeader<'a> {
+    /// The leader's name.
     pub host: &'a str,
+    /// Its fencing token.
     pub token: u64,
 }
 
-/// A bitmap as bytes.
-pub fn encode_bitmap(bitmap: &RoaringBitmap) -> Vec<u8> {
-    let mut compressed = bitmap.clone();
-    compressed.optimize();
-    let mut bytes = Vec::with_capacity(compressed.serialized_size());
-    // Writing into memory can't fail.
-    let _ = compressed.serialize_into(&mut bytes);
-    bytes
-}
-
+/// Decodes the bitmap of a message.
 pub fn decode_bitmap(bytes: &[u8]) -> Result<RoaringBitmap, CoverageError> {
-    if bytes.len() > MAX_BITMAP_BYTES {
-        return Err(CoverageError::TooLarge);
-    }
-    let malformed = |error: std::io::Error| CoverageError::Malformed(error.to_string());
-    let bitmap = RoaringBitmap::deserialize_from(bytes).map_err(malformed)?;
+    let bitmap = bitmap::decode(bytes, MAX_BITMAP_BYTES).map_err(|error| match error {
+        BitmapError::TooLarge => CoverageError::TooLarge,
+        BitmapError::Malformed(reason) => CoverageError::Malformed(reason),
+    })?;
     if bitmap.max().is_some_and(|number| number >= MAX_NUMBER) {
         return Err(CoverageError::Malformed("a number is out of range".into()));
     }
@@ -96,7 +108,7 @@
 
 #[derive(Debug)]
 struct ReceivedCoverage {
-    at: Duration,
+    received_at: Duration,
     coverage: Coverage,
 }
 
@@ -106,18 +118,19 @@
     former_boots: VecDeque<u64>,
 }
 
-/// The latest of each peer.
+/// The latest coverage of each peer.
 #[derive(Debug)]
 pub struct CoverageTable {
-    own: String,
+    own_name: String,
     peers: BTreeMap<String, Peer>,
     refused: u64,
 }
 
 impl CoverageTable {
-    pub fn new(own: &str, peers: &[String]) -> Self {
+    /// The table of the node `own_name` with these peers.
+    pub fn new(own_name: &str, peers: &[String]) -> Self {
         let peers = peers.iter().map(|peer| (peer.clone(), Peer::default())).collect();
-        Self { own: own.into(), peers, refused: 0 }
+        Self { own_name: own_name.into(), peers, refused: 0 }
     }
 
     /// How many messages were refused.
@@ -125,40 +138,40 @@
         self.refused
     }
 
-    /// A message was refused before it came here.
+    /// Counts a message that was refused before it reached this table.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Takes a message in, or refuses it as a whole.
+    /// Takes in a message, or refuses it as a whole.
     pub fn receive(
         &mut self,
         coverage: Coverage,
         now: Duration,
         numbering: &MachineNumbering,
-        holder: Option<KnownLeader<'_>>,
+        leader: Option<KnownLeader<'_>>,
     ) -> Result<&Coverage, CoverageError> {
-        if let Err(fault) = self.check(&coverage, numbering, holder) {
+        if let Err(fault) = self.check(&coverage, numbering, leader) {
             self.refused += 1;
             return Err(fault);
         }
         let peer = self.peers.entry(coverage.host.clone()).or_default();
-        if let Some(told) = peer.latest.as_ref().filter(|told| told.coverage.boot != coverage.boot) {
-            peer.former_boots.push_back(told.coverage.boot);
-            if peer.former_boots.len() > FORMER_BOOTS {
+        if let Some(former) = peer.latest.as_ref().filter(|latest| latest.coverage.boot != coverage.boot) {
+            peer.former_boots.push_back(former.coverage.boot);
+            if peer.former_boots.len() > MAX_FORMER_BOOTS {
                 peer.former_boots.pop_front();
             }
         }
-        Ok(&peer.latest.insert(ReceivedCoverage { at: now, coverage }).coverage)
+        Ok(&peer.latest.insert(ReceivedCoverage { received_at: now, coverage }).coverage)
     }
 
     fn check(
         &self,
         coverage: &Coverage,
         numbering: &MachineNumbering,
-        holder: Option<KnownLeader<'_>>,
+        leader: Option<KnownLeader<'_>>,
     ) -> Result<(), CoverageError> {
-        if coverage.host == self.own {
+        if coverage.host == self.own_name {
             return Err(CoverageError::OwnName);
         }
         let Some(peer) = self.peers.get(&coverage.host) else {
@@ -168,50 +181,55 @@
         if coverage.peers.len() > MAX_PEERS || coverage.peers.iter().any(|name| name.len() > MAX_NAME_BYTES) {
             return Err(CoverageError::Malformed("it names too many peers".into()));
         }
-        let outdated = peer.former_boots.contains(&coverage.boot)
-            || peer.latest.as_ref().is_some_and(|told| {
-                told.coverage.boot == coverage.boot && told.coverage.sequence >= coverage.sequence
+        let is_outdated = peer.former_boots.contains(&coverage.boot)
+            || peer.latest.as_ref().is_some_and(|latest| {
+                latest.coverage.boot == coverage.boot && latest.coverage.sequence >= coverage.sequence
             });
-        if outdated {
+        if is_outdated {
             return Err(CoverageError::Outdated(coverage.host.clone()));
         }
-        if let Some(holder) = holder.filter(|h| h.token == coverage.token && h.host != coverage.host) {
+        let other_leads =
+            |leader: &KnownLeader<'_>| leader.token == coverage.token && leader.host != coverage.host;
+        if let Some(leader) = leader.filter(other_leads) {
             return Err(CoverageError::NotTheHolder {
                 host: coverage.host.clone(),
                 token: coverage.token,
-                holder: holder.host.into(),
+                holder: leader.host.into(),
             });
         }
         if coverage.numbering > numbering.revision() {
             return Err(CoverageError::NumberingAhead);
         }
-        let named = &coverage.heard | &coverage.reached;
-        let unknown =
+        let named_machines = &coverage.heard | &coverage.reached;
+        let is_unknown =
             |number: &u32| coverage.numbering == numbering.revision() && numbering.name(*number).is_none();
-        match named.iter().filter(unknown).count() {
+        match named_machines.iter().filter(is_unknown).count() {
             0 => Ok(()),
             count => Err(CoverageError::UnknownMachines(count as u64)),
         }
     }
 
-    /// What peers told lately.
+    /// The peers' coverage that is recent enough to count.
     pub fn fresh(&self, now: Duration) -> impl Iterator<Item = &Coverage> {
-        let told = self.peers.values().filter_map(|peer| peer.latest.as_ref());
-        told.filter(move |told| now.saturating_sub(told.at) < COVERAGE_TIMEOUT).map(|told| &told.coverage)
+        let latest = self.peers.values().filter_map(|peer| peer.latest.as_ref());
+        let is_fresh =
+            move |received: &&ReceivedCoverage| now.saturating_sub(received.received_at) < COVERAGE_TIMEOUT;
+        latest.filter(is_fresh).map(|received| &received.coverage)
     }
 
-    /// Whether every peer has told lately.
+    /// Whether the coverage of every peer is recent.
     pub fn complete(&self, now: Duration) -> bool {
         self.fresh(now).count() == self.peers.len()
     }
 
-    /// Whether some peer told lately that it hears the machine.
+    /// Whether some peer hears the machine.
     pub fn heard_by_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
         let Some(number) = numbering.number(name) else { return false };
-        self.fresh(now).any(|c| c.heard.contains(number) && numbering.meant(number, c.numbering))
+        self.fresh(now)
+            .any(|coverage| coverage.heard.contains(number) && numbering.meant(number, coverage.numbering))
     }
 
-    /// Whether every peer told lately that it hears no machine.
+    /// Whether the coverage of every peer is recent, and none hears any machine.
     pub fn nobody_hears(&self, now: Duration) -> bool {
         self.complete(now) && self.fresh(now).all(|coverage| coverage.heard.is_empty())
     }
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -1,33 +1,35 @@
-//! Whether a leader should hand its lease over, and to whom.
+//! Whether a leader should hand over its lease, and to which node.
 //!
-//! A hand-over gives the lease up and names the successor; the others hold back for a
-//! moment. Who holds the lease is decided by the state service alone, so that there are
-//! never two leaders, and if the successor is gone, any other takes the lease.
+//! In a hand-over the leader gives up its lease and names a successor; the other nodes wait for
+//! a moment before they try to take the lease. The state service alone decides which node holds
+//! it, so that there are never two leaders, and if the successor is gone, any other node takes it.
 
 use crate::mode::Mode;
 use crate::settings::Settings;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long the others leave the lease to the successor.
+/// How long the other nodes leave the lease to the successor.
 pub const SUCCESSOR_HEADSTART: Duration = Duration::from_millis(1500);
-/// Hand-overs are remembered for so long.
-const MEMORY: Duration = Duration::from_secs(120);
-/// The least tenure is doubled this many times at the most.
+/// How long a hand-over makes the least tenure longer.
+const RECENT_WINDOW: Duration = Duration::from_secs(120);
+/// How often the least tenure is doubled at the most.
 const MAX_DOUBLINGS: u32 = 4;
-/// Another node must hear this many times as many machines, and more.
+/// A better placed node hears this many times as many machines as the leader, and ...
 const BETTER_FACTOR: u64 = 2;
-const BETTER_BY: u64 = 2;
+/// ... at least so many more.
+const BETTER_MARGIN: u64 = 2;
 
-/// What the leader sees itself.
+/// The leader's own reachability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderView {
+    /// The leader's mode.
     pub mode: Mode,
-    /// Machines heard without a detour.
+    /// How many machines it hears directly.
     pub heard: u64,
-    /// Machines that should be heard.
+    /// How many machines it should hear.
     pub expected: u64,
-    /// Its side of the state service is good, but not trusted since it flaps.
+    /// Its links to the state service work, but flap damping keeps that side from being up.
     pub state_suppressed: bool,
 }
 
@@ -41,49 +43,58 @@
 /// Another node that could lead.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
+    /// The node's name.
     pub host: String,
+    /// The node's mode.
     pub mode: Mode,
+    /// How many machines it hears directly.
     pub heard: u64,
 }
 
-/// The candidate that is clearly better placed, if one is. Nodes that hear different
-/// halves are not: each would hand over to the other for ever.
+/// The candidate that is clearly better placed than the leader, if one is. Of two nodes that
+/// hear different halves neither is: each would hand over to the other again and again.
 pub fn better_placed<'a>(own: &LeaderView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
-    let whole = candidates.iter().filter(|candidate| candidate.mode == Mode::Whole);
-    let best = whole.max_by(|a, b| (a.heard, &b.host).cmp(&(b.heard, &a.host)))?;
+    let healthy = candidates.iter().filter(|candidate| candidate.mode == Mode::Whole);
+    let best = healthy.max_by(|a, b| (a.heard, &b.host).cmp(&(b.heard, &a.host)))?;
     if own.state_suppressed {
         return Some(best);
     }
-    let blind = own.is_blind();
-    let hears_more = best.heard >= own.heard * BETTER_FACTOR + BETTER_BY;
-    let most_elsewhere = own.heard * BETTER_FACTOR < own.expected;
-    ((blind && best.heard > 0) || (hears_more && most_elsewhere)).then_some(best)
+    let hears_more = best.heard >= own.heard * BETTER_FACTOR + BETTER_MARGIN;
+    let hears_minority = own.heard * BETTER_FACTOR < own.expected;
+    ((own.is_blind() && best.heard > 0) || (hears_more && hears_minority)).then_some(best)
 }
 
-/// Decides over time, for one node.
+/// A node that is better placed, without interruption since then.
+#[derive(Debug)]
+struct BetterPlaced {
+    host: String,
+    since: Duration,
+}
+
+/// Decides over time when this node hands over.
 #[derive(Debug)]
 pub struct Handover {
     handover_after: Duration,
     least_tenure: Duration,
-    /// Since when which node has been better placed.
-    better: Option<(String, Duration)>,
-    /// When this node handed over.
+    better_placed: Option<BetterPlaced>,
+    /// When this node handed over recently.
     past: VecDeque<Duration>,
 }
 
 impl Handover {
+    /// No hand-over yet.
     pub fn new(settings: &Settings) -> Self {
         Self {
             handover_after: settings.handover_after,
             least_tenure: settings.least_tenure,
-            better: None,
+            better_placed: None,
             past: VecDeque::new(),
         }
     }
 
-    /// How long this node leads at the least: longer, the more often it has handed over.
+    /// The least time for which this node leads: doubled by each recent hand-over.
     pub fn tenure(&self, now: Duration) -> Duration {
-        let recent = self.past.iter().filter(|at| now.saturating_sub(**at) < MEMORY).count();
+        let recent = self.past.iter().filter(|at| now.saturating_sub(**at) < RECENT_WINDOW).count();
         self.least_tenure * 2_u32.pow(u32::try_from(recent).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
     }
 
@@ -96,29 +107,27 @@
         now: Duration,
     ) -> Option<String> {
         let Some(best) = better_placed(own, candidates) else {
-            self.better = None;
+            self.better_placed = None;
             return None;
         };
-        let since = match &self.better {
-            Some((host, since)) if *host == best.host => *since,
-            _ => now,
-        };
-        self.better = Some((best.host.clone(), since));
-        // A blind leader has been silent for long enough by then: whoever hears is better.
-        let steady = own.is_blind() || now.saturating_sub(since) >= self.handover_after;
-        let served = now.saturating_sub(leads_since) >= self.tenure(now);
-        if !(steady && served) {
+        let same = self.better_placed.as_ref().filter(|former| former.host == best.host);
+        let since = same.map_or(now, |former| former.since);
+        self.better_placed = Some(BetterPlaced { host: best.host.clone(), since });
+        // A leader that hears no machine was without any for long enough already.
+        let is_steady = own.is_blind() || now.saturating_sub(since) >= self.handover_after;
+        let has_served = now.saturating_sub(leads_since) >= self.tenure(now);
+        if !(is_steady && has_served) {
             return None;
         }
-        self.better = None;
+        self.better_placed = None;
         self.past.push_back(now);
-        while self.past.front().is_some_and(|at| now.saturating_sub(*at) >= MEMORY) {
+        while self.past.front().is_some_and(|at| now.saturating_sub(*at) >= RECENT_WINDOW) {
             self.past.pop_front();
         }
         Some(best.host.clone())
     }
 
-    /// How often this node handed over lately.
+    /// How often this node handed over recently.
     pub fn recent(&self) -> usize {
         self.past.len()
     }
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -1,30 +1,32 @@
-//! All links of one node, and the mode that follows from them.
+//! All links of one node, and the reachability mode that follows from them.
 
-use crate::link::{ArrivalMonitor, Link, LinkCondition, LinkCounts, LinkId};
+use crate::link::{ArrivalLink, CallLink, LinkCondition, LinkCounts, LinkId, LinkStatus};
 use crate::mode::Mode;
 use crate::settings::Settings;
 use crate::side::SideStatus;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A process that was not asked to judge for so long did not run: whatever it missed
-/// tells nothing of its links.
-const FROZEN: Duration = Duration::from_millis(2500);
-/// Links are judged this often at the most: every report brings a step.
-const JUDGE_PAUSE: Duration = Duration::from_millis(50);
-/// How soon links that fail are judged again.
-const CLOSE_LOOK: Duration = Duration::from_millis(250);
-/// Silence of peers: their heartbeats come every second.
+/// A process that has not judged its links for so long did not run: what it missed shows
+/// nothing about its links.
+const PAUSE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The least time between two judgements: every heartbeat leads to a step of the node.
+const MIN_JUDGE_INTERVAL: Duration = Duration::from_millis(50);
+/// How soon links are judged again while some fail.
+const FAILURE_JUDGE_INTERVAL: Duration = Duration::from_millis(250);
+/// The bounds of the silence of a peer that shows a failure: its heartbeats come every second.
 const MIN_PEER_SILENCE: Duration = Duration::from_millis(2500);
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
-/// Silence of all workers, at the least.
+/// The least silence of all workers that shows a failure.
 const MIN_WORKER_SILENCE: Duration = Duration::from_millis(1500);
-/// Fewer machines can fall silent together by themselves.
-const MIN_MACHINES: usize = 2;
-/// With fewer, one that takes no answers is not told from a link that carries none.
-const MIN_ANSWERED: usize = 3;
-
-const STATE_LINKS: [LinkId; 3] = [LinkId::KvReads, LinkId::KvWrites, LinkId::KvLeaseRenewal];
+/// With fewer machines, a silence of all of them may be their own.
+const MIN_MACHINES_FOR_SILENCE: usize = 2;
+/// With fewer machines, one that accepts no replies can't be told from a failed link.
+const MIN_MACHINES_FOR_REPLIES: usize = 3;
+
+/// The links by which the state service's side is judged.
+const KV_LINKS: [LinkId; 3] = [LinkId::KvReads, LinkId::KvWrites, LinkId::KvLeaseRenewal];
+/// All links that carry calls, but those to peers.
 const CALL_LINKS: [LinkId; 7] = [
     LinkId::KvReads,
     LinkId::KvWrites,
@@ -35,88 +37,108 @@
     LinkId::Cloud,
 ];
 
-/// A change of mode, with what brought it about.
+/// A change of mode, with its causes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModeChange {
+    /// The mode before.
     pub from: Mode,
+    /// The mode after.
     pub to: Mode,
     /// How long the mode before lasted.
     pub lasted: Duration,
+    /// The names of the links that are down.
     pub causes: Vec<&'static str>,
 }
 
-/// A link as operators see it.
+/// A link as the operators' view shows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinkView {
+    /// Which link.
     pub link: LinkId,
+    /// Its condition.
     pub condition: LinkCondition,
+    /// Since when it is in that condition.
     pub since: Duration,
+    /// How often it was confirmed and failed.
     pub counts: LinkCounts,
     /// The 99th percentile of round trips.
     pub high_round_trip: Option<Duration>,
 }
 
+impl LinkView {
+    fn new(link: LinkId, status: LinkStatus, high_round_trip: Option<Duration>) -> Self {
+        let LinkStatus { condition, since, counts } = status;
+        Self { link, condition, since, counts, high_round_trip }
+    }
+}
+
+/// The links of a node and its mode.
 #[derive(Debug)]
 pub struct Monitor {
-    links: BTreeMap<LinkId, Link>,
-    reports: ArrivalMonitor,
-    peers: Vec<ArrivalMonitor>,
-    state: SideStatus,
-    workers: SideStatus,
+    call_links: BTreeMap<LinkId, CallLink>,
+    heartbeats: ArrivalLink,
+    /// Heartbeats of each peer, by its number.
+    peers: Vec<ArrivalLink>,
+    kv_side: SideStatus,
+    worker_side: SideStatus,
     mode: Mode,
     mode_since: Duration,
-    judged: Duration,
-    changes: u64,
-    freezes: u64,
+    judged_at: Duration,
+    mode_changes: u64,
+    pauses: u64,
 }
 
 impl Monitor {
-    /// `most_silence`: after which no worker of several can still be heard in time.
-    pub fn new(settings: &Settings, peers: usize, most_silence: Duration, now: Duration) -> Self {
-        let link = || Link::new(settings.down_after, now);
-        let out = (0..peers).map(LinkId::PeerOut);
+    /// The monitor of a node with so many peers; `max_silence`: the silence after which no
+    /// worker of several can still be heard in time.
+    pub fn new(settings: &Settings, peers: usize, max_silence: Duration, now: Duration) -> Self {
+        let call_link = || CallLink::new(settings.down_after, now);
+        let to_peers = (0..peers).map(LinkId::PeerOut);
         let peer = |_| {
-            let mut arrivals = ArrivalMonitor::new(MIN_PEER_SILENCE, MAX_PEER_SILENCE, now);
+            let mut arrivals = ArrivalLink::new(MIN_PEER_SILENCE, MAX_PEER_SILENCE, now);
             arrivals.expect(true, now);
             arrivals
         };
         Self {
-            links: CALL_LINKS.into_iter().chain(out).map(|id| (id, link())).collect(),
-            reports: ArrivalMonitor::new(MIN_WORKER_SILENCE.min(most_silence), most_silence, now),
+            call_links: CALL_LINKS.into_iter().chain(to_peers).map(|id| (id, call_link())).collect(),
+            heartbeats: ArrivalLink::new(MIN_WORKER_SILENCE.min(max_silence), max_silence, now),
             peers: (0..peers).map(peer).collect(),
-            state: SideStatus::new(settings, now),
-            workers: SideStatus::new(settings, now),
+            kv_side: SideStatus::new(settings, now),
+            worker_side: SideStatus::new(settings, now),
             mode: Mode::Whole,
             mode_since: now,
-            judged: now,
-            changes: 0,
-            freezes: 0,
+            judged_at: now,
+            mode_changes: 0,
+            pauses: 0,
         }
     }
 
-    fn link(&mut self, id: LinkId) -> Option<&mut Link> {
-        self.links.get_mut(&id)
+    fn link(&mut self, id: LinkId) -> Option<&mut CallLink> {
+        self.call_links.get_mut(&id)
     }
 
-    /// A call went out over a link.
+    /// A call was sent over a link.
     pub fn sent(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
             link.sent(call, now);
         }
     }
 
+    /// A call was answered.
     pub fn answered(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
             link.answered(call, now);
         }
     }
 
+    /// A call was refused, or got no answer.
     pub fn unanswered(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
             link.unanswered(call, now);
         }
     }
 
+    /// A call ended without showing anything about its link.
     pub fn dropped(&mut self, id: LinkId, call: u64) {
         if let Some(link) = self.link(id) {
             link.dropped(call);
@@ -130,153 +152,150 @@
         }
     }
 
+    /// The link failed without a call of its own.
     pub fn failed(&mut self, id: LinkId, now: Duration) {
         if let Some(link) = self.link(id) {
             link.failed(now);
         }
     }
 
-    /// Nothing tells of this link any more.
+    /// Forgets what is known of a link that is not used any more.
     pub fn forget_link(&mut self, id: LinkId) {
         if let Some(link) = self.link(id) {
             link.forget();
         }
     }
 
-    /// A worker's report reached this node, itself or through a peer.
+    /// A worker's heartbeat reached this node, directly or relayed by a peer.
     pub fn report_arrived(&mut self, now: Duration) {
-        self.reports.arrived(now);
+        self.heartbeats.arrived(now);
     }
 
+    /// A peer's heartbeat arrived.
     pub fn peer_heard(&mut self, peer: usize, now: Duration) {
-        if let Some(arrivals) = self.peers.get_mut(peer) {
-            arrivals.arrived(now);
+        if let Some(link) = self.peers.get_mut(peer) {
+            link.arrived(now);
         }
     }
 
-    /// Whether it is time to judge.
+    /// Whether the links may be judged again already.
     pub fn due(&self, now: Duration) -> bool {
-        now.saturating_sub(self.judged) >= JUDGE_PAUSE
+        now.saturating_sub(self.judged_at) >= MIN_JUDGE_INTERVAL
     }
 
-    /// Judges all links; `machines`: how many should report to this node.
+    /// Judges all links; `machines`: how many should send heartbeats to this node.
     pub fn judge(&mut self, now: Duration, machines: usize) -> Option<ModeChange> {
-        if now.saturating_sub(self.judged) > FROZEN {
-            self.forget(now);
+        if now.saturating_sub(self.judged_at) > PAUSE_TIMEOUT {
+            self.forget_after_pause(now);
         }
-        self.judged = now;
-        self.reports.expect(machines >= MIN_MACHINES, now);
-        self.reports.judge(now);
-        for arrivals in &mut self.peers {
-            arrivals.judge(now);
+        self.judged_at = now;
+        self.heartbeats.expect(machines >= MIN_MACHINES_FOR_SILENCE, now);
+        self.heartbeats.judge(now);
+        for link in &mut self.peers {
+            link.judge(now);
         }
-        for link in self.links.values_mut() {
+        for link in self.call_links.values_mut() {
             link.judge(now);
         }
-        let state = STATE_LINKS.iter().all(|id| !self.is_down(*id));
-        let answers = machines < MIN_ANSWERED || !self.is_down(LinkId::HeartbeatReplies);
-        let workers = answers && self.reports.condition() != LinkCondition::Down;
-        self.state.judge(state, now);
-        self.workers.judge(workers, now);
-        self.change(now)
+        let kv_works = KV_LINKS.iter().all(|id| !self.is_down(*id));
+        let replies_work = machines < MIN_MACHINES_FOR_REPLIES || !self.is_down(LinkId::HeartbeatReplies);
+        let workers_work = replies_work && self.heartbeats.status().condition != LinkCondition::Down;
+        self.kv_side.judge(kv_works, now);
+        self.worker_side.judge(workers_work, now);
+        self.update_mode(now)
     }
 
     fn is_down(&self, id: LinkId) -> bool {
-        self.links.get(&id).is_some_and(|link| link.condition() == LinkCondition::Down)
+        self.call_links.get(&id).is_some_and(|link| link.status().condition == LinkCondition::Down)
     }
 
-    fn change(&mut self, now: Duration) -> Option<ModeChange> {
-        let to = Mode::of(self.state.up(), self.workers.up());
+    fn update_mode(&mut self, now: Duration) -> Option<ModeChange> {
+        let to = Mode::of(self.kv_side.is_up(), self.worker_side.is_up());
         if to == self.mode {
             return None;
         }
         let from = std::mem::replace(&mut self.mode, to);
         let lasted = now.saturating_sub(std::mem::replace(&mut self.mode_since, now));
-        self.changes += 1;
+        self.mode_changes += 1;
         Some(ModeChange { from, to, lasted, causes: self.down_links() })
     }
 
     fn down_links(&self) -> Vec<&'static str> {
-        let calls = STATE_LINKS.into_iter().chain([LinkId::HeartbeatReplies]).filter(|id| self.is_down(*id));
-        let reports = (self.reports.condition() == LinkCondition::Down).then_some(LinkId::HeartbeatsIn);
-        calls.chain(reports).map(LinkId::name).collect()
+        let calls = KV_LINKS.into_iter().chain([LinkId::HeartbeatReplies]).filter(|id| self.is_down(*id));
+        let heartbeats =
+            (self.heartbeats.status().condition == LinkCondition::Down).then_some(LinkId::HeartbeatsIn);
+        calls.chain(heartbeats).map(LinkId::name).collect()
     }
 
-    /// The process did not run: links are unknown, and the sides stay what they were.
-    fn forget(&mut self, now: Duration) {
-        self.freezes += 1;
-        for link in self.links.values_mut() {
+    /// The process did not run: links become unknown, and the sides stay what they were.
+    fn forget_after_pause(&mut self, now: Duration) {
+        self.pauses += 1;
+        for link in self.call_links.values_mut() {
             link.forget();
         }
-        self.reports.forget(now);
-        for arrivals in &mut self.peers {
-            arrivals.forget(now);
+        self.heartbeats.forget(now);
+        for link in &mut self.peers {
+            link.forget(now);
         }
     }
 
+    /// The present mode.
     pub fn mode(&self) -> Mode {
         self.mode
     }
 
+    /// Since when the present mode lasts.
     pub fn mode_since(&self) -> Duration {
         self.mode_since
     }
 
-    /// Changes of mode since the start.
+    /// The number of changes of mode since the start.
     pub fn changes(&self) -> u64 {
-        self.changes
+        self.mode_changes
     }
 
-    /// How often the process was found not to have run.
+    /// The number of pauses in which the process did not run.
     pub fn freezes(&self) -> u64 {
-        self.freezes
+        self.pauses
     }
 
     /// Whether a peer's heartbeats arrive.
     pub fn hears_peer(&self, peer: usize) -> bool {
-        let condition = self.peers.get(peer).map(ArrivalMonitor::condition);
+        let condition = self.peers.get(peer).map(|link| link.status().condition);
         matches!(condition, Some(LinkCondition::Up | LinkCondition::Suspect))
     }
 
-    /// Whether the state service answers, and is not trusted yet since it kept failing.
+    /// Whether the state service answers, and does not count as up yet since it kept failing.
     pub fn state_suppressed(&mut self, now: Duration) -> bool {
-        self.state.good() && !self.state.up() && self.state.suppressed(now)
+        self.kv_side.is_good() && !self.kv_side.is_up() && self.kv_side.is_suppressed(now)
     }
 
-    /// Whether a call to the state service shows by itself at the moment that it is there.
+    /// Whether no link to the state service is down at the moment.
     pub fn state_good(&self) -> bool {
-        self.state.good()
+        self.kv_side.is_good()
     }
 
-    /// Links that fail, with nothing under way that would show that they are back.
+    /// Whether a link may have failed and has nothing under way that would show its recovery.
     pub fn wants_probe(&self, id: LinkId, now: Duration) -> bool {
-        self.links.get(&id).is_some_and(|link| link.wants_probe(now))
+        self.call_links.get(&id).is_some_and(|link| link.wants_probe(now))
     }
 
-    /// When to judge next unless something comes before.
+    /// When to judge next unless an event comes before; `None`: on the next event.
     pub fn next_due(&self, now: Duration) -> Option<Duration> {
-        let sound = self.mode == Mode::Whole
-            && self.reports.condition() != LinkCondition::Suspect
-            && STATE_LINKS.iter().all(|id| self.links[id].condition() != LinkCondition::Suspect);
-        (!sound).then_some(now + CLOSE_LOOK)
+        let is_healthy = self.mode == Mode::Whole
+            && self.heartbeats.status().condition != LinkCondition::Suspect
+            && KV_LINKS.iter().all(|id| self.call_links[id].status().condition != LinkCondition::Suspect);
+        (!is_healthy).then_some(now + FAILURE_JUDGE_INTERVAL)
     }
 
+    /// All links, for the operators' view.
     pub fn links(&self) -> Vec<LinkView> {
-        let calls = self.links.iter().map(|(id, link)| LinkView {
-            link: *id,
-            condition: link.condition(),
-            since: link.since(),
-            counts: link.counts(),
-            high_round_trip: link.high_round_trip(),
-        });
-        let peers = (0..).zip(&self.peers).map(|(peer, arrivals)| (LinkId::PeerIn(peer), arrivals));
-        let arrivals = peers.chain([(LinkId::HeartbeatsIn, &self.reports)]).map(|(id, arrivals)| LinkView {
-            link: id,
-            condition: arrivals.condition(),
-            since: arrivals.since(),
-            counts: arrivals.counts(),
-            high_round_trip: None,
-        });
-        calls.chain(arrivals).collect()
+        let calls = self
+            .call_links
+            .iter()
+            .map(|(id, link)| LinkView::new(*id, link.status(), link.high_round_trip()));
+        let peers = (0..).zip(&self.peers).map(|(peer, link)| (LinkId::PeerIn(peer), link));
+        let arrivals = peers.chain([(LinkId::HeartbeatsIn, &self.heartbeats)]);
+        calls.chain(arrivals.map(|(id, link)| LinkView::new(id, link.status(), None))).collect()
     }
 }
--- a/crates/plankhead-reachability/src/numbering.rs
+++ b/crates/plankhead-reachability/src/numbering.rs
@@ -1,42 +1,58 @@
-//! Numbers of machines, agreed on through the state service, so that bitmaps of different
-//! nodes mean the same machines.
+//! Numbers of machines, agreed on through the state service, so that the bitmaps of different
+//! nodes refer to the same machines.
 //!
-//! Pages hold names by position. The leader alone writes them, one page at a time, under
-//! the condition of its lease and of the page's revision; every node reads them. A number
-//! is free again once its machine is gone, and each name has the revision at which it got
-//! its number, so that a bitmap over an older state is not misread.
+//! Stored pages hold names by position. Only the leader writes them, one page at a time, on the
+//! condition of its lease and of the page's revision; every node reads them. A number is free
+//! again once its machine is gone, and each name keeps the revision at which it got its number,
+//! so that a bitmap over an older state is not misread.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Where pages are kept.
+/// The prefix of the keys of all pages.
 pub const PREFIX: &str = "machines/";
-/// What this version writes and reads.
+/// The format that this version writes and reads.
 const FORMAT: u32 = 1;
-/// Numbers set apart for a page, of which the limits of values allow fewer.
+/// Numbers reserved for a page; the size limit of values may allow fewer names.
 const PAGE_NUMBERS: u32 = 1024;
-/// Pages at the most: numbers for a hundred thousand machines and more.
+/// The most pages: enough for more than a hundred thousand machines.
 const MAX_PAGES: u32 = 4096;
-/// Numbers at the most.
+/// The bound that all numbers are below.
 pub const MAX_NUMBER: u32 = PAGE_NUMBERS * MAX_PAGES;
 /// Bytes of a page beside its names.
-const PAGE_BYTES: usize = 64;
-/// Bytes of a name's place beside the name.
-const NAME_BYTES: usize = 3;
+const PAGE_OVERHEAD: usize = 64;
+/// Bytes that a name takes in a page, beside the name.
+const NAME_OVERHEAD: usize = 3;
+/// The longest name of a machine, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
+/// A machine's name.
 pub type Name = Arc<str>;
 
+/// Why a page can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NumberingPageError {
+    /// The key is not that of a page.
     #[error("{0} is not the key of a page of machines")]
     Key(String),
+    /// The value does not decode.
     #[error("{key} can't be read: {reason}")]
-    Value { key: String, reason: String },
+    Value {
+        /// The page's key.
+        key: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// A later version wrote the page.
     #[error("{key} has format {format}, which is later than this version's")]
-    Format { key: String, format: u32 },
+    Format {
+        /// The page's key.
+        key: String,
+        /// The format found.
+        format: u32,
+    },
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -45,11 +61,14 @@
     names: Vec<Option<String>>,
 }
 
-/// A page to be written, under the condition of its revision (0: it is new).
+/// A page to be written, on the condition that it has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PageWrite {
+    /// The page's key.
     pub key: String,
+    /// The revision that the key must have; 0: it must not exist.
     pub revision: u64,
+    /// The new value.
     pub value: String,
 }
 
@@ -62,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Numbered {
     number: u32,
-    /// The page's revision when the name was first seen there.
+    /// The page's revision when this node first read the name there.
     since: u64,
 }
 
@@ -70,7 +89,7 @@
 #[derive(Debug, Default)]
 pub struct MachineNumbering {
     pages: BTreeMap<u32, Page>,
-    /// Pages that can't be read: left alone.
+    /// Pages that can't be decoded, which are never written.
     unreadable: BTreeSet<u32>,
     by_name: HashMap<Name, Numbered>,
     revision: u64,
@@ -90,31 +109,35 @@
         self.revision
     }
 
+    /// The number of machines that have a number.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
+    /// Whether no machine has a number.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
+    /// The number of a machine.
     pub fn number(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).map(|numbered| numbered.number)
     }
 
+    /// The machine that has this number.
     pub fn name(&self, number: u32) -> Option<&Name> {
         let page = self.pages.get(&(number / PAGE_NUMBERS))?;
         page.names.get((number % PAGE_NUMBERS) as usize)?.as_ref()
     }
 
-    /// Whether a bitmap over the numbering as it was at that revision can have meant the
-    /// machine that has the number now.
+    /// Whether a bitmap over the numbering as of that revision can refer to the machine that has
+    /// the number now.
     pub fn meant(&self, number: u32, revision: u64) -> bool {
         let numbered = self.name(number).and_then(|name| self.by_name.get(name));
         numbered.is_some_and(|numbered| numbered.since <= revision)
     }
 
-    /// Takes in a page as the state service has it.
+    /// Takes in a page as it is stored.
     pub fn read(&mut self, key: &str, value: &str, revision: u64) -> Result<(), NumberingPageError> {
         let number = page_of(key).ok_or_else(|| NumberingPageError::Key(key.into()))?;
         match parse(key, value) {
@@ -151,8 +174,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// The next page to write, so that all these machines have a number, and those that
-    /// are gone have none. One page at a time: the next call goes on.
+    /// The next page to write so that these machines and no others have a number. One page at a
+    /// time: the next call continues.
     pub fn next_write(&self, machines: &BTreeSet<Name>, value_bytes: usize) -> Option<PageWrite> {
         let missing: Vec<&Name> = machines
             .iter()
@@ -205,13 +228,13 @@
 }
 
 fn bytes(names: &[Option<Name>]) -> usize {
-    let each = |name: &Option<Name>| name.as_ref().map_or(2, |name| name.len()) + NAME_BYTES;
-    PAGE_BYTES + names.iter().map(each).sum::<usize>()
+    let each = |name: &Option<Name>| name.as_ref().map_or(2, |name| name.len()) + NAME_OVERHEAD;
+    PAGE_OVERHEAD + names.iter().map(each).sum::<usize>()
 }
 
 fn has_room(names: &[Option<Name>], name: &Name, value_bytes: usize) -> bool {
     let place = names.iter().any(Option::is_none) || names.len() < PAGE_NUMBERS as usize;
-    place && bytes(names) + name.len() + NAME_BYTES <= value_bytes
+    place && bytes(names) + name.len() + NAME_OVERHEAD <= value_bytes
 }
 
 /// Puts as many names as fit into free places, then behind the others.
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -1,42 +1,45 @@
 //! The one table of what a node may do in which mode.
 //!
-//! It only takes away: what is allowed still needs its own evidence (a commit, a worker's
-//! report, the cloud's answer). Bounds name evidence that has an age; the caller, which
-//! has it, judges them.
+//! The table only restricts: what it allows still needs its own evidence (a commit, a worker's
+//! heartbeat, the cloud's answer). A [`Precondition`] names evidence that has an age, which the
+//! caller knows and checks.
 
 use crate::mode::{Mode, MODES};
 
+/// What a node may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// Take a user's job.
+    /// Accept a user's job.
     Accept,
     /// Cancel a user's job.
     Cancel,
-    /// Tell a user what never changes any more.
+    /// Answer a user from memory, with what can't change any more.
     AnswerFromMemory,
-    /// Book a task on a machine.
+    /// Place a task on a machine.
     Place,
-    /// Tell a worker to run a task.
+    /// Command a worker to run a task.
     Start,
-    /// Tell a worker to end a task that is not wanted.
+    /// Command a worker to stop a task that must not run.
     Kill,
-    /// Take in what a worker reports.
+    /// Take in a worker's heartbeat.
     AnswerReports,
-    /// Answer a report so that the worker's lease goes on.
+    /// Reply to a heartbeat so that the worker's lease is renewed.
     KeepLeases,
-    /// Let a worker forget a task that has ended.
+    /// Acknowledge to a worker that a task has ended, so that it forgets the task.
     AcknowledgeEnds,
+    /// Rent machines.
     Rent,
-    /// Give back a machine that is not needed.
+    /// Return a machine that is not needed.
     Return,
-    /// Give back a machine that may hold a task past its cancellation.
+    /// Return a machine that may run a task past its cancellation.
     ReclaimOverdue,
-    /// Take a machine's silence for its loss.
+    /// Treat a machine whose heartbeats stopped as lost.
     JudgeSilent,
-    /// Hold the leader's lease, or try to get it.
+    /// Hold the leader's lease, or try to take it.
     Lead,
 }
 
+/// All actions, in the order of the enum.
 pub const ACTIONS: [Action; 14] = [
     Action::Accept,
     Action::Cancel,
@@ -54,23 +57,25 @@
     Action::Lead,
 ];
 
-/// Why something may not be done.
+/// Why an action is not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DenialReason {
     /// It could not be recorded.
     NoState,
     /// It could not be confirmed by the workers.
     NoWorkers,
+    /// Neither of both.
     Neither,
-    /// The silence may be ours.
+    /// The silence may be a failure of this node's own links.
     OwnSilence,
-    /// Somebody who sees both sides should.
+    /// A node that reaches both sides should do it.
     BetterPlaced,
-    /// The lease can't be given up: it runs out by itself.
+    /// The lease can't be given up: it expires.
     LeaseRunsOut,
 }
 
 impl DenialReason {
+    /// The reason in words, for log lines and views.
     pub fn text(self) -> &'static str {
         match self {
             Self::NoState => "the state service is not reached",
@@ -83,41 +88,46 @@
     }
 }
 
-/// Evidence with an age, which the caller judges.
+/// Evidence with an age, which the caller checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
-    /// The jobs were seen so lately that no cancellation is likely to be unseen.
+    /// The jobs were read so recently that no cancellation is likely to be missed.
     JobsSynced,
-    /// A cancellation that this node did not see is not due before leases run out.
+    /// A cancellation that this node has not read is not due before leases expire.
     CancellationUnseen,
-    /// Every other node hears no worker either.
+    /// No other node hears any worker either.
     PeersAgree,
 }
 
+/// Whether an action is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
+    /// It is allowed.
     Allowed,
-    /// As long as the evidence is there.
+    /// It is allowed as long as the precondition holds.
     Within(Precondition),
-    /// Not now: it is done once the side is back.
+    /// Not now: it is done once the side is reached again.
     Deferred(DenialReason),
-    /// Refused at once.
+    /// It is refused at once.
     Forbidden(DenialReason),
 }
 
+/// The permission for each mode and action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermissionTable([[Permission; ACTIONS.len()]; MODES.len()]);
 
 impl PermissionTable {
+    /// The table that plankhead uses.
     pub fn standard() -> Self {
         Self(MODES.map(|mode| ACTIONS.map(|action| standard(mode, action))))
     }
 
+    /// The permission for an action in a mode.
     pub fn of(&self, mode: Mode, action: Action) -> Permission {
         self.0[mode as usize][action as usize]
     }
 
-    /// With one cell changed: for tests that plant a fault.
+    /// The table with one cell changed, for tests that inject a fault.
     #[must_use]
     pub fn with(mut self, mode: Mode, action: Action, permission: Permission) -> Self {
         self.0[mode as usize][action as usize] = permission;
@@ -131,23 +141,23 @@
     use Permission::*;
     use Precondition::*;
     match (action, mode) {
-        // Each is carried by the state service's own answer.
+        // Each depends on the state service's own answer.
         (Action::Accept | Action::Cancel, Whole | StateOnly) => Allowed,
         (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(NoState),
-        // Never changes, and needs neither side.
+        // What can't change needs neither side.
         (Action::AnswerFromMemory, _) => Allowed,
         (Action::Place | Action::Start, Whole) => Within(JobsSynced),
         (Action::Place | Action::Start, StateOnly) => Deferred(NoWorkers),
         (Action::Place | Action::Start, WorkersOnly) => Forbidden(NoState),
         (Action::Place | Action::Start, Isolated) => Forbidden(Neither),
-        // Only what is known to be unwanted is killed, for ever: repeated until confirmed.
+        // A task that must not run stays so: its stop is repeated until it is confirmed.
         (Action::Kill, _) => Allowed,
-        // A report shows by itself that its worker is there.
+        // A heartbeat by itself shows that its worker is reached.
         (Action::AnswerReports, _) => Allowed,
         (Action::KeepLeases, _) => Within(CancellationUnseen),
         (Action::AcknowledgeEnds, Whole | StateOnly) => Allowed,
         (Action::AcknowledgeEnds, WorkersOnly | Isolated) => Deferred(NoState),
-        // A rental needs the state service and the cloud; a new machine's first report
+        // A rental needs the state service and the cloud; a new machine's first heartbeat
         // shows whether workers are reached.
         (Action::Rent, Whole | StateOnly) => Within(JobsSynced),
         (Action::Rent, WorkersOnly | Isolated) => Forbidden(NoState),
@@ -155,7 +165,7 @@
         (Action::Return, StateOnly) => Forbidden(NoWorkers),
         (Action::Return, WorkersOnly) => Forbidden(NoState),
         (Action::Return, Isolated) => Forbidden(Neither),
-        // A rule presses, and the cloud's answer is the evidence.
+        // The deadline of a cancellation demands it, and the cloud's answer is the evidence.
         (Action::ReclaimOverdue, _) => Allowed,
         (Action::JudgeSilent, Whole) => Allowed,
         (Action::JudgeSilent, StateOnly) => Within(PeersAgree),
--- a/crates/plankhead-reachability/src/settings.rs
+++ b/crates/plankhead-reachability/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators may set.
+//! The operators' settings of reachability.
 
 use crate::permission::PermissionTable;
 use std::time::Duration;
@@ -6,25 +6,26 @@
 /// Whether and how reachability is judged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
+    /// Whether permissions depend on the mode, and coverage is exchanged.
     pub enabled: bool,
     /// A link that has failed for so long, without a confirmation, is down.
     pub down_after: Duration,
-    /// A side that was down must hold for so long before it counts as up.
+    /// The links of a side that was down must be good for so long before it counts as up.
     pub up_after: Duration,
-    /// The time in which the penalty of a flapping side falls to half.
+    /// The time in which the flap penalty of a side falls to half.
     pub half_life: Duration,
-    /// A side whose penalty reaches this, in failures, is suppressed.
+    /// The penalty, in failures, from which a side is suppressed.
     pub suppress: f64,
-    /// Until its penalty has fallen to this.
+    /// The penalty at which it is not suppressed any more.
     pub reuse: f64,
-    /// How often coverage is told to the other controllers.
+    /// The interval at which coverage is sent to the peers.
     pub coverage_interval: Duration,
-    /// How long another controller must be better placed before a leader hands over.
+    /// How long another node must be better placed before a leader hands over.
     pub handover_after: Duration,
-    /// How long a leader leads at the least before it hands over; doubled with each
-    /// recent hand-over.
+    /// The least time for which a leader leads before it hands over; doubled by each recent
+    /// hand-over.
     pub least_tenure: Duration,
-    /// What is allowed in which mode. Operators can't set it; tests of the checks do.
+    /// What is allowed in which mode. Operators can't set it; tests do.
     pub table: PermissionTable,
 }
 
--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -3,6 +3,7 @@
 
 #![allow(clippy::unwrap_used)]
 
+use plankhead_reachability::bitmap;
 use plankhead_reachability::coverage::*;
 use plankhead_reachability::handover::*;
 use plankhead_reachability::mode::Mode;
@@ -58,8 +59,8 @@
         }
         assert!(names.iter().all(|name| other.number(name) == numbering.number(name)));
         let all: RoaringBitmap = numbers.iter().copied().collect();
-        assert!(encode_bitmap(&all).len() < 16_384);
-        assert_eq!(decode_bitmap(&encode_bitmap(&all)).unwrap(), all);
+        assert!(bitmap::encode(&all).len() < 16_384);
+        assert_eq!(decode_bitmap(&bitmap::encode(&all)).unwrap(), all);
     }
 }
 
@@ -165,12 +166,12 @@
 fn malformed_and_oversized_bitmaps_are_refused() {
     assert_eq!(decode_bitmap(&vec![0; MAX_BITMAP_BYTES + 1]), Err(CoverageError::TooLarge));
     assert!(matches!(decode_bitmap(b"no bitmap"), Err(CoverageError::Malformed(_))));
-    let whole = encode_bitmap(&(0..5_000).step_by(3).collect());
+    let whole = bitmap::encode(&(0..5_000).step_by(3).collect());
     for length in 0..whole.len() {
         assert!(matches!(decode_bitmap(&whole[..length]), Err(CoverageError::Malformed(_))), "{length}");
     }
     let far: RoaringBitmap = [MAX_NUMBER].into_iter().collect();
-    assert!(matches!(decode_bitmap(&encode_bitmap(&far)), Err(CoverageError::Malformed(_))));
+    assert!(matches!(decode_bitmap(&bitmap::encode(&far)), Err(CoverageError::Malformed(_))));
 }
 
 #[test]
--- a/crates/plankhead-reachability/tests/links.rs
+++ b/crates/plankhead-reachability/tests/links.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_reachability::damping::FlapDamping;
-use plankhead_reachability::link::{Link, LinkCondition, LinkId};
+use plankhead_reachability::link::{CallLink, LinkCondition, LinkId};
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::monitor::Monitor;
 use plankhead_reachability::settings::Settings;
@@ -118,17 +118,17 @@
 
 #[test]
 fn an_idle_link_is_unknown_and_not_broken() {
-    let mut link = Link::new(ms(1_000), START);
-    assert_eq!(link.condition(), LinkCondition::Unknown);
+    let mut link = CallLink::new(ms(1_000), START);
+    assert_eq!(link.status().condition, LinkCondition::Unknown);
     link.confirmed(START);
     link.judge(START);
-    assert_eq!(link.condition(), LinkCondition::Up);
+    assert_eq!(link.status().condition, LinkCondition::Up);
     link.judge(START + ms(60_000));
-    assert_eq!(link.condition(), LinkCondition::Unknown);
+    assert_eq!(link.status().condition, LinkCondition::Unknown);
     // One failure is anybody's, however long ago.
     link.failed(START + ms(60_000));
     link.judge(START + ms(90_000));
-    assert_eq!(link.condition(), LinkCondition::Suspect);
+    assert_eq!(link.status().condition, LinkCondition::Suspect);
     assert!(link.wants_probe(START + ms(90_000)));
 }
 
@@ -136,7 +136,7 @@
 /// anybody gives it up.
 #[test]
 fn a_call_without_an_answer_brings_a_link_down() {
-    let mut link = Link::new(ms(1_000), START);
+    let mut link = CallLink::new(ms(1_000), START);
     for n in 0..100 {
         link.sent(n, START + ms(10 * n));
         link.answered(n, START + ms(10 * n + 5));
@@ -144,31 +144,31 @@
     let sent = START + ms(2_000);
     link.sent(100, sent);
     link.judge(sent + ms(1_100));
-    assert_eq!(link.condition(), LinkCondition::Suspect);
+    assert_eq!(link.status().condition, LinkCondition::Suspect);
     // One call alone may be lost: another must not be answered either.
     link.judge(sent + ms(9_000));
-    assert_eq!(link.condition(), LinkCondition::Suspect);
+    assert_eq!(link.status().condition, LinkCondition::Suspect);
     assert!(!link.wants_probe(sent + ms(300)));
     assert!(link.wants_probe(sent + ms(1_000)));
     link.sent(101, sent + ms(1_000));
     link.judge(sent + ms(1_300));
-    assert_eq!(link.condition(), LinkCondition::Down);
+    assert_eq!(link.status().condition, LinkCondition::Down);
     // Its answer is late, and confirms the link all the same.
     link.answered(100, sent + ms(5_000));
     link.judge(sent + ms(5_000));
-    assert_eq!(link.condition(), LinkCondition::Up);
+    assert_eq!(link.status().condition, LinkCondition::Up);
 }
 
 /// A slow service is not a missing one: its own times are what it is judged by.
 #[test]
 fn a_slow_service_stays_up() {
-    let mut link = Link::new(ms(1_000), START);
+    let mut link = CallLink::new(ms(1_000), START);
     let mut now = START;
     for n in 0..600 {
         link.sent(n, now);
         now += ms(900);
         link.judge(now);
-        assert_ne!(link.condition(), LinkCondition::Down, "call {n}");
+        assert_ne!(link.status().condition, LinkCondition::Down, "call {n}");
         link.answered(n, now);
     }
     assert_eq!(link.overdue_after(), ms(1_000));
@@ -177,13 +177,13 @@
 /// An answer that comes after its caller gave up tells nothing of the present.
 #[test]
 fn a_failure_counts_from_the_last_confirmation() {
-    let mut link = Link::new(ms(1_000), START);
+    let mut link = CallLink::new(ms(1_000), START);
     link.sent(1, START);
     link.confirmed(START + ms(5_000));
     link.unanswered(1, START + ms(5_100));
     link.failed(START + ms(5_100));
     link.judge(START + ms(5_200));
-    assert_eq!(link.condition(), LinkCondition::Suspect, "sent before the confirmation");
+    assert_eq!(link.status().condition, LinkCondition::Suspect, "sent before the confirmation");
 }
 
 /// A process that was paused finds all its calls overdue: they tell of the pause.
@@ -252,12 +252,12 @@
     let mut damping = FlapDamping::new(ms(8_000), 2.5, 1.0);
     damping.failed(START);
     damping.failed(START);
-    assert!(!damping.suppressed(START));
+    assert!(!damping.is_suppressed(START));
     damping.failed(START);
-    assert!(damping.suppressed(START));
+    assert!(damping.is_suppressed(START));
     for _ in 0..1_000 {
         damping.failed(START);
     }
-    assert!(damping.suppressed(START + ms(15_900)));
-    assert!(!damping.suppressed(START + ms(16_100)), "four failures fall to one in two half-lives");
+    assert!(damping.is_suppressed(START + ms(15_900)));
+    assert!(!damping.is_suppressed(START + ms(16_100)), "four failures fall to one in two half-lives");
 }
--- a/crates/plankhead-sharding/src/machine_numbers.rs
+++ b/crates/plankhead-sharding/src/machine_numbers.rs
@@ -2,27 +2,16 @@
 //! machines as compressed bitmaps of these numbers. A holder tells by them which machines sent
 //! heartbeats without any change.
 
+use plankhead_reachability::bitmap::{self, BitmapError};
 use roaring::RoaringBitmap;
 use std::collections::HashMap;
 use std::sync::Arc;
-use thiserror::Error;
 
 /// The most machines that one stream numbers.
 pub const MAX_MACHINES: usize = 16_384;
 /// The most bytes of an encoded bitmap; one of [`MAX_MACHINES`] machines takes less.
 pub const MAX_BITMAP_BYTES: usize = 16 * 1024;
 
-/// Why an encoded bitmap is refused.
-#[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-pub enum BitmapError {
-    /// It has too many bytes or numbers.
-    #[error("a bitmap that is too large")]
-    TooLarge,
-    /// It does not decode.
-    #[error("not a bitmap")]
-    Malformed,
-}
-
 /// The holder's side: the numbers of machines, assigned with the first status sent of each.
 #[derive(Debug, Default)]
 pub struct MachineNumbers {
@@ -70,22 +59,9 @@
     }
 }
 
-/// Encodes a set of numbers.
-pub fn encode(numbers: &RoaringBitmap) -> Vec<u8> {
-    let mut numbers = numbers.clone();
-    numbers.optimize();
-    let mut bytes = Vec::with_capacity(numbers.serialized_size());
-    // Writing to memory can't fail.
-    let _ = numbers.serialize_into(&mut bytes);
-    bytes
-}
-
 /// Decodes a set of numbers.
 pub fn decode(bytes: &[u8]) -> Result<RoaringBitmap, BitmapError> {
-    if bytes.len() > MAX_BITMAP_BYTES {
-        return Err(BitmapError::TooLarge);
-    }
-    let numbers = RoaringBitmap::deserialize_from(bytes).map_err(|_| BitmapError::Malformed)?;
+    let numbers = bitmap::decode(bytes, MAX_BITMAP_BYTES)?;
     if numbers.len() > MAX_MACHINES as u64 {
         return Err(BitmapError::TooLarge);
     }
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -2,9 +2,10 @@
 
 #![allow(clippy::unwrap_used)]
 
+use plankhead_reachability::bitmap::{self, BitmapError};
 use plankhead_sharding::balance::{choose, improve, Candidate, ShardLoad, ShardLoads};
 use plankhead_sharding::freshness::Freshness;
-use plankhead_sharding::machine_numbers::{self, BitmapError, MachineNumbers, NumberedMachines};
+use plankhead_sharding::machine_numbers::{self, MachineNumbers, NumberedMachines};
 use plankhead_sharding::record::{PendingMove, RecordError, ShardRecord};
 use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard, StaleMessage};
 use plankhead_sharding::shard::ShardId;
@@ -121,14 +122,14 @@
         alive.insert(number);
     }
     alive.insert(9_999);
-    let bytes = machine_numbers::encode(&alive);
+    let bytes = bitmap::encode(&alive);
     assert!(bytes.len() < 1_024, "{} bytes for 4,000 machines", bytes.len());
     let read = machine_numbers::decode(&bytes).unwrap();
     assert_eq!(names.of(&read).count(), 4_000, "a number that nobody was told of is passed over");
     assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "a number stays");
-    assert_eq!(machine_numbers::decode(&[0; 3]), Err(BitmapError::Malformed));
+    assert!(matches!(machine_numbers::decode(&[0; 3]), Err(BitmapError::Malformed(_))));
     assert_eq!(machine_numbers::decode(&vec![0; 17 * 1024]), Err(BitmapError::TooLarge));
-    let many = machine_numbers::encode(&(0..20_000).collect());
+    let many = bitmap::encode(&(0..20_000).collect());
     assert_eq!(machine_numbers::decode(&many), Err(BitmapError::TooLarge));
 }
 
--- a/crates/plankhead/src/coverage.rs
+++ b/crates/plankhead/src/coverage.rs
@@ -3,9 +3,8 @@
 //! it is there.
 
 use crate::peer::aligned;
-use plankhead_reachability::coverage::{
-    decode_bitmap, encode_bitmap, Coverage, CoverageError, MAX_BITMAP_BYTES,
-};
+use plankhead_reachability::bitmap;
+use plankhead_reachability::coverage::{decode_bitmap, Coverage, CoverageError, MAX_BITMAP_BYTES};
 use plankhead_reachability::mode::Mode;
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -37,8 +36,8 @@
         token: coverage.token,
         mode: coverage.mode.code(),
         numbering: coverage.numbering,
-        heard: encode_bitmap(&coverage.heard),
-        reached: encode_bitmap(&coverage.reached),
+        heard: bitmap::encode(&coverage.heard),
+        reached: bitmap::encode(&coverage.reached),
         expected: coverage.expected,
         peers: coverage.peers.clone(),
         successor: coverage.successor.clone(),
--- a/crates/plankhead/src/shard_messages.rs
+++ b/crates/plankhead/src/shard_messages.rs
@@ -8,6 +8,7 @@
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
+use plankhead_reachability::bitmap;
 use plankhead_sharding::machine_numbers;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
@@ -192,7 +193,7 @@
         stream: report.stream,
         first: report.first,
         news: report.updates.iter().map(news).collect(),
-        alive: machine_numbers::encode(&report.alive),
+        alive: bitmap::encode(&report.alive),
         alive_age_ms: millis(report.alive_age),
     }
 }
