--- a/crates/plankhead/src/agent.rs
+++ b/crates/plankhead/src/agent.rs
@@ -50,12 +50,14 @@
         orders: Vec<WorkerCommand>,
     ) -> CommandReply {
         let Some(client) = self.client(&address) else { return CommandReply::NotSent };
-        let body = wire::orders(token, shift, &orders);
+        let body = wire::workers::encode_commands(token, shift, &orders);
         match client.call(Method::POST, "/orders", body, PATIENCE).await {
-            Ok((status, body)) if matches!(status.as_u16(), 200 | 409) => match wire::report(&body) {
-                Ok(report) => CommandReply::Answered(report),
-                Err(_) => CommandReply::Unanswered,
-            },
+            Ok((status, body)) if matches!(status.as_u16(), 200 | 409) => {
+                match wire::workers::parse_heartbeat(&body) {
+                    Ok(report) => CommandReply::Answered(report),
+                    Err(_) => CommandReply::Unanswered,
+                }
+            }
             Err(CallError::Refused) => CommandReply::NotSent,
             _ => CommandReply::Unanswered,
         }
--- a/crates/plankhead/src/api.rs
+++ b/crates/plankhead/src/api.rs
@@ -2,7 +2,8 @@
 
 use crate::driver::{CoreRequest, Handle};
 use crate::http::{self, Reply, MAX_REQUEST};
-use crate::wire::{self, HeartbeatReader};
+use crate::wire::users::{parse_submission, Submission};
+use crate::wire::workers::HeartbeatReader;
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use plankhead_core::jobs::job::JobId;
@@ -25,9 +26,9 @@
                 Ok(body) => body,
                 Err(reply) => return reply,
             };
-            match wire::submission(&body) {
-                Ok((id, job)) => handle.ask(CoreRequest::Submit { id, job }).await,
-                Err(reason) => Reply::error(400, &reason),
+            match parse_submission(&body) {
+                Ok(Submission { id, job }) => handle.ask(CoreRequest::Submit { id, job }).await,
+                Err(error) => Reply::error(400, &error.to_string()),
             }
         }
         (["work", id], Method::GET) => match JobId::parse(id) {
@@ -46,8 +47,9 @@
             let report = reader.lock().unwrap_or_else(PoisonError::into_inner).read(&body);
             match report {
                 Ok(report) => handle.beat(report, &body).await,
-                Err(reason) => {
-                    tracing::debug!("a malformed report was dropped: {reason}");
+                Err(error) => {
+                    let reason = error.to_string();
+                    tracing::debug!("heartbeat rejected: reason={reason}");
                     Reply::error(400, &reason)
                 }
             }
--- a/crates/plankhead/src/cloud.rs
+++ b/crates/plankhead/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud's client.
 
 use crate::http::Client;
-use crate::wire;
+use crate::wire::cloud as wire;
 use hyper::{Method, StatusCode};
 use plankhead_core::protocol::{CallError, CloudReply, CloudRequest};
 use plankhead_fencing::action::Action;
@@ -20,24 +20,20 @@
         }
         CloudRequest::Execute(permitted) => match permitted.action() {
             Action::Rent(rental) => {
-                let body = wire::rental(rental).to_string().into_bytes();
+                let body = wire::encode_rental(rental);
                 (Method::POST, "/hosts".into(), body)
             }
-            Action::Return(back) => {
-                let hosts: Vec<&str> = back.hosts.iter().map(|h| h.as_ref()).collect();
-                let body = serde_json::json!({ "hosts": hosts }).to_string().into_bytes();
-                (Method::POST, "/hosts/release".into(), body)
-            }
+            Action::Return(back) => (Method::POST, "/hosts/release".into(), wire::encode_release(back)),
         },
     };
     let (status, body) = client.call(method, &path, body, PATIENCE).await?;
     match (&op, status) {
         (CloudRequest::ListMachineTypes, StatusCode::OK) => {
-            wire::catalog(&body).map(CloudReply::MachineTypes).ok_or(CallError::OutcomeUnknown)
+            wire::parse_machine_types(&body).map(CloudReply::MachineTypes).ok_or(CallError::OutcomeUnknown)
         }
         (CloudRequest::ListInstances { .. }, StatusCode::OK) => {
-            let (hosts, truncated) = wire::hosts(&body).ok_or(CallError::OutcomeUnknown)?;
-            Ok(CloudReply::Instances { instances: hosts, truncated })
+            let page = wire::parse_instances(&body).ok_or(CallError::OutcomeUnknown)?;
+            Ok(CloudReply::Instances { instances: page.instances, truncated: page.truncated })
         }
         (CloudRequest::Execute(permitted), status) => acted(permitted.action(), status, &body),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
@@ -49,17 +45,13 @@
 fn acted(action: &Action, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
     match (action, status) {
         (Action::Rent(_), StatusCode::OK) => {
-            let names = wire::hired(body).ok_or(CallError::OutcomeUnknown)?;
-            Ok(CloudReply::Rented(names.into_iter().map(Into::into).collect()))
+            wire::parse_rented(body).map(CloudReply::Rented).ok_or(CallError::OutcomeUnknown)
+        }
+        (Action::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if wire::is_no_capacity(body) => {
+            Ok(CloudReply::NoCapacity)
         }
-        (Action::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if refused(body) => Ok(CloudReply::NoCapacity),
         (Action::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
         _ => Err(CallError::OutcomeUnknown),
     }
 }
-
-fn refused(body: &[u8]) -> bool {
-    let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
-    value.get("error").and_then(|e| e.as_str()) == Some("no capacity")
-}
--- a/crates/plankhead/src/driver.rs
+++ b/crates/plankhead/src/driver.rs
@@ -5,6 +5,7 @@
 use crate::config::Config;
 use crate::http::{self, Client, Reply};
 use crate::peer::{self, Sibling};
+use crate::wire::users::SubmissionError;
 use crate::{api, cloud, coverage, log, shard_messages, state, wire};
 use plankhead_core::effects::StepTime;
 use plankhead_core::jobs::job::{JobId, JobSpec};
@@ -46,7 +47,7 @@
 /// A request that wants an answer.
 #[derive(Debug)]
 pub enum CoreRequest {
-    Submit { id: JobId, job: Result<JobSpec, String> },
+    Submit { id: JobId, job: Result<JobSpec, SubmissionError> },
     Poll { id: JobId },
     Cancel { id: JobId },
     Heartbeat { report: Heartbeat, relayed: bool },
@@ -57,7 +58,10 @@
 impl CoreRequest {
     fn event(self, ask: RequestId) -> Event {
         match self {
-            CoreRequest::Submit { id, job } => Event::Submit { request: ask, id, job },
+            CoreRequest::Submit { id, job } => {
+                let job = job.map_err(|error| error.to_string());
+                Event::Submit { request: ask, id, job }
+            }
             CoreRequest::Poll { id } => Event::Poll { request: ask, id },
             CoreRequest::Cancel { id } => Event::Cancel { request: ask, id },
             CoreRequest::Heartbeat { report, relayed } => {
@@ -112,7 +116,7 @@
     /// drop it, and stay here while its lease runs out.
     fn is_current(&self, answer: &Reply) -> bool {
         let highest = self.highest_token.load(Ordering::Relaxed);
-        let current = wire::answer_token(&answer.body).is_none_or(|token| token >= highest);
+        let current = wire::workers::response_token(&answer.body).is_none_or(|token| token >= highest);
         if !current {
             tracing::info!("an answer passed on was refused: its token is over, {highest} was seen");
         }
@@ -139,8 +143,7 @@
 const NOBODY: Response = Response::Redirect { leader: None };
 
 fn reply(answer: &Response) -> Reply {
-    let (status, body, retry) = wire::answer(answer);
-    Reply { status, body, retry }
+    wire::responses::encode_response(answer)
 }
 
 /// The other nodes by name.
--- a/crates/plankhead/src/peer.rs
+++ b/crates/plankhead/src/peer.rs
@@ -214,7 +214,7 @@
                 Err(reply) => return reply,
             };
             let message = rkyv::from_bytes::<RelayMessage, rkyv::rancor::Error>(&aligned(&body)).ok();
-            let Some(report) = message.and_then(|m| wire::report(&m.report).ok()) else {
+            let Some(report) = message.and_then(|m| wire::workers::parse_heartbeat(&m.report).ok()) else {
                 return Reply::error(400, "not a report");
             };
             let answer = handle.ask(CoreRequest::Heartbeat { report, relayed: true }).await;
--- a/crates/plankhead/src/state.rs
+++ b/crates/plankhead/src/state.rs
@@ -2,7 +2,7 @@
 //! never a fact.
 
 use crate::http::Client;
-use crate::wire;
+use crate::wire::state_service as wire;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use plankhead_core::protocol::{CallError, KeyValue, KvChange, KvReply, KvRequest};
@@ -25,12 +25,11 @@
             (Method::GET, format!("/kv?prefix={prefix}{after}&most=1000"), Vec::new(), PATIENCE * 2)
         }
         KvRequest::Txn { conditions, changes } => {
-            let body = wire::txn(conditions, changes).ok_or(CallError::Refused)?;
+            let body = wire::encode_txn(conditions, changes).ok_or(CallError::Refused)?;
             (Method::POST, "/txn".into(), body, PATIENCE)
         }
-        KvRequest::GrantLease { ttl: life } => {
-            let body = format!("{{\"lifeMs\":{}}}", life.as_millis()).into_bytes();
-            (Method::POST, "/grants".into(), body, PATIENCE)
+        KvRequest::GrantLease { ttl } => {
+            (Method::POST, "/grants".into(), wire::encode_lease_request(*ttl), PATIENCE)
         }
         KvRequest::RenewLease { lease: hold } => {
             (Method::POST, format!("/grants/{hold}/touch"), Vec::new(), PATIENCE)
@@ -56,7 +55,7 @@
     // What is well-formed and still refused so is larger than is allowed by now.
     let no_lease = |changes: &[KvChange], body: &Bytes| {
         let value: serde_json::Value = parse(body)?;
-        let known = value.get("error").and_then(|e| e.as_str()) == Some("no such lease");
+        let known = wire::is_no_such_lease(&value);
         let held = changes.iter().any(|c| matches!(c, KvChange::Put { lease: Some(_), .. }));
         match (known, held) {
             (true, _) => Ok(KvReply::NoSuchLease),
@@ -66,31 +65,31 @@
     };
     match (op, status) {
         (KvRequest::Get { .. }, 200) => {
-            Ok(KvReply::Value(Some(KeyValue::from(parse::<wire::StateRow>(body)?))))
+            Ok(KvReply::Value(Some(KeyValue::from(parse::<wire::KeyValueMessage>(body)?))))
         }
-        (KvRequest::Get { .. }, 404) => parse::<wire::Epoch>(body).map(|_| KvReply::Value(None)),
+        (KvRequest::Get { .. }, 404) => parse::<wire::RevisionMessage>(body).map(|_| KvReply::Value(None)),
         (KvRequest::List { .. }, 200) => {
-            let page: wire::Page = parse(body)?;
+            let page: wire::KeyPage = parse(body)?;
             let rows = page.rows.into_iter().map(KeyValue::from).collect();
-            Ok(KvReply::Page { rows, truncated: page.truncated, revision: page.epoch })
+            Ok(KvReply::Page { rows, truncated: page.truncated, revision: page.revision })
         }
         (KvRequest::Txn { .. }, 200) => {
-            parse::<wire::Epoch>(body).map(|e| KvReply::Committed { revision: e.epoch })
+            parse::<wire::RevisionMessage>(body).map(|e| KvReply::Committed { revision: e.revision })
         }
         (KvRequest::Txn { .. }, 409) => {
-            parse::<wire::Failed>(body).map(|f| KvReply::Conflict { failed: f.failed })
+            parse::<wire::ConflictMessage>(body).map(|f| KvReply::Conflict { failed: f.failed })
         }
         (KvRequest::Txn { changes, .. }, 400) => no_lease(changes, body),
         (KvRequest::GrantLease { .. }, 200) => {
-            parse::<wire::Hold>(body).map(|h| KvReply::LeaseGranted { lease: h.hold })
+            parse::<wire::LeaseMessage>(body).map(|h| KvReply::LeaseGranted { lease: h.lease })
         }
         (KvRequest::RenewLease { .. }, 200) => Ok(KvReply::LeaseRenewed),
         (KvRequest::RenewLease { .. }, 404) => Ok(KvReply::NoSuchLease),
         (KvRequest::RevokeLease { .. }, 200 | 204 | 404) => Ok(KvReply::LeaseRenewed),
         (KvRequest::Watch { .. }, 200) => {
-            let events: wire::Events = parse(body)?;
-            let epoch = events.epoch;
-            let events = events.events().ok_or(CallError::OutcomeUnknown)?;
+            let events: wire::WatchMessage = parse(body)?;
+            let epoch = events.revision;
+            let events = events.into_events().ok_or(CallError::OutcomeUnknown)?;
             Ok(KvReply::Events { revision: epoch, events })
         }
         (KvRequest::Watch { .. }, 410) => Ok(KvReply::Compacted),
--- a/crates/plankhead/src/tests/messages.rs
+++ b/crates/plankhead/src/tests/messages.rs
@@ -1,5 +1,7 @@
 use crate::peer::{decode, encode};
-use crate::wire::{self, HeartbeatReader};
+use crate::wire::cloud::{parse_instances, parse_machine_types, parse_rented};
+use crate::wire::state_service::encode_txn;
+use crate::wire::workers::{parse_heartbeat, HeartbeatReader};
 use bytes::Bytes;
 use plankhead_core::protocol::{ExitReason, JobProgress, KvChange, PeerHeartbeat, TaskStatus};
 use serde_json::{json, Value};
@@ -20,7 +22,7 @@
         "shift": 1, "tick": 88, "baton": 41, "warningS": null, "tomorrow": 1,
         "pieces": [{"piece": "job-1/3", "try": 2, "status": "running"},
                    {"piece": "job-2/0", "try": 1, "status": "ended", "cause": "done"}]});
-    let parse = |v: &Value| wire::report(v.to_string().as_bytes());
+    let parse = |v: &Value| parse_heartbeat(v.to_string().as_bytes());
     let report = parse(&good).unwrap();
     assert_eq!(
         (report.tasks[0].task.index, report.tasks[1].status),
@@ -49,7 +51,7 @@
         let piece = json!({"piece": "job-1/3", "try": 2, "status": status, "cause": cause});
         let report = json!({"host": "i-1", "address": "10.1.0.2:9000", "rig": "g8", "yard": "a", "loaners": true,
             "shift": 1, "tick": 88, "baton": 41, "warningS": null, "pieces": [piece]});
-        wire::report(report.to_string().as_bytes()).unwrap().tasks[0].status
+        parse_heartbeat(report.to_string().as_bytes()).unwrap().tasks[0].status
     };
     assert_eq!(piece("waiting", Value::Null), TaskStatus::WaitingForGang);
     assert_eq!(piece("asleep", Value::Null), TaskStatus::Unrecognized);
@@ -60,9 +62,9 @@
 
 #[test]
 fn strange_replies_of_the_cloud_are_no_facts() {
-    assert_eq!(wire::catalog(br#"{"rigs":[{"label":"r"}]}"#), None);
-    assert_eq!(wire::hosts(br#"{"hosts":[{"nameId":"i-1"}],"truncated":false}"#), None);
-    assert_eq!(wire::hired(br#"{"hosts":"i-1"}"#), None);
+    assert_eq!(parse_machine_types(br#"{"rigs":[{"label":"r"}]}"#), None);
+    assert_eq!(parse_instances(br#"{"hosts":[{"nameId":"i-1"}],"truncated":false}"#), None);
+    assert_eq!(parse_rented(br#"{"hosts":"i-1"}"#), None);
 }
 
 #[test]
@@ -71,7 +73,7 @@
         KvChange::Put { key: "a/b".into(), value: r#"{"x":1}"#.into(), lease: Some(7) },
         KvChange::Delete { key: "c/d".into() },
     ];
-    let body: Value = serde_json::from_slice(&wire::txn(&[], &changes).unwrap()).unwrap();
+    let body: Value = serde_json::from_slice(&encode_txn(&[], &changes).unwrap()).unwrap();
     let expected =
         json!({"if": [], "apply": [{"write": "a/b", "value": {"x": 1}, "hold": 7}, {"drop": "c/d"}]});
     assert_eq!(body, expected);
@@ -108,7 +110,7 @@
     for other in others {
         let mut reader = HeartbeatReader::default();
         assert!(reader.read(&Bytes::from(first.clone())).is_ok());
-        let (again, plain) = (reader.read(&Bytes::from(other.clone())), wire::report(&other));
+        let (again, plain) = (reader.read(&Bytes::from(other.clone())), parse_heartbeat(&other));
         accepted += usize::from(plain.is_ok());
         assert_eq!(again.ok(), plain.ok(), "{}", String::from_utf8_lossy(&other));
     }
--- a/crates/plankhead/src/tests/mod.rs
+++ b/crates/plankhead/src/tests/mod.rs
@@ -8,6 +8,7 @@
 mod settings;
 mod shards;
 mod standins;
+mod wire_bytes;
 
 /// Compares a message with the one that an earlier version recorded in `tests/fixtures`;
 /// `RECORD_MESSAGES=1` records it.
--- /dev/null
+++ b/crates/plankhead/src/wire/state_service.rs
@@ -0,0 +1,161 @@
+//! Messages of the state service: keys, transactions, leases and watches.
+
+use super::to_json;
+use plankhead_core::protocol::{Condition, KeyValue, KvChange, WatchEvent};
+use serde::{Deserialize, Serialize};
+use serde_json::value::RawValue;
+use serde_json::Value;
+use std::time::Duration;
+
+/// A key with its value, as the state service has it.
+#[derive(Debug, Deserialize)]
+pub struct KeyValueMessage {
+    #[serde(rename = "k")]
+    key: String,
+    value: Box<RawValue>,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
+}
+
+impl From<KeyValueMessage> for KeyValue {
+    fn from(message: KeyValueMessage) -> Self {
+        KeyValue { key: message.key, value: message.value.get().into(), mod_revision: message.mod_revision }
+    }
+}
+
+/// A page of the keys under a prefix.
+#[derive(Debug, Deserialize)]
+pub struct KeyPage {
+    pub rows: Vec<KeyValueMessage>,
+    /// Whether further pages follow.
+    pub truncated: bool,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+}
+
+/// An answer that gives the store's revision and nothing else that is used here.
+#[derive(Debug, Deserialize)]
+pub struct RevisionMessage {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+}
+
+/// The keys whose conditions did not hold.
+#[derive(Debug, Deserialize)]
+pub struct ConflictMessage {
+    pub failed: Vec<String>,
+}
+
+/// A lease that was granted.
+#[derive(Debug, Deserialize)]
+pub struct LeaseMessage {
+    #[serde(rename = "hold")]
+    pub lease: u64,
+}
+
+/// What a watch answers.
+#[derive(Debug, Deserialize)]
+pub struct WatchMessage {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+    events: Vec<WatchEventMessage>,
+}
+
+#[derive(Debug, Deserialize)]
+struct WatchEventMessage {
+    #[serde(rename = "write")]
+    put: Option<String>,
+    #[serde(rename = "drop")]
+    delete: Option<String>,
+    value: Option<Box<RawValue>>,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
+}
+
+impl WatchEventMessage {
+    fn into_event(self) -> Option<WatchEvent> {
+        let mod_revision = self.mod_revision;
+        match (self.put, self.delete, self.value) {
+            (Some(key), None, Some(value)) => {
+                Some(WatchEvent::Put(KeyValue { key, value: value.get().into(), mod_revision }))
+            }
+            (None, Some(key), _) => Some(WatchEvent::Delete { key, revision: mod_revision }),
+            _ => None,
+        }
+    }
+}
+
+impl WatchMessage {
+    /// The events; `None` if any of them is neither a put nor a deletion.
+    pub fn into_events(self) -> Option<Vec<WatchEvent>> {
+        self.events.into_iter().map(WatchEventMessage::into_event).collect()
+    }
+}
+
+#[derive(Debug, Serialize)]
+struct TxnMessage<'a> {
+    #[serde(rename = "if")]
+    conditions: Vec<ConditionMessage<'a>>,
+    #[serde(rename = "apply")]
+    changes: Vec<ChangeMessage<'a>>,
+}
+
+#[derive(Debug, Serialize)]
+struct ConditionMessage<'a> {
+    #[serde(rename = "k")]
+    key: &'a str,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
+}
+
+#[derive(Debug, Serialize)]
+#[serde(untagged)]
+enum ChangeMessage<'a> {
+    Put {
+        #[serde(rename = "write")]
+        key: &'a str,
+        value: &'a RawValue,
+        #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
+    },
+    Delete {
+        #[serde(rename = "drop")]
+        key: &'a str,
+    },
+}
+
+impl<'a> ChangeMessage<'a> {
+    fn new(change: &'a KvChange) -> Option<Self> {
+        Some(match change {
+            KvChange::Put { key, value, lease } => {
+                Self::Put { key, value: serde_json::from_str(value).ok()?, lease: *lease }
+            }
+            KvChange::Delete { key } => Self::Delete { key },
+        })
+    }
+}
+
+/// Encodes a transaction; `None` if a value is not JSON.
+pub fn encode_txn(conditions: &[Condition], changes: &[KvChange]) -> Option<Vec<u8>> {
+    let conditions = conditions
+        .iter()
+        .map(|condition| ConditionMessage { key: &condition.key, mod_revision: condition.mod_revision })
+        .collect();
+    let changes: Option<Vec<ChangeMessage>> = changes.iter().map(ChangeMessage::new).collect();
+    Some(to_json(&TxnMessage { conditions, changes: changes? }))
+}
+
+/// Encodes the request for a lease of this length.
+pub fn encode_lease_request(ttl: Duration) -> Vec<u8> {
+    #[derive(Serialize)]
+    struct LeaseRequest {
+        #[serde(rename = "lifeMs")]
+        ttl_ms: u128,
+    }
+    to_json(&LeaseRequest { ttl_ms: ttl.as_millis() })
+}
+
+/// Whether the body of a refusal says that the lease it named is over.
+pub fn is_no_such_lease(error: &Value) -> bool {
+    error.get("error").and_then(Value::as_str) == Some("no such lease")
+}
