--- a/crates/plankhead/src/tests/service.rs
+++ b/crates/plankhead/src/tests/service.rs
@@ -273,7 +273,7 @@
     let mut busy = TcpStream::connect(address).await.unwrap();
     let start = tokio::time::Instant::now();
     for _ in 0..4 {
-        tokio::time::sleep(http::IDLE * 4 / 5).await;
+        tokio::time::sleep(http::IDLE_TIMEOUT * 4 / 5).await;
         busy.write_all(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
         let mut answered = [0; 15];
         busy.read_exact(&mut answered).await.unwrap();
@@ -286,5 +286,5 @@
         let closed = timeout(Duration::from_secs(1), stream.read_to_end(&mut rest)).await;
         assert!(matches!(closed, Ok(Ok(0))), "{closed:?} after {:?}", start.elapsed());
     }
-    assert!(start.elapsed() < http::IDLE * 4);
+    assert!(start.elapsed() < http::IDLE_TIMEOUT * 4);
 }
