--- /dev/null
+++ b/crates/plankhead/tests/common/mod.rs
@@ -0,0 +1,46 @@
+//! What the tests with real controller processes share.
+
+// Each test program uses a part of it.
+#![allow(dead_code)]
+
+use clap::Parser;
+use plankhead_standins::Load;
+
+/// The directory with the settings files that are deployed.
+pub const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
+
+/// Sixty short jobs on three nodes and a dozen machines, some of them cancelled.
+pub const SMALL_LOAD: [&str; 13] = [
+    "--nodes=3",
+    "--machines=12",
+    "--jobs=60",
+    "--initial=6",
+    "--jobs-per-s=3",
+    "--run-s=2",
+    "--tasks=3",
+    "--cancelled=0.2",
+    "--boot-s=0.5",
+    "--report-s=0.5",
+    "--lease-s=6",
+    "--cancel-s=18",
+    "--longest-s=3",
+];
+
+/// The arguments of a program of the stand-ins: the load, and the troubles of this program.
+#[derive(Debug, Parser)]
+pub struct Args<T: clap::Args> {
+    #[command(flatten)]
+    pub load: Load,
+    #[command(flatten)]
+    pub troubles: T,
+}
+
+impl<T: clap::Args> Args<T> {
+    /// Arguments with which the program under test is started, and each of its nodes with
+    /// `node_arguments`.
+    pub fn new(node_arguments: &str, arguments: &[&str]) -> Self {
+        let binary = env!("CARGO_BIN_EXE_plankhead");
+        let fixed = ["test", "--binary", binary, "--node-arguments", node_arguments];
+        Self::parse_from([&fixed, arguments].concat())
+    }
+}
--- a/crates/plankhead/tests/cuts.rs
+++ b/crates/plankhead/tests/cuts.rs
@@ -5,47 +5,18 @@
 
 #![allow(clippy::unwrap_used)]
 
-use clap::Parser;
+mod common;
+
+use common::{Args, DEPLOY, SMALL_LOAD};
 use plankhead_standins::cuts::{self, Cuts};
 use plankhead_standins::finals::{check, Happened, Run, Status};
-use plankhead_standins::Load;
 use std::time::{Duration, Instant};
 
-#[derive(Debug, Parser)]
-struct Args {
-    #[command(flatten)]
-    load: Load,
-    #[command(flatten)]
-    cuts: Cuts,
-}
-
 #[tokio::test]
 async fn every_job_reaches_one_final_answer() {
-    let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
-    let files = format!("--fencing {deploy}/fencing.json --reachability {deploy}/reachability.json");
-    let args = Args::parse_from([
-        "cuts",
-        "--binary",
-        env!("CARGO_BIN_EXE_plankhead"),
-        "--node-arguments",
-        &files,
-        "--nodes=3",
-        "--machines=12",
-        "--jobs=60",
-        "--initial=6",
-        "--jobs-per-s=3",
-        "--run-s=2",
-        "--tasks=3",
-        "--cancelled=0.2",
-        "--boot-s=0.5",
-        "--report-s=0.5",
-        "--lease-s=6",
-        "--cancel-s=18",
-        "--cuts=6",
-        "--seed=3",
-        "--longest-s=3",
-    ]);
-    let outcome = cuts::run(&args.load, &args.cuts).await.unwrap();
+    let files = format!("--fencing {DEPLOY}/fencing.json --reachability {DEPLOY}/reachability.json");
+    let args = Args::<Cuts>::new(&files, &[&SMALL_LOAD[..], &["--cuts=6", "--seed=3"]].concat());
+    let outcome = cuts::run(&args.load, &args.troubles).await.unwrap();
     assert_eq!(outcome.verdict.faults, Vec::<String>::new(), "{outcome:?}");
     assert_eq!(outcome.verdict.accepted, 60, "{outcome:?}");
 }
--- a/crates/plankhead/tests/freezes.rs
+++ b/crates/plankhead/tests/freezes.rs
@@ -5,32 +5,20 @@
 
 #![allow(clippy::unwrap_used)]
 
-use clap::Parser;
+mod common;
+
+use common::{Args, DEPLOY};
 use plankhead_standins::cloud::{Effect, Subject};
 use plankhead_standins::freeze::{self, Outcome, Pauses};
 use plankhead_standins::stale;
 use plankhead_standins::state::Written;
-use plankhead_standins::Load;
 use serde_json::{json, Value};
 use std::time::Instant;
 
-#[derive(Debug, Parser)]
-struct Args {
-    #[command(flatten)]
-    load: Load,
-    #[command(flatten)]
-    pauses: Pauses,
-}
-
 /// Pauses the leader for longer than its lease of 1.5 s whenever it has asked the cloud
 /// for something, which the cloud carries out 2 to 3 s later.
 async fn pauses(node_arguments: &str) -> Outcome {
-    let args = Args::parse_from([
-        "freezes",
-        "--binary",
-        env!("CARGO_BIN_EXE_plankhead"),
-        "--node-arguments",
-        node_arguments,
+    let arguments = [
         "--nodes=3",
         "--machines=20",
         "--jobs-per-s=4",
@@ -46,14 +34,15 @@
         "--shortest-s=4",
         "--longest-s=5",
         "--instants=cloud-called",
-    ]);
-    freeze::run(&args.load, &args.pauses).await.unwrap()
+    ];
+    let args = Args::<Pauses>::new(node_arguments, &arguments);
+    freeze::run(&args.load, &args.troubles).await.unwrap()
 }
 
 #[tokio::test]
 async fn paused_processes_do_nothing_stale() {
-    let fencing = concat!("--fencing ", env!("CARGO_MANIFEST_DIR"), "/../../deploy/fencing.json");
-    let (fenced, open) = tokio::join!(pauses(fencing), pauses(""));
+    let fencing = format!("--fencing {DEPLOY}/fencing.json");
+    let (fenced, open) = tokio::join!(pauses(&fencing), pauses(""));
     assert_eq!(fenced.found.stale, 0, "{fenced:?}");
     assert!(fenced.found.effects > 0 && fenced.duty_changes > 0, "{fenced:?}");
     assert!(open.found.stale > 0, "the check finds nothing without fencing: {open:?}");
--- a/crates/plankhead/tests/moves.rs
+++ b/crates/plankhead/tests/moves.rs
@@ -6,48 +6,19 @@
 
 #![allow(clippy::unwrap_used)]
 
-use clap::Parser;
-use plankhead_standins::moves::{self, Moves};
-use plankhead_standins::Load;
+mod common;
 
-#[derive(Debug, Parser)]
-struct Args {
-    #[command(flatten)]
-    load: Load,
-    #[command(flatten)]
-    moves: Moves,
-}
+use common::{Args, DEPLOY, SMALL_LOAD};
+use plankhead_standins::moves::{self, Moves};
 
 #[tokio::test]
 async fn every_job_reaches_one_final_answer_while_shards_move() {
     let file = std::env::temp_dir().join(format!("plankhead-rotate-{}.json", std::process::id()));
     let sharding = r#"{"enabled": true, "shards_per_zone": 4, "rotate_ms": 1500}"#;
     std::fs::write(&file, sharding).unwrap();
-    let fencing = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fencing.json");
-    let arguments = format!("--fencing {fencing} --sharding {}", file.display());
-    let args = Args::parse_from([
-        "moves",
-        "--binary",
-        env!("CARGO_BIN_EXE_plankhead"),
-        "--node-arguments",
-        &arguments,
-        "--nodes=3",
-        "--machines=12",
-        "--jobs=60",
-        "--initial=6",
-        "--jobs-per-s=3",
-        "--run-s=2",
-        "--tasks=3",
-        "--cancelled=0.2",
-        "--boot-s=0.5",
-        "--report-s=0.5",
-        "--lease-s=6",
-        "--cancel-s=18",
-        "--troubles=6",
-        "--seed=2",
-        "--longest-s=3",
-    ]);
-    let outcome = moves::run(&args.load, &args.moves).await.unwrap();
+    let arguments = format!("--fencing {DEPLOY}/fencing.json --sharding {}", file.display());
+    let args = Args::<Moves>::new(&arguments, &[&SMALL_LOAD[..], &["--troubles=6", "--seed=2"]].concat());
+    let outcome = moves::run(&args.load, &args.troubles).await.unwrap();
     std::fs::remove_file(&file).unwrap();
     assert_eq!(outcome.verdict.faults, Vec::<String>::new(), "{outcome:?}");
     assert_eq!(outcome.verdict.accepted, 60, "{outcome:?}");
