--- a/crates/plankhead-core/src/protocol/events.rs
+++ b/crates/plankhead-core/src/protocol/events.rs
@@ -2,8 +2,8 @@
 //! its request.
 
 use super::{
-    CallError, CloudReply, CloudRequest, CommandReply, Heartbeat, InvalidSpec, KvReply, KvRequest,
-    PeerHeartbeat, Response, WorkerCommand,
+    CallError, CloudReply, CloudRequest, CommandReply, Heartbeat, KvReply, KvRequest, PeerHeartbeat,
+    Response, SpecRejection, WorkerCommand,
 };
 use crate::jobs::job::{JobId, JobSpec};
 use crate::shards::messages::{Delivery, ShardMessage, ShardMessageError};
@@ -23,7 +23,7 @@
         request: RequestId,
         id: JobId,
         /// Or why the submitted document can't be read.
-        job: Result<JobSpec, InvalidSpec>,
+        job: Result<JobSpec, SpecRejection>,
     },
     /// A user asks for a job's state.
     Poll { request: RequestId, id: JobId },
--- a/crates/plankhead-core/src/protocol/mod.rs
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -12,7 +12,7 @@
 pub use events::{CallId, Effect, Event, LogLevel, RequestId};
 pub use kv::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, WatchEvent};
 pub use peers::{JobProgress, PeerHeartbeat};
-pub use users::{InvalidSpec, JobStatus, Response, UnsatisfiableSpec};
+pub use users::{JobStatus, Response, SpecRejection, UnsatisfiableSpec};
 pub use worker::{
     CommandReply, ExitReason, Heartbeat, HeartbeatPath, MachineName, ReportedTask, TaskId, TaskStatus,
     WorkerCommand,
