--- /dev/null
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -0,0 +1,227 @@
+//! The leader's intents: what it asks of the cloud becomes durable first, and what a
+//! former leader left open is finished. `plankhead-fencing` decides; this carries its
+//! decisions to the state service and the cloud.
+
+mod records;
+mod state;
+
+use super::scaling::LeavingMachine;
+use super::{Leader, LeaderEvidence};
+use crate::calls::{CallPurpose, LeaderCall, PendingRental};
+use crate::effects::{EffectSink, StepTime};
+use crate::fleet::RemovalReason;
+use crate::protocol::{CloudRequest, LogLevel, MachineName};
+use plankhead_fencing::action::{Action, ReturnReason};
+use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::gate::{IssueProof, PermittedAction};
+use plankhead_fencing::log::IntentAdmission;
+pub(super) use state::{Intents, ReturnForce};
+use state::{RefusedRental, ReturnRetry};
+use std::time::Duration;
+
+/// The pause before a return that failed is asked for again.
+const RETURN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+
+impl Leader {
+    /// The one way to the cloud for whatever can't be taken back there. A repeat under the
+    /// same key with the same action is sent again.
+    pub(super) fn request_cloud_action(
+        &mut self,
+        key: IdempotencyKey,
+        action: Action,
+        effects: &mut EffectSink,
+    ) -> bool {
+        if !self.intents.is_fenced() {
+            self.pass_gate(&key, action, None, effects);
+            return true;
+        }
+        match self.intents.log.intend(key.clone(), action, self.intents.wall_ms) {
+            Ok(IntentAdmission::New) => true,
+            Ok(IntentAdmission::Repeat) => {
+                self.intents.ready.push_back(key);
+                true
+            }
+            Err(error) => {
+                effects.log(LogLevel::Error, format!("intent not recorded: reason={error}"));
+                false
+            }
+        }
+    }
+
+    fn pass_gate(
+        &mut self,
+        key: &IdempotencyKey,
+        action: Action,
+        proof: Option<IssueProof>,
+        effects: &mut EffectSink,
+    ) {
+        match self.intents.gate.pass(action, proof) {
+            Ok(permitted) => self.send_action(key, permitted, effects),
+            Err(refusal) => {
+                effects.log(LogLevel::Error, format!("fencing gate refused: intent={key} reason={refusal}"))
+            }
+        }
+    }
+
+    fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, effects: &mut EffectSink) {
+        let leader_call = match permitted.action() {
+            Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
+            Action::Return(request) => {
+                LeaderCall::Release { machines: request.hosts.clone(), intent: key.clone() }
+            }
+        };
+        effects.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
+    }
+
+    /// Sends the intents that may go now.
+    fn send_ready(&mut self, effects: &mut EffectSink) {
+        for _ in 0..self.intents.ready.len() {
+            let Some(key) = self.intents.ready.pop_front() else { return };
+            match self.intents.log.issue(&key) {
+                Ok((action, proof)) => self.pass_gate(&key, action, Some(proof), effects),
+                Err(error) => {
+                    effects.log(LogLevel::Debug, format!("intent not issued: intent={key} reason={error}"))
+                }
+            }
+        }
+    }
+
+    /// Makes intents durable, and sends those that are.
+    pub(super) fn advance_intents(
+        &mut self,
+        times: StepTime,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
+    ) {
+        if !self.intents.is_fenced() {
+            return;
+        }
+        let now = times.now;
+        self.force_unrecorded_returns(now, evidence, effects);
+        self.retry_returns(now, evidence);
+        self.retry_refused_rentals(now, effects);
+        self.send_ready(effects);
+        self.read_uncertain_pages(now, effects);
+        self.write_intents(now, evidence, effects);
+    }
+
+    /// A cancelled task must be gone in time, also while the state service fails: a forced
+    /// return that could not be recorded just now is issued without its record.
+    fn force_unrecorded_returns(
+        &mut self,
+        now: Duration,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
+    ) {
+        let forced: Vec<(IdempotencyKey, ReturnForce)> =
+            self.intents.forced.iter().map(|(key, force)| (key.clone(), *force)).collect();
+        for (key, force) in forced {
+            let state = self.intents.log.intent(&key).map(Intent::state);
+            if state != Some(State::Intended) {
+                self.intents.forced.remove(&key);
+                continue;
+            }
+            let is_due = force == ReturnForce::CancellationDue;
+            let allowed = (is_due || evidence.no_peer_leads) && self.is_cloud_reachable(now);
+            if allowed && self.intents.log.force_issue(&key) {
+                effects.log(
+                    LogLevel::Info,
+                    format!("intent issued unrecorded: intent={key} reason=state_service_fails"),
+                );
+                self.intents.forced.remove(&key);
+                self.intents.ready.push_back(key);
+            }
+        }
+        self.intents.log.forget_failures();
+    }
+
+    fn retry_returns(&mut self, now: Duration, evidence: LeaderEvidence) {
+        if !evidence.lease_valid && !self.is_cloud_reachable(now) {
+            return;
+        }
+        for retry in std::mem::take(&mut self.intents.return_retries) {
+            if retry.due <= now && self.scaling.take_request(now) {
+                self.intents.ready.push_back(retry.key);
+            } else {
+                self.intents.return_retries.push(retry);
+            }
+        }
+    }
+
+    /// A rental that was refused may still be carried out from an earlier copy of its
+    /// request: only its name's success makes sure that no more machines come of it.
+    fn retry_refused_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
+        for refused in std::mem::take(&mut self.intents.refused_rentals) {
+            let key = IdempotencyKey::new(&refused.rental.name);
+            if refused.due > now {
+                self.intents.refused_rentals.push(refused);
+            } else if now.saturating_sub(self.started_at) > self.intents.settings.abandon_rental_after {
+                effects.log(LogLevel::Info, format!("rental abandoned: intent={key} reason=no_capacity"));
+                self.end_intent(&key, State::Abandoned, effects);
+            } else {
+                self.scaling.retry_rental(now, refused.rental);
+            }
+        }
+    }
+
+    /// An intent is over.
+    fn end_intent(&mut self, key: &IdempotencyKey, final_state: State, effects: &mut EffectSink) {
+        let ended = match final_state {
+            State::Abandoned => self.intents.log.abandon(key),
+            _ => self.intents.log.confirm(key),
+        };
+        if let Err(error) = ended {
+            effects.log(LogLevel::Error, format!("intent not ended: intent={key} reason={error}"));
+        }
+    }
+
+    /// The cloud has carried an intent out, or said that it never will.
+    pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, effects: &mut EffectSink) {
+        if self.intents.is_fenced() {
+            self.end_intent(key, State::Confirmed, effects);
+        }
+    }
+
+    /// The cloud had no machines for a rental. Where another copy of the request may be
+    /// under way, it stays open.
+    pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, effects: &mut EffectSink) {
+        let key = IdempotencyKey::new(&rental.name);
+        let Some(intent) = self.intents.log.intent(&key) else { return };
+        if intent.holder == self.token && intent.attempts <= 1 {
+            return self.confirm_intent(&key, effects);
+        }
+        let due = now + self.intents.settings.refused_rental_retry;
+        self.intents.refused_rentals.push(RefusedRental { due, rental });
+    }
+
+    /// A return got no answer: it is asked for again, under the same key.
+    pub(super) fn return_failed(&mut self, now: Duration, key: IdempotencyKey) {
+        self.intents.return_retries.push(ReturnRetry { due: now + RETURN_RETRY_INTERVAL, key });
+    }
+
+    /// Has machines returned to the cloud, as many of them as one return may name.
+    pub(super) fn return_machines(
+        &mut self,
+        leaving: &[LeavingMachine],
+        force: Option<ReturnForce>,
+        effects: &mut EffectSink,
+    ) {
+        let surplus = leaving.iter().all(|machine| machine.reason == RemovalReason::Surplus);
+        let cause = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
+        let machines: Vec<MachineName> = leaving.iter().map(|machine| machine.name.clone()).collect();
+        let request = self.intents.machines_per_return(&machines, cause);
+        let named = leaving.iter().take(request.hosts.len());
+        for LeavingMachine { name, reason } in named.filter(|m| m.reason != RemovalReason::Surplus) {
+            effects.log(LogLevel::Info, format!("machine scale-in: machine={name} reason={reason:?}"));
+        }
+        let key = self.intents.log.next_key();
+        let machines = request.hosts.clone();
+        if machines.is_empty() || !self.request_cloud_action(key.clone(), Action::Return(request), effects) {
+            return;
+        }
+        self.scaling.release_requested(machines);
+        if let Some(force) = force.filter(|_| self.intents.is_fenced()) {
+            self.intents.forced.insert(key, force);
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -0,0 +1,193 @@
+//! The records of intents: writing them, reading them again, and adopting those of former
+//! leaders.
+
+use super::state::ReturnRetry;
+use crate::calls::LeaderCall;
+use crate::effects::{EffectSink, StepTime};
+use crate::leader::{Leader, LeaderEvidence};
+use crate::leadership::election;
+use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest, LogLevel};
+use plankhead_fencing::action::Action;
+use plankhead_fencing::duty::IdempotencyKey;
+use plankhead_fencing::log::{IntentPageWrite, WriteOutcome};
+use plankhead_fencing::record::{self, PageId};
+use std::time::Duration;
+
+/// A failure to record an intent forces it through only while it is so fresh: a process
+/// that was paused after it asks again. The clock can only forbid here, never allow.
+const MAX_FAILURE_AGE: Duration = Duration::from_secs(3);
+
+impl Leader {
+    /// Reads again the revisions of pages whose write is in doubt.
+    pub(super) fn read_uncertain_pages(&mut self, now: Duration, effects: &mut EffectSink) {
+        if self.persistence.is_paused(now) {
+            return;
+        }
+        for page in self.intents.log.uncertain_pages() {
+            if self.intents.reading.insert(page) {
+                self.call_kv(
+                    LeaderCall::ReadIntents { page, sent: now },
+                    KvRequest::Get { key: page.key() },
+                    effects,
+                );
+            }
+        }
+    }
+
+    /// Writes the intents that are due, within the write budget.
+    pub(super) fn write_intents(
+        &mut self,
+        now: Duration,
+        evidence: LeaderEvidence,
+        effects: &mut EffectSink,
+    ) {
+        let urgent = !self.intents.forced.is_empty();
+        // Without the lease a write would only fail, which a forced return must know.
+        if !evidence.lease_valid && !urgent || self.persistence.is_paused(now) {
+            return;
+        }
+        let may_compact = evidence.lease_valid && now >= self.intents.next_compaction_at;
+        let has_unrecorded = self.intents.log.has_unrecorded();
+        let due = has_unrecorded && (urgent || now >= self.intents.next_write_at);
+        if !(due || may_compact && self.intents.log.needs_compaction()) {
+            return;
+        }
+        let max_changes = self.persistence.available(now).min(self.settings.max_txn_changes);
+        let Some(changes) = (max_changes > 0)
+            .then(|| self.intents.log.begin_write(max_changes, may_compact || !urgent && has_unrecorded))
+            .flatten()
+        else {
+            return;
+        };
+        self.persistence.take(now, changes.len());
+        self.intents.next_write_at = now + self.intents.settings.write_interval;
+        self.intents.next_compaction_at = now + self.intents.settings.compaction_interval;
+        let (conditions, changes) = self.intent_transaction(changes);
+        self.call_kv(LeaderCall::WriteIntents { sent: now }, KvRequest::Txn { conditions, changes }, effects);
+    }
+
+    fn intent_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
+        let mut conditions = vec![self.leader_condition()];
+        let mut changes = Vec::new();
+        for IntentPageWrite { page, expected, value } in pages {
+            let key = page.key();
+            conditions.push(Condition { key: key.clone(), mod_revision: expected });
+            changes.push(match value {
+                Some(value) => KvChange::Put { key, value, lease: None },
+                None => KvChange::Delete { key },
+            });
+        }
+        (conditions, changes)
+    }
+
+    /// Takes in the reply to a write of intents that was sent at `sent`; false: somebody
+    /// else leads.
+    pub(in crate::leader) fn intents_written(
+        &mut self,
+        now: Duration,
+        sent: Duration,
+        reply: Result<KvReply, CallError>,
+        effects: &mut EffectSink,
+    ) -> bool {
+        let fresh = now.saturating_sub(sent) < MAX_FAILURE_AGE;
+        let outcome = match reply {
+            Ok(KvReply::Committed { revision }) => WriteOutcome::Committed { revision },
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
+                return false;
+            }
+            Ok(KvReply::Conflict { .. }) => WriteOutcome::Conflict,
+            Err(CallError::RateLimited) => WriteOutcome::Busy,
+            Err(CallError::Refused | CallError::TooLarge) => WriteOutcome::Refused,
+            _ => WriteOutcome::Lost,
+        };
+        if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Lost) {
+            self.persistence.pause(now);
+        }
+        let durable = self.intents.log.end_write(outcome);
+        if !fresh {
+            self.intents.log.forget_failures();
+        }
+        self.intents.ready.extend(durable);
+        self.send_ready(effects);
+        true
+    }
+
+    /// Takes in the reply to a reading of a page's revision that was sent at `sent`.
+    pub(in crate::leader) fn intents_reread(
+        &mut self,
+        now: Duration,
+        page: PageId,
+        sent: Duration,
+        reply: Result<KvReply, CallError>,
+    ) {
+        self.intents.reading.remove(&page);
+        match reply {
+            Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
+            Err(CallError::RateLimited) => self.persistence.pause(now),
+            _ => {
+                self.persistence.pause(now);
+                if now.saturating_sub(sent) < MAX_FAILURE_AGE {
+                    self.intents.log.reread_failed();
+                }
+            }
+        }
+    }
+
+    /// Asks for the next page of stored intents.
+    pub(in crate::leader) fn list_intents(&mut self, effects: &mut EffectSink) {
+        let after = self.loading.after_key();
+        if after.is_none() {
+            self.intents.log.begin_reading();
+        }
+        self.call_kv(
+            LeaderCall::ListIntents,
+            KvRequest::List { prefix: record::PREFIX.into(), after },
+            effects,
+        );
+    }
+
+    /// Takes in a page of stored intents.
+    pub(in crate::leader) fn intents_page_loaded(
+        &mut self,
+        times: StepTime,
+        reply: Result<KvReply, CallError>,
+        effects: &mut EffectSink,
+    ) {
+        let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
+            return self.retry_loading(times.now);
+        };
+        self.loading.page_loaded(&rows);
+        for row in &rows {
+            for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
+                effects.log(LogLevel::Error, format!("intent record unreadable: reason={fault}"));
+            }
+        }
+        if truncated {
+            return self.list_intents(effects);
+        }
+        self.loading.list_completed();
+        self.read_target(effects);
+    }
+
+    /// Takes up what former leaders left open, before anything is placed: their machines
+    /// are on their way out, and their rentals are asked for again under their names, which
+    /// rents nothing anew where they were carried out.
+    pub(in crate::leader) fn adopt_intents(&mut self, now: Duration, effects: &mut EffectSink) {
+        let adopted: Vec<(IdempotencyKey, Action)> =
+            self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
+        for (key, action) in &adopted {
+            match action {
+                Action::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
+                Action::Return(request) => {
+                    self.fleet.returns_inherited(&request.hosts);
+                    self.scaling.release_requested(request.hosts.iter().cloned());
+                    self.intents.return_retries.push(ReturnRetry { due: now, key: key.clone() });
+                }
+            }
+        }
+        if !adopted.is_empty() {
+            effects
+                .log(LogLevel::Info, format!("intents adopted from former leaders: count={}", adopted.len()));
+        }
+    }
+}
--- /dev/null
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -0,0 +1,126 @@
+//! The state of the leader's intents in one term.
+
+use crate::calls::PendingRental;
+use crate::leader::persistence::MAX_TXN_BYTES;
+use crate::protocol::MachineName;
+use crate::settings::{Fencing, Settings};
+use plankhead_fencing::action::{Return, ReturnReason, MAX_RETURN_HOSTS};
+use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::gate::FencingGate;
+use plankhead_fencing::log::{IntentLog, Limits};
+use plankhead_fencing::record::PageId;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+/// Open intents that the operators' view lists.
+const MAX_INTENTS_SHOWN: usize = 100;
+
+/// A rental that the cloud refused, while an earlier copy of the request may still come.
+#[derive(Debug)]
+pub(super) struct RefusedRental {
+    pub due: Duration,
+    pub rental: PendingRental,
+}
+
+/// A return to be sent, or sent again, at a time.
+#[derive(Debug)]
+pub(super) struct ReturnRetry {
+    pub due: Duration,
+    pub key: IdempotencyKey,
+}
+
+/// Why a return may be issued without its record where the state service fails.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::leader) enum ReturnForce {
+    /// A cancelled task must be gone by now.
+    CancellationDue,
+    /// This leader can't see what was cancelled; only while no peer leads.
+    CancellationsUnseen,
+}
+
+/// The intents of one term.
+#[derive(Debug)]
+pub(in crate::leader) struct Intents {
+    pub(super) settings: Fencing,
+    pub(super) gate: FencingGate,
+    pub(super) log: IntentLog,
+    /// Durable intents to be sent at once.
+    pub(super) ready: VecDeque<IdempotencyKey>,
+    /// Returns to be sent, or sent again.
+    pub(super) return_retries: Vec<ReturnRetry>,
+    pub(super) refused_rentals: Vec<RefusedRental>,
+    /// Returns that may be issued without their record.
+    pub(super) forced: BTreeMap<IdempotencyKey, ReturnForce>,
+    /// Pages whose revisions are being read again.
+    pub(super) reading: BTreeSet<PageId>,
+    pub(super) next_write_at: Duration,
+    pub(super) next_compaction_at: Duration,
+    /// The wall-clock time of the present step, in milliseconds since 1970.
+    pub(in crate::leader) wall_ms: u64,
+}
+
+impl Intents {
+    pub(in crate::leader) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
+        let fencing = settings.fencing;
+        let limits = Limits {
+            value_bytes: settings.max_value_bytes,
+            changes: settings.max_txn_changes,
+            transaction_bytes: MAX_TXN_BYTES,
+        };
+        Self {
+            settings: fencing,
+            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::open(token) },
+            log: IntentLog::new(token, limits),
+            ready: VecDeque::new(),
+            return_retries: Vec::new(),
+            refused_rentals: Vec::new(),
+            forced: BTreeMap::new(),
+            reading: BTreeSet::new(),
+            next_write_at: now,
+            next_compaction_at: now,
+            wall_ms: 0,
+        }
+    }
+
+    pub(in crate::leader) fn is_fenced(&self) -> bool {
+        self.gate.is_fenced()
+    }
+
+    /// Whether something waits for the state service or for the cloud's rate.
+    pub(in crate::leader) fn has_pending_work(&self) -> bool {
+        !self.ready.is_empty() || !self.log.uncertain_pages().is_empty() || self.log.has_unrecorded()
+    }
+
+    /// The return of as many of the machines as one may name.
+    pub(in crate::leader) fn machines_per_return(
+        &self,
+        machines: &[MachineName],
+        cause: ReturnReason,
+    ) -> Return {
+        if self.is_fenced() {
+            return self.log.machines_per_return(machines, cause);
+        }
+        Return { hosts: machines.iter().take(MAX_RETURN_HOSTS).cloned().collect(), cause }
+    }
+
+    /// What operators see of the intents.
+    pub(in crate::leader) fn view(&self) -> serde_json::Value {
+        let counts = self.gate.counts();
+        let summary = self.log.summary();
+        let shown = |intent: &Intent| {
+            serde_json::json!({"key": intent.key.to_string(), "kind": intent.action.kind(),
+                "subject": intent.action.subject(), "holder": intent.holder, "state": intent.state().name(),
+                "attempts": intent.attempts, "ageS": self.wall_ms.saturating_sub(intent.intended_ms) as f64 / 1e3})
+        };
+        let open: Vec<_> = self.log.open_intents().take(MAX_INTENTS_SHOWN).map(shown).collect();
+        serde_json::json!({
+            "enabled": self.is_fenced(),
+            "passed": {"recorded": counts.recorded, "compelled": counts.compelled,
+                "unfenced": counts.unfenced, "refused": counts.refused},
+            "intended": summary.intended, "recorded": summary.recorded, "adopted": summary.adopted,
+            "issued": summary.issued, "confirmed": summary.confirmed, "abandoned": summary.abandoned,
+            "pages": summary.pages, "unreadablePages": summary.unreadable_pages,
+            "open": open,
+        })
+    }
+}
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,9 +1,10 @@
 //! Renting machines and giving them back.
 
+use super::intents::ReturnForce;
 use super::{Leader, LeaderEvidence, PAUSE};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
-use crate::fleet::RemovalReason;
+use crate::fleet::{Machine, RemovalReason};
 use crate::protocol::{CallError, CloudReply, LogLevel, MachineName, Pool};
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
@@ -40,6 +41,13 @@
     rental: PendingRental,
 }
 
+/// A machine that is on its way back to the cloud.
+#[derive(Debug)]
+pub(super) struct LeavingMachine {
+    pub name: MachineName,
+    pub reason: RemovalReason,
+}
+
 /// What is under way with the cloud.
 #[derive(Debug)]
 pub(super) struct Scaling {
@@ -216,38 +224,50 @@
         }
     }
 
-    /// Returns machines that are to go. A leader without its grant, who may be cut off
-    /// or not lead any more, returns only what a cancellation or its blindness forces
-    /// it to, and only while the cloud hears it.
+    /// Releases machines that are to go. A leader without a valid lease, which may be cut
+    /// off or not lead any more, releases only what a cancellation, or one that it may not
+    /// have seen, forces it to, and only while the cloud answers it.
     pub(super) fn release_removed_machines(
         &mut self,
         now: Duration,
         evidence: LeaderEvidence,
         effects: &mut EffectSink,
     ) {
-        let free = evidence.lease_valid && self.loading.is_ready();
-        if now < self.scaling.next_release_at || !(free || self.is_cloud_reachable(now)) {
+        let may_write = evidence.lease_valid && self.loading.is_ready();
+        if now < self.scaling.next_release_at || !(may_write || self.is_cloud_reachable(now)) {
             return;
         }
-        let may = |why: RemovalReason| match why {
+        let may_release = |reason: RemovalReason| match reason {
             RemovalReason::CancellationDue => true,
-            RemovalReason::HeartbeatTimeout => free || evidence.no_peer_leads,
-            _ => free,
+            RemovalReason::HeartbeatTimeout => may_write || evidence.no_peer_leads,
+            _ => may_write,
         };
-        let machines = self.fleet.machines.values();
-        let leaving = machines.filter_map(|m| m.removal.filter(|w| may(*w)).map(|why| (m.name.clone(), why)));
-        let mut leaving: Vec<(MachineName, RemovalReason)> = leaving
-            .filter(|(host, _)| !self.scaling.releasing.contains(host))
+        let leaving = |machine: &Machine| {
+            let reason = machine.removal.filter(|reason| may_release(*reason))?;
+            Some(LeavingMachine { name: machine.name.clone(), reason })
+        };
+        let mut leaving: Vec<LeavingMachine> = self
+            .fleet
+            .machines
+            .values()
+            .filter_map(leaving)
+            .filter(|machine| !self.scaling.releasing.contains(&machine.name))
             .take(MAX_RETURN_HOSTS)
             .collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
-        let due = leaving.iter().any(|(_, why)| *why == RemovalReason::CancellationDue);
-        if due && self.intents.is_fenced() {
-            leaving.retain(|(_, why)| *why == RemovalReason::CancellationDue);
+        let is_due = |machine: &LeavingMachine| machine.reason == RemovalReason::CancellationDue;
+        let cancellation_due = leaving.iter().any(is_due);
+        if cancellation_due && self.intents.is_fenced() {
+            leaving.retain(is_due);
         }
+        let force = match (cancellation_due, may_write) {
+            (true, _) => Some(ReturnForce::CancellationDue),
+            (false, false) => Some(ReturnForce::CancellationsUnseen),
+            (false, true) => None,
+        };
         if !leaving.is_empty() && self.scaling.take_request(now) {
-            self.return_machines(&leaving, (due || !free, !due), effects);
+            self.return_machines(&leaving, force, effects);
         }
     }
 
