--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -5,7 +5,6 @@
 mod records;
 mod state;
 
-use super::scaling::LeavingMachine;
 use super::{Leader, LeaderEvidence};
 use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::{EffectSink, StepTime};
@@ -15,7 +14,7 @@
 use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
 use plankhead_fencing::gate::{IssueProof, PermittedAction};
 use plankhead_fencing::log::IntentAdmission;
-pub(super) use state::{Intents, ReturnForce};
+pub(super) use state::{Intents, LeavingMachine, ReturnForce};
 use state::{RefusedRental, ReturnRetry};
 use std::time::Duration;
 
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -1,6 +1,7 @@
 //! The state of the leader's intents in one term.
 
 use crate::calls::PendingRental;
+use crate::fleet::RemovalReason;
 use crate::leader::persistence::MAX_TXN_BYTES;
 use crate::protocol::MachineName;
 use crate::settings::{Fencing, Settings};
@@ -29,6 +30,13 @@
     pub key: IdempotencyKey,
 }
 
+/// A machine that is on its way back to the cloud.
+#[derive(Debug)]
+pub(in crate::leader) struct LeavingMachine {
+    pub name: MachineName,
+    pub reason: RemovalReason,
+}
+
 /// Why a return may be issued without its record where the state service fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::leader) enum ReturnForce {
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,6 +1,6 @@
 //! Renting machines and giving them back.
 
-use super::intents::ReturnForce;
+use super::intents::{LeavingMachine, ReturnForce};
 use super::{Leader, LeaderEvidence, PAUSE};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
@@ -41,13 +41,6 @@
     rental: PendingRental,
 }
 
-/// A machine that is on its way back to the cloud.
-#[derive(Debug)]
-pub(super) struct LeavingMachine {
-    pub name: MachineName,
-    pub reason: RemovalReason,
-}
-
 /// What is under way with the cloud.
 #[derive(Debug)]
 pub(super) struct Scaling {
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -7,14 +7,15 @@
 use crate::jobs::job_table::JobEntry;
 use crate::placement::backfill::Slot;
 use crate::placement::fair_share::{TeamUsage, Work};
-use crate::protocol::{LogLevel, Pool};
+use crate::protocol::{LogLevel, MachineType, Pool};
 use crate::sizing::cpu_budget::CpuBudget;
 use crate::sizing::fleet_size_search::FleetSizeSearch;
 use crate::sizing::replay::{Arrival, Replay};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Without a U of the operators, how far the fleet may grow under overload, as a
+/// Without a setting of the operators, how far the fleet may grow under overload, as a
 /// multiple of what the guarantees would fill.
 const OVERLOAD_FACTOR: f64 = 1.5;
 /// Without an interval of the operators, rounds come as often as the slower of
@@ -49,6 +50,24 @@
     }
 }
 
+/// What a round is decided by, for all machine types.
+struct RoundInput {
+    now: Duration,
+    work: Vec<Work>,
+    expected_arrivals: Vec<Arrival>,
+    slots: Vec<Slot>,
+    teams: Vec<TeamUsage>,
+    /// Jobs that run with all their tasks.
+    running: usize,
+}
+
+/// The numbers of a machine type's pools.
+struct TypePools {
+    /// The ordinary pools, each with its zone.
+    ordinary: Vec<(usize, usize)>,
+    spot: Vec<usize>,
+}
+
 /// What a size search replays.
 #[derive(Debug)]
 struct ReplayInput {
@@ -73,6 +92,7 @@
     }
 }
 
+/// The search for one machine type.
 #[derive(Debug)]
 struct SizeTrial {
     machine_type: String,
@@ -81,8 +101,8 @@
     input: ReplayInput,
 }
 
-/// A round under way: the climbs one after the other, in portions, since the
-/// replays of a large backlog would hold up everything else.
+/// A round under way: the searches one after the other, in slices, since the replays of a
+/// large backlog would hold up everything else.
 #[derive(Debug)]
 struct Round {
     began: Duration,
@@ -94,11 +114,11 @@
 }
 
 impl Round {
-    /// Goes on by a portion; true once all climbs are over.
-    fn advance(&mut self, portions: CpuBudget) -> bool {
+    /// Goes on by a slice; true once all searches are over.
+    fn advance(&mut self, cpu_budget: CpuBudget) -> bool {
         let Some(trial) = self.trials.iter_mut().find(|t| t.search.size().is_none()) else { return true };
         let replay = self.replay.get_or_insert_with(|| trial.input.replay(trial.search.trial()));
-        if let Some(slowdown) = replay.advance(portions.passes_per_slice(replay.machines())) {
+        if let Some(slowdown) = replay.advance(cpu_budget.passes_per_slice(replay.machines())) {
             self.trace.push(format!("{}:{slowdown:.2}", trial.search.trial()));
             trial.search.record_slowdown(slowdown);
             self.replay = None;
@@ -126,14 +146,14 @@
 }
 
 impl Leader {
-    /// U for a type: set, or learned, or what the guarantees would fill; and how
-    /// far it goes under overload.
-    fn max_fleet_size(&self, rig: &str, now: Duration) -> (u32, u32) {
-        let cpus = self.fleet.resources(rig).map_or(1.0, |r| r.cpus.max(1.0));
+    /// The most machines of a type: set, or learned, or what the guarantees would fill;
+    /// and how far it goes under overload.
+    fn max_fleet_size(&self, machine_type: &str, now: Duration) -> (u32, u32) {
+        let cpus = self.fleet.resources(machine_type).map_or(1.0, |r| r.cpus.max(1.0));
         let guaranteed: f64 = self.settings.teams.values().map(|t| t.guaranteed_cpus).sum();
         let fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
         let set = self.settings.sizing.max_machines;
-        let known = self.fleet.known_capacity(rig, now).unwrap_or(u32::MAX);
+        let known = self.fleet.known_capacity(machine_type, now).unwrap_or(u32::MAX);
         let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
         (bound(1.0), bound(OVERLOAD_FACTOR))
     }
@@ -141,11 +161,11 @@
     /// The time between rounds: longer than a boot, so that each sees what the one
     /// before brought.
     pub(super) fn round_interval(&self) -> Duration {
-        let boot = self.fleet.machine_types.values().map(|r| r.boot_time).max().unwrap_or_default();
+        let boot = self.fleet.machine_types.values().map(|t| t.boot_time).max().unwrap_or_default();
         self.settings.sizing.interval.unwrap_or(MIN_ROUND_INTERVAL.max(boot.mul_f64(ROUND_INTERVAL_IN_BOOTS)))
     }
 
-    /// Begins rounds, carries the one under way on by a portion, and ends it.
+    /// Begins rounds, carries the one under way on by a slice, and ends it.
     pub(super) fn advance_sizing(&mut self, times: StepTime, effects: &mut EffectSink) {
         let now = times.now;
         if self.fleet.machine_types.is_empty() {
@@ -206,78 +226,92 @@
             return;
         }
         self.sizing.next_round_at = now + self.round_interval();
-        // Nor does the rush of the first seconds tell what comes later.
-        let expected = if cold { Vec::new() } else { self.expected_arrivals(now) };
+        // Nor does the backlog of the first seconds tell what comes later.
+        let expected_arrivals = if cold { Vec::new() } else { self.expected_arrivals(now) };
         let slots = self.available_slots(now).slots;
-        let running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
-        let running = self.job_table.jobs.values().filter(running).count();
+        let is_running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
+        let running = self.job_table.jobs.values().filter(is_running).count();
+        let input = RoundInput { now, work, expected_arrivals, slots, teams, running };
         let mut trials = Vec::new();
-        for rig in self.fleet.machine_types.keys().cloned().collect::<Vec<_>>() {
-            for strict in [true, false] {
-                let input = (&*work, &*expected, &*slots);
-                trials.extend(self.build_trial(now, &rig, strict, input, &teams, running));
+        for machine_type in self.fleet.machine_types.keys().cloned().collect::<Vec<_>>() {
+            for ordinary_only in [true, false] {
+                trials.extend(self.build_trial(&machine_type, ordinary_only, &input));
             }
         }
         self.sizing.round = Some(Round { began: now, cold, trials, replay: None, trace: Vec::new() });
     }
 
-    /// The climb for one type, over the jobs that can use it; `strict`: only
+    /// The search for one type, over the jobs that can use it; `ordinary_only`: only
     /// those that must not run on spot machines, and only ordinary ones.
-    fn build_trial(
-        &mut self,
-        now: Duration,
-        rig: &str,
-        strict: bool,
-        (work, expected, slots): (&[Work], &[Arrival], &[Slot]),
-        teams: &[TeamUsage],
-        running: usize,
-    ) -> Option<SizeTrial> {
-        let kind = self.fleet.machine_types.get(rig)?.clone();
-        let pool = |zone: &String, spot| Pool { machine_type: rig.into(), zone: zone.clone(), spot };
-        let ordinary: Vec<(usize, usize)> = kind
-            .zones
-            .iter()
-            .map(|z| (self.placement.index.pool_index(&pool(z, false)), self.placement.index.zone_index(z)))
-            .collect();
-        let spot: Vec<usize> =
-            kind.zones.iter().map(|z| self.placement.index.pool_index(&pool(z, true))).collect();
-        let suits = |w: &Work| {
-            let bound = !spot.iter().any(|p| w.allows(*p));
-            ordinary.iter().any(|(p, _)| w.allows(*p)) && (!strict || bound)
+    fn build_trial(&mut self, type_name: &str, ordinary_only: bool, round: &RoundInput) -> Option<SizeTrial> {
+        let machine_type = self.fleet.machine_types.get(type_name)?.clone();
+        let pools = self.pools_of_type(type_name, &machine_type);
+        let suits = |work: &Work| {
+            let needs_ordinary = !pools.spot.iter().any(|pool| work.allows(*pool));
+            pools.ordinary.iter().any(|(pool, _)| work.allows(*pool)) && (!ordinary_only || needs_ordinary)
+        };
+        let work: Vec<Work> = round.work.iter().filter(|work| suits(work)).cloned().collect();
+        let expected_arrivals =
+            round.expected_arrivals.iter().filter(|arrival| suits(&arrival.work)).cloned().collect();
+        let is_of_type = |slot: &&Slot| {
+            pools.ordinary.iter().any(|(pool, _)| *pool == slot.pool)
+                || !ordinary_only && pools.spot.contains(&slot.pool)
         };
-        let work: Vec<Work> = work.iter().filter(|w| suits(w)).cloned().collect();
-        let expected: Vec<Arrival> = expected.iter().filter(|a| suits(&a.work)).cloned().collect();
-        let ours =
-            |s: &&Slot| ordinary.iter().any(|(p, _)| *p == s.pool) || !strict && spot.contains(&s.pool);
-        let mut held: Vec<Slot> = slots.iter().filter(ours).cloned().collect();
-        held.sort_by_key(|s| std::cmp::Reverse(s.running.len()));
+        let mut held: Vec<Slot> = round.slots.iter().filter(is_of_type).cloned().collect();
+        held.sort_by_key(|slot| Reverse(slot.running.len()));
         for slot in &mut held {
-            slot.ready_at = now;
+            slot.ready_at = round.now;
         }
-        let busy = if strict { 0 } else { held.iter().filter(|s| !s.running.is_empty()).count() as u32 };
-        let total = Resources { cpus: kind.cpus, gpus: kind.gpus, ram_gb: kind.ram };
-        let widest = work.iter().map(|w| min_machines(w, &total, kind.zones.len())).max();
-        let least = busy.max(widest.unwrap_or(0));
-        let (most, beyond) = self.max_fleet_size(rig, now);
-        let climb = FleetSizeSearch::new(least, most, beyond, self.settings.sizing.max_slowdown);
-        let fresh = ordinary
-            .into_iter()
-            .map(|(pool, zone)| Slot {
-                pool,
-                zone,
-                price: kind.price,
-                free: total,
-                ready_at: now,
-                running: Vec::new(),
-                images: Vec::new(),
-                fetches_in_progress: 0,
-                image_fetch_gb_per_s: 0.0,
-            })
+        let busy = held.iter().filter(|slot| !slot.running.is_empty()).count() as u32;
+        let busy = if ordinary_only { 0 } else { busy };
+        let room = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
+        let widest = work.iter().map(|work| min_machines(work, &room, machine_type.zones.len())).max();
+        let (max_machines, max_overloaded) = self.max_fleet_size(type_name, round.now);
+        let search = FleetSizeSearch::new(
+            busy.max(widest.unwrap_or(0)),
+            max_machines,
+            max_overloaded,
+            self.settings.sizing.max_slowdown,
+        );
+        let input = ReplayInput {
+            now: round.now,
+            held,
+            new_machines: new_machines(&pools.ordinary, &machine_type, round.now),
+            work,
+            expected_arrivals,
+            teams: round.teams.clone(),
+            running: if ordinary_only { 0 } else { round.running },
+        };
+        Some(SizeTrial { machine_type: type_name.into(), ordinary_only, search, input })
+    }
+
+    /// The numbers of a type's pools, and of the zones of its ordinary ones.
+    fn pools_of_type(&mut self, type_name: &str, machine_type: &MachineType) -> TypePools {
+        let pool = |zone: &String, spot| Pool { machine_type: type_name.into(), zone: zone.clone(), spot };
+        let index = &mut self.placement.index;
+        let ordinary = machine_type
+            .zones
+            .iter()
+            .map(|zone| (index.pool_index(&pool(zone, false)), index.zone_index(zone)))
             .collect();
-        let running = if strict { 0 } else { running };
-        let teams = teams.to_vec();
-        let backlog =
-            ReplayInput { now, held, new_machines: fresh, work, expected_arrivals: expected, teams, running };
-        Some(SizeTrial { machine_type: rig.into(), ordinary_only: strict, search: climb, input: backlog })
+        let spot = machine_type.zones.iter().map(|zone| index.pool_index(&pool(zone, true))).collect();
+        TypePools { ordinary, spot }
     }
 }
+
+/// An idle machine of the type in each of these pools and zones, as if it were up.
+fn new_machines(pools: &[(usize, usize)], machine_type: &MachineType, now: Duration) -> Vec<Slot> {
+    let free = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
+    let slot = |(pool, zone): &(usize, usize)| Slot {
+        pool: *pool,
+        zone: *zone,
+        price: machine_type.price,
+        free,
+        ready_at: now,
+        running: Vec::new(),
+        images: Vec::new(),
+        fetches_in_progress: 0,
+        image_fetch_gb_per_s: 0.0,
+    };
+    pools.iter().map(slot).collect()
+}
--- a/crates/plankhead-core/src/leader/wide_jobs.rs
+++ b/crates/plankhead-core/src/leader/wide_jobs.rs
@@ -25,70 +25,123 @@
     }
 }
 
+/// The machines of a pool that are held, as far as they stay.
+struct HeldPool {
+    index: usize,
+    zone: String,
+    machines: u32,
+    /// What one of its machines holds.
+    room: Resources,
+}
+
+/// The room for a job that is wider than the fleet, at its best.
+#[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct WidestRoom<'a> {
+    /// Tasks that fit.
+    tasks: u32,
+    /// In which zone; empty for a job that may be in several.
+    zone: &'a str,
+}
+
+/// A machine type that a job can use.
+struct SuitableType {
+    name: String,
+    price: f64,
+    /// The job must not run on spot machines.
+    ordinary_only: bool,
+}
+
 impl Leader {
     /// A job wider than the fleet raises it at once. An array's width is one
     /// task, so this is a job that no machine we have can hold; a gang's is all of
     /// it, in one zone where asked.
     pub(super) fn raise_for_wide_jobs(&mut self, work: &[Work]) {
-        let staying = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
+        let pools = self.held_pools();
+        self.target.preferred_zone = None;
+        for work in work {
+            let widest = widest_room(work, &pools);
+            if widest.tasks >= work.min_simultaneous() {
+                continue;
+            }
+            let lacking = work.min_simultaneous() - widest.tasks;
+            if !widest.zone.is_empty() {
+                self.target.preferred_zone = Some(widest.zone.into());
+            }
+            let Some(suitable) = self.cheapest_suitable_type(work) else { continue };
+            self.raise_target(work, lacking, &suitable);
+        }
+    }
+
+    fn held_pools(&mut self) -> Vec<HeldPool> {
+        let stays = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut held: BTreeMap<Pool, u32> = BTreeMap::new();
-        for machine in self.fleet.machines.values().filter(staying) {
+        for machine in self.fleet.machines.values().filter(stays) {
             *held.entry(machine.pool.clone()).or_default() += 1;
         }
-        // Pool, zone, machines, and what one of them holds.
-        let mut pools = Vec::new();
-        for (pool, machines) in &held {
+        let mut pools = Vec::with_capacity(held.len());
+        for (pool, machines) in held {
             let room = self.fleet.resources(&pool.machine_type).unwrap_or_default();
-            pools.push((self.placement.index.pool_index(pool), pool.zone.clone(), *machines, room));
+            let index = self.placement.index.pool_index(&pool);
+            pools.push(HeldPool { index, zone: pool.zone, machines, room });
         }
-        self.target.preferred_zone = None;
-        for w in work {
-            let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-            for (_, zone, machines, room) in pools.iter().filter(|(p, ..)| w.allows(*p)) {
-                let zone = if w.gang && w.single_zone { zone.as_str() } else { "" };
-                let held = zones.entry(zone).or_default();
-                *held = held.saturating_add(machines.saturating_mul(tasks_per_machine(w, room)));
-            }
-            let widest = zones.into_iter().map(|(zone, n)| (n, zone)).max();
-            let (room, zone) = widest.unwrap_or_default();
-            if room >= w.min_simultaneous() {
-                continue;
-            }
-            let lacking = w.min_simultaneous() - room;
-            if !zone.is_empty() {
-                self.target.preferred_zone = Some(zone.into());
-            }
-            let mut fits = Vec::new();
-            for (name, rig) in &self.fleet.machine_types {
-                let room = Resources { cpus: rig.cpus, gpus: rig.gpus, ram_gb: rig.ram };
-                let pool =
-                    |zone: &String, spot| Pool { machine_type: name.clone(), zone: zone.clone(), spot };
-                let ordinary =
-                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, false))));
-                let spot =
-                    rig.zones.iter().any(|z| w.allows(self.placement.index.pool_index(&pool(z, true))));
-                if ordinary && w.demand.fits(&room) {
-                    fits.push((rig.price, name.clone(), !spot));
-                }
+        pools
+    }
+
+    /// The cheapest machine type that holds a task of the job and that the job allows.
+    fn cheapest_suitable_type(&mut self, work: &Work) -> Option<SuitableType> {
+        let mut suitable = Vec::new();
+        for (name, machine_type) in &self.fleet.machine_types {
+            let room =
+                Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
+            let index = &mut self.placement.index;
+            let mut allows = |spot: bool| {
+                machine_type.zones.iter().any(|zone| {
+                    let pool = Pool { machine_type: name.clone(), zone: zone.clone(), spot };
+                    work.allows(index.pool_index(&pool))
+                })
+            };
+            let (allows_ordinary, allows_spot) = (allows(false), allows(true));
+            if allows_ordinary && work.demand.fits(&room) {
+                let (name, price) = (name.clone(), machine_type.price);
+                suitable.push(SuitableType { name, price, ordinary_only: !allows_spot });
             }
-            fits.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((_, rig, strict)) = fits.into_iter().next() else { continue };
-            let count = self.fleet.machines_of_type(&rig);
-            let more = lacking
-                .div_ceil(tasks_per_machine(w, &self.fleet.resources(&rig).unwrap_or_default()).max(1));
-            let ordinary: u32 = self
-                .fleet
-                .pools(&rig)
-                .iter()
-                .filter(|p| !p.spot)
-                .map(|p| self.fleet.machines_staying(p))
-                .sum();
-            let size = self.target.current().sizes.get(&rig).copied().unwrap_or_default();
-            let may_raise = !self.scaling.is_renting();
-            let raise = (may_raise && size.machines <= count).then_some(count + more);
-            let raise_ordinary =
-                (may_raise && strict && size.ordinary < ordinary + more).then_some(ordinary + more);
-            self.target.raise(&rig, raise, raise_ordinary);
         }
+        suitable.sort_by(|a, b| a.price.total_cmp(&b.price));
+        suitable.into_iter().next()
+    }
+
+    /// Raises the target so that so many more tasks of a job find room.
+    fn raise_target(&mut self, work: &Work, lacking: u32, suitable: &SuitableType) {
+        let name = &suitable.name;
+        let room = self.fleet.resources(name).unwrap_or_default();
+        let more = lacking.div_ceil(tasks_per_machine(work, &room).max(1));
+        let machines = self.fleet.machines_of_type(name);
+        let ordinary: u32 = self
+            .fleet
+            .pools(name)
+            .iter()
+            .filter(|pool| !pool.spot)
+            .map(|pool| self.fleet.machines_staying(pool))
+            .sum();
+        let size = self.target.current().sizes.get(name).copied().unwrap_or_default();
+        let may_raise = !self.scaling.is_renting();
+        let raise_all = may_raise && size.machines <= machines;
+        let raise_ordinary = may_raise && suitable.ordinary_only && size.ordinary < ordinary + more;
+        self.target.raise(
+            name,
+            raise_all.then_some(machines + more),
+            raise_ordinary.then_some(ordinary + more),
+        );
+    }
+}
+
+/// Where the most tasks of a job fit, over all machines held.
+fn widest_room<'a>(work: &Work, pools: &'a [HeldPool]) -> WidestRoom<'a> {
+    let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
+    for pool in pools.iter().filter(|pool| work.allows(pool.index)) {
+        let zone = if work.gang && work.single_zone { pool.zone.as_str() } else { "" };
+        let tasks = zones.entry(zone).or_default();
+        *tasks = tasks.saturating_add(pool.machines.saturating_mul(tasks_per_machine(work, &pool.room)));
     }
+    zones.into_iter().map(|(zone, tasks)| WidestRoom { tasks, zone }).max().unwrap_or_default()
 }
