--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -48,20 +48,23 @@
 }
 
 impl Leader {
-    /// Drops chunks that nobody needs, when there is room to write.
+    /// Deletes keys that nobody needs, when there is room to write.
     pub(super) fn delete_garbage(&mut self, now: Duration, effects: &mut EffectSink) {
-        let spare = self.persistence.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
-        let due = spare || self.garbage.urgent > 0;
+        let has_spare = self.persistence.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
+        let due = has_spare || self.garbage.urgent > 0;
         if self.garbage.write_in_flight || !due || self.persistence.is_paused(now) {
             return;
         }
         if self.garbage.keys.is_empty() {
             return self.archive_finished_jobs(now, effects);
         }
-        let most =
-            if spare { self.garbage.keys.len() } else { self.garbage.urgent.min(self.garbage.keys.len()) };
-        let most = self.settings.max_txn_changes.min(most).min(self.persistence.available(now));
-        let mut keys: Vec<StoredKey> = self.garbage.keys.drain(..most).collect();
+        let count = if has_spare {
+            self.garbage.keys.len()
+        } else {
+            self.garbage.urgent.min(self.garbage.keys.len())
+        };
+        let count = self.settings.max_txn_changes.min(count).min(self.persistence.available(now));
+        let mut keys: Vec<StoredKey> = self.garbage.keys.drain(..count).collect();
         keys.sort_by(|a, b| a.key.cmp(&b.key));
         keys.dedup_by(|a, b| a.key == b.key);
         self.garbage.urgent = self.garbage.urgent.saturating_sub(keys.len());
@@ -81,7 +84,7 @@
         self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Where duties are fenced, a key goes only at the revision that is known to be over:
+    /// Where intents are fenced, a key goes only at the revision that is known to be over:
     /// where that is in doubt it is read first.
     fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
@@ -102,7 +105,7 @@
         self.garbage.keys.extend(keys.into_iter().map(revised));
     }
 
-    /// The reply to a question after a key that is to go. A job of that name may be there
+    /// Takes in the reply to a reading of a key that is to go. A job of that name may be there
     /// again: then its records are its own.
     pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
         let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
@@ -120,21 +123,21 @@
 
     /// Moves records of jobs that are over to where no new leader reads them.
     fn archive_finished_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
-        let most = (self.settings.max_txn_changes / 2).min(self.garbage.to_archive.len());
-        if most == 0 || !self.persistence.take(now, most * 2) {
+        let count = (self.settings.max_txn_changes / 2).min(self.garbage.to_archive.len());
+        if count == 0 || !self.persistence.take(now, count * 2) {
             return;
         }
         self.garbage.write_in_flight = true;
-        let finals: Vec<FinishedJob> = self.garbage.to_archive.drain(..most).collect();
+        let jobs: Vec<FinishedJob> = self.garbage.to_archive.drain(..count).collect();
         let mut conditions = vec![self.leader_condition()];
         let mut changes = Vec::new();
-        for job in &finals {
+        for job in &jobs {
             let Ok(value) = serde_json::to_string(&job.record) else { continue };
             conditions.push(Condition { key: job.id.key(), mod_revision: job.mod_revision });
             changes.push(KvChange::Put { key: job.id.archive_key(), value, lease: None });
             changes.push(KvChange::Delete { key: job.id.key() });
         }
-        self.call_kv(LeaderCall::ArchiveJobs(finals), KvRequest::Txn { conditions, changes }, effects);
+        self.call_kv(LeaderCall::ArchiveJobs(jobs), KvRequest::Txn { conditions, changes }, effects);
     }
 
     /// Takes in the reply to a deletion; false: somebody else leads.
--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -1,6 +1,6 @@
 //! The watch on job records: how the leader learns of new and cancelled jobs.
 
-use super::{Leader, PAUSE};
+use super::{Leader, RETRY_INTERVAL};
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
 use crate::protocol::{CallError, KvReply, KvRequest, WatchEvent};
@@ -89,7 +89,7 @@
                 self.kill_cancelled(times.now, effects);
             }
             Ok(KvReply::Compacted) => return false,
-            _ => self.job_watch.next_at = times.now + PAUSE,
+            _ => self.job_watch.next_at = times.now + RETRY_INTERVAL,
         }
         true
     }
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,6 +1,6 @@
-//! Taking over: a new leader reads all that is known.
+//! Failover: a new leader loads all state before it decides anything.
 
-use super::{Leader, Target, PAUSE};
+use super::{Leader, Target, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
@@ -82,27 +82,30 @@
 }
 
 impl Leader {
+    /// Asks for the next page of the jobs, with which loading begins.
     pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
         self.job_watch.loading_began(now);
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, effects);
     }
 
-    /// Whether it still reads what is known, and nothing says that it can't.
+    /// Whether it still loads, and no call has failed.
     pub fn is_loading(&self) -> bool {
         !self.loading.is_ready() && !self.loading.failed
     }
 
+    /// A call has failed: loading starts over soon.
     pub(super) fn retry_loading(&mut self, now: Duration) {
-        self.loading.retry_at = Some(now + PAUSE);
+        self.loading.retry_at = Some(now + RETRY_INTERVAL);
         self.loading.failed = true;
     }
 
-    pub(super) fn list_chunks(&mut self, effects: &mut EffectSink) {
+    fn list_chunks(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, effects);
     }
 
+    /// Takes in a page of the jobs.
     pub(super) fn jobs_page_loaded(
         &mut self,
         times: StepTime,
@@ -125,6 +128,7 @@
         self.list_chunks(effects);
     }
 
+    /// Takes in a page of the chunks.
     pub(super) fn chunks_page_loaded(
         &mut self,
         times: StepTime,
@@ -150,7 +154,7 @@
                     let (value, mod_revision) = (row.value, row.mod_revision);
                     self.loading.chunks.push(StoredChunk { job, rechunked, number, value, mod_revision });
                 }
-                _ => effects.log(LogLevel::Error, format!("strange key {}", row.key)),
+                _ => effects.log(LogLevel::Error, format!("chunk key unreadable: key={}", row.key)),
             }
         }
         if truncated {
@@ -163,6 +167,7 @@
         self.read_target(effects);
     }
 
+    /// Takes in the target, the last that is loaded: this leader is ready from now on.
     pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
@@ -198,13 +203,13 @@
             machine.last_heard_at = machine.last_heard_at.max(now);
             machine.last_direct_at = machine.last_heard_at;
         }
-        for host in self.placed_machines() {
-            // Given back while this leader could not read: nobody would ever prove it
+        for name in self.placed_machines() {
+            // Released while this leader could not load: nobody would ever prove it
             // gone again.
-            if self.fleet.is_removed(&host) {
-                self.job_table.machine_gone(&host, now);
+            if self.fleet.is_removed(&name) {
+                self.job_table.machine_gone(&name, now);
             } else {
-                self.fleet.expect_machine(&host, now);
+                self.fleet.expect_machine(&name, now);
             }
         }
         self.adopt_intents(now, effects);
@@ -217,10 +222,11 @@
         effects.log(
             LogLevel::Info,
             format!(
-                "took over {} jobs and {} machines in {} ms",
+                "leader ready: token={} jobs={} machines={} after_s={:.3}",
+                self.token,
                 self.job_table.jobs.len(),
                 self.fleet.machines.len(),
-                now.saturating_sub(self.started_at).as_millis()
+                now.saturating_sub(self.started_at).as_secs_f64()
             ),
         );
         self.placement.request_pass();
@@ -236,7 +242,7 @@
         }
     }
 
-    pub(super) fn placed_machines(&self) -> Vec<MachineName> {
+    fn placed_machines(&self) -> Vec<MachineName> {
         self.job_table.machines().cloned().collect()
     }
 
@@ -248,18 +254,18 @@
             JobPhase::Done => {
                 requests.record_ended(&id, JobStatus::Done, record.tasks);
                 let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
-                let news = self.job_table.job_finished(&id);
-                if !self.loading.is_ready() || news {
+                let is_new = self.job_table.job_finished(&id);
+                if !self.loading.is_ready() || is_new {
                     let job = FinishedJob { id: id.clone(), mod_revision: row.mod_revision, record };
                     self.garbage.archive(job);
                 }
-                if news {
+                if is_new {
                     self.garbage.add(stored);
                 }
                 return;
             }
             JobPhase::Cancelled => requests.record_ended(&id, JobStatus::Cancelled, 0),
-            // An old event of a job that is over by now. While reading, it is taken in
+            // An old event of a job that is over by now. While loading, it is taken in
             // all the same: a row that is older than a cancellation which this node
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
@@ -267,13 +273,13 @@
             JobPhase::Active if self.loading.is_ready() && requests.is_ended(&id) => return,
             JobPhase::Active => {}
         }
-        let accepted = times.monotonic_of(record.accepted_ms);
-        let cancelled = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
+        let accepted_at = times.monotonic_of(record.accepted_ms);
+        let cancelled_at = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
         let per_chunk = record.per_chunk.max(1);
         if record.phase == JobPhase::Active && !self.job_table.jobs.contains_key(&id) {
-            self.arrivals.record(accepted, record.spec.as_ref());
+            self.arrivals.record(accepted_at, record.spec.as_ref());
         }
-        self.job_table.upsert(&id, record, row.mod_revision, accepted, cancelled, per_chunk);
+        self.job_table.upsert(&id, record, row.mod_revision, accepted_at, cancelled_at, per_chunk);
         self.placement.request_pass();
     }
 }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's role: it knows every job, places tasks, minds the workers and
-//! sizes the fleet. Whatever it writes fails once somebody else leads.
+//! The leader's role: it knows every job, places tasks, commands the workers and
+//! sizes the fleet. Whatever it writes fails once another node leads.
 
 mod arrivals;
 mod commands;
@@ -34,83 +34,94 @@
 use crate::protocol::{Condition, KvRequest, MachineType};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
+use arrivals::ArrivalHistory;
+use evidence::Evidence;
 pub use evidence::LeaderEvidence;
+use garbage::Garbage;
 pub use heartbeats::HeartbeatPath;
+use intents::Intents;
+use inventory::Inventory;
+use job_watch::JobWatch;
+use loading::JobLoading;
+use persistence::Persistence;
+use placement::Placement;
+use scaling::Scaling;
 pub use shards::LeaderRoute;
+use shards::LeaderShards;
+use sizing_rounds::SizingRounds;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+use target::TargetState;
 pub use target::{Size, Target};
 
-const PAUSE: Duration = Duration::from_millis(250);
-/// What answers of a leader without sight end sooner than leases and cancellations
-/// ask for: for the drift of clocks and for what is under way.
-const BLIND_MARGIN: Duration = Duration::from_secs(2);
-/// No starts once the jobs were not seen afresh for this long.
-const STALE: Duration = Duration::from_secs(4);
-const LATE_SCAN: Duration = Duration::from_secs(5);
-/// A job is stuck when nothing of it has started for this long.
-const STUCK: Duration = Duration::from_secs(120);
+/// The pause before a call to the state service or the cloud that failed is repeated.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
+/// The leader in one term. Its parts own their state; what they decide together is in the
+/// methods of the folder's modules.
 #[derive(Debug)]
 pub struct Leader {
     settings: Arc<Settings>,
+    /// The fencing token of the term.
     pub token: u64,
     started_at: Duration,
-    loading: loading::JobLoading,
-    job_watch: job_watch::JobWatch,
-    evidence: evidence::Evidence,
-    placement: placement::Placement,
-    persistence: persistence::Persistence,
-    garbage: garbage::Garbage,
+    loading: JobLoading,
+    job_watch: JobWatch,
+    evidence: Evidence,
+    persistence: Persistence,
+    garbage: Garbage,
+    /// Every job with its attempts.
     pub job_table: JobTable,
+    /// Every machine that is held or expected.
     pub fleet: Fleet,
+    placement: Placement,
+    target: TargetState,
+    sizing: SizingRounds,
+    arrivals: ArrivalHistory,
+    cpu_budget: CpuBudget,
+    scaling: Scaling,
+    inventory: Inventory,
+    intents: Intents,
+    /// Who holds which machines, where they are divided into shards.
+    shards: Option<LeaderShards>,
     /// Every node has this version: what older ones can't read may be stored.
     pub all_nodes_upgraded: bool,
-    /// Some job's chunks are still to be laid anew.
+    /// Some job's chunks are still to be rechunked.
     rechunk_pending: bool,
-    /// It has sent its first starts.
+    /// The first start of this term was sent.
     first_start_sent: bool,
-    /// When what time alone brings about is looked at again.
     next_maintenance_at: Duration,
-    target: target::TargetState,
-    sizing: sizing_rounds::SizingRounds,
-    arrivals: arrivals::ArrivalHistory,
-    cpu_budget: CpuBudget,
-    scaling: scaling::Scaling,
-    inventory: inventory::Inventory,
-    intents: intents::Intents,
     next_lateness_scan_at: Duration,
-    /// Who holds which machines, where they are divided.
-    shards: Option<shards::LeaderShards>,
 }
 
 impl Leader {
+    /// A leader that has just won the lease; it is to begin loading.
     pub fn new(settings: Arc<Settings>, token: u64, now: Duration) -> Self {
         Self {
             token,
             started_at: now,
-            loading: loading::JobLoading::default(),
-            job_watch: job_watch::JobWatch::new(now),
-            evidence: evidence::Evidence::new(now),
-            placement: placement::Placement::new(&settings, now),
-            persistence: persistence::Persistence::new(settings.kv_changes_per_s, now),
-            garbage: garbage::Garbage::default(),
+            loading: JobLoading::default(),
+            job_watch: JobWatch::new(now),
+            evidence: Evidence::new(now),
+            placement: Placement::new(&settings, now),
+            persistence: Persistence::new(settings.kv_changes_per_s, now),
+            garbage: Garbage::default(),
             job_table: JobTable::default(),
             fleet: Fleet::default(),
             all_nodes_upgraded: false,
             rechunk_pending: false,
             first_start_sent: false,
             next_maintenance_at: now,
-            target: target::TargetState::default(),
-            sizing: sizing_rounds::SizingRounds::new(now),
-            arrivals: arrivals::ArrivalHistory::default(),
+            target: TargetState::default(),
+            sizing: SizingRounds::new(now),
+            arrivals: ArrivalHistory::default(),
             cpu_budget: CpuBudget::new(settings.cpu_share),
-            scaling: scaling::Scaling::new(&settings, now),
-            inventory: inventory::Inventory::new(now),
-            intents: intents::Intents::new(&settings, token, now),
+            scaling: Scaling::new(&settings, now),
+            inventory: Inventory::new(now),
+            intents: Intents::new(&settings, token, now),
             next_lateness_scan_at: now,
-            shards: settings.sharding.enabled.then(|| shards::LeaderShards::new(&settings, token, now)),
+            shards: settings.sharding.enabled.then(|| LeaderShards::new(&settings, token, now)),
             settings,
         }
     }
@@ -134,9 +145,9 @@
     /// what older versions can't read may be stored.
     pub fn set_all_nodes_upgraded(&mut self) {
         if !std::mem::replace(&mut self.all_nodes_upgraded, true) {
-            let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
-            if next < now {
-                self.persistence.limit_rate(next);
+            let next_limit = self.settings.next_kv_changes_per_s;
+            if next_limit < self.settings.kv_changes_per_s {
+                self.persistence.limit_rate(next_limit);
             }
             self.rechunk_pending = true;
         }
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,6 +1,6 @@
 //! Making decisions durable, within the write budget.
 
-use super::{Leader, PAUSE};
+use super::{Leader, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
@@ -67,7 +67,7 @@
 
     /// The state service refused or failed a call: writes pause.
     pub(super) fn pause(&mut self, now: Duration) {
-        self.paused_until = now + PAUSE;
+        self.paused_until = now + RETRY_INTERVAL;
     }
 
     /// A key whose revision was in doubt has been read, or reading failed.
@@ -112,25 +112,25 @@
             self.reread_uncertain(effects);
         }
         self.close_ended_jobs(requests);
-        let ends = now >= self.persistence.next_end_flush_at;
-        if ends {
+        let flush_ends = now >= self.persistence.next_end_flush_at;
+        if flush_ends {
             self.persistence.next_end_flush_at = now + END_FLUSH_INTERVAL;
         }
         while self.persistence.txns_in_flight < MAX_TXNS_IN_FLIGHT {
             let available = self.persistence.budget.available(now);
-            let most = self.settings.max_txn_changes.min(available);
-            if most == 0 {
+            let max_changes = self.settings.max_txn_changes.min(available);
+            if max_changes == 0 {
                 return;
             }
             let mut txn = Txn { conditions: vec![self.leader_condition()], ..Txn::default() };
-            self.add_final_records(most, &mut txn);
-            let placing = self.placements_to_write();
-            self.add_chunks(placing, most, &mut txn);
-            if ends {
+            self.add_final_records(max_changes, &mut txn);
+            let placements = self.placements_to_write();
+            self.add_chunks(placements, max_changes, &mut txn);
+            if flush_ends {
                 // Ends leave room for the placements that may come next.
                 let spare = available.saturating_sub(self.persistence.budget.burst() / 2);
-                let ending = self.ends_to_write(now);
-                self.add_chunks(ending, most.min(spare), &mut txn);
+                let ends = self.ends_to_write(now);
+                self.add_chunks(ends, max_changes.min(spare), &mut txn);
             }
             if self.target.may_write() && txn.changes.is_empty() {
                 return self.write_target(now, effects);
@@ -144,6 +144,7 @@
         }
     }
 
+    /// Chunks with placements to be written, the more urgent jobs' first.
     fn placements_to_write(&self) -> Vec<(JobId, u32)> {
         let order = |(id, number): &(JobId, u32)| {
             let entry = self.job_table.jobs.get(id)?;
@@ -168,18 +169,19 @@
         waiting.into_iter().map(|(_, key)| key).collect()
     }
 
-    fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, most: usize, txn: &mut Txn) {
+    /// Adds chunks to a transaction as far as they may be written and have room.
+    fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, max_changes: usize, txn: &mut Txn) {
         for (id, number) in keys {
-            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
+            if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             let Some(chunk) = entry.chunks.get(&number) else { continue };
-            let closing = entry.done == entry.spec.tasks;
+            let is_closing = entry.done == entry.spec.tasks;
             if entry.phase != JobPhase::Active
                 || entry.revision_uncertain
                 || entry.final_write_in_flight
-                || closing
+                || is_closing
             {
                 continue;
             }
@@ -203,9 +205,9 @@
     }
 
     /// Finished jobs: the final record makes all their ends durable at once.
-    fn add_final_records(&mut self, most: usize, txn: &mut Txn) {
+    fn add_final_records(&mut self, max_changes: usize, txn: &mut Txn) {
         for id in self.job_table.ended_jobs.clone() {
-            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
+            if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get_mut(&id) else { continue };
@@ -228,13 +230,13 @@
         }
     }
 
-    /// The key that holds a chunk, as it is laid out now.
+    /// The key that holds a chunk, as the job is chunked now.
     pub(super) fn chunk_key(&self, id: &JobId, number: u32) -> String {
         id.chunk_key(number, self.job_table.jobs.get(id).is_some_and(|e| e.rechunked))
     }
 
-    /// Cancelled jobs with nothing left on any machine need only a sweep, and gangs
-    /// that were done before all their tasks had said so need nothing.
+    /// Cancelled jobs with nothing left on any machine only leave garbage, and gangs
+    /// that were done before all their tasks had reported so need nothing.
     fn close_ended_jobs(&mut self, requests: &mut RequestHandler) {
         for id in self.job_table.ended_jobs.clone() {
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Reads again what is in doubt.
+    /// Reads again the revisions that are in doubt.
     fn reread_uncertain(&mut self, effects: &mut EffectSink) {
         let mut calls = Vec::new();
         self.persistence.has_uncertain_revisions = false;
@@ -329,7 +331,7 @@
         }
         self.persistence.has_uncertain_revisions = true;
         // A transaction whose reply was lost may still be applied: before the
-        // next write, the stamps are read again.
+        // next write, the revisions are read again.
         for (id, number, _) in &batch.chunks {
             let stale = lost || failed.contains(&self.chunk_key(id, *number));
             self.job_table.chunk_write_failed(id, *number, stale);
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -1,4 +1,4 @@
-//! What comes back from the state service, the cloud and workers.
+//! Replies of the state service, the cloud and workers, handed to the modules that asked.
 
 use super::Leader;
 use crate::calls::LeaderCall;
@@ -7,7 +7,7 @@
 use crate::requests::RequestHandler;
 
 impl Leader {
-    /// Handles a reply of the state service; false: somebody else leads.
+    /// Handles a reply of the state service; false: another node leads.
     pub fn kv_reply(
         &mut self,
         times: StepTime,
@@ -44,7 +44,7 @@
                 match reply {
                     Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
                     Ok(KvReply::Value(None)) => {
-                        effects.log(LogLevel::Error, format!("the record of {id} is missing"));
+                        effects.log(LogLevel::Error, format!("job record missing: job={id}"));
                         self.persistence.pause(now);
                     }
                     _ => self.persistence.pause(now),
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Handles a worker's reply to a direct command.
     pub fn command_reply(
         &mut self,
         times: StepTime,
@@ -88,16 +89,16 @@
         reply: CommandReply,
         effects: &mut EffectSink,
     ) {
-        let LeaderCall::SendCommands { machine: host, incarnation, starts } = leader_call else {
+        let LeaderCall::SendCommands { machine: name, incarnation, starts } = leader_call else {
             return;
         };
-        let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(&name) else { return };
         machine.end_command(incarnation, &starts, &reply);
         if let CommandReply::Answered(heartbeat) = reply {
-            if heartbeat.machine == host {
+            if heartbeat.machine == name {
                 self.observe_machine(times, &heartbeat, true, effects);
             }
         }
-        self.send_commands(times.now, &host, effects);
+        self.send_commands(times.now, &name, effects);
     }
 }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,7 +1,7 @@
-//! Renting machines and giving them back.
+//! Scaling out and in: renting machines and releasing them.
 
 use super::intents::{LeavingMachine, ReturnForce};
-use super::{Leader, LeaderEvidence, PAUSE};
+use super::{Leader, LeaderEvidence, RETRY_INTERVAL};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
 use crate::fleet::{Machine, RemovalReason};
@@ -16,9 +16,9 @@
 /// A machine without work goes back after this time at the earliest.
 const MIN_IDLE_TIME: Duration = Duration::from_secs(3);
 /// The pause before a rental whose answer was lost is asked for again.
-const RENTAL_RETRY_INTERVAL: Duration = PAUSE.saturating_mul(4);
+const RENTAL_RETRY_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(4);
 /// The pause after a release that failed.
-const RELEASE_RETRY_INTERVAL: Duration = PAUSE.saturating_mul(2);
+const RELEASE_RETRY_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(2);
 
 impl From<PendingRental> for Rental {
     fn from(rental: PendingRental) -> Self {
@@ -95,14 +95,15 @@
 }
 
 impl Leader {
+    /// Rents machines up to the target, within the cloud's rate.
     pub(super) fn rent_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         self.retry_rentals(now, effects);
         for (machine_type, size) in self.target.current().sizes.clone() {
-            let coming = |spot: Option<bool>| -> u32 {
-                let such = |r: &&PendingRental| {
+            let in_flight = |spot: Option<bool>| -> u32 {
+                let matches_pool = |r: &&PendingRental| {
                     r.pool.machine_type == machine_type && spot.is_none_or(|s| s == r.pool.spot)
                 };
-                self.scaling.rentals_in_flight.iter().filter(such).map(|r| r.count).sum()
+                self.scaling.rentals_in_flight.iter().filter(matches_pool).map(|r| r.count).sum()
             };
             let ordinary = self
                 .fleet
@@ -111,12 +112,12 @@
                 .filter(|p| !p.spot)
                 .map(|p| self.fleet.machines_staying(p))
                 .sum::<u32>();
-            let strict = size.ordinary.saturating_sub(ordinary + coming(Some(false)));
-            let want = size
+            let missing_ordinary = size.ordinary.saturating_sub(ordinary + in_flight(Some(false)));
+            let missing = size
                 .machines
-                .saturating_sub(self.fleet.machines_of_type(&machine_type) + coming(None))
-                .max(strict);
-            if want == 0 {
+                .saturating_sub(self.fleet.machines_of_type(&machine_type) + in_flight(None))
+                .max(missing_ordinary);
+            if missing == 0 {
                 continue;
             }
             let mut pools: Vec<Pool> = self.fleet.pools(&machine_type);
@@ -124,16 +125,16 @@
                 self.fleet.may_rent_from(p, now)
                     && !self.scaling.rentals_in_flight.iter().any(|r| r.pool == *p)
             });
-            if strict > 0 {
+            if missing_ordinary > 0 {
                 pools.retain(|p| !p.spot);
             }
             // Spot first, for its price; ordinary ones once spot is refused.
-            let cheap = pools.iter().any(|p| p.spot);
-            pools.retain(|p| p.spot == cheap);
+            let any_spot = pools.iter().any(|p| p.spot);
+            pools.retain(|p| p.spot == any_spot);
             // A gang that waits for room in its zone comes before an even spread.
-            let wanted = |p: &Pool| self.target.preferred_zone.as_ref() == Some(&p.zone);
-            pools.sort_by_key(|p| (!wanted(p), self.fleet.machines_staying(p)));
-            let mut left = if strict > 0 { strict } else { want };
+            let is_preferred = |p: &Pool| self.target.preferred_zone.as_ref() == Some(&p.zone);
+            pools.sort_by_key(|p| (!is_preferred(p), self.fleet.machines_staying(p)));
+            let mut left = if missing_ordinary > 0 { missing_ordinary } else { missing };
             let share = left.div_ceil(pools.len().max(1) as u32);
             for pool in pools {
                 let count = share.min(left).min(MAX_RENTAL_COUNT);
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Chooses the machines that go back: those above the target as they fall idle,
-    /// and empty ones that are about to be taken.
+    /// Marks machines for release: those above the target as they fall idle, and empty
+    /// ones with a preemption notice.
     pub(super) fn remove_surplus(&mut self, now: Duration) {
         for (machine_type, size) in self.target.current().sizes.clone() {
             let mut surplus = self.fleet.machines_of_type(&machine_type).saturating_sub(size.machines);
@@ -195,14 +196,14 @@
                 .values()
                 .filter(|m| m.pool.machine_type == machine_type && !m.pool.spot && m.removal.is_none())
                 .count() as u32;
-            for (spot, _, host) in idle {
+            for (spot, _, name) in idle {
                 if surplus == 0 {
                     break;
                 }
                 if !spot && ordinary <= size.ordinary {
                     continue;
                 }
-                if let Some(machine) = self.fleet.machines.get_mut(&host) {
+                if let Some(machine) = self.fleet.machines.get_mut(&name) {
                     machine.removal = Some(RemovalReason::Surplus);
                     surplus -= 1;
                     ordinary -= u32::from(!spot);
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -1,38 +1,57 @@
 //! What users and operators see of the leader.
 
-use super::{Leader, LATE_SCAN, STUCK};
+use super::Leader;
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobId, JobPhase};
 use crate::jobs::job_table::JobEntry;
 use crate::protocol::{JobProgress, LogLevel, TaskStatus};
 use std::time::Duration;
 
+/// How often jobs are searched for late and stuck ones.
+const LATENESS_SCAN_INTERVAL: Duration = Duration::from_secs(5);
+/// A job is stuck when nothing of it has started for this long.
+const STUCK_TIMEOUT: Duration = Duration::from_secs(120);
+/// Jobs that the view lists in each of its lists.
+const MAX_JOBS_SHOWN: usize = 1000;
+
+/// A job that is to be logged.
+struct LateJob {
+    id: JobId,
+    is_late: bool,
+    is_stuck: bool,
+    /// What a gang waits for.
+    waits_for: Option<&'static str>,
+}
+
 impl Leader {
+    /// How many tasks of a job are done, and how many run.
     pub fn progress(&self, id: &JobId) -> Option<(u32, u32)> {
         self.job_table.jobs.get(id).map(|e| (e.done, e.running))
     }
 
-    pub fn all_progress(&self, most: usize) -> Vec<JobProgress> {
-        let moving =
+    /// The progress of active jobs, of so many at the most.
+    pub fn all_progress(&self, max_jobs: usize) -> Vec<JobProgress> {
+        let progressing =
             self.job_table.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == JobPhase::Active);
-        moving
-            .take(most)
+        progressing
+            .take(max_jobs)
             .map(|(id, e)| JobProgress { id: id.to_string(), done: e.done, running: e.running })
             .collect()
     }
 
     /// Past its deadline, or past what its class expects.
-    pub(super) fn is_late(&self, entry: &JobEntry, now: Duration) -> bool {
+    fn is_late(&self, entry: &JobEntry, now: Duration) -> bool {
         self.completion_objective(&entry.spec).is_some_and(|within| now > entry.accepted_at + within)
     }
 
-    pub(super) fn is_stuck(&self, entry: &JobEntry, now: Duration) -> bool {
+    /// Nothing of it has started for long, or it fails on one machine after the other.
+    fn is_stuck(&self, entry: &JobEntry, now: Duration) -> bool {
         let idle = entry.running == 0 && entry.placed == 0 && entry.unfinished() > 0;
-        idle && now.saturating_sub(entry.accepted_at) > STUCK || entry.failed_machines.len() > 1
+        idle && now.saturating_sub(entry.accepted_at) > STUCK_TIMEOUT || entry.failed_machines.len() > 1
     }
 
     /// What a gang that does not run waits for.
-    pub(super) fn waits_for(&self, entry: &JobEntry) -> Option<&'static str> {
+    fn waits_for(&self, entry: &JobEntry) -> Option<&'static str> {
         let all = |seen: fn(Option<TaskStatus>) -> bool| {
             self.job_table.attempts_of(entry).all(|a| seen(a.reported_status))
         };
@@ -55,33 +74,43 @@
         Some(if there { "its other tasks" } else { "images" })
     }
 
+    /// Logs jobs that are late or stuck, each once.
     pub(super) fn log_late_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         if now < self.next_lateness_scan_at {
             return;
         }
-        self.next_lateness_scan_at = now + LATE_SCAN;
-        let live = |e: &JobEntry| e.phase == JobPhase::Active && !e.late_logged;
-        let news: Vec<(JobId, bool, bool, Option<&str>)> = self
+        self.next_lateness_scan_at = now + LATENESS_SCAN_INTERVAL;
+        let is_unlogged = |e: &JobEntry| e.phase == JobPhase::Active && !e.late_logged;
+        let late_jobs: Vec<LateJob> = self
             .job_table
             .jobs
             .iter()
-            .filter(|(_, e)| live(e))
-            .map(|(id, e)| (id.clone(), self.is_late(e, now), self.is_stuck(e, now), self.waits_for(e)))
-            .filter(|(_, late, stuck, _)| *late || *stuck)
+            .filter(|(_, e)| is_unlogged(e))
+            .map(|(id, e)| LateJob {
+                id: id.clone(),
+                is_late: self.is_late(e, now),
+                is_stuck: self.is_stuck(e, now),
+                waits_for: self.waits_for(e),
+            })
+            .filter(|job| job.is_late || job.is_stuck)
             .collect();
-        for (id, late, stuck, waits) in news {
-            if let Some(entry) = self.job_table.jobs.get_mut(&id) {
-                entry.late_logged = true;
-                let what = if stuck { "is stuck" } else { "is late" };
-                let age = now.saturating_sub(entry.accepted_at).as_secs();
-                let (done, tasks) = (entry.done, entry.spec.tasks);
-                let gang = waits.map(|w| format!(", waits for {w}")).unwrap_or_default();
-                let text = format!("{id} {what} after {age} s: {done} of {tasks} done (late: {late}){gang}");
-                effects.log(LogLevel::Info, text);
-            }
+        for job in late_jobs {
+            let Some(entry) = self.job_table.jobs.get_mut(&job.id) else { continue };
+            entry.late_logged = true;
+            let event = if job.is_stuck { "job stuck" } else { "job late" };
+            let after = now.saturating_sub(entry.accepted_at).as_secs();
+            let waits = job.waits_for.map(|cause| format!(" waits_for=\"{cause}\"")).unwrap_or_default();
+            effects.log(
+                LogLevel::Info,
+                format!(
+                    "{event}: job={} after_s={after} done={} tasks={} late={}{waits}",
+                    job.id, entry.done, entry.spec.tasks, job.is_late
+                ),
+            );
         }
     }
 
+    /// What operators see of the leader, for `GET /view`.
     pub fn view(&self, times: StepTime) -> serde_json::Value {
         let now = times.now;
         let jobs: Vec<_> = self
@@ -89,7 +118,7 @@
             .jobs
             .iter()
             .filter(|(_, e)| e.phase == JobPhase::Active && (self.is_late(e, now) || self.is_stuck(e, now)))
-            .take(1000)
+            .take(MAX_JOBS_SHOWN)
             .map(|(id, e)| {
                 serde_json::json!({
                     "nameId": id, "lane": e.spec.class, "crew": e.spec.team, "urgency": e.spec.priority,
@@ -107,7 +136,7 @@
             .jobs
             .iter()
             .filter_map(|(id, e)| Some((id, e, self.waits_for(e)?)))
-            .take(1000)
+            .take(MAX_JOBS_SHOWN)
             .map(|(id, e, waits)| {
                 serde_json::json!({
                     "nameId": id, "waitsFor": waits, "pieces": e.spec.tasks, "placed": e.placed,
@@ -123,7 +152,7 @@
             "jobs": self.job_table.jobs.len(),
             "machines": {"held": self.fleet.machines.len(), "up": up},
             "target": self.target.current(),
-            "blindS": now.saturating_sub(self.job_watch.synced_at()).as_secs_f64(),
+            "jobsSyncedAgoS": now.saturating_sub(self.job_watch.synced_at()).as_secs_f64(),
             "lateOrStuck": jobs,
             "gangsWaiting": gangs,
             "fencing": self.intents.view(),
