--- a/crates/plankhead-core/src/leader/commands.rs
+++ b/crates/plankhead-core/src/leader/commands.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Notes which attempts a worker may be told to run from now on, and under which token.
+    /// Notes which attempts a worker may start from now on, and under which token.
     pub(super) fn record_offered_starts(&mut self, commands: &[WorkerCommand], token: u64) {
         for command in commands {
             if let WorkerCommand::Run { task, .. } = command {
--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -140,7 +140,7 @@
         self.call_kv(LeaderCall::ArchiveJobs(jobs), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a deletion; false: somebody else leads.
+    /// Takes in the reply to a deletion; false: another node leads.
     pub(super) fn garbage_deleted(
         &mut self,
         keys: Vec<StoredKey>,
@@ -156,7 +156,7 @@
         true
     }
 
-    /// Takes in the reply to a move into the archive; false: somebody else leads.
+    /// Takes in the reply to a move into the archive; false: another node leads.
     pub(super) fn jobs_archived(
         &mut self,
         jobs: Vec<FinishedJob>,
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -80,8 +80,8 @@
         (conditions, changes)
     }
 
-    /// Takes in the reply to a write of intents that was sent at `sent`; false: somebody
-    /// else leads.
+    /// Takes in the reply to a write of intents that was sent at `sent`; false: another
+    /// node leads.
     pub(in crate::leader) fn intents_written(
         &mut self,
         now: Duration,
--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -58,7 +58,7 @@
 impl Leader {
     /// Sends the next watch once it is due.
     pub(super) fn watch_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
-        if !self.job_watch.next_due().is_some_and(|due| now >= due) {
+        if self.job_watch.next_due().is_none_or(|due| now < due) {
             return;
         }
         let Some(after) = self.job_watch.revision else { return };
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -178,40 +178,18 @@
             return self.retry_loading(times.now);
         };
         let now = times.now;
-        let chunks = std::mem::take(&mut self.loading.chunks);
-        // Smaller chunks exist only where no version is left that doesn't know them.
-        let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
-        self.all_nodes_upgraded |= !rechunked.is_empty();
-        self.load_chunks(original, now, effects);
-        if self.all_nodes_upgraded {
-            self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
-        }
-        self.load_chunks(rechunked, now, effects);
-        self.job_table.finish_loading();
-        self.stop_broken_gangs(now, effects);
+        self.load_all_chunks(now, effects);
         // Not a new service: the jobs that are there came one after the other.
         if row.is_some() {
             self.arrivals.service_is_running();
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
-            let at = times.monotonic_of(target.at_ms);
+            let ended_at = times.monotonic_of(target.at_ms);
             let interval = self.round_interval();
-            self.sizing.schedule((at + interval).min(now + interval));
+            self.sizing.schedule((ended_at + interval).min(now + interval));
             self.target.loaded(target);
         }
-        for machine in self.fleet.machines.values_mut() {
-            machine.last_heard_at = machine.last_heard_at.max(now);
-            machine.last_direct_at = machine.last_heard_at;
-        }
-        for name in self.placed_machines() {
-            // Released while this leader could not load: nobody would ever prove it
-            // gone again.
-            if self.fleet.is_removed(&name) {
-                self.job_table.machine_gone(&name, now);
-            } else {
-                self.fleet.expect_machine(&name, now);
-            }
-        }
+        self.expect_placed_machines(now);
         self.adopt_intents(now, effects);
         self.loading.stage = Stage::Ready;
         let heartbeats: Vec<Heartbeat> =
@@ -232,6 +210,39 @@
         self.placement.request_pass();
     }
 
+    /// Fills the job table with the chunks, now that every one is read.
+    fn load_all_chunks(&mut self, now: Duration, effects: &mut EffectSink) {
+        let chunks = std::mem::take(&mut self.loading.chunks);
+        // Smaller chunks exist only where no version is left that doesn't know them.
+        let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
+        self.all_nodes_upgraded |= !rechunked.is_empty();
+        self.load_chunks(original, now, effects);
+        if self.all_nodes_upgraded {
+            self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
+        }
+        self.load_chunks(rechunked, now, effects);
+        self.job_table.finish_loading();
+        self.stop_broken_gangs(now, effects);
+    }
+
+    /// Waits for the machines that tasks are placed on, as if they had just been heard.
+    fn expect_placed_machines(&mut self, now: Duration) {
+        for machine in self.fleet.machines.values_mut() {
+            machine.last_heard_at = machine.last_heard_at.max(now);
+            machine.last_direct_at = machine.last_heard_at;
+        }
+        let placed: Vec<MachineName> = self.job_table.machines().cloned().collect();
+        for name in placed {
+            // Released while this leader could not load: nobody would ever prove it
+            // gone again.
+            if self.fleet.is_removed(&name) {
+                self.job_table.machine_gone(&name, now);
+            } else {
+                self.fleet.expect_machine(&name, now);
+            }
+        }
+    }
+
     fn load_chunks(&mut self, chunks: Vec<StoredChunk>, now: Duration, effects: &mut EffectSink) {
         for StoredChunk { job, number, value, mod_revision, .. } in chunks {
             if let Err(error) = self.job_table.load_chunk(&job, number, &value, mod_revision, now) {
@@ -242,10 +253,6 @@
         }
     }
 
-    fn placed_machines(&self) -> Vec<MachineName> {
-        self.job_table.machines().cloned().collect()
-    }
-
     /// Takes in a job's row from the state service.
     pub fn job_record_changed(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -97,7 +97,7 @@
             }
         } else {
             // A leader that is cut off hears nobody, and its requests to the
-            // cloud may be carried out when the cut ends: it would give back
+            // cloud may be carried out when the cut ends: it would release
             // a whole healthy fleet. While it hears workers, the others' silence is
             // theirs: forgiven after every lost renewal, machines that were gone kept
             // their tasks for ever under a lossy state service.
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -8,7 +8,7 @@
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// How often machines are judged, rented and given back.
+/// How often machines are judged, rented and released.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Leader {
@@ -29,7 +29,7 @@
         self.watch_jobs(now, effects);
         let may_place = lease_valid && self.permits(Action::Place, now);
         // A new leader that had not seen the machines yet took the fleet for none: it
-        // rented all anew, and its round gave back what then turned up.
+        // rented all again, and its round released what then turned up.
         let may_rent = lease_valid && self.inventory.is_complete() && self.permits(Action::Rent, now);
         self.place_when_due(now, may_place, effects);
         if may_rent {
@@ -54,7 +54,7 @@
     }
 
     /// A step of a leader that still loads: it only finishes what former leaders asked of
-    /// the cloud, and gives back what a cancellation forces it to.
+    /// the cloud, and releases what a cancellation forces it to.
     fn tick_loading(&mut self, times: StepTime, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let now = times.now;
         if self.loading.take_due_retry(now) {
@@ -111,7 +111,7 @@
 
     /// When [`Leader::tick`] has something to do next, unless an event comes before.
     /// `retry`: when to look again at what waits for a budget or for the state service,
-    /// whose time cannot be told.
+    /// whose time is not known.
     pub fn next_due(&self, now: Duration, retry: Duration) -> Duration {
         if !self.loading.is_ready() {
             return self
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
-use crate::protocol::{CallError, CloudReply, CommandReply, KvReply, LogLevel};
+use crate::protocol::{CallError, CloudReply, CommandReply, KvReply};
 use crate::requests::RequestHandler;
 
 impl Leader {
@@ -31,25 +31,8 @@
                 return self.jobs_watched(times, sent, reply, requests, effects);
             }
             LeaderCall::Commit(batch) => return self.batch_written(now, batch, reply, requests, effects),
-            LeaderCall::ReadChunk(id, number) => {
-                self.persistence.key_read(&self.chunk_key(&id, number));
-                if let Ok(KvReply::Value(row)) = reply {
-                    self.job_table.set_chunk_revision(&id, number, row.map_or(0, |r| r.mod_revision));
-                } else {
-                    self.persistence.pause(now);
-                }
-            }
-            LeaderCall::ReadJob(id) => {
-                self.persistence.key_read(&id.key());
-                match reply {
-                    Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
-                    Ok(KvReply::Value(None)) => {
-                        effects.log(LogLevel::Error, format!("job record missing: job={id}"));
-                        self.persistence.pause(now);
-                    }
-                    _ => self.persistence.pause(now),
-                }
-            }
+            LeaderCall::ReadChunk(id, number) => self.chunk_reread(now, &id, number, reply),
+            LeaderCall::ReadJob(id) => self.job_reread(times, &id, reply, requests, effects),
             LeaderCall::DeleteGarbage(keys) => return self.garbage_deleted(keys, reply),
             LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
             LeaderCall::ArchiveJobs(jobs) => return self.jobs_archived(jobs, reply),
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,7 +1,7 @@
 //! Scaling out and in: renting machines and releasing them.
 
 use super::intents::{LeavingMachine, ReturnForce};
-use super::{Leader, LeaderEvidence, RETRY_INTERVAL};
+use super::{Leader, LeaderEvidence, Size, RETRY_INTERVAL};
 use crate::calls::PendingRental;
 use crate::effects::EffectSink;
 use crate::fleet::{Machine, RemovalReason};
@@ -41,6 +41,14 @@
     rental: PendingRental,
 }
 
+/// Machines of a type that the target asks for beyond those held or being rented.
+#[derive(Debug, Clone, Copy)]
+struct MissingMachines {
+    total: u32,
+    /// How many of them must not be spot.
+    ordinary: u32,
+}
+
 /// What is under way with the cloud.
 #[derive(Debug)]
 pub(super) struct Scaling {
@@ -99,56 +107,78 @@
     pub(super) fn rent_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         self.retry_rentals(now, effects);
         for (machine_type, size) in self.target.current().sizes.clone() {
-            let in_flight = |spot: Option<bool>| -> u32 {
-                let matches_pool = |r: &&PendingRental| {
-                    r.pool.machine_type == machine_type && spot.is_none_or(|s| s == r.pool.spot)
-                };
-                self.scaling.rentals_in_flight.iter().filter(matches_pool).map(|r| r.count).sum()
-            };
-            let ordinary = self
-                .fleet
-                .pools(&machine_type)
-                .iter()
-                .filter(|p| !p.spot)
-                .map(|p| self.fleet.machines_staying(p))
-                .sum::<u32>();
-            let missing_ordinary = size.ordinary.saturating_sub(ordinary + in_flight(Some(false)));
-            let missing = size
-                .machines
-                .saturating_sub(self.fleet.machines_of_type(&machine_type) + in_flight(None))
-                .max(missing_ordinary);
-            if missing == 0 {
-                continue;
-            }
-            let mut pools: Vec<Pool> = self.fleet.pools(&machine_type);
-            pools.retain(|p| {
-                self.fleet.may_rent_from(p, now)
-                    && !self.scaling.rentals_in_flight.iter().any(|r| r.pool == *p)
-            });
-            if missing_ordinary > 0 {
-                pools.retain(|p| !p.spot);
+            let missing = self.missing_machines(&machine_type, size);
+            if missing.total > 0 {
+                self.rent_missing(now, &machine_type, missing, effects);
             }
-            // Spot first, for its price; ordinary ones once spot is refused.
-            let any_spot = pools.iter().any(|p| p.spot);
-            pools.retain(|p| p.spot == any_spot);
-            // A gang that waits for room in its zone comes before an even spread.
-            let is_preferred = |p: &Pool| self.target.preferred_zone.as_ref() == Some(&p.zone);
-            pools.sort_by_key(|p| (!is_preferred(p), self.fleet.machines_staying(p)));
-            let mut left = if missing_ordinary > 0 { missing_ordinary } else { missing };
-            let share = left.div_ceil(pools.len().max(1) as u32);
-            for pool in pools {
-                let count = share.min(left).min(MAX_RENTAL_COUNT);
-                if count == 0 || !self.scaling.take_request(now) {
-                    break;
-                }
-                left -= count;
-                self.scaling.rental_counter += 1;
-                let name = format!("{}-{}-{}", self.settings.host, self.token, self.scaling.rental_counter);
-                let rental = PendingRental { name, pool, count };
-                self.scaling.rentals_in_flight.push(rental.clone());
-                self.rent(rental, effects);
+        }
+    }
+
+    /// How many machines of a type are neither held nor being rented.
+    fn missing_machines(&self, machine_type: &str, size: Size) -> MissingMachines {
+        let in_flight = |ordinary_only: bool| -> u32 {
+            let counts = |rental: &&PendingRental| {
+                rental.pool.machine_type == machine_type && !(ordinary_only && rental.pool.spot)
+            };
+            self.scaling.rentals_in_flight.iter().filter(counts).map(|rental| rental.count).sum()
+        };
+        let held_ordinary = self
+            .fleet
+            .pools(machine_type)
+            .iter()
+            .filter(|pool| !pool.spot)
+            .map(|pool| self.fleet.machines_staying(pool))
+            .sum::<u32>();
+        let ordinary = size.ordinary.saturating_sub(held_ordinary + in_flight(true));
+        let held = self.fleet.machines_of_type(machine_type);
+        let total = size.machines.saturating_sub(held + in_flight(false)).max(ordinary);
+        MissingMachines { total, ordinary }
+    }
+
+    /// Rents missing machines of a type, spread over its pools. Where ordinary ones are
+    /// missing, only these are rented for now.
+    fn rent_missing(
+        &mut self,
+        now: Duration,
+        machine_type: &str,
+        missing: MissingMachines,
+        effects: &mut EffectSink,
+    ) {
+        let ordinary_only = missing.ordinary > 0;
+        let pools = self.pools_to_rent_from(now, machine_type, ordinary_only);
+        let mut left = if ordinary_only { missing.ordinary } else { missing.total };
+        let per_pool = left.div_ceil(pools.len().max(1) as u32);
+        for pool in pools {
+            let count = per_pool.min(left).min(MAX_RENTAL_COUNT);
+            if count == 0 || !self.scaling.take_request(now) {
+                break;
             }
+            left -= count;
+            self.scaling.rental_counter += 1;
+            let name = format!("{}-{}-{}", self.settings.host, self.token, self.scaling.rental_counter);
+            let rental = PendingRental { name, pool, count };
+            self.scaling.rentals_in_flight.push(rental.clone());
+            self.rent(rental, effects);
+        }
+    }
+
+    /// The pools of a type that machines may be rented from now, the preferred ones first.
+    fn pools_to_rent_from(&self, now: Duration, machine_type: &str, ordinary_only: bool) -> Vec<Pool> {
+        let mut pools: Vec<Pool> = self.fleet.pools(machine_type);
+        pools.retain(|pool| {
+            self.fleet.may_rent_from(pool, now)
+                && !self.scaling.rentals_in_flight.iter().any(|rental| rental.pool == *pool)
+        });
+        if ordinary_only {
+            pools.retain(|pool| !pool.spot);
         }
+        // Spot first, for its price; ordinary ones once spot is refused.
+        let any_spot = pools.iter().any(|pool| pool.spot);
+        pools.retain(|pool| pool.spot == any_spot);
+        // A gang that waits for room in its zone comes before an even spread.
+        let is_preferred = |pool: &Pool| self.target.preferred_zone.as_ref() == Some(&pool.zone);
+        pools.sort_by_key(|pool| (!is_preferred(pool), self.fleet.machines_staying(pool)));
+        pools
     }
 
     /// Asks again for rentals whose answers were lost, under their names.
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -129,8 +129,8 @@
     }
 
     /// The fencing token of this leader's own commands for a machine.
-    pub(in crate::leader) fn token_for(&self, host: &MachineName) -> u64 {
-        let machine = self.fleet.machines.get(host);
+    pub(in crate::leader) fn token_for(&self, name: &MachineName) -> u64 {
+        let machine = self.fleet.machines.get(name);
         let shard = machine.and_then(|machine| self.shard_of(machine));
         let held = shard.and_then(|shard| self.shards.as_ref()?.registry.holder(&shard));
         held.filter(|(holder, _)| *holder == self.settings.host).map_or(self.token, |(_, epoch)| epoch)
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -91,8 +91,8 @@
         self.call_kv(call, KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a write of records that was sent at `sent`; false: somebody
-    /// else leads.
+    /// Takes in the reply to a write of records that was sent at `sent`; false: another
+    /// node leads.
     pub(in crate::leader) fn shards_written(
         &mut self,
         now: Duration,
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -1,12 +1,40 @@
 //! Status messages from the holders of shards.
 
 use super::super::Leader;
+use super::Peer;
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::RemovalReason;
 use crate::protocol::MachineName;
 use crate::shards::messages::{Delivery, HolderStatus, MachineUpdate};
 use plankhead_sharding::alive::Names;
 use plankhead_sharding::sequence::Admission;
+use std::time::Duration;
+
+impl Peer {
+    /// Takes in what a status says of its sender; true: it belongs to another stream than
+    /// the status before.
+    fn status_arrived(&mut self, status: &HolderStatus, admission: Admission, now: Duration) -> bool {
+        self.last_heard_at = now;
+        self.boot_id = status.stamp.boot;
+        self.latest_sequence = status.stamp.sequence;
+        self.zone.clone_from(&status.zone);
+        self.sees_records = status.sees_records;
+        let restarted = admission == Admission::OtherStart;
+        let is_other_stream = restarted || self.stream != status.stream;
+        if is_other_stream {
+            self.stream = status.stream;
+            self.names = Names::default();
+        }
+        if restarted {
+            // A process that has begun anew has none of the commands that were sent to it.
+            self.due.extend(std::mem::take(&mut self.sent).into_keys());
+        }
+        for update in &status.updates {
+            self.names.assign(update.number, update.heartbeat.machine.clone());
+        }
+        is_other_stream
+    }
+}
 
 impl Leader {
     /// Takes in a holder's message, or refuses it.
@@ -30,24 +58,7 @@
             return Delivery::Rejected;
         };
         let peer = shards.peers.entry(message.host.clone()).or_default();
-        peer.last_heard_at = now;
-        peer.boot_id = message.stamp.boot;
-        peer.latest_sequence = message.stamp.sequence;
-        peer.zone = message.zone;
-        peer.sees_records = message.sees_records;
-        let restarted = admission == Admission::OtherStart;
-        let other_stream = restarted || peer.stream != message.stream;
-        if other_stream {
-            peer.stream = message.stream;
-            peer.names = Names::default();
-        }
-        if restarted {
-            // A process that has begun anew has none of the commands that were sent to it.
-            peer.due.extend(std::mem::take(&mut peer.sent).into_keys());
-        }
-        for update in &message.updates {
-            peer.names.assign(update.number, update.heartbeat.machine.clone());
-        }
+        let is_other_stream = peer.status_arrived(&message, admission, now);
         let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
@@ -65,7 +76,7 @@
                 self.fleet.observe_alive(&name, heard_at);
             }
         }
-        match (all_taken, other_stream && !message.first) {
+        match (all_taken, is_other_stream && !message.first) {
             (false, _) => Delivery::Rejected,
             (true, true) => Delivery::FullSyncNeeded,
             (true, false) => Delivery::Accepted,
--- a/crates/plankhead-core/src/leader/target.rs
+++ b/crates/plankhead-core/src/leader/target.rs
@@ -111,7 +111,7 @@
         );
     }
 
-    /// Takes in the reply to a write of the target; false: somebody else leads.
+    /// Takes in the reply to a write of the target; false: another node leads.
     pub(super) fn target_written(&mut self, reply: Result<KvReply, CallError>) -> bool {
         self.target.write_in_flight = false;
         match reply {
