--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -3,7 +3,9 @@
 use super::Leader;
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
-use crate::jobs::job_table::Ended;
+use crate::jobs::job_table::EndedAttempt;
+use crate::jobs::reconcile::HeartbeatOutcome;
+use crate::protocol::HeartbeatPath;
 use crate::protocol::{ExitReason, Heartbeat, LogLevel, MachineName, Response, TaskId, TaskStatus};
 use crate::requests::RequestHandler;
 use plankhead_reachability::permission::Action;
@@ -12,16 +14,6 @@
 /// A worker that refused a task for lack of room is sent none for this long.
 const INSUFFICIENT_RESOURCES_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How a heartbeat reached this node.
-#[derive(Debug, Clone, Copy)]
-pub struct HeartbeatPath {
-    /// It came through a peer, since the worker can't reach this node.
-    pub relayed: bool,
-    /// Neither the state service nor any peer is heard, so that another node may lead by
-    /// now.
-    pub is_cut_off: bool,
-}
-
 impl Leader {
     /// Whether workers may still be answered: their leases must expire before
     /// a cancellation that we could not see is due.
@@ -114,13 +106,13 @@
         effects: &mut EffectSink,
     ) {
         let now = times.now;
-        let (ended, lost) = match news {
+        let HeartbeatOutcome { ended, missing } = match news {
             HeartbeatNews::Changed => {
                 self.job_table.observe_heartbeat(heartbeat, heartbeat.token >= self.token, now)
             }
             _ => Default::default(),
         };
-        if lost > 0 {
+        if missing > 0 {
             // Such an attempt is neither there nor proven gone.
             if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
@@ -189,7 +181,7 @@
         &mut self,
         now: Duration,
         machine_name: &MachineName,
-        end: &Ended,
+        end: &EndedAttempt,
         effects: &mut EffectSink,
     ) {
         let Some(entry) = self.job_table.jobs.get_mut(&end.task.job) else { return };
--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -10,10 +10,10 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::RemovalReason;
 use crate::protocol::{CloudRequest, LogLevel, MachineName};
-use plankhead_fencing::action::{Action, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::action::{CloudAction, ReturnReason};
 use plankhead_fencing::gate::{IssueProof, PermittedAction};
-use plankhead_fencing::log::IntentAdmission;
+use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
+use plankhead_fencing::intent_log::IntentAdmission;
 pub(super) use state::{Intents, LeavingMachine, ReturnForce};
 use state::{RefusedRental, ReturnRetry};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     pub(super) fn request_cloud_action(
         &mut self,
         key: IdempotencyKey,
-        action: Action,
+        action: CloudAction,
         effects: &mut EffectSink,
     ) -> bool {
         if !self.intents.is_fenced() {
@@ -50,7 +50,7 @@
     fn pass_gate(
         &mut self,
         key: &IdempotencyKey,
-        action: Action,
+        action: CloudAction,
         proof: Option<IssueProof>,
         effects: &mut EffectSink,
     ) {
@@ -64,9 +64,9 @@
 
     fn send_action(&self, key: &IdempotencyKey, permitted: PermittedAction, effects: &mut EffectSink) {
         let leader_call = match permitted.action() {
-            Action::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
-            Action::Return(request) => {
-                LeaderCall::Release { machines: request.hosts.clone(), intent: key.clone() }
+            CloudAction::Rent(rental) => LeaderCall::Rent(rental.clone().into()),
+            CloudAction::Return(request) => {
+                LeaderCall::Release { machines: request.machines.clone(), intent: key.clone() }
             }
         };
         effects.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
@@ -116,7 +116,7 @@
             self.intents.forced.iter().map(|(key, force)| (key.clone(), *force)).collect();
         for (key, force) in forced {
             let state = self.intents.log.intent(&key).map(Intent::state);
-            if state != Some(State::Intended) {
+            if state != Some(IntentState::Intended) {
                 self.intents.forced.remove(&key);
                 continue;
             }
@@ -156,7 +156,7 @@
                 self.intents.refused_rentals.push(refused);
             } else if now.saturating_sub(self.started_at) > self.intents.settings.abandon_rental_after {
                 effects.log(LogLevel::Info, format!("rental abandoned: intent={key} reason=no_capacity"));
-                self.end_intent(&key, State::Abandoned, effects);
+                self.end_intent(&key, IntentState::Abandoned, effects);
             } else {
                 self.scaling.retry_rental(now, refused.rental);
             }
@@ -164,9 +164,9 @@
     }
 
     /// An intent is over.
-    fn end_intent(&mut self, key: &IdempotencyKey, final_state: State, effects: &mut EffectSink) {
+    fn end_intent(&mut self, key: &IdempotencyKey, final_state: IntentState, effects: &mut EffectSink) {
         let ended = match final_state {
-            State::Abandoned => self.intents.log.abandon(key),
+            IntentState::Abandoned => self.intents.log.abandon(key),
             _ => self.intents.log.confirm(key),
         };
         if let Err(error) = ended {
@@ -177,7 +177,7 @@
     /// The cloud has carried an intent out, or said that it never will.
     pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, effects: &mut EffectSink) {
         if self.intents.is_fenced() {
-            self.end_intent(key, State::Confirmed, effects);
+            self.end_intent(key, IntentState::Confirmed, effects);
         }
     }
 
@@ -186,7 +186,7 @@
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let Some(intent) = self.intents.log.intent(&key) else { return };
-        if intent.holder == self.token && intent.attempts <= 1 {
+        if intent.token == self.token && intent.attempts <= 1 {
             return self.confirm_intent(&key, effects);
         }
         let due = now + self.intents.settings.refused_rental_retry;
@@ -206,16 +206,18 @@
         effects: &mut EffectSink,
     ) {
         let surplus = leaving.iter().all(|machine| machine.reason == RemovalReason::Surplus);
-        let cause = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
+        let reason = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
         let machines: Vec<MachineName> = leaving.iter().map(|machine| machine.name.clone()).collect();
-        let request = self.intents.machines_per_return(&machines, cause);
-        let named = leaving.iter().take(request.hosts.len());
+        let request = self.intents.machines_per_return(&machines, reason);
+        let named = leaving.iter().take(request.machines.len());
         for LeavingMachine { name, reason } in named.filter(|m| m.reason != RemovalReason::Surplus) {
             effects.log(LogLevel::Info, format!("machine scale-in: machine={name} reason={reason:?}"));
         }
         let key = self.intents.log.next_key();
-        let machines = request.hosts.clone();
-        if machines.is_empty() || !self.request_cloud_action(key.clone(), Action::Return(request), effects) {
+        let machines = request.machines.clone();
+        if machines.is_empty()
+            || !self.request_cloud_action(key.clone(), CloudAction::Return(request), effects)
+        {
             return;
         }
         self.scaling.release_requested(machines);
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -7,9 +7,9 @@
 use crate::leader::{Leader, LeaderEvidence};
 use crate::leadership::election;
 use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest, LogLevel};
-use plankhead_fencing::action::Action;
-use plankhead_fencing::duty::IdempotencyKey;
-use plankhead_fencing::log::{IntentPageWrite, WriteOutcome};
+use plankhead_fencing::action::CloudAction;
+use plankhead_fencing::intent::IdempotencyKey;
+use plankhead_fencing::page_writes::{IntentPageWrite, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
 use std::time::Duration;
 
@@ -173,14 +173,14 @@
     /// are on their way out, and their rentals are asked for again under their names, which
     /// rents nothing anew where they were carried out.
     pub(in crate::leader) fn adopt_intents(&mut self, now: Duration, effects: &mut EffectSink) {
-        let adopted: Vec<(IdempotencyKey, Action)> =
+        let adopted: Vec<(IdempotencyKey, CloudAction)> =
             self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
-                Action::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
-                Action::Return(request) => {
-                    self.fleet.returns_inherited(&request.hosts);
-                    self.scaling.release_requested(request.hosts.iter().cloned());
+                CloudAction::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
+                CloudAction::Return(request) => {
+                    self.fleet.returns_inherited(&request.machines);
+                    self.scaling.release_requested(request.machines.iter().cloned());
                     self.intents.return_retries.push(ReturnRetry { due: now, key: key.clone() });
                 }
             }
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -5,10 +5,11 @@
 use crate::leader::persistence::MAX_TXN_BYTES;
 use crate::protocol::MachineName;
 use crate::settings::{Fencing, Settings};
-use plankhead_fencing::action::{Return, ReturnReason, MAX_RETURN_HOSTS};
-use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::action::{InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use plankhead_fencing::gate::FencingGate;
-use plankhead_fencing::log::{IntentLog, Limits};
+use plankhead_fencing::intent::{IdempotencyKey, Intent};
+use plankhead_fencing::intent_log::IntentLog;
+use plankhead_fencing::page_writes::StoreLimits;
 use plankhead_fencing::record::PageId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -70,7 +71,7 @@
 impl Intents {
     pub(in crate::leader) fn new(settings: &Settings, token: u64, now: Duration) -> Self {
         let fencing = settings.fencing;
-        let limits = Limits {
+        let limits = StoreLimits {
             value_bytes: settings.max_value_bytes,
             changes: settings.max_txn_changes,
             transaction_bytes: MAX_TXN_BYTES,
@@ -103,12 +104,12 @@
     pub(in crate::leader) fn machines_per_return(
         &self,
         machines: &[MachineName],
-        cause: ReturnReason,
-    ) -> Return {
+        reason: ReturnReason,
+    ) -> InstanceReturn {
         if self.is_fenced() {
-            return self.log.machines_per_return(machines, cause);
+            return self.log.machines_per_return(machines, reason);
         }
-        Return { hosts: machines.iter().take(MAX_RETURN_HOSTS).cloned().collect(), cause }
+        InstanceReturn { machines: machines.iter().take(MAX_RETURN_MACHINES).cloned().collect(), reason }
     }
 
     /// What operators see of the intents.
@@ -117,7 +118,7 @@
         let summary = self.log.summary();
         let shown = |intent: &Intent| {
             serde_json::json!({"key": intent.key.to_string(), "kind": intent.action.kind(),
-                "subject": intent.action.subject(), "holder": intent.holder, "state": intent.state().name(),
+                "subject": intent.action.subject(), "holder": intent.token, "state": intent.state().name(),
                 "attempts": intent.attempts, "ageS": self.wall_ms.saturating_sub(intent.intended_ms) as f64 / 1e3})
         };
         let open: Vec<_> = self.log.open_intents().take(MAX_INTENTS_SHOWN).map(shown).collect();
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -5,7 +5,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
-use crate::jobs::job_table::tasks_per_chunk;
+use crate::jobs::job_table::{tasks_per_chunk, StoredJob};
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
 use std::time::Duration;
@@ -282,11 +282,13 @@
         }
         let accepted_at = times.monotonic_of(record.accepted_ms);
         let cancelled_at = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
-        let per_chunk = record.per_chunk.max(1);
+        let tasks_per_chunk = record.per_chunk.max(1);
         if record.phase == JobPhase::Active && !self.job_table.jobs.contains_key(&id) {
             self.arrivals.record(accepted_at, record.spec.as_ref());
         }
-        self.job_table.upsert(&id, record, row.mod_revision, accepted_at, cancelled_at, per_chunk);
+        let job =
+            StoredJob { record, mod_revision: row.mod_revision, accepted_at, cancelled_at, tasks_per_chunk };
+        self.job_table.upsert(&id, job);
         self.placement.request_pass();
     }
 }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -38,7 +38,6 @@
 use evidence::Evidence;
 pub use evidence::LeaderEvidence;
 use garbage::Garbage;
-pub use heartbeats::HeartbeatPath;
 use intents::Intents;
 use inventory::Inventory;
 use job_watch::JobWatch;
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -3,6 +3,7 @@
 use super::{Leader, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
 use crate::effects::{EffectSink, StepTime};
+use crate::jobs::chunk::EncodedChunk;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::leadership::election;
 use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
@@ -183,7 +184,9 @@
             if chunk.write_in_flight || chunk.revision_uncertain {
                 continue;
             }
-            let Some((value, version)) = self.job_table.encode_chunk(&id, number) else { continue };
+            let Some(EncodedChunk { value, version }) = self.job_table.encode_chunk(&id, number) else {
+                continue;
+            };
             if txn.bytes + value.len() > MAX_TXN_BYTES && !txn.changes.is_empty() {
                 return;
             }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -8,8 +8,8 @@
 use crate::protocol::{CallError, CloudReply, LogLevel, MachineName, Pool};
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
-use plankhead_fencing::action::{Action, Rental, MAX_RENTAL_COUNT, MAX_RETURN_HOSTS};
-use plankhead_fencing::duty::IdempotencyKey;
+use plankhead_fencing::action::{CloudAction, Rental, MAX_RENTAL_COUNT, MAX_RETURN_MACHINES};
+use plankhead_fencing::intent::IdempotencyKey;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -198,7 +198,7 @@
     fn rent(&mut self, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
-        if !self.request_cloud_action(key, Action::Rent(rental.into()), effects) {
+        if !self.request_cloud_action(key, CloudAction::Rent(rental.into()), effects) {
             self.scaling.rental_ended(&name);
         }
     }
@@ -276,7 +276,7 @@
             .values()
             .filter_map(leaving)
             .filter(|machine| !self.scaling.releasing.contains(&machine.name))
-            .take(MAX_RETURN_HOSTS)
+            .take(MAX_RETURN_MACHINES)
             .collect();
         // What a cancellation forces goes alone, so that it can go without its record where
         // that can't be written.
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -6,7 +6,7 @@
 use crate::fleet::RemovalReason;
 use crate::protocol::MachineName;
 use crate::shards::messages::{Delivery, HolderStatus, MachineUpdate};
-use plankhead_sharding::alive::Names;
+use plankhead_sharding::machine_numbers::NumberedMachines;
 use plankhead_sharding::sequence::Admission;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         let is_other_stream = restarted || self.stream != status.stream;
         if is_other_stream {
             self.stream = status.stream;
-            self.names = Names::default();
+            self.names = NumberedMachines::default();
         }
         if restarted {
             // A process that has begun anew has none of the commands that were sent to it.
@@ -113,7 +113,7 @@
         self.observe_machine(times, heartbeat, false, effects);
         self.confirm_by_holder(&heartbeat.machine, update.confirmed, times.now.saturating_sub(update.age));
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.unanswered_commands = update.unanswered_commands;
+            machine.commands.unanswered = update.unanswered_commands;
             if update.ignores_commands {
                 machine.removal.get_or_insert(RemovalReason::IgnoresCommands);
             }
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -5,12 +5,12 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_core::jobs::job::{JobId, JobRecord};
-use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable};
+use plankhead_core::jobs::job_table::{tasks_per_chunk, JobTable, StoredJob};
 use plankhead_core::leader::Target;
-use plankhead_core::leadership::election::Holder;
+use plankhead_core::leadership::election::LeaderRecord;
 use plankhead_fencing::record;
 use plankhead_reachability::numbering::{self, MachineNumbering};
-use plankhead_sharding::record::Record;
+use plankhead_sharding::record::ShardRecord;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,13 +54,13 @@
 
 #[test]
 fn the_leader_and_the_target_are_the_same_bytes() {
-    same_bytes::<Holder>("lead");
+    same_bytes::<LeaderRecord>("lead");
     same_bytes::<Target>("target");
 }
 
 #[test]
 fn shard_records_are_the_same_bytes() {
-    same_bytes::<Record>("shard/");
+    same_bytes::<ShardRecord>("shard/");
 }
 
 #[test]
@@ -95,18 +95,25 @@
         let (id, number) = (parts.next().unwrap(), parts.next().unwrap());
         let record = jobs[&(row.history, format!("job/{id}"))].clone();
         let id = JobId::parse(id).unwrap();
-        let mut ledger = JobTable::default();
+        let mut job_table = JobTable::default();
         let per_chunk = record.per_chunk;
-        ledger.upsert(&id, record, 5, NOW, None, per_chunk);
+        let job = StoredJob {
+            record,
+            mod_revision: 5,
+            accepted_at: NOW,
+            cancelled_at: None,
+            tasks_per_chunk: per_chunk,
+        };
+        job_table.upsert(&id, job);
         if number.starts_with('s') {
-            ledger.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
+            job_table.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
             small += 1;
         } else {
             plain += 1;
         }
         let number = number.trim_start_matches('s').parse().unwrap();
-        ledger.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
-        assert_eq!(ledger.encode_chunk(&id, number).unwrap().0, row.value, "{}", row.key);
+        job_table.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
+        assert_eq!(job_table.encode_chunk(&id, number).unwrap().value, row.value, "{}", row.key);
     }
     assert!(plain > 0 && small > 0, "{plain} as accepted, {small} laid out anew");
 }
