--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -1,6 +1,6 @@
 //! The watch on job records: how the leader learns of new and cancelled jobs.
 
-use super::{Leader, PAUSE};
+use super::{Leader, RETRY_INTERVAL};
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
 use crate::protocol::{CallError, KvReply, KvRequest, WatchEvent};
@@ -58,7 +58,7 @@
 impl Leader {
     /// Sends the next watch once it is due.
     pub(super) fn watch_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
-        if !self.job_watch.next_due().is_some_and(|due| now >= due) {
+        if self.job_watch.next_due().is_none_or(|due| now < due) {
             return;
         }
         let Some(after) = self.job_watch.revision else { return };
@@ -89,7 +89,7 @@
                 self.kill_cancelled(times.now, effects);
             }
             Ok(KvReply::Compacted) => return false,
-            _ => self.job_watch.next_at = times.now + PAUSE,
+            _ => self.job_watch.next_at = times.now + RETRY_INTERVAL,
         }
         true
     }
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,12 +1,11 @@
-//! Taking over: a new leader reads all that is known.
+//! Failover: a new leader loads all state before it decides anything.
 
-use super::{Leader, Target, PAUSE};
+use super::{Leader, Target, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatNews;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
-use crate::jobs::job_table::tasks_per_chunk;
-use crate::jobs::job_table::StoredJob;
+use crate::jobs::job_table::{tasks_per_chunk, StoredJob};
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
 use crate::requests::RequestHandler;
 use std::time::Duration;
@@ -83,27 +82,30 @@
 }
 
 impl Leader {
+    /// Asks for the next page of the jobs, with which loading begins.
     pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
         self.job_watch.loading_began(now);
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, effects);
     }
 
-    /// Whether it still reads what is known, and nothing says that it can't.
+    /// Whether it still loads, and no call has failed.
     pub fn is_loading(&self) -> bool {
         !self.loading.is_ready() && !self.loading.failed
     }
 
+    /// A call has failed: loading starts over soon.
     pub(super) fn retry_loading(&mut self, now: Duration) {
-        self.loading.retry_at = Some(now + PAUSE);
+        self.loading.retry_at = Some(now + RETRY_INTERVAL);
         self.loading.failed = true;
     }
 
-    pub(super) fn list_chunks(&mut self, effects: &mut EffectSink) {
+    fn list_chunks(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, effects);
     }
 
+    /// Takes in a page of the jobs.
     pub(super) fn jobs_page_loaded(
         &mut self,
         times: StepTime,
@@ -126,6 +128,7 @@
         self.list_chunks(effects);
     }
 
+    /// Takes in a page of the chunks.
     pub(super) fn chunks_page_loaded(
         &mut self,
         times: StepTime,
@@ -151,7 +154,7 @@
                     let (value, mod_revision) = (row.value, row.mod_revision);
                     self.loading.chunks.push(StoredChunk { job, rechunked, number, value, mod_revision });
                 }
-                _ => effects.log(LogLevel::Error, format!("strange key {}", row.key)),
+                _ => effects.log(LogLevel::Error, format!("chunk key unreadable: key={}", row.key)),
             }
         }
         if truncated {
@@ -164,6 +167,7 @@
         self.read_target(effects);
     }
 
+    /// Takes in the target, the last that is loaded: this leader is ready from now on.
     pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
@@ -174,40 +178,18 @@
             return self.retry_loading(times.now);
         };
         let now = times.now;
-        let chunks = std::mem::take(&mut self.loading.chunks);
-        // Smaller chunks exist only where no version is left that doesn't know them.
-        let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
-        self.all_nodes_upgraded |= !rechunked.is_empty();
-        self.load_chunks(original, now, effects);
-        if self.all_nodes_upgraded {
-            self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
-        }
-        self.load_chunks(rechunked, now, effects);
-        self.job_table.finish_loading();
-        self.stop_broken_gangs(now, effects);
+        self.load_all_chunks(now, effects);
         // Not a new service: the jobs that are there came one after the other.
         if row.is_some() {
             self.arrivals.service_is_running();
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
-            let at = times.monotonic_of(target.at_ms);
+            let ended_at = times.monotonic_of(target.at_ms);
             let interval = self.round_interval();
-            self.sizing.schedule((at + interval).min(now + interval));
+            self.sizing.schedule((ended_at + interval).min(now + interval));
             self.target.loaded(target);
         }
-        for machine in self.fleet.machines.values_mut() {
-            machine.last_heard_at = machine.last_heard_at.max(now);
-            machine.last_direct_at = machine.last_heard_at;
-        }
-        for host in self.placed_machines() {
-            // Given back while this leader could not read: nobody would ever prove it
-            // gone again.
-            if self.fleet.is_removed(&host) {
-                self.job_table.machine_gone(&host, now);
-            } else {
-                self.fleet.expect_machine(&host, now);
-            }
-        }
+        self.expect_placed_machines(now);
         self.adopt_intents(now, effects);
         self.loading.stage = Stage::Ready;
         let heartbeats: Vec<Heartbeat> =
@@ -218,15 +200,49 @@
         effects.log(
             LogLevel::Info,
             format!(
-                "took over {} jobs and {} machines in {} ms",
+                "leader ready: token={} jobs={} machines={} after_s={:.3}",
+                self.token,
                 self.job_table.jobs.len(),
                 self.fleet.machines.len(),
-                now.saturating_sub(self.started_at).as_millis()
+                now.saturating_sub(self.started_at).as_secs_f64()
             ),
         );
         self.placement.request_pass();
     }
 
+    /// Fills the job table with the chunks, now that every one is read.
+    fn load_all_chunks(&mut self, now: Duration, effects: &mut EffectSink) {
+        let chunks = std::mem::take(&mut self.loading.chunks);
+        // Smaller chunks exist only where no version is left that doesn't know them.
+        let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
+        self.all_nodes_upgraded |= !rechunked.is_empty();
+        self.load_chunks(original, now, effects);
+        if self.all_nodes_upgraded {
+            self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
+        }
+        self.load_chunks(rechunked, now, effects);
+        self.job_table.finish_loading();
+        self.stop_broken_gangs(now, effects);
+    }
+
+    /// Waits for the machines that tasks are placed on, as if they had just been heard.
+    fn expect_placed_machines(&mut self, now: Duration) {
+        for machine in self.fleet.machines.values_mut() {
+            machine.last_heard_at = machine.last_heard_at.max(now);
+            machine.last_direct_at = machine.last_heard_at;
+        }
+        let placed: Vec<MachineName> = self.job_table.machines().cloned().collect();
+        for name in placed {
+            // Released while this leader could not load: nobody would ever prove it
+            // gone again.
+            if self.fleet.is_removed(&name) {
+                self.job_table.machine_gone(&name, now);
+            } else {
+                self.fleet.expect_machine(&name, now);
+            }
+        }
+    }
+
     fn load_chunks(&mut self, chunks: Vec<StoredChunk>, now: Duration, effects: &mut EffectSink) {
         for StoredChunk { job, number, value, mod_revision, .. } in chunks {
             if let Err(error) = self.job_table.load_chunk(&job, number, &value, mod_revision, now) {
@@ -237,10 +253,6 @@
         }
     }
 
-    pub(super) fn placed_machines(&self) -> Vec<MachineName> {
-        self.job_table.machines().cloned().collect()
-    }
-
     /// Takes in a job's row from the state service.
     pub fn job_record_changed(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
@@ -249,18 +261,18 @@
             JobPhase::Done => {
                 requests.record_ended(&id, JobStatus::Done, record.tasks);
                 let stored = self.job_table.jobs.get(&id).map(|e| e.stored_keys(&id)).unwrap_or_default();
-                let news = self.job_table.job_finished(&id);
-                if !self.loading.is_ready() || news {
+                let is_new = self.job_table.job_finished(&id);
+                if !self.loading.is_ready() || is_new {
                     let job = FinishedJob { id: id.clone(), mod_revision: row.mod_revision, record };
                     self.garbage.archive(job);
                 }
-                if news {
+                if is_new {
                     self.garbage.add(stored);
                 }
                 return;
             }
             JobPhase::Cancelled => requests.record_ended(&id, JobStatus::Cancelled, 0),
-            // An old event of a job that is over by now. While reading, it is taken in
+            // An old event of a job that is over by now. While loading, it is taken in
             // all the same: a row that is older than a cancellation which this node
             // has confirmed would leave the job's placements without an owner, so
             // that neither its tasks were ended nor their room counted. Its end
@@ -268,19 +280,14 @@
             JobPhase::Active if self.loading.is_ready() && requests.is_ended(&id) => return,
             JobPhase::Active => {}
         }
-        let accepted = times.monotonic_of(record.accepted_ms);
-        let cancelled = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
-        let per_chunk = record.per_chunk.max(1);
+        let accepted_at = times.monotonic_of(record.accepted_ms);
+        let cancelled_at = record.cancelled_ms.map(|ms| times.monotonic_of(ms));
+        let tasks_per_chunk = record.per_chunk.max(1);
         if record.phase == JobPhase::Active && !self.job_table.jobs.contains_key(&id) {
-            self.arrivals.record(accepted, record.spec.as_ref());
+            self.arrivals.record(accepted_at, record.spec.as_ref());
         }
-        let job = StoredJob {
-            record,
-            mod_revision: row.mod_revision,
-            accepted_at: accepted,
-            cancelled_at: cancelled,
-            tasks_per_chunk: per_chunk,
-        };
+        let job =
+            StoredJob { record, mod_revision: row.mod_revision, accepted_at, cancelled_at, tasks_per_chunk };
         self.job_table.upsert(&id, job);
         self.placement.request_pass();
     }
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,12 +1,12 @@
 //! Making decisions durable, within the write budget.
 
-use super::{Leader, PAUSE};
+use super::{Leader, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
-use crate::effects::EffectSink;
+use crate::effects::{EffectSink, StepTime};
 use crate::jobs::chunk::EncodedChunk;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::leadership::election;
-use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest};
+use crate::protocol::{CallError, Condition, JobStatus, KvChange, KvReply, KvRequest, LogLevel};
 use crate::requests::RequestHandler;
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeSet, HashSet};
@@ -68,12 +68,7 @@
 
     /// The state service refused or failed a call: writes pause.
     pub(super) fn pause(&mut self, now: Duration) {
-        self.paused_until = now + PAUSE;
-    }
-
-    /// A key whose revision was in doubt has been read, or reading failed.
-    pub(super) fn key_read(&mut self, key: &str) {
-        self.keys_being_read.remove(key);
+        self.paused_until = now + RETRY_INTERVAL;
     }
 }
 
@@ -113,25 +108,25 @@
             self.reread_uncertain(effects);
         }
         self.close_ended_jobs(requests);
-        let ends = now >= self.persistence.next_end_flush_at;
-        if ends {
+        let flush_ends = now >= self.persistence.next_end_flush_at;
+        if flush_ends {
             self.persistence.next_end_flush_at = now + END_FLUSH_INTERVAL;
         }
         while self.persistence.txns_in_flight < MAX_TXNS_IN_FLIGHT {
             let available = self.persistence.budget.available(now);
-            let most = self.settings.max_txn_changes.min(available);
-            if most == 0 {
+            let max_changes = self.settings.max_txn_changes.min(available);
+            if max_changes == 0 {
                 return;
             }
             let mut txn = Txn { conditions: vec![self.leader_condition()], ..Txn::default() };
-            self.add_final_records(most, &mut txn);
-            let placing = self.placements_to_write();
-            self.add_chunks(placing, most, &mut txn);
-            if ends {
+            self.add_final_records(max_changes, &mut txn);
+            let placements = self.placements_to_write();
+            self.add_chunks(placements, max_changes, &mut txn);
+            if flush_ends {
                 // Ends leave room for the placements that may come next.
                 let spare = available.saturating_sub(self.persistence.budget.burst() / 2);
-                let ending = self.ends_to_write(now);
-                self.add_chunks(ending, most.min(spare), &mut txn);
+                let ends = self.ends_to_write(now);
+                self.add_chunks(ends, max_changes.min(spare), &mut txn);
             }
             if self.target.may_write() && txn.changes.is_empty() {
                 return self.write_target(now, effects);
@@ -145,6 +140,7 @@
         }
     }
 
+    /// Chunks with placements to be written, the more urgent jobs' first.
     fn placements_to_write(&self) -> Vec<(JobId, u32)> {
         let order = |(id, number): &(JobId, u32)| {
             let entry = self.job_table.jobs.get(id)?;
@@ -169,18 +165,19 @@
         waiting.into_iter().map(|(_, key)| key).collect()
     }
 
-    fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, most: usize, txn: &mut Txn) {
+    /// Adds chunks to a transaction as far as they may be written and have room.
+    fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, max_changes: usize, txn: &mut Txn) {
         for (id, number) in keys {
-            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
+            if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
             let Some(chunk) = entry.chunks.get(&number) else { continue };
-            let closing = entry.done == entry.spec.tasks;
+            let is_closing = entry.done == entry.spec.tasks;
             if entry.phase != JobPhase::Active
                 || entry.revision_uncertain
                 || entry.final_write_in_flight
-                || closing
+                || is_closing
             {
                 continue;
             }
@@ -206,9 +203,9 @@
     }
 
     /// Finished jobs: the final record makes all their ends durable at once.
-    fn add_final_records(&mut self, most: usize, txn: &mut Txn) {
+    fn add_final_records(&mut self, max_changes: usize, txn: &mut Txn) {
         for id in self.job_table.ended_jobs.clone() {
-            if txn.changes.len() >= most || txn.bytes > MAX_TXN_BYTES {
+            if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
                 return;
             }
             let Some(entry) = self.job_table.jobs.get_mut(&id) else { continue };
@@ -231,13 +228,13 @@
         }
     }
 
-    /// The key that holds a chunk, as it is laid out now.
+    /// The key that holds a chunk, as the job is chunked now.
     pub(super) fn chunk_key(&self, id: &JobId, number: u32) -> String {
         id.chunk_key(number, self.job_table.jobs.get(id).is_some_and(|e| e.rechunked))
     }
 
-    /// Cancelled jobs with nothing left on any machine need only a sweep, and gangs
-    /// that were done before all their tasks had said so need nothing.
+    /// Cancelled jobs with nothing left on any machine only leave garbage, and gangs
+    /// that were done before all their tasks had reported so need nothing.
     fn close_ended_jobs(&mut self, requests: &mut RequestHandler) {
         for id in self.job_table.ended_jobs.clone() {
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
@@ -259,7 +256,7 @@
         }
     }
 
-    /// Reads again what is in doubt.
+    /// Reads again the revisions that are in doubt.
     fn reread_uncertain(&mut self, effects: &mut EffectSink) {
         let mut calls = Vec::new();
         self.persistence.has_uncertain_revisions = false;
@@ -287,7 +284,7 @@
         }
     }
 
-    /// Takes in the reply to a transaction; false: somebody else leads.
+    /// Takes in the reply to a transaction; false: another node leads.
     pub(super) fn batch_written(
         &mut self,
         now: Duration,
@@ -300,25 +297,7 @@
         let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
             Ok(KvReply::Committed { revision }) => {
-                let mut machines = BTreeSet::new();
-                for (id, number, version) in &batch.chunks {
-                    machines.extend(self.job_table.chunk_committed(id, *number, *version, revision));
-                }
-                for id in &batch.finals {
-                    let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
-                    // Only now: chunks that went before a final record that was lost
-                    // would have the next leader begin the job anew.
-                    let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
-                    if self.job_table.job_finished(id) {
-                        self.garbage.add(stored);
-                        requests.record_ended(id, JobStatus::Done, tasks);
-                        let record = JobRecord::finished(JobPhase::Done, tasks);
-                        self.garbage.archive(FinishedJob { id: id.clone(), mod_revision: revision, record });
-                    }
-                }
-                for machine in machines {
-                    self.send_commands(now, &machine, effects);
-                }
+                self.batch_committed(now, &batch, revision, requests, effects);
                 return true;
             }
             Ok(KvReply::Conflict { failed: keys }) => failed = keys,
@@ -327,15 +306,50 @@
             }
             _ => lost = true,
         }
-        if failed.iter().any(|k| k == election::KEY) {
+        if failed.iter().any(|key| key == election::KEY) {
             return false;
         }
+        self.batch_failed(&batch, &failed, lost);
+        true
+    }
+
+    fn batch_committed(
+        &mut self,
+        now: Duration,
+        batch: &WriteBatch,
+        revision: u64,
+        requests: &mut RequestHandler,
+        effects: &mut EffectSink,
+    ) {
+        let mut machines = BTreeSet::new();
+        for (id, number, version) in &batch.chunks {
+            machines.extend(self.job_table.chunk_committed(id, *number, *version, revision));
+        }
+        for id in &batch.finals {
+            let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
+            // Only now: chunks that went before a final record that was lost
+            // would have the next leader begin the job anew.
+            let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
+            if self.job_table.job_finished(id) {
+                self.garbage.add(stored);
+                requests.record_ended(id, JobStatus::Done, tasks);
+                let record = JobRecord::finished(JobPhase::Done, tasks);
+                self.garbage.archive(FinishedJob { id: id.clone(), mod_revision: revision, record });
+            }
+        }
+        for machine in machines {
+            self.send_commands(now, &machine, effects);
+        }
+    }
+
+    /// A transaction was not committed, or its reply was lost. `failed`: the keys whose
+    /// revisions were others than expected. A transaction whose reply was lost may still be
+    /// applied: before the next write, the revisions are read again.
+    fn batch_failed(&mut self, batch: &WriteBatch, failed: &[String], lost: bool) {
         self.persistence.has_uncertain_revisions = true;
-        // A transaction whose reply was lost may still be applied: before the
-        // next write, the stamps are read again.
         for (id, number, _) in &batch.chunks {
-            let stale = lost || failed.contains(&self.chunk_key(id, *number));
-            self.job_table.chunk_write_failed(id, *number, stale);
+            let is_uncertain = lost || failed.contains(&self.chunk_key(id, *number));
+            self.job_table.chunk_write_failed(id, *number, is_uncertain);
         }
         let jobs = batch.chunks.iter().map(|(id, ..)| id).chain(&batch.finals);
         for id in jobs {
@@ -347,6 +361,42 @@
                 }
             }
         }
-        true
+    }
+
+    /// Takes in the reply to a reading of a chunk whose revision was in doubt.
+    pub(super) fn chunk_reread(
+        &mut self,
+        now: Duration,
+        id: &JobId,
+        number: u32,
+        reply: Result<KvReply, CallError>,
+    ) {
+        let key = self.chunk_key(id, number);
+        self.persistence.keys_being_read.remove(&key);
+        if let Ok(KvReply::Value(row)) = reply {
+            self.job_table.set_chunk_revision(id, number, row.map_or(0, |row| row.mod_revision));
+        } else {
+            self.persistence.pause(now);
+        }
+    }
+
+    /// Takes in the reply to a reading of a job record whose revision was in doubt.
+    pub(super) fn job_reread(
+        &mut self,
+        times: StepTime,
+        id: &JobId,
+        reply: Result<KvReply, CallError>,
+        requests: &mut RequestHandler,
+        effects: &mut EffectSink,
+    ) {
+        self.persistence.keys_being_read.remove(&id.key());
+        match reply {
+            Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
+            Ok(KvReply::Value(None)) => {
+                effects.log(LogLevel::Error, format!("job record missing: job={id}"));
+                self.persistence.pause(times.now);
+            }
+            _ => self.persistence.pause(times.now),
+        }
     }
 }
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -1,13 +1,13 @@
-//! What comes back from the state service, the cloud and workers.
+//! Replies of the state service, the cloud and workers, handed to the modules that asked.
 
 use super::Leader;
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
-use crate::protocol::{CallError, CloudReply, CommandReply, KvReply, LogLevel};
+use crate::protocol::{CallError, CloudReply, CommandReply, KvReply};
 use crate::requests::RequestHandler;
 
 impl Leader {
-    /// Handles a reply of the state service; false: somebody else leads.
+    /// Handles a reply of the state service; false: another node leads.
     pub fn kv_reply(
         &mut self,
         times: StepTime,
@@ -31,25 +31,8 @@
                 return self.jobs_watched(times, sent, reply, requests, effects);
             }
             LeaderCall::Commit(batch) => return self.batch_written(now, batch, reply, requests, effects),
-            LeaderCall::ReadChunk(id, number) => {
-                self.persistence.key_read(&self.chunk_key(&id, number));
-                if let Ok(KvReply::Value(row)) = reply {
-                    self.job_table.set_chunk_revision(&id, number, row.map_or(0, |r| r.mod_revision));
-                } else {
-                    self.persistence.pause(now);
-                }
-            }
-            LeaderCall::ReadJob(id) => {
-                self.persistence.key_read(&id.key());
-                match reply {
-                    Ok(KvReply::Value(Some(row))) => self.job_record_changed(times, &row, requests),
-                    Ok(KvReply::Value(None)) => {
-                        effects.log(LogLevel::Error, format!("the record of {id} is missing"));
-                        self.persistence.pause(now);
-                    }
-                    _ => self.persistence.pause(now),
-                }
-            }
+            LeaderCall::ReadChunk(id, number) => self.chunk_reread(now, &id, number, reply),
+            LeaderCall::ReadJob(id) => self.job_reread(times, &id, reply, requests, effects),
             LeaderCall::DeleteGarbage(keys) => return self.garbage_deleted(keys, reply),
             LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
             LeaderCall::ArchiveJobs(jobs) => return self.jobs_archived(jobs, reply),
@@ -81,6 +64,7 @@
         }
     }
 
+    /// Handles a worker's reply to a direct command.
     pub fn command_reply(
         &mut self,
         times: StepTime,
@@ -88,16 +72,16 @@
         reply: CommandReply,
         effects: &mut EffectSink,
     ) {
-        let LeaderCall::SendCommands { machine: host, incarnation, starts } = leader_call else {
+        let LeaderCall::SendCommands { machine: name, incarnation, starts } = leader_call else {
             return;
         };
-        let Some(machine) = self.fleet.machines.get_mut(&host) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(&name) else { return };
         machine.end_command(incarnation, &starts, &reply);
         if let CommandReply::Answered(heartbeat) = reply {
-            if heartbeat.machine == host {
+            if heartbeat.machine == name {
                 self.observe_machine(times, &heartbeat, true, effects);
             }
         }
-        self.send_commands(times.now, &host, effects);
+        self.send_commands(times.now, &name, effects);
     }
 }
