--- a/crates/plankhead-core/src/fleet/inventory.rs
+++ b/crates/plankhead-core/src/fleet/inventory.rs
@@ -40,7 +40,7 @@
         if instance.status == InstanceStatus::Running
             && !std::mem::replace(&mut machine.inventory.known_up, true)
         {
-            machine.last_heard_at = machine.last_heard_at.max(now);
+            machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(now);
         }
         machine.inventory.missed_in_a_row = 0;
         if machine.address.is_empty() {
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -1,6 +1,7 @@
 //! A rented machine and its worker, as a node knows them.
 
 use crate::fleet::command_tracking::CommandTracking;
+use crate::fleet::heartbeat_times::HeartbeatTimes;
 use crate::fleet::response_tracking::ResponseTracking;
 use crate::placement::backfill::Slot;
 use crate::protocol::{CommandReply, Heartbeat, MachineName, Pool, TaskId, WorkerCommand};
@@ -92,16 +93,8 @@
     pub last_heartbeat_id: Option<HeartbeatId>,
     /// The newest heartbeat.
     pub last_heartbeat: Option<Heartbeat>,
-    /// When it last showed that it is alive, or when this node began to wait for it.
-    pub last_heard_at: Duration,
-    /// When a heartbeat came that was newer than all before, whatever its token.
-    pub last_new_heartbeat_at: Duration,
-    /// When it last reached this node itself.
-    pub last_direct_at: Duration,
-    /// When a peer last said that it hears this machine, whose heartbeats are late here.
-    pub heard_by_peer_at: Option<Duration>,
-    /// When it was last given time to find another node.
-    pub rerouted_at: Duration,
+    /// When it was last heard.
+    pub heartbeat_times: HeartbeatTimes,
     /// Its last heartbeat came through a peer.
     pub is_relayed: bool,
     /// The cloud is about to take it back.
@@ -147,11 +140,7 @@
             rented_at,
             last_heartbeat_id: None,
             last_heartbeat: None,
-            last_heard_at: now,
-            last_new_heartbeat_at: now,
-            last_direct_at: now,
-            heard_by_peer_at: None,
-            rerouted_at: Duration::ZERO,
+            heartbeat_times: HeartbeatTimes::new(now),
             is_relayed: false,
             has_preemption_notice: false,
             inventory: InventoryTracking::default(),
@@ -186,7 +175,7 @@
     /// Whether a task placed there now might wait: its heartbeat is later than
     /// `heartbeat_timeout`, or what it was told last does not show.
     pub fn is_start_doubtful(&self, now: Duration, heartbeat_timeout: Duration) -> bool {
-        now.saturating_sub(self.last_heard_at) > heartbeat_timeout
+        now.saturating_sub(self.heartbeat_times.last_heard_at) > heartbeat_timeout
             || self.commands.unanswered > 0
             || self.responses.is_ignored()
     }
@@ -271,10 +260,10 @@
         self.confirmed |= heartbeat.token >= own_token;
         // What carries an earlier token may be a late copy: no sign of life.
         if self.confirmed || is_first {
-            self.last_heard_at = now;
+            self.heartbeat_times.last_heard_at = now;
         }
         self.last_heartbeat_id = Some(id);
-        self.last_new_heartbeat_at = now;
+        self.heartbeat_times.last_new_at = now;
         if !self.pool.matches(heartbeat) {
             self.pool = Pool::of(heartbeat);
             self.cached_slot = None;
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -2,6 +2,7 @@
 
 mod capacity_backoff;
 mod command_tracking;
+mod heartbeat_times;
 mod images;
 mod inventory;
 mod machine;
@@ -10,6 +11,7 @@
 mod response_tracking;
 
 pub use command_tracking::CommandTracking;
+pub use heartbeat_times::HeartbeatTimes;
 pub use machine::{HeartbeatId, HeartbeatNews, InventoryTracking, Machine, RemovalReason};
 pub use response_tracking::ResponseTracking;
 
@@ -189,8 +191,7 @@
     /// Silence up to now was not the machines' fault.
     pub fn reset_silence(&mut self, now: Duration) {
         for machine in self.machines.values_mut() {
-            machine.last_heard_at = now;
-            machine.last_direct_at = now;
+            machine.heartbeat_times.reset_silence(now);
             machine.commands.unanswered = 0;
         }
     }
@@ -198,11 +199,8 @@
     /// The machine's worker has to find another node through no fault of its own: it is given
     /// the time, once for every time that it is heard.
     pub fn extend_for_reroute(&mut self, name: &str, now: Duration) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        if machine.last_new_heartbeat_at >= machine.rerouted_at {
-            machine.rerouted_at = now;
-            machine.last_heard_at = machine.last_heard_at.max(now);
-            machine.last_direct_at = machine.last_direct_at.max(now);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.heartbeat_times.extend_for_reroute(now);
         }
     }
 
@@ -210,9 +208,7 @@
     pub fn observe_alive(&mut self, name: &str, at: Duration) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.confirmed {
-            machine.last_heard_at = machine.last_heard_at.max(at);
-            machine.last_new_heartbeat_at = machine.last_new_heartbeat_at.max(at);
-            machine.last_direct_at = machine.last_direct_at.max(at);
+            machine.heartbeat_times.observe_alive(at);
             machine.commands.unanswered = 0;
             machine.is_relayed = false;
         }
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -72,7 +72,8 @@
         let mut zones: HashMap<&str, ZoneCount> = HashMap::new();
         for machine in machines {
             let count = zones.entry(&machine.pool.zone).or_default();
-            count.silent += u32::from(self.since(machine.last_direct_at) > self.heartbeat_timeout);
+            count.silent +=
+                u32::from(self.since(machine.heartbeat_times.last_direct_at) > self.heartbeat_timeout);
             count.all += 1;
         }
         let is_cut_off =
@@ -88,7 +89,7 @@
     /// Whether the machine's heartbeat is late and it does not answer commands either.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         machine.commands.unanswered >= MAX_UNANSWERED_COMMANDS
-            && self.since(machine.last_heard_at) > self.heartbeat_timeout
+            && self.since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
     }
 
     /// Why the machine must go, if it must.
@@ -99,7 +100,7 @@
         } else {
             self.failover_heartbeat_timeout
         };
-        let silence = self.since(machine.last_heard_at);
+        let silence = self.since(machine.heartbeat_times.last_heard_at);
         // A machine that was rented before a new leader came never reports to
         // it: only silence tells, not the time for a boot.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
@@ -110,7 +111,7 @@
         let is_lost = !is_cut_off && self.removes_unresponsive && self.is_unresponsive(machine);
         // Its silence is this node's link's and not its own, for as long as its lease may last.
         let is_heard_by_peer =
-            machine.heard_by_peer_at.is_some_and(|at| self.since(at) < PEER_COVERAGE_TIMEOUT);
+            machine.heartbeat_times.heard_by_peer_at.is_some_and(|at| self.since(at) < PEER_COVERAGE_TIMEOUT);
         let is_spared = is_heard_by_peer && silence < max_silence + self.worker_lease;
         if (silence > max_silence || is_lost) && !is_spared {
             Some(RemovalReason::HeartbeatTimeout)
@@ -155,7 +156,7 @@
             machine.removal.is_none() && (machine.last_heartbeat_id.is_some() || machine.inventory.known_up)
         };
         let is_silent = |machine: &Machine| {
-            let last_sign_at = machine.last_heard_at.max(machine.last_new_heartbeat_at);
+            let last_sign_at = machine.heartbeat_times.last_heard_at.max(machine.heartbeat_times.last_new_at);
             is_there(machine) && now.saturating_sub(last_sign_at) > max_silence
         };
         let count = |matches: &dyn Fn(&Machine) -> bool| {
@@ -184,7 +185,7 @@
                 && machine.commands.unanswered < MAX_UNANSWERED_COMMANDS
         };
         let is_late = |machine: &&Machine| {
-            now.saturating_sub(machine.last_heard_at) > heartbeat_timeout && is_own(machine)
+            now.saturating_sub(machine.heartbeat_times.last_heard_at) > heartbeat_timeout && is_own(machine)
         };
         let late = self.machines.values().filter(may_be_probed).filter(is_late);
         late.map(|machine| machine.name.clone())
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -323,7 +323,8 @@
         self.jobs.tick(now, effects);
         if now >= self.next_machine_scan_at {
             self.next_machine_scan_at = now + LOOK;
-            let silent = |machine: &&Machine| now.saturating_sub(machine.last_heard_at) > FORGET;
+            let silent =
+                |machine: &&Machine| now.saturating_sub(machine.heartbeat_times.last_heard_at) > FORGET;
             let silent: Vec<MachineName> =
                 self.fleet.machines.values().filter(silent).map(|machine| machine.name.clone()).collect();
             silent.iter().for_each(|host| self.forget(host));
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -99,7 +99,7 @@
                 confirmed: machine.confirmed,
                 ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
                 unanswered_commands: machine.commands.unanswered,
-                age: now.saturating_sub(machine.last_heard_at),
+                age: now.saturating_sub(machine.heartbeat_times.last_heard_at),
             });
         }
         told
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -129,8 +129,8 @@
             self.target = target;
         }
         for machine in self.fleet.machines.values_mut() {
-            machine.last_heard_at = machine.last_heard_at.max(now);
-            machine.last_direct_at = machine.last_heard_at;
+            machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(now);
+            machine.heartbeat_times.last_direct_at = machine.heartbeat_times.last_heard_at;
         }
         for host in self.placed_machines() {
             // Given back while this leader could not read: nobody would ever prove it
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -159,7 +159,7 @@
         let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let there = |m: &&Machine| m.is_up() && !m.is_unlisted();
         let mut up = self.fleet.machines.values().filter(there).peekable();
-        up.peek().is_none() || up.any(|m| now.saturating_sub(m.last_heard_at) < recent)
+        up.peek().is_none() || up.any(|m| now.saturating_sub(m.heartbeat_times.last_heard_at) < recent)
     }
 
     /// Whether no worker at all has reached this node for so long that another
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -38,9 +38,11 @@
         let lately = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < lately;
         let up = || self.fleet.machines.values().filter(|machine| machine.is_up());
-        let direct = up().filter(|machine| !machine.is_relayed && recent(machine.last_direct_at));
-        let reached =
-            up().filter(|machine| machine.responses.answered_at.is_some() && recent(machine.last_heard_at));
+        let direct =
+            up().filter(|machine| !machine.is_relayed && recent(machine.heartbeat_times.last_direct_at));
+        let reached = up().filter(|machine| {
+            machine.responses.answered_at.is_some() && recent(machine.heartbeat_times.last_heard_at)
+        });
         LeaderFacts {
             token: self.token,
             leading_since: self.started_at,
@@ -82,8 +84,10 @@
     pub fn record_heard_by_peers(&mut self, now: Duration, heard_by_a_peer: impl Fn(&str) -> bool) {
         let gap = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
-            if now.saturating_sub(machine.last_heard_at) > gap && heard_by_a_peer(&machine.name) {
-                machine.heard_by_peer_at = Some(now);
+            if now.saturating_sub(machine.heartbeat_times.last_heard_at) > gap
+                && heard_by_a_peer(&machine.name)
+            {
+                machine.heartbeat_times.heard_by_peer_at = Some(now);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -155,7 +155,7 @@
     pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, effects: &mut EffectSink) {
         let Some(heartbeat) = &machine.last_heartbeat else { return };
         self.observe_machine(times, heartbeat, false, effects);
-        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.last_heard_at);
+        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.heartbeat_times.last_heard_at);
         if let Some(own) = self.fleet.machines.get_mut(&heartbeat.machine) {
             own.is_relayed = machine.is_relayed;
         }
@@ -165,8 +165,8 @@
     fn confirm_by_holder(&mut self, host: &MachineName, proven: bool, at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(host).filter(|_| proven) else { return };
         self.pass_needed |= !std::mem::replace(&mut machine.confirmed, true);
-        machine.last_heard_at = machine.last_heard_at.max(at);
-        machine.last_direct_at = machine.last_direct_at.max(at);
+        machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(at);
+        machine.heartbeat_times.last_direct_at = machine.heartbeat_times.last_direct_at.max(at);
         machine.is_relayed = false;
     }
 
--- a/crates/plankhead-core/src/leader/workers.rs
+++ b/crates/plankhead-core/src/leader/workers.rs
@@ -64,7 +64,7 @@
         };
         machine.is_relayed = relayed;
         if !relayed {
-            machine.last_direct_at = now;
+            machine.heartbeat_times.last_direct_at = now;
         }
         if machine.take_redirect(is_cut_off, self.settings.worker_lease, now) {
             return Response::Redirect { leader: None };
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -364,10 +364,10 @@
     let later = NOW + second * 8;
     // One of two in `y` is lost; all of `x` are, which is the network's doing.
     let well = fleet.machines.get_mut("i-4").unwrap();
-    (well.last_heard_at, well.last_direct_at) = (later, later);
+    (well.heartbeat_times.last_heard_at, well.heartbeat_times.last_direct_at) = (later, later);
     assert_eq!(fleet.mark_for_removal(later, &settings), 1);
     assert_eq!(fleet.machines["i-5"].removal, Some(RemovalReason::HeartbeatTimeout));
-    fleet.machines.get_mut("i-4").unwrap().last_heard_at = NOW + second * 60;
+    fleet.machines.get_mut("i-4").unwrap().heartbeat_times.last_heard_at = NOW + second * 60;
     assert_eq!(fleet.mark_for_removal(NOW + second * 60, &settings), 4);
 }
 
