--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -19,7 +19,7 @@
 pub enum RemovalReason {
     /// The fleet is larger than its target.
     Surplus,
-    /// It was not heard in time.
+    /// No heartbeat of it came in time.
     HeartbeatTimeout,
     /// It never came up.
     BootTimeout,
@@ -31,7 +31,7 @@
     CancellationDue,
     /// The cloud no longer lists it.
     NotInInventory,
-    /// It reports, but what it is told does not arrive.
+    /// Its heartbeats arrive, but the responses and commands have no effect.
     IgnoresCommands,
     /// It lost attempts that it had listed.
     LostAttempts,
@@ -173,7 +173,7 @@
     }
 
     /// Whether a task placed there now might wait: its heartbeat is later than
-    /// `heartbeat_timeout`, or what it was told last does not show.
+    /// `heartbeat_timeout`, or the latest command or response had no effect.
     pub fn is_start_doubtful(&self, now: Duration, heartbeat_timeout: Duration) -> bool {
         now.saturating_sub(self.heartbeat_times.last_heard_at) > heartbeat_timeout
             || self.commands.unanswered > 0
--- a/crates/plankhead-core/src/jobs/gang.rs
+++ b/crates/plankhead-core/src/jobs/gang.rs
@@ -25,8 +25,8 @@
         self.stop_gang(id);
     }
 
-    /// What the end of one task means for the others of a gang. Those that end as
-    /// they were told, with time to checkpoint, leave the others theirs.
+    /// What the end of one task means for the others of a gang: their attempt is broken, unless
+    /// all were asked to stop with time to checkpoint and this one did.
     pub(super) fn break_gang_after_end(&mut self, end: &EndedAttempt) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Stops every task of the gang's attempt: what no worker was told of is over
-    /// at once, the rest on evidence. Its machines are to be told without delay.
+    /// Stops every task of the gang's attempt: what no worker was asked to start is over
+    /// at once, the rest on evidence. Its machines get their commands without delay.
     fn stop_gang(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         let never_offered: Vec<u32> = entry
@@ -68,7 +68,7 @@
         let Some(entry) = self.jobs.get_mut(id) else { return };
         for task in entry.chunks.values_mut().flat_map(|chunk| chunk.tasks.values_mut()) {
             if let TaskState::Placed(attempt) = &mut task.state {
-                // A worker that checkpoints is told again, with no time left.
+                // A worker that checkpoints is asked again, with no time left.
                 (attempt.stop_requested, attempt.kill_sent) = (true, false);
                 self.changed_machines.insert(attempt.machine.clone());
                 self.machines_to_stop.insert(attempt.machine.clone());
--- a/crates/plankhead-core/src/jobs/job_entry.rs
+++ b/crates/plankhead-core/src/jobs/job_entry.rs
@@ -18,7 +18,7 @@
     pub broken: bool,
     /// One of its tasks is done, and so are all.
     pub completed: bool,
-    /// Some task was told to stop and may checkpoint: the others are told, too.
+    /// Some task was asked to stop and may checkpoint: the others are asked, too.
     pub stopping: bool,
 }
 
@@ -198,7 +198,15 @@
         })
     }
 
-    /// Counts an attempt in this zone that nobody has reported yet.
+    /// Takes the next pending task, of which there must be one, and returns its index.
+    pub(super) fn take_pending(&mut self) -> u32 {
+        self.to_restart.pop_first().unwrap_or_else(|| {
+            self.first_unplaced += 1;
+            self.first_unplaced - 1
+        })
+    }
+
+    /// Counts an attempt in this zone that no heartbeat has listed yet.
     pub(super) fn count_attempt(&mut self, zone: &Arc<str>) {
         self.placed += 1;
         *self.attempts_by_zone.entry(zone.clone()).or_default() += 1;
--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -37,13 +37,13 @@
     pub changed_machines: BTreeSet<MachineName>,
     /// Jobs all of whose tasks have ended, one way or the other.
     pub ended_jobs: BTreeSet<JobId>,
-    /// Machines with tasks of gangs that were just told to end.
+    /// Machines with tasks of gangs that are to stop, and whose workers should hear it at once.
     pub machines_to_stop: BTreeSet<MachineName>,
 }
 
 impl JobTable {
-    /// Notes whether nothing of the job is left to run or to wait for, and lets
-    /// go of placements of a cancelled job that no worker was ever told of.
+    /// Notes whether nothing of the job is left to run or to wait for, and ends attempts of a
+    /// cancelled job that no worker was ever asked to start.
     pub(super) fn check_ended(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         if entry.phase == JobPhase::Cancelled {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ends the job's attempts whose placement is not durable, so that no worker was told of them.
+    /// Ends the job's attempts whose placement is not durable: no worker was asked to start them.
     fn end_unwritten_attempts(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         let unwritten: Vec<u32> = entry
@@ -98,10 +98,7 @@
                 return None;
             }
         }
-        let index = entry.to_restart.pop_first().unwrap_or_else(|| {
-            entry.first_unplaced += 1;
-            entry.first_unplaced - 1
-        });
+        let index = entry.take_pending();
         let gang_attempt = entry.gang.as_ref().map(|gang| gang.attempt);
         let number = entry.chunk_number(index);
         let chunk = entry.chunks.entry(number).or_default();
--- a/crates/plankhead-core/src/jobs/reconcile.rs
+++ b/crates/plankhead-core/src/jobs/reconcile.rs
@@ -131,8 +131,8 @@
             (true, false) => entry.running -= 1,
             _ => {}
         }
-        // An earlier leader began to stop the gang: a task that is not told in time
-        // spoils what the others save.
+        // An earlier leader began to stop the gang: a task that is not asked in time
+        // spoils the others' checkpoint.
         if status == TaskStatus::Checkpointing && entry.gang.is_some() {
             self.stop(id);
         }
