--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -10,8 +10,8 @@
 use plankhead_core::node::Node;
 use plankhead_core::protocol::*;
 use plankhead_core::settings::{Fencing, Settings};
-use plankhead_fencing::action::{Action, Return, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, ReturnReason};
+use plankhead_fencing::intent::{IdempotencyKey, Intent};
 use std::time::{Duration, SystemTime};
 
 const START: Duration = Duration::from_secs(1000);
@@ -64,8 +64,8 @@
 fn released(effect: &Effect) -> Option<&[MachineName]> {
     match effect {
         Effect::CallCloud { request: CloudRequest::Execute(permitted), .. } => match permitted.action() {
-            Action::Return(back) => Some(&back.hosts),
-            Action::Rent(_) => None,
+            CloudAction::Return(back) => Some(&back.machines),
+            CloudAction::Rent(_) => None,
         },
         _ => None,
     }
@@ -419,7 +419,7 @@
     let led = |b: &Bench| {
         b.effects
             .iter()
-            .filter(|e| matches!(e, Effect::Log(_, text) if text.starts_with("leads under")))
+            .filter(|e| matches!(e, Effect::Log(_, text) if text.starts_with("leadership won: token=")))
             .count()
     };
     assert_eq!(led(&bench), 1);
@@ -545,8 +545,8 @@
     let rows = vec![row("job/job-000001", &record(JobPhase::Active, bench.now), 5)];
     bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
     bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
-    let back = Return { hosts: vec!["i-1".into()], cause: ReturnReason::Surplus };
-    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, Action::Return(back), 0);
+    let back = InstanceReturn { machines: vec!["i-1".into()], reason: ReturnReason::Surplus };
+    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, CloudAction::Return(back), 0);
     let value = plankhead_fencing::record::encode([&duty].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
     bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
@@ -584,3 +584,23 @@
         "nothing was placed at all"
     );
 }
+
+/// The reasons for which jobs are refused, as users get them.
+#[test]
+fn refusals_keep_their_texts() {
+    use plankhead_core::protocol::{InvalidSpec, UnsatisfiableSpec};
+    let text = |reason: UnsatisfiableSpec| reason.to_string();
+    assert_eq!(InvalidSpec::Malformed("a field is missing".into()).to_string(), "a field is missing");
+    assert_eq!(InvalidSpec::TooLong.to_string(), "the job's description is too long");
+    assert_eq!(text(UnsatisfiableSpec::UnknownTeam), "no such team");
+    assert_eq!(text(UnsatisfiableSpec::TaskOverTeamLimit), "one task needs more than the team's limit");
+    assert_eq!(
+        text(UnsatisfiableSpec::GangOverTeamLimit),
+        "all tasks together need more than the team's limit"
+    );
+    assert_eq!(
+        text(UnsatisfiableSpec::SpreadInOneZone),
+        "the tasks can't all be in one zone and at most half of them in each"
+    );
+    assert_eq!(text(UnsatisfiableSpec::NoMachineTypeFits), "no allowed machine type can hold a task");
+}
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -7,7 +7,7 @@
 use super::{World, SIM_START};
 use plankhead_core::effects::StepTime;
 use plankhead_core::protocol::{CloudRequest, KvChange, KvReply, KvRequest};
-use plankhead_fencing::action::Action;
+use plankhead_fencing::action::CloudAction;
 use plankhead_fencing::gate::Basis;
 use serde_json::Value;
 use std::time::{Duration, SystemTime};
@@ -96,7 +96,7 @@
     pub(super) fn count_effects(&mut self, actor: Actor, request: &CloudRequest) {
         let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
-            Action::Rent(rental) => {
+            CloudAction::Rent(rental) => {
                 let done = self.rentals.contains_key(&rental.name);
                 if done {
                     Vec::new()
@@ -104,8 +104,8 @@
                     vec![(rental.name.as_str(), true)]
                 }
             }
-            Action::Return(back) => {
-                let there = back.hosts.iter().filter(|machine| self.workers.contains_key(*machine));
+            CloudAction::Return(back) => {
+                let there = back.machines.iter().filter(|machine| self.workers.contains_key(*machine));
                 there.map(|machine| (machine.as_ref(), false)).collect()
             }
         };
--- a/crates/plankhead-fencing/tests/duties.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -3,12 +3,12 @@
 
 #![allow(clippy::unwrap_used)]
 
-use plankhead_fencing::action::{Action, Rental, Return, ReturnReason};
-use plankhead_fencing::duty::{IdempotencyKey, Intent, State};
+use plankhead_fencing::action::{CloudAction, InstanceReturn, Rental, ReturnReason};
+use plankhead_fencing::errors::{IntentError, IssueError};
 use plankhead_fencing::gate::{Basis, FencingGate, GateError};
-use plankhead_fencing::log::{
-    IntentAdmission, IntentError, IntentLog, IntentPageWrite, IssueError, Limits, WriteOutcome,
-};
+use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
+use plankhead_fencing::intent_log::{IntentAdmission, IntentLog};
+use plankhead_fencing::page_writes::{IntentPageWrite, StoreLimits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId, RecordError};
 use plankhead_fencing::token::{StaleToken, TokenGuard};
 use rand::rngs::StdRng;
@@ -16,15 +16,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const LIMITS: Limits = Limits { value_bytes: 1024, changes: 4, transaction_bytes: 16 * 1024 };
+const LIMITS: StoreLimits = StoreLimits { value_bytes: 1024, changes: 4, transaction_bytes: 16 * 1024 };
 
-fn rental(name: &str, count: u32) -> Action {
+fn rental(name: &str, count: u32) -> CloudAction {
     let (machine_type, zone) = ("g8".into(), "a".into());
-    Action::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
+    CloudAction::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
 }
 
-fn back(hosts: &[&str], cause: ReturnReason) -> Action {
-    Action::Return(Return { hosts: hosts.iter().map(|host| Arc::from(*host)).collect(), cause })
+fn instance_return(hosts: &[&str], cause: ReturnReason) -> CloudAction {
+    CloudAction::Return(InstanceReturn {
+        machines: hosts.iter().map(|host| Arc::from(*host)).collect(),
+        reason: cause,
+    })
 }
 
 fn key(text: &str) -> IdempotencyKey {
@@ -39,7 +42,7 @@
 
 #[test]
 fn only_the_listed_transitions_are_allowed() {
-    use State::*;
+    use IntentState::*;
     let all = [Intended, Recorded, Adopted, Issued, Confirmed, Abandoned];
     let allowed = [
         (Intended, Recorded),
@@ -58,9 +61,9 @@
             assert_eq!(from.may_become(to), allowed.contains(&(from, to)), "{from:?} to {to:?}");
         }
     }
-    let mut duty = Intent::intended(key("k"), 7, rental("r", 1), 0);
-    assert!(duty.transition_to(Confirmed).is_err());
-    assert_eq!(duty.state(), Intended);
+    let mut intent = Intent::intended(key("k"), 7, rental("r", 1), 0);
+    assert!(intent.transition_to(Confirmed).is_err());
+    assert_eq!(intent.state(), Intended);
 }
 
 #[test]
@@ -69,11 +72,11 @@
         rental("r", 1),
         rental("r", 2),
         rental("rg", 1),
-        back(&["a"], ReturnReason::Surplus),
-        back(&["a"], ReturnReason::Reclaim),
-        back(&["a", "b"], ReturnReason::Surplus),
-        back(&["ab"], ReturnReason::Surplus),
-        back(&["b", "a"], ReturnReason::Surplus),
+        instance_return(&["a"], ReturnReason::Surplus),
+        instance_return(&["a"], ReturnReason::Reclaim),
+        instance_return(&["a", "b"], ReturnReason::Surplus),
+        instance_return(&["ab"], ReturnReason::Surplus),
+        instance_return(&["b", "a"], ReturnReason::Surplus),
     ];
     let digests: BTreeSet<String> = different.iter().map(|action| action.digest().to_string()).collect();
     assert_eq!(digests.len(), different.len());
@@ -118,7 +121,7 @@
     let mut gate = FencingGate::fenced(41);
     assert_eq!(gate.pass(rental("r", 3), None), Err(GateError::NoProof));
     let other = gate.pass(rental("r", 3), Some(durable(40))).unwrap_err();
-    assert_eq!(other, GateError::OtherHolder { key: key("r"), given: 40, own: 41 });
+    assert_eq!(other, GateError::OtherToken { key: key("r"), given: 40, own: 41 });
     let changed = gate.pass(rental("r", 4), Some(durable(41))).unwrap_err();
     assert_eq!(changed, GateError::OtherAction { key: key("r") });
     assert_eq!(gate.counts().refused, 3);
@@ -137,7 +140,7 @@
     log.confirm(&key("r")).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused));
     assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
-    assert!(log.intent(&key("r")).is_none(), "a duty that is over began again");
+    assert!(log.intent(&key("r")).is_none(), "an intent that is over began again");
     assert!(log.next_key() != log.next_key());
 }
 
@@ -169,7 +172,7 @@
 fn the_next_holder_finishes_what_was_open() {
     let mut old = IntentLog::new(41, LIMITS);
     old.intend(key("r"), rental("r", 3), 5).unwrap();
-    old.intend(key("b"), back(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
+    old.intend(key("b"), instance_return(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
     let (changes, _) = write(&mut old, WriteOutcome::Committed { revision: 9 });
     let (stored, value) = (changes[0].page.key(), changes[0].value.clone().unwrap());
 
@@ -177,8 +180,8 @@
     assert_eq!(new.inherit(&stored, &value, 9), Vec::new());
     let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
-    assert!(adopted.iter().all(|duty| duty.holder == 41 && duty.state() == State::Adopted));
-    assert!(!new.needs_compaction(), "open duties of a former holder were to be removed");
+    assert!(adopted.iter().all(|intent| intent.token == 41 && intent.state() == IntentState::Adopted));
+    assert!(!new.needs_compaction(), "open intents of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
         assert!(FencingGate::fenced(60).pass(action, Some(proof)).is_ok());
@@ -186,7 +189,7 @@
         new.confirm(&key(name)).unwrap();
     }
     let (changes, _) = write(&mut new, WriteOutcome::Committed { revision: 70 });
-    assert_eq!(changes[0].page, PageId { holder: 41, number: 0 });
+    assert_eq!(changes[0].page, PageId { token: 41, number: 0 });
     assert_eq!((changes[0].expected, &changes[0].value), (9, &None));
 
     // Read once more, since reading failed halfway: nothing is there twice.
@@ -198,14 +201,14 @@
     assert_eq!(again.adopted().count(), 2);
     // A page of a later holder: this one leads no more.
     let later = IntentLog::new(40, LIMITS).inherit(&stored, &value, 9);
-    assert_eq!(later, vec![RecordError::LaterHolder { key: stored }]);
+    assert_eq!(later, vec![RecordError::LaterToken { key: stored }]);
 }
 
 #[test]
 fn only_a_failed_record_compels_and_only_for_reclaims() {
     let mut log = IntentLog::new(41, LIMITS);
-    log.intend(key("reclaim"), back(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
-    log.intend(key("surplus"), back(&["i-2"], ReturnReason::Surplus), 5).unwrap();
+    log.intend(key("reclaim"), instance_return(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
+    log.intend(key("surplus"), instance_return(&["i-2"], ReturnReason::Surplus), 5).unwrap();
     assert!(!log.force_issue(&key("reclaim")), "without an attempt to record it");
     write(&mut log, WriteOutcome::Busy);
     assert!(!log.force_issue(&key("reclaim")), "the state service is only busy");
@@ -224,9 +227,9 @@
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
     let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
     let fits = log.machines_per_return(&hosts, ReturnReason::Surplus);
-    assert!(fits.hosts.len() > 50 && fits.hosts.len() < 100, "{}", fits.hosts.len());
-    log.intend(key("1"), Action::Return(fits), 5).unwrap();
-    let whole = Action::Return(Return { hosts, cause: ReturnReason::Surplus });
+    assert!(fits.machines.len() > 50 && fits.machines.len() < 100, "{}", fits.machines.len());
+    log.intend(key("1"), CloudAction::Return(fits), 5).unwrap();
+    let whole = CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Surplus });
     assert!(matches!(log.intend(key("2"), whole, 5), Err(IntentError::TooLarge { .. })));
     for n in 0..40 {
         log.intend(key(&format!("r{n}")), rental(&format!("r{n}"), 1), 5).unwrap();
@@ -270,9 +273,9 @@
     for name in ["duty/1", "duty/x/0", "duty/1/0/0", "duty/01/0", "duty/-1/0", "other/1/0"] {
         assert_eq!(log.inherit(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
     }
-    // The same duty in two pages: the first counts.
+    // The same intent in two pages: the first counts.
     assert_eq!(log.inherit("duty/1/0", &page, 9), Vec::new());
-    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::Reused { .. }]));
+    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
     assert_eq!(log.adopted().count(), 1);
     // Fields of later versions are passed over.
     let later = page.replace("\"format\":1", "\"format\":1,\"more\":{}");
@@ -320,8 +323,8 @@
         WriteOutcome::Committed { revision: self.revision }
     }
 
-    fn names(&self, duty: &IdempotencyKey) -> bool {
-        self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{duty}\"")))
+    fn names(&self, intent: &IdempotencyKey) -> bool {
+        self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{intent}\"")))
     }
 }
 
@@ -370,13 +373,13 @@
                 if rng.random_range(0..8) == 0 {
                     late.pop().map(|changes| store.apply(&changes));
                 }
-                let open: Vec<IdempotencyKey> = log.open_intents().map(|duty| duty.key.clone()).collect();
-                for duty in open {
-                    if log.issue(&duty).is_ok() {
+                let open: Vec<IdempotencyKey> = log.open_intents().map(|intent| intent.key.clone()).collect();
+                for intent in open {
+                    if log.issue(&intent).is_ok() {
                         issued += 1;
-                        assert!(store.names(&duty), "seed {seed}: {duty} is issued without a record");
+                        assert!(store.names(&intent), "seed {seed}: {intent} is issued without a record");
                         if rng.random_range(0..2) == 0 {
-                            log.confirm(&duty).unwrap();
+                            log.confirm(&intent).unwrap();
                         }
                     }
                 }
