--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -163,7 +163,7 @@
     pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, effects: &mut EffectSink) {
         let Some(heartbeat) = &machine.last_heartbeat else { return };
         self.observe_machine(times, heartbeat, false, effects);
-        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.last_heard_at);
+        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.heartbeat_times.last_heard_at);
         if let Some(own) = self.fleet.machines.get_mut(&heartbeat.machine) {
             own.is_relayed = machine.is_relayed;
         }
@@ -175,8 +175,8 @@
         if !std::mem::replace(&mut machine.confirmed, true) {
             self.placement.request_pass();
         }
-        machine.last_heard_at = machine.last_heard_at.max(heard_at);
-        machine.last_direct_at = machine.last_direct_at.max(heard_at);
+        machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(heard_at);
+        machine.heartbeat_times.last_direct_at = machine.heartbeat_times.last_direct_at.max(heard_at);
         machine.is_relayed = false;
     }
 
