--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -130,8 +130,21 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderCall {
     WatchJobs(KeyWatchCall),
-    SendCommands { machine: MachineName, incarnation: u64, starts: Vec<(TaskId, u64)> },
-    ReportStatus { leader: u64, machines: Vec<MachineName> },
+    SendCommands(SentCommands),
+    /// Tells the leader with this fencing token what is new of these machines.
+    ReportStatus {
+        leader: u64,
+        machines: Vec<MachineName>,
+    },
+}
+
+/// Commands that were sent directly to a worker.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SentCommands {
+    pub machine: MachineName,
+    pub incarnation: u64,
+    /// The tasks that they start, each with its attempt.
+    pub starts: Vec<(TaskId, u64)>,
 }
 
 /// What a leader's call is for.
--- /dev/null
+++ b/crates/plankhead-core/src/holder/held_shards.rs
@@ -0,0 +1,122 @@
+//! The shards that this node holds, by their records and by the leader's messages.
+
+use super::Holder;
+use crate::effects::EffectSink;
+use crate::protocol::{LogLevel, MachineName, WorkerCommand};
+use crate::shards::messages::LeaderCommands;
+use plankhead_sharding::shard::ShardId;
+use plankhead_sharding::table::{KnownRecord, ShardTable};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// How long a holder acts under the records of a former leader while the present one has
+/// not renewed them: it may be of a version that does not know shards.
+const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// A shard that this node holds, as its record says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct HeldShard {
+    pub epoch: u64,
+    /// The fencing token of the leader that named this node.
+    pub term: u64,
+    /// It is to be handed over: nothing is started there.
+    pub releasing: bool,
+}
+
+impl HeldShard {
+    fn of(known: &KnownRecord) -> Self {
+        Self { epoch: known.epoch(), term: known.record.term, releasing: known.record.moving.is_some() }
+    }
+}
+
+/// Which commands for a shard's machines become void.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum VoidCommands {
+    All,
+    Starts,
+}
+
+impl Holder {
+    /// Takes in the records: which shards this node holds, and under which epoch.
+    pub fn apply_records(&mut self, table: &ShardTable, effects: &mut EffectSink) {
+        let (host, boot_id) = (&self.settings.host, self.settings.boot_id);
+        let held: BTreeMap<ShardId, HeldShard> = table
+            .iter()
+            .filter(|(_, known)| known.record.is_held_by(host, boot_id))
+            .map(|(shard, known)| (shard.clone(), HeldShard::of(known)))
+            .collect();
+        self.shards_per_zone =
+            table.iter().map(|(shard, known)| (shard.zone.clone(), known.record.shards)).collect();
+        for (shard, record) in &held {
+            self.apply_held_shard(shard, record, effects);
+        }
+        for shard in self.shards.keys().filter(|shard| !held.contains_key(*shard)) {
+            effects.log(LogLevel::Info, format!("shard given up: shard={shard}"));
+        }
+        let is_foreign = |(_, shard): &(&MachineName, &ShardId)| !held.contains_key(*shard);
+        let foreign_machines: Vec<MachineName> =
+            self.shard_of.iter().filter(is_foreign).map(|(machine, _)| machine.clone()).collect();
+        foreign_machines.iter().for_each(|machine| self.forget(machine));
+        self.commands.retain(|_, commands| held.contains_key(&commands.shard));
+        self.shards = held;
+    }
+
+    fn apply_held_shard(&mut self, shard: &ShardId, record: &HeldShard, effects: &mut EffectSink) {
+        let before = self.shards.get(shard);
+        if before.is_none_or(|before| before.epoch != record.epoch) {
+            effects.log(LogLevel::Info, format!("shard acquired: shard={shard} epoch={}", record.epoch));
+        }
+        // What a former leader commanded is void, and so are starts in a shard that is to be
+        // handed over.
+        let renewed = before.is_some_and(|before| before.term != record.term);
+        if record.releasing {
+            self.drop_commands(shard, VoidCommands::Starts);
+        } else if renewed {
+            self.drop_commands(shard, VoidCommands::All);
+        }
+    }
+
+    fn drop_commands(&mut self, shard: &ShardId, void: VoidCommands) {
+        for commands in self.commands.values_mut().filter(|commands| commands.shard == *shard) {
+            commands.pending.retain(|command| {
+                void == VoidCommands::Starts && !matches!(command, WorkerCommand::Run { .. })
+            });
+        }
+    }
+
+    /// Notes shards that the leader has given to other nodes since. Their records say so, too;
+    /// a node that can't read them must stop acting all the same.
+    pub(super) fn drop_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
+        let is_listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
+        let superseded: Vec<(ShardId, u64)> = self
+            .shards
+            .iter()
+            .filter(|(shard, held)| held.epoch < message.latest_epoch && !is_listed(shard, held.epoch))
+            .map(|(shard, held)| (shard.clone(), held.epoch))
+            .collect();
+        for (shard, epoch) in superseded {
+            if self.superseded.insert(shard.clone(), epoch) != Some(epoch) {
+                let text = format!("shard superseded: shard={shard} epoch={epoch} leader={}", message.host);
+                effects.log(LogLevel::Info, text);
+            }
+        }
+    }
+
+    /// The epoch under which this node acts for a shard, if it may.
+    pub fn epoch(&self, shard: &ShardId, now: Duration) -> Option<u64> {
+        let held = self.shards.get(shard)?;
+        if self.superseded.get(shard).is_some_and(|epoch| held.epoch <= *epoch) {
+            return None;
+        }
+        let is_current = self.leader.as_ref().is_none_or(|leader| {
+            let renewed = held.term >= leader.token;
+            renewed || !leader.unsupported && now.saturating_sub(leader.known_since) < FORMER_TERM_TIMEOUT
+        });
+        is_current.then_some(held.epoch)
+    }
+
+    /// Into how many shards a zone is divided, by the records.
+    pub(super) fn shards_of_zone(&self, zone: &str) -> u32 {
+        self.shards_per_zone.get(zone).copied().unwrap_or(1)
+    }
+}
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -1,4 +1,4 @@
-//! A holder's own sight of the jobs: which of them were cancelled, and as of when it knows.
+//! What a holder itself reads of the jobs: which were cancelled, and as of when it knows.
 
 use crate::calls::{CallPurpose, HolderCall, KeyWatchCall};
 use crate::effects::EffectSink;
@@ -12,7 +12,7 @@
 const PREFIX: &str = "job/";
 /// How long the watch waits; its return proves that no cancellation up to its start is
 /// unseen.
-const WATCH: Duration = Duration::from_secs(1);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The jobs that were cancelled and are not yet over for the leader.
 #[derive(Debug)]
@@ -26,17 +26,18 @@
 pub struct JobUpdate {
     /// Jobs were cancelled.
     pub cancelled: bool,
-    /// Jobs of which nothing is to be started any more, whatever was ordered.
+    /// Jobs of which nothing is to be started any more, whatever was commanded.
     pub ended: BTreeSet<JobId>,
 }
 
 impl Default for JobWatch {
     fn default() -> Self {
-        Self { watch: KeyWatch::new(PREFIX, WATCH), cancelled: BTreeSet::new() }
+        Self { watch: KeyWatch::new(PREFIX, WATCH_TIMEOUT), cancelled: BTreeSet::new() }
     }
 }
 
 impl JobWatch {
+    /// Whether the job was cancelled, and its record is still there.
     pub fn is_cancelled(&self, job: &JobId) -> bool {
         self.cancelled.contains(job)
     }
@@ -46,18 +47,20 @@
         self.watch.synced_at
     }
 
-    /// Whether the jobs are being read for the first time, and nothing says that they can't.
+    /// Whether the jobs are being read for the first time, and no read has failed so far.
     pub fn is_loading(&self) -> bool {
         self.watch.is_loading()
     }
 
+    /// When [`JobWatch::tick`] has a call next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
         self.watch.next_due()
     }
 
+    /// Makes the next call, if one is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
-        if let Some((step, op)) = self.watch.tick(now) {
-            effects.call_kv(CallPurpose::Holder(HolderCall::WatchJobs(step)), op);
+        if let Some((call, request)) = self.watch.tick(now) {
+            effects.call_kv(CallPurpose::Holder(HolderCall::WatchJobs(call)), request);
         }
     }
 
@@ -65,46 +68,48 @@
     pub fn reply(
         &mut self,
         now: Duration,
-        step: KeyWatchCall,
+        call: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
     ) -> JobUpdate {
-        let mut news = JobUpdate::default();
-        match self.watch.reply(now, step, reply) {
-            KeyUpdate::Page { rows, .. } => rows.iter().for_each(|row| self.row(row, requests, &mut news)),
+        let mut update = JobUpdate::default();
+        match self.watch.reply(now, call, reply) {
+            KeyUpdate::Page { rows, .. } => {
+                rows.iter().for_each(|row| self.apply_record(row, requests, &mut update))
+            }
             KeyUpdate::Events(events) => {
-                events.into_iter().for_each(|event| self.event(event, requests, &mut news));
+                events.into_iter().for_each(|event| self.apply_event(event, requests, &mut update));
             }
             KeyUpdate::Failed => {}
         }
-        news
+        update
     }
 
-    fn event(&mut self, event: WatchEvent, requests: &mut RequestHandler, news: &mut JobUpdate) {
+    fn apply_event(&mut self, event: WatchEvent, requests: &mut RequestHandler, update: &mut JobUpdate) {
         match event {
-            WatchEvent::Put(row) => self.row(&row, requests, news),
-            // Its leader has seen all of it gone.
+            WatchEvent::Put(row) => self.apply_record(&row, requests, update),
+            // The leader has archived it, once none of its tasks was left.
             WatchEvent::Delete { key, .. } => {
                 if let Some(id) = job_of(&key) {
                     self.cancelled.remove(&id);
-                    news.ended.insert(id);
+                    update.ended.insert(id);
                 }
             }
         }
     }
 
-    fn row(&mut self, row: &KeyValue, requests: &mut RequestHandler, news: &mut JobUpdate) {
+    fn apply_record(&mut self, row: &KeyValue, requests: &mut RequestHandler, update: &mut JobUpdate) {
         let Some(id) = job_of(&row.key) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
             JobPhase::Active => {}
             JobPhase::Done => {
                 requests.record_ended(&id, JobStatus::Done, record.tasks);
-                news.ended.insert(id);
+                update.ended.insert(id);
             }
             JobPhase::Cancelled => {
                 requests.record_ended(&id, JobStatus::Cancelled, 0);
-                news.cancelled |= self.cancelled.insert(id);
+                update.cancelled |= self.cancelled.insert(id);
             }
         }
     }
--- /dev/null
+++ b/crates/plankhead-core/src/holder/leader_messages.rs
@@ -0,0 +1,108 @@
+//! Messages of the leader: which a holder accepts, and what it takes from them.
+
+use super::commands::PendingCommands;
+use super::{Holder, HolderEvidence, ShardEpoch};
+use crate::effects::EffectSink;
+use crate::leadership::LeaderId;
+use crate::protocol::Heartbeat;
+use crate::shards::messages::{LeaderCommands, MachineCommands};
+use plankhead_sharding::shard::ShardId;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// A leader's message must acknowledge a status that was sent within this time: otherwise it
+/// may have been held up for minutes.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(3);
+
+impl Holder {
+    /// Takes in the leader's commands; false: the message is not meant for this node, or is
+    /// out of date.
+    pub fn handle_leader_commands(
+        &mut self,
+        now: Duration,
+        message: LeaderCommands,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
+    ) -> bool {
+        let message_id = (message.token, message.stamp.sequence);
+        if self.is_out_of_date(&message, now) || message_id <= self.latest_leader_message {
+            self.refused += 1;
+            return false;
+        }
+        let leader = LeaderId { token: message.token, host: message.host.clone() };
+        self.set_leader(Some(leader), now);
+        self.drop_superseded_shards(&message, effects);
+        if !self.holds_all(&message) {
+            self.refused += 1;
+            return false;
+        }
+        self.latest_leader_message = message_id;
+        message.removed.iter().for_each(|machine| self.forget(machine));
+        let named_shards: BTreeSet<&ShardId> = message.shards.iter().map(|(shard, _)| shard).collect();
+        for heartbeat in &message.snapshot {
+            self.observe_snapshot(now, heartbeat, &named_shards);
+        }
+        for commands in message.machines {
+            // A machine may not have been heard here yet: its commands wait for its heartbeat.
+            let Some((shard, _)) = message.shards.get(commands.shard) else {
+                self.refused += 1;
+                continue;
+            };
+            self.replace_commands(now, shard, commands, evidence, effects);
+        }
+        true
+    }
+
+    fn is_out_of_date(&self, message: &LeaderCommands, now: Duration) -> bool {
+        let known_token = self.leader.as_ref().map_or(0, |leader| leader.token);
+        let sent_at = self.status.sent_at(message.acknowledged);
+        let is_late = sent_at.is_none_or(|at| now.saturating_sub(at) > ACKNOWLEDGEMENT_TIMEOUT);
+        is_late || message.token < known_token
+    }
+
+    /// Whether this node holds all shards that the message names, as the message has them: it
+    /// may not have read a record yet, or another record may have replaced one.
+    fn holds_all(&self, message: &LeaderCommands) -> bool {
+        message.shards.iter().all(|(shard, epoch)| {
+            let held = self.shards.get(shard);
+            held.is_some_and(|held| held.epoch == *epoch && held.term == message.token)
+        })
+    }
+
+    fn replace_commands(
+        &mut self,
+        now: Duration,
+        shard: &ShardId,
+        message: MachineCommands,
+        evidence: HolderEvidence,
+        effects: &mut EffectSink,
+    ) {
+        let MachineCommands { machine, incarnation, commands, .. } = message;
+        let known =
+            self.commands.entry(machine.clone()).or_insert_with(|| PendingCommands::new(shard, incarnation));
+        if known.incarnation != incarnation || known.shard != *shard {
+            *known = PendingCommands::new(shard, incarnation);
+        }
+        known.pending = commands;
+        self.send_commands(now, &machine, evidence, effects);
+    }
+
+    /// Takes in what the leader knows of a machine in a shard that came to this node: enough
+    /// to send commands, and no evidence that the machine is alive.
+    fn observe_snapshot(&mut self, now: Duration, heartbeat: &Heartbeat, named_shards: &BTreeSet<&ShardId>) {
+        let is_known = self.fleet.machines.contains_key(&heartbeat.machine);
+        let is_of_shard = |shard: &&&ShardId| {
+            self.shards.contains_key(**shard)
+                && *shard.zone == *heartbeat.zone
+                && ShardId::of(&heartbeat.zone, &heartbeat.machine, self.shards_of_zone(&shard.zone))
+                    == ***shard
+        };
+        let shard = named_shards.iter().find(is_of_shard).copied();
+        if let Some(shard) = shard.filter(|_| !is_known) {
+            let epoch = self.shards.get(shard).map_or(0, |held| held.epoch);
+            let shard_epoch = ShardEpoch { shard: shard.clone(), epoch };
+            self.observe_machine(now, heartbeat, shard_epoch, false);
+            self.status.unreported.remove(&heartbeat.machine);
+        }
+    }
+}
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -1,150 +1,237 @@
-//! What a holder tells the leader.
+//! A holder's status messages to the leader.
 
-use super::{Holder, HolderEvidence, KnownLeader, MAX_SENT};
+use super::{Holder, HolderEvidence, KnownLeader};
 use crate::calls::{CallPurpose, HolderCall};
 use crate::effects::EffectSink;
-use crate::fleet::RemovalReason;
+use crate::fleet::{Machine, RemovalReason};
 use crate::protocol::MachineName;
 use crate::shards::messages::{
     Delivery, HolderStatus, MachineUpdate, ShardHolding, ShardMessage, MAX_MACHINES, MAX_TASKS,
 };
+use plankhead_sharding::alive::Numbers;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use roaring::RoaringBitmap;
+use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
 /// Between two messages without news.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
 /// Until a message is repeated that did not arrive.
-const RETRY: Duration = Duration::from_millis(250);
-/// A holder that has not seen the records for so long would not notice that a shard was
-/// taken from it.
-const RECORDS_SEEN: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// A holder that last read the records longer ago would not notice that a shard was taken
+/// from it.
+const MAX_RECORDS_AGE: Duration = Duration::from_secs(5);
+/// Messages whose time of sending is remembered.
+const MAX_SENT_MESSAGES: usize = 64;
+
+/// When a message was sent.
+#[derive(Debug)]
+struct SentMessage {
+    sequence: u64,
+    sent_at: Duration,
+}
+
+/// The stream of status messages to one leader: what it has been told, and what it has not.
+#[derive(Debug, Default)]
+pub(super) struct StatusStream {
+    /// Machines of whose latest heartbeat the leader has not been told.
+    pub unreported: BTreeSet<MachineName>,
+    /// Machines heard with nothing new since the last message, and since when.
+    pub alive: BTreeSet<MachineName>,
+    alive_since: Duration,
+    /// Short numbers for machines, new ones in each stream.
+    numbers: Numbers,
+    /// Tells one numbering from another.
+    stream: u64,
+    /// The leader has accepted the first message of the stream.
+    begun: bool,
+    sequence: u64,
+    sent_messages: VecDeque<SentMessage>,
+    in_flight: bool,
+    last_sent_at: Duration,
+    next_at: Duration,
+}
+
+impl StatusStream {
+    /// Begins a new stream, in which the leader is told of all these machines.
+    pub fn restart(&mut self, machines: impl Iterator<Item = MachineName>) {
+        self.stream += 1;
+        self.begun = false;
+        self.numbers = Numbers::default();
+        self.alive.clear();
+        self.unreported = machines.collect();
+    }
+
+    /// The next message is due at once.
+    pub fn send_now(&mut self, now: Duration) {
+        self.next_at = now;
+    }
+
+    /// When the next message is due, unless one is in flight.
+    pub fn next_due(&self) -> Option<Duration> {
+        (!self.in_flight).then_some(self.next_at)
+    }
+
+    pub fn record_alive(&mut self, machine: &MachineName, now: Duration) {
+        if self.alive.is_empty() {
+            self.alive_since = now;
+        }
+        self.alive.insert(machine.clone());
+    }
+
+    pub fn forget(&mut self, machine: &MachineName) {
+        self.unreported.remove(machine);
+        self.alive.remove(machine);
+    }
+
+    /// When the message with this number was sent, if that is not long ago.
+    pub fn sent_at(&self, sequence: u64) -> Option<Duration> {
+        let sent = self.sent_messages.iter().find(|sent| sent.sequence == sequence);
+        sent.map(|sent| sent.sent_at)
+    }
+
+    fn record_sent(&mut self, now: Duration) {
+        self.sequence += 1;
+        self.in_flight = true;
+        self.sent_messages.push_back(SentMessage { sequence: self.sequence, sent_at: now });
+        if self.sent_messages.len() > MAX_SENT_MESSAGES {
+            self.sent_messages.pop_front();
+        }
+        self.last_sent_at = now;
+    }
+}
 
 impl Holder {
-    /// Sends the next message, if one is due and none is under way.
+    /// Sends the next message, if one is due and none is in flight.
     pub(super) fn send_status(&mut self, now: Duration, evidence: HolderEvidence, effects: &mut EffectSink) {
-        if self.status_in_flight || now < self.next_status_at {
+        if self.status.in_flight || now < self.status.next_at {
             return;
         }
         let Some(KnownLeader { host: leader, token, .. }) = self.leader.clone() else {
-            self.next_status_at = now + HEARTBEAT;
+            self.status.next_at = now + STATUS_INTERVAL;
             return;
         };
-        let news = self.take_unreported(now);
-        let machines: Vec<MachineName> = news.iter().map(|news| news.heartbeat.machine.clone()).collect();
-        let alive = std::mem::take(&mut self.alive);
-        let numbers: RoaringBitmap = alive.iter().filter_map(|host| self.numbers.get(host)).collect();
-        self.sequence += 1;
-        self.status_in_flight = true;
-        self.sent_messages.push_back((self.sequence, now));
-        if self.sent_messages.len() > MAX_SENT {
-            self.sent_messages.pop_front();
-        }
-        self.status_sent_at = now;
-        let heartbeat = HolderStatus {
+        let updates = self.take_unreported(now);
+        let machines: Vec<MachineName> =
+            updates.iter().map(|update| update.heartbeat.machine.clone()).collect();
+        let alive = std::mem::take(&mut self.status.alive);
+        let alive: RoaringBitmap =
+            alive.iter().filter_map(|machine| self.status.numbers.get(machine)).collect();
+        self.status.record_sent(now);
+        let message = HolderStatus {
             host: self.settings.host.clone(),
-            stamp: MessageStamp { boot: self.settings.boot_id, sequence: self.sequence },
+            stamp: MessageStamp { boot: self.settings.boot_id, sequence: self.status.sequence },
             zone: self.settings.zone.clone(),
             term: token,
             sees_records: !evidence.kv_failing
-                && evidence.records_synced_at.is_some_and(|at| now.saturating_sub(at) < RECORDS_SEEN),
+                && evidence.records_synced_at.is_some_and(|at| now.saturating_sub(at) < MAX_RECORDS_AGE),
             shards: self.shard_holdings(now),
-            stream: self.stream,
-            first: !self.stream_begun,
-            updates: news,
-            alive: numbers,
-            alive_age: now.saturating_sub(self.alive_since),
+            stream: self.status.stream,
+            first: !self.status.begun,
+            updates,
+            alive,
+            alive_age: now.saturating_sub(self.status.alive_since),
         };
         let call = HolderCall::ReportStatus { leader: token, machines };
-        effects.send_shard_message(
-            CallPurpose::Holder(call),
-            leader,
-            ShardMessage::HolderStatus(Box::new(heartbeat)),
-        );
+        let message = ShardMessage::HolderStatus(Box::new(message));
+        effects.send_shard_message(CallPurpose::Holder(call), leader, message);
     }
 
     fn shard_holdings(&self, now: Duration) -> Vec<ShardHolding> {
-        let untold =
-            |shard: &ShardId| self.unreported.iter().any(|host| self.shard_of.get(host) == Some(shard));
+        let any_releasing = self.shards.values().any(|held| held.releasing);
+        let unreported_shards: HashSet<&ShardId> = if any_releasing {
+            self.status.unreported.iter().filter_map(|machine| self.shard_of.get(machine)).collect()
+        } else {
+            HashSet::new()
+        };
         let held = self.shards.iter().filter(|(shard, _)| self.epoch(shard, now).is_some());
-        let told = held.map(|(shard, held)| ShardHolding {
+        let holdings = held.map(|(shard, held)| ShardHolding {
             shard: shard.clone(),
             epoch: held.epoch,
-            released: held.releasing && !untold(shard),
+            released: held.releasing && !unreported_shards.contains(shard),
         });
-        told.collect()
+        holdings.collect()
     }
 
+    /// The next machines that the leader is told of; none if the numbers are used up, which
+    /// restarts the stream.
     fn take_unreported(&mut self, now: Duration) -> Vec<MachineUpdate> {
-        let hosts: Vec<MachineName> = self.unreported.iter().take(MAX_MACHINES).cloned().collect();
-        let mut told: Vec<MachineUpdate> = Vec::with_capacity(hosts.len());
+        let machines: Vec<MachineName> = self.status.unreported.iter().take(MAX_MACHINES).cloned().collect();
+        let mut updates: Vec<MachineUpdate> = Vec::with_capacity(machines.len());
         let mut tasks = 0;
-        for host in hosts {
+        for machine in machines {
             if tasks > MAX_TASKS {
                 break;
             }
-            self.unreported.remove(&host);
-            self.alive.remove(&host);
-            let Some(number) = self.numbers.assign(&host) else {
+            self.status.forget(&machine);
+            let Some(number) = self.status.numbers.assign(&machine) else {
                 self.restart_stream();
                 return Vec::new();
             };
-            let Some(machine) = self.fleet.machines.get(&host) else { continue };
-            let Some(heartbeat) = &machine.last_heartbeat else { continue };
-            tasks += heartbeat.tasks.len();
-            told.push(MachineUpdate {
-                number,
-                heartbeat: heartbeat.clone(),
-                confirmed: machine.confirmed,
-                ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
-                unanswered_commands: machine.unanswered_commands,
-                age: now.saturating_sub(machine.last_heard_at),
-            });
+            let machine = self.fleet.machines.get(&machine);
+            let Some(update) = machine.and_then(|machine| machine_update(machine, number, now)) else {
+                continue;
+            };
+            tasks += update.heartbeat.tasks.len();
+            updates.push(update);
         }
-        told
+        updates
+    }
+
+    /// Tells the leader of all machines anew, under new numbers.
+    pub(super) fn restart_stream(&mut self) {
+        self.status.restart(self.fleet.machines.keys().cloned());
     }
 
-    /// What became of a message.
+    /// Handles what became of a message to the leader with this fencing token.
     pub fn status_delivered(
         &mut self,
         now: Duration,
-        leader: u64,
+        token: u64,
         machines: Vec<MachineName>,
         delivery: Delivery,
     ) {
-        self.status_in_flight = false;
-        let known = self.leader.as_mut().filter(|known| known.token == leader);
-        // Of an earlier leader, which all machines are told of anew since.
-        let Some(known) = known else { return };
-        known.unsupported = delivery == Delivery::Unsupported;
-        if delivery == Delivery::FullSyncNeeded {
-            self.restart_stream();
-            self.next_status_at = now;
-            return;
-        }
-        if delivery == Delivery::Accepted {
-            self.stream_begun = true;
-            self.next_status_at = now + HEARTBEAT;
-            self.send_news_soon(now);
-            return;
+        self.status.in_flight = false;
+        // A later leader is told of all machines anyway.
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else { return };
+        leader.unsupported = delivery == Delivery::Unsupported;
+        match delivery {
+            Delivery::FullSyncNeeded => {
+                self.restart_stream();
+                self.status.next_at = now;
+            }
+            Delivery::Accepted => {
+                self.status.begun = true;
+                self.status.next_at = now + STATUS_INTERVAL;
+                self.send_news_soon(now);
+            }
+            Delivery::Rejected | Delivery::Unsupported | Delivery::NoResponse => {
+                let known = machines.into_iter().filter(|machine| self.fleet.machines.contains_key(machine));
+                self.status.unreported.extend(known);
+                self.status.next_at = now + RETRY_INTERVAL;
+            }
         }
-        let there = machines.into_iter().filter(|host| self.fleet.machines.contains_key(host));
-        self.unreported.extend(there);
-        self.next_status_at = now + RETRY;
     }
 
-    /// News has come: the next message need not wait for the heartbeat.
+    /// Where there is news, the next message need not wait for the interval.
     pub fn send_news_soon(&mut self, now: Duration) {
-        if !self.unreported.is_empty() && !self.status_in_flight {
-            self.next_status_at = self
-                .next_status_at
-                .min(now.max(self.status_sent_at + self.settings.shard_message_interval()));
+        let status = &mut self.status;
+        if !status.unreported.is_empty() && !status.in_flight {
+            let earliest = status.last_sent_at + self.settings.shard_message_interval();
+            status.next_at = status.next_at.min(now.max(earliest));
         }
     }
+}
 
-    /// How many shards a zone has, by the shards that this node holds.
-    pub(super) fn shards_of_zone(&self, zone: &str) -> u32 {
-        self.shards_per_zone.get(zone).copied().unwrap_or(1)
-    }
+fn machine_update(machine: &Machine, number: u32, now: Duration) -> Option<MachineUpdate> {
+    let heartbeat = machine.last_heartbeat.as_ref()?;
+    Some(MachineUpdate {
+        number,
+        heartbeat: heartbeat.clone(),
+        confirmed: machine.confirmed,
+        ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
+        unanswered_commands: machine.unanswered_commands,
+        age: now.saturating_sub(machine.last_heard_at),
+    })
 }
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use crate::calls::{HolderCall, KeyWatchCall};
 use crate::effects::StepTime;
-use crate::holder::{Holder, HolderEvidence, SentCommands, ShardEpoch};
+use crate::holder::{Holder, HolderEvidence, ShardEpoch};
 use crate::leadership::LeaderId;
 use crate::protocol::{CallError, CommandReply, Heartbeat, KvReply, LogLevel};
 use crate::settings::Settings;
@@ -153,13 +153,8 @@
 
     pub(super) fn holder_command_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
         let evidence = self.holder_evidence(now);
-        let (Some(sharding), HolderCall::SendCommands { machine, incarnation, starts }) =
-            (&mut self.sharding, call)
-        else {
-            return;
-        };
+        let (Some(sharding), HolderCall::SendCommands(sent)) = (&mut self.sharding, call) else { return };
         if self.leader.is_none() {
-            let sent = SentCommands { machine, incarnation, starts };
             sharding.holder.command_reply(now, sent, reply, evidence, &mut self.effects);
         }
     }
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -8,12 +8,13 @@
 use plankhead_sharding::table::ShardTable;
 use std::time::Duration;
 
-/// How long a watch waits: the sight of the records is up to twice as old.
-const WATCH: Duration = Duration::from_millis(1500);
+/// How long a watch waits: what is known of the records is up to twice as old.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Reads the records, and keeps what they say.
 #[derive(Debug)]
 pub struct RecordWatch {
+    /// The records as they were last read.
     pub table: ShardTable,
     watch: KeyWatch,
     /// Keys of a list that has more pages.
@@ -22,7 +23,11 @@
 
 impl Default for RecordWatch {
     fn default() -> Self {
-        Self { table: ShardTable::default(), watch: KeyWatch::new(PREFIX, WATCH), listed_keys: Vec::new() }
+        Self {
+            table: ShardTable::default(),
+            watch: KeyWatch::new(PREFIX, WATCH_TIMEOUT),
+            listed_keys: Vec::new(),
+        }
     }
 }
 
@@ -32,13 +37,15 @@
         self.watch.synced_at
     }
 
+    /// When [`RecordWatch::tick`] has a call next, unless a reply comes before.
     pub fn next_due(&self) -> Option<Duration> {
         self.watch.next_due()
     }
 
+    /// Makes the next call, if one is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
-        if let Some((step, op)) = self.watch.tick(now) {
-            effects.call_kv(CallPurpose::ShardRecords(step), op);
+        if let Some((call, request)) = self.watch.tick(now) {
+            effects.call_kv(CallPurpose::ShardRecords(call), request);
         }
     }
 
@@ -46,23 +53,23 @@
     pub fn reply(
         &mut self,
         now: Duration,
-        step: KeyWatchCall,
+        call: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> bool {
-        match self.watch.reply(now, step, reply) {
+        match self.watch.reply(now, call, reply) {
             KeyUpdate::Page { rows, complete } => {
                 self.listed_keys.extend(rows.iter().map(|row| row.key.clone()));
-                rows.iter().for_each(|row| self.write(row, effects));
+                rows.iter().for_each(|row| self.apply_record(row, effects));
                 if complete {
                     self.table.retain_keys(&std::mem::take(&mut self.listed_keys));
                 }
                 complete
             }
             KeyUpdate::Events(events) => {
-                let news = !events.is_empty();
-                events.into_iter().for_each(|event| self.event(event, effects));
-                news
+                let changed = !events.is_empty();
+                events.into_iter().for_each(|event| self.apply_event(event, effects));
+                changed
             }
             KeyUpdate::Failed => {
                 self.listed_keys.clear();
@@ -71,16 +78,16 @@
         }
     }
 
-    fn event(&mut self, event: WatchEvent, effects: &mut EffectSink) {
+    fn apply_event(&mut self, event: WatchEvent, effects: &mut EffectSink) {
         match event {
-            WatchEvent::Put(row) => self.write(&row, effects),
+            WatchEvent::Put(row) => self.apply_record(&row, effects),
             WatchEvent::Delete { key, revision: mod_revision } => self.table.remove(&key, mod_revision),
         }
     }
 
-    fn write(&mut self, row: &KeyValue, effects: &mut EffectSink) {
+    fn apply_record(&mut self, row: &KeyValue, effects: &mut EffectSink) {
         if let Err(fault) = self.table.write(&row.key, &row.value, row.mod_revision) {
-            effects.log(LogLevel::Error, format!("the record {} is left alone: {fault}", row.key));
+            effects.log(LogLevel::Error, format!("shard record ignored: key={} reason=\"{fault}\"", row.key));
         }
     }
 }
