--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -8,7 +8,7 @@
 use crate::shards::messages::{
     Delivery, HolderStatus, MachineUpdate, ShardHolding, ShardMessage, MAX_MACHINES, MAX_TASKS,
 };
-use plankhead_sharding::alive::Numbers;
+use plankhead_sharding::machine_numbers::MachineNumbers;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use roaring::RoaringBitmap;
@@ -41,7 +41,7 @@
     pub alive: BTreeSet<MachineName>,
     alive_since: Duration,
     /// Short numbers for machines, new ones in each stream.
-    numbers: Numbers,
+    numbers: MachineNumbers,
     /// Tells one numbering from another.
     stream: u64,
     /// The leader has accepted the first message of the stream.
@@ -58,7 +58,7 @@
     pub fn restart(&mut self, machines: impl Iterator<Item = MachineName>) {
         self.stream += 1;
         self.begun = false;
-        self.numbers = Numbers::default();
+        self.numbers = MachineNumbers::default();
         self.alive.clear();
         self.unreported = machines.collect();
     }
@@ -231,7 +231,7 @@
         heartbeat: heartbeat.clone(),
         confirmed: machine.confirmed,
         ignores_commands: machine.removal == Some(RemovalReason::IgnoresCommands),
-        unanswered_commands: machine.unanswered_commands,
+        unanswered_commands: machine.commands.unanswered,
         age: now.saturating_sub(machine.last_heard_at),
     })
 }
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -5,7 +5,7 @@
 use crate::effects::EffectSink;
 use crate::leadership::LeaderId;
 use crate::protocol::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, LogLevel, WatchEvent};
-use plankhead_reachability::handover::HOLD_BACK;
+use plankhead_reachability::handover::SUCCESSOR_HEADSTART;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
     /// Until when a vacant key is left to peers.
     fn deferred_until(&self) -> Option<Duration> {
         match self.key {
-            KeyState::Vacant { since } if self.defers_to_peers => Some(since + HOLD_BACK),
+            KeyState::Vacant { since } if self.defers_to_peers => Some(since + SUCCESSOR_HEADSTART),
             _ => None,
         }
     }
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -8,12 +8,12 @@
 /// The link that a request to the state service uses.
 fn kv_link(request: &KvRequest) -> LinkId {
     match request {
-        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::StateReads,
+        KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::KvReads,
         KvRequest::Txn { .. } | KvRequest::GrantLease { .. } | KvRequest::RevokeLease { .. } => {
-            LinkId::StateWrites
+            LinkId::KvWrites
         }
-        KvRequest::RenewLease { .. } => LinkId::StateRenewal,
-        KvRequest::Watch { .. } => LinkId::StateWatch,
+        KvRequest::RenewLease { .. } => LinkId::KvLeaseRenewal,
+        KvRequest::Watch { .. } => LinkId::KvWatch,
     }
 }
 
@@ -29,7 +29,7 @@
             };
             self.links_of_calls.insert(call, link);
             // A watch waits by its nature, and a machine that hangs is no link's fault.
-            if !matches!(link, LinkId::StateWatch | LinkId::Commands) {
+            if !matches!(link, LinkId::KvWatch | LinkId::Commands) {
                 self.monitor.sent(link, call, now);
             }
         }
@@ -81,8 +81,8 @@
     /// the answer.
     pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
         match shown {
-            true => self.monitor.confirmed(LinkId::Answers, now),
-            false => self.monitor.failed(LinkId::Answers, now),
+            true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
+            false => self.monitor.failed(LinkId::HeartbeatReplies, now),
         }
     }
 
@@ -108,7 +108,7 @@
 
     /// This node no longer leads: nothing uses the links of a leader any more.
     pub fn leadership_lost(&mut self) {
-        self.monitor.forget_link(LinkId::StateRenewal);
-        self.monitor.forget_link(LinkId::Answers);
+        self.monitor.forget_link(LinkId::KvLeaseRenewal);
+        self.monitor.forget_link(LinkId::HeartbeatReplies);
     }
 }
