--- a/crates/plankhead-core/src/effects.rs
+++ b/crates/plankhead-core/src/effects.rs
@@ -1,4 +1,5 @@
-//! What one step of a node decides to do: effects, and the purposes of the calls among them.
+//! What one step of a node decides to do: effects, and the purposes of the calls among them;
+//! and the time of the step.
 
 use crate::calls::CallPurpose;
 use crate::protocol::{
@@ -9,9 +10,11 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Collects effects and remembers what replies are for.
+/// Collects the effects of a step, in the order in which they were decided on, and remembers
+/// what the replies to calls are for.
 #[derive(Debug, Default)]
 pub struct EffectSink {
+    /// The effects of the present step so far.
     pub queued: Vec<Effect>,
     pub(crate) calls_in_flight: HashMap<CallId, CallPurpose>,
     last_call: CallId,
@@ -24,16 +27,20 @@
         self.last_call
     }
 
-    pub fn call_kv(&mut self, purpose: CallPurpose, op: KvRequest) {
+    /// Calls the state service.
+    pub fn call_kv(&mut self, purpose: CallPurpose, request: KvRequest) {
         let call = self.call(purpose);
-        self.queued.push(Effect::CallKv { call, request: op });
+        self.queued.push(Effect::CallKv { call, request });
     }
 
-    pub fn call_cloud(&mut self, purpose: CallPurpose, op: CloudRequest) {
+    /// Calls the cloud.
+    pub fn call_cloud(&mut self, purpose: CallPurpose, request: CloudRequest) {
         let call = self.call(purpose);
-        self.queued.push(Effect::CallCloud { call, request: op });
+        self.queued.push(Effect::CallCloud { call, request });
     }
 
+    /// Sends commands directly to a worker, for this incarnation of it, under a fencing token
+    /// or a shard's epoch.
     pub fn send_commands(
         &mut self,
         purpose: CallPurpose,
@@ -46,35 +53,41 @@
         self.queued.push(Effect::SendCommands { call, address, token, incarnation, commands });
     }
 
+    /// Sends a peer a message about shards.
     pub fn send_shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
         let call = self.call(purpose);
         self.queued.push(Effect::SendShardMessage { call, to, message });
     }
 
-    pub fn respond(&mut self, request: RequestId, answer: Response) {
-        self.queued.push(Effect::Respond { request, response: answer });
+    /// Answers a request.
+    pub fn respond(&mut self, request: RequestId, response: Response) {
+        self.queued.push(Effect::Respond { request, response });
     }
 
+    /// Writes a line to the log.
     pub fn log(&mut self, level: LogLevel, text: String) {
         self.queued.push(Effect::Log(level, text));
     }
 }
 
-/// The times at which a batch is handled: the steady clock and the time of day.
+/// The time of a step, on the steady clock and on the wall clock.
 #[derive(Debug, Clone, Copy)]
 pub struct StepTime {
-    /// On a clock that starts well above zero.
+    /// On the steady clock, which starts well above zero.
     pub now: Duration,
+    /// On the wall clock, which may be set to any time.
     pub wall: SystemTime,
 }
 
 impl StepTime {
+    /// Milliseconds since 1970 on the wall clock.
     pub fn wall_ms(&self) -> u64 {
         let since = self.wall.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         since.as_millis() as u64
     }
 
-    /// When that time of day was, on the steady clock.
+    /// The time on the steady clock of a time on the wall clock, in milliseconds since 1970;
+    /// now if that is still to come.
     pub fn monotonic_of(&self, ms: u64) -> Duration {
         let wall = self.wall_ms();
         if ms >= wall {
--- a/crates/plankhead-core/src/fleet/response_tracking.rs
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -1,6 +1,6 @@
 //! Responses to a worker's heartbeats, and whether the worker acts on them.
 
-use crate::protocol::{Heartbeat, TaskId, TaskStatus, WorkerCommand};
+use crate::protocol::{EffectKind, ExpectedEffect, Heartbeat, ReportedTask, TaskStatus, WorkerCommand};
 use std::time::Duration;
 
 /// A lease that expires this soon after a response was not renewed by it: the response did not
@@ -14,9 +14,9 @@
 pub struct ResponseTracking {
     /// When a heartbeat was last answered after the machine was confirmed.
     pub answered_at: Option<Duration>,
-    /// What the next heartbeat must show, as (task, attempt, whether it is a start): the starts
-    /// and stops in the latest response.
-    pub expected_effects: Vec<(TaskId, u64, bool)>,
+    /// What the next heartbeat must show: the effects of the starts and kills in the latest
+    /// response.
+    pub expected_effects: Vec<ExpectedEffect>,
     ignored_in_a_row: u32,
 }
 
@@ -58,12 +58,13 @@
     /// Whether the heartbeat shows at least one of the commands in the latest response,
     /// if there were any.
     fn shows_expected_effect(&self, heartbeat: &Heartbeat) -> bool {
-        let is_shown = |(task, attempt, is_start): &(TaskId, u64, bool)| {
-            let listed = heartbeat.tasks.iter().find(|l| l.task == *task && l.attempt == *attempt);
-            match listed.map(|l| l.status) {
+        let is_shown = |effect: &ExpectedEffect| {
+            let is_attempt =
+                |listed: &&ReportedTask| listed.task == effect.task && listed.attempt == effect.attempt;
+            match heartbeat.tasks.iter().find(is_attempt).map(|listed| listed.status) {
                 Some(TaskStatus::Exited(_) | TaskStatus::Checkpointing) => true,
-                Some(_) => *is_start,
-                None => !*is_start,
+                Some(_) => effect.kind == EffectKind::Started,
+                None => effect.kind == EffectKind::Stopped,
             }
         };
         self.expected_effects.is_empty() || self.expected_effects.iter().any(is_shown)
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -4,7 +4,9 @@
 use crate::calls::{CallPurpose, HolderCall, SentCommands};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
-use crate::protocol::{CommandReply, Heartbeat, MachineName, TaskId, TaskStatus, WorkerCommand};
+use crate::protocol::{
+    CommandReply, EffectKind, ExpectedEffect, Heartbeat, MachineName, TaskId, TaskStatus, WorkerCommand,
+};
 use plankhead_sharding::freshness::Freshness;
 use plankhead_sharding::shard::ShardId;
 use std::collections::BTreeSet;
@@ -20,7 +22,7 @@
     pub incarnation: u64,
     pub pending: Vec<WorkerCommand>,
     /// The expected effects of commands that were sent directly to the worker, once each.
-    sent: BTreeSet<(TaskId, u64, bool)>,
+    sent: BTreeSet<ExpectedEffect>,
 }
 
 impl PendingCommands {
@@ -67,16 +69,16 @@
     fn unsent_commands(&self, machine: &Machine, freshness: Freshness, now: Duration) -> Vec<WorkerCommand> {
         let commands = self.commands_for(&machine.name, freshness, now);
         let sent = self.commands.get(&machine.name).map(|known| &known.sent);
-        let effects: Vec<(TaskId, u64, bool)> =
+        let effects: Vec<ExpectedEffect> =
             commands.iter().filter_map(WorkerCommand::expected_effect).collect();
         let is_unsent = |command: &WorkerCommand| {
             let Some(effect) = command.expected_effect() else { return false };
-            let (task, attempt, is_start) = &effect;
-            let is_due = if *is_start {
-                let is_killed_too = effects.contains(&(task.clone(), *attempt, false));
-                !self.cpu_starved && !is_killed_too
-            } else {
-                machine.lists(task, *attempt)
+            let is_due = match effect.kind {
+                EffectKind::Started => {
+                    let kill = ExpectedEffect { kind: EffectKind::Stopped, ..effect.clone() };
+                    !self.cpu_starved && !effects.contains(&kill)
+                }
+                EffectKind::Stopped => machine.lists(&effect.task, effect.attempt),
             };
             is_due && sent.is_none_or(|sent| !sent.contains(&effect))
         };
--- a/crates/plankhead-core/src/protocol/mod.rs
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -14,5 +14,6 @@
 pub use peers::{JobProgress, PeerHeartbeat};
 pub use users::{InvalidSpec, JobStatus, Response, UnsatisfiableSpec};
 pub use worker::{
-    CommandReply, ExitReason, Heartbeat, MachineName, ReportedTask, TaskId, TaskStatus, WorkerCommand,
+    CommandReply, EffectKind, ExitReason, ExpectedEffect, Heartbeat, MachineName, ReportedTask, TaskId,
+    TaskStatus, WorkerCommand,
 };
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -92,17 +92,32 @@
 }
 
 impl WorkerCommand {
-    /// What a worker's next heartbeat must show: that an attempt runs (true), or that it is
-    /// over (false).
-    pub fn expected_effect(&self) -> Option<(TaskId, u64, bool)> {
-        match self {
-            WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt, true)),
-            WorkerCommand::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
-            WorkerCommand::Acknowledge { .. } => None,
-        }
+    /// What the worker's next heartbeat must show if it carries the command out.
+    pub fn expected_effect(&self) -> Option<ExpectedEffect> {
+        let (task, attempt, kind) = match self {
+            WorkerCommand::Run { task, attempt } => (task, attempt, EffectKind::Started),
+            WorkerCommand::Kill { task, attempt, .. } => (task, attempt, EffectKind::Stopped),
+            WorkerCommand::Acknowledge { .. } => return None,
+        };
+        Some(ExpectedEffect { task: task.clone(), attempt: *attempt, kind })
     }
 }
 
+/// What a command leads to on its worker.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ExpectedEffect {
+    pub task: TaskId,
+    pub attempt: u64,
+    pub kind: EffectKind,
+}
+
+/// Whether an attempt is there, or on its way out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EffectKind {
+    Started,
+    Stopped,
+}
+
 /// What came of commands sent directly to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandReply {
--- a/crates/plankhead-core/src/shards/messages.rs
+++ b/crates/plankhead-core/src/shards/messages.rs
@@ -1,4 +1,4 @@
-//! What the leader and the holders of shards tell each other.
+//! The messages between the leader and the holders of shards.
 
 use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
 use plankhead_sharding::sequence::MessageStamp;
@@ -7,40 +7,45 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Machines that one message tells of at most; the others have the next one.
+/// Machines in one message; the others go into the next one.
 pub const MAX_MACHINES: usize = 400;
-/// Tasks, or commands about them, after which a message takes in no further machine.
+/// Tasks, or commands about them, after which no further machine goes into a message.
 pub const MAX_TASKS: usize = 8_000;
-/// Shards that one message names at most.
+/// Shards that one message names.
 pub const MAX_SHARDS: usize = 4_096;
 
-/// A message on the path for shards.
+/// A message about shards between two nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShardMessage {
+    /// From a holder to the leader.
     HolderStatus(Box<HolderStatus>),
+    /// From the leader to a holder.
     LeaderCommands(Box<LeaderCommands>),
 }
 
-/// What a controller tells the leader of the shards that it holds; without shards, that it
-/// is there to hold some.
+/// A node's status as a holder, for the leader; one without shards shows that it could hold
+/// some.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HolderStatus {
+    /// The sender.
     pub host: String,
+    /// Orders the sender's messages.
     pub stamp: MessageStamp,
-    /// Where the controller is.
+    /// Where the sender is.
     pub zone: String,
-    /// The token of the leader that it is meant for.
+    /// The fencing token of the leader that it is meant for.
     pub term: u64,
-    /// Whether it sees the records, so that it notices when a shard is taken from it.
+    /// Whether it reads the records, so that it notices when a shard is taken from it.
     pub sees_records: bool,
+    /// The shards that the sender acts for.
     pub shards: Vec<ShardHolding>,
     /// Tells one numbering of machines from another.
     pub stream: u64,
     /// The first message of its stream.
     pub first: bool,
-    /// Machines of which something is new.
+    /// Machines whose heartbeats brought something new.
     pub updates: Vec<MachineUpdate>,
-    /// Numbers of machines that reported with nothing new.
+    /// Numbers of machines whose heartbeats brought nothing new.
     pub alive: RoaringBitmap,
     /// How long ago the first of these was heard.
     pub alive_age: Duration,
@@ -50,20 +55,22 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardHolding {
     pub shard: ShardId,
+    /// The epoch under which it is held.
     pub epoch: u64,
-    /// Nothing of it is started any more, and all news of it is told.
+    /// Nothing is started there any more, and the leader has been told of all its machines.
     pub released: bool,
 }
 
-/// A machine's newest report, and what its holder knows beside that.
+/// A machine's latest heartbeat, and what its holder knows beside that.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineUpdate {
     /// The machine's number in the stream.
     pub number: u32,
+    /// Its latest heartbeat.
     pub heartbeat: Heartbeat,
-    /// The machine is there for certain: it has shown a token of this holder.
+    /// It is a confirmed machine: it has shown an epoch of this holder.
     pub confirmed: bool,
-    /// It does not hear what it is told.
+    /// It does not act on the commands that it is sent.
     pub ignores_commands: bool,
     /// Commands in a row that it did not answer.
     pub unanswered_commands: u32,
@@ -71,20 +78,22 @@
     pub age: Duration,
 }
 
-/// What the leader has a holder tell its machines.
+/// The leader's commands for the machines of a holder.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderCommands {
+    /// The leader.
     pub host: String,
+    /// Orders the leader's messages.
     pub stamp: MessageStamp,
-    /// The number of the receiver's message that the leader took in last.
+    /// The sequence of the receiver's latest status that the leader has accepted.
     pub acknowledged: u64,
-    /// The leader's token.
+    /// The leader's fencing token.
     pub token: u64,
     /// The shards that the leader takes the receiver to hold, with their epochs.
     pub shards: Vec<(ShardId, u64)>,
     /// The highest epoch that the leader has given so far.
     pub latest_epoch: u64,
-    /// All that each of these machines is to be told; replaces what was said before.
+    /// All commands for each of these machines; replaces those of earlier messages.
     pub machines: Vec<MachineCommands>,
     /// Machines that the cloud has taken back.
     pub removed: Vec<MachineName>,
@@ -92,11 +101,11 @@
     pub snapshot: Vec<Heartbeat>,
 }
 
-/// All commands for a machine in one session of its worker.
+/// All commands for a machine in one incarnation of its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineCommands {
     pub machine: MachineName,
-    /// The place of the machine's shard among those that the message names.
+    /// The index of the machine's shard among those that the message names.
     pub shard: usize,
     pub incarnation: u64,
     pub commands: Vec<WorkerCommand>,
@@ -105,15 +114,16 @@
 /// What became of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// Taken in.
+    /// Accepted by its receiver.
     Accepted,
-    /// Taken in, by a leader that does not know the stream: all is to be told anew.
+    /// Accepted by a leader that does not know the stream: it must be told of all machines
+    /// anew.
     FullSyncNeeded,
-    /// Refused: its receiver is not whom it is meant for, or not yet.
+    /// Refused: it is not meant for its receiver, or out of date.
     Rejected,
-    /// Its receiver does not divide machines.
+    /// Its receiver does not shard machines.
     Unsupported,
-    /// Without an answer; it may come late.
+    /// No answer came; the message may still arrive.
     NoResponse,
 }
 
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -392,7 +392,9 @@
         for sequence in 1..=5 {
             fleet.observe_heartbeat(&report(3, sequence, shown), 0, NOW);
             let machine = fleet.machines.get_mut("i-1").unwrap();
-            machine.responses.expected_effects = vec![(TaskId { job: id(), index: 0 }, 1, true)];
+            let task = TaskId { job: id(), index: 0 };
+            let effect = ExpectedEffect { task, attempt: 1, kind: EffectKind::Started };
+            machine.responses.expected_effects = vec![effect];
         }
         let machine = &fleet.machines["i-1"];
         (machine.removal, machine.is_start_doubtful(NOW, second))
