--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -16,7 +16,7 @@
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::{Fleet, HeartbeatNews, Machine};
 use crate::leadership::LeaderId;
-use crate::protocol::{CallError, Heartbeat, KvReply, MachineName, Response, WorkerCommand};
+use crate::protocol::{CallError, Heartbeat, HeartbeatPath, KvReply, MachineName, Response, WorkerCommand};
 use crate::requests::RequestHandler;
 use crate::settings::Settings;
 use commands::PendingCommands;
@@ -80,15 +80,6 @@
     pub epoch: u64,
 }
 
-/// How a heartbeat came to this node, and which other nodes it could go to.
-#[derive(Debug, Clone, Copy)]
-pub struct HeartbeatPath {
-    /// Through a peer, since the worker can't reach this node.
-    pub relayed: bool,
-    /// This node reaches neither the state service nor another node.
-    pub is_cut_off: bool,
-}
-
 /// The evidence on which a holder decides in one step.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderEvidence {
--- a/crates/plankhead-core/src/leader/intents.rs
+++ b/crates/plankhead-core/src/leader/intents.rs
@@ -2,8 +2,8 @@
 //! former leader left open is finished. `plankhead-fencing` decides; this carries its
 //! decisions to the state service and the cloud.
 
-use super::scaling::RentalRetry;
-use super::{Leader, LeaderEvidence, PAUSE, TXN_BYTES};
+use super::persistence::MAX_TXN_BYTES;
+use super::{Leader, LeaderEvidence};
 use crate::calls::{CallPurpose, LeaderCall, PendingRental};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::RemovalReason;
@@ -15,7 +15,7 @@
 use plankhead_fencing::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use plankhead_fencing::gate::{FencingGate, IssueProof, PermittedAction};
 use plankhead_fencing::intent::{IdempotencyKey, Intent, IntentState};
-use plankhead_fencing::intent_log::{IntentAdmission, IntentLog};
+use plankhead_fencing::intent_log::IntentLog;
 use plankhead_fencing::page_writes::{IntentPageWrite, StoreLimits, WriteOutcome};
 use plankhead_fencing::record::{self, PageId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -63,7 +63,7 @@
         let limits = StoreLimits {
             value_bytes: settings.max_value_bytes,
             changes: settings.max_txn_changes,
-            transaction_bytes: TXN_BYTES,
+            transaction_bytes: MAX_TXN_BYTES,
         };
         Self {
             settings: fencing,
@@ -132,6 +132,7 @@
             self.pass_gate(&key, action, None, effects);
             return true;
         }
+        use plankhead_fencing::intent_log::IntentAdmission;
         match self.intents.log.intend(key.clone(), action, self.intents.wall_ms) {
             Ok(IntentAdmission::New) => true,
             Ok(IntentAdmission::Repeat) => {
@@ -233,7 +234,7 @@
         }
         let due: Vec<(Duration, IdempotencyKey)> = std::mem::take(&mut self.intents.returns_due);
         for (at, key) in due {
-            if at <= now && self.cloud_budget.take(now, 1) {
+            if at <= now && self.scaling.take_request(now) {
                 self.intents.ready.push_back(key);
             } else {
                 self.intents.returns_due.push((at, key));
@@ -254,13 +255,13 @@
                     .log(LogLevel::Info, format!("rental {key} is given up: the cloud has no room for it"));
                 self.end_intent(&key, IntentState::Abandoned, effects);
             } else {
-                self.retry_rental(now, refused.rental);
+                self.scaling.retry_rental(now, refused.rental);
             }
         }
     }
 
     fn read_uncertain_pages(&mut self, now: Duration, effects: &mut EffectSink) {
-        if now < self.writes_paused_until {
+        if self.persistence.is_paused(now) {
             return;
         }
         for page in self.intents.log.uncertain_pages() {
@@ -277,7 +278,7 @@
     fn write_intents(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let urgent = !self.intents.forced.is_empty();
         // Without the lease a write would only fail, which a forced return must know.
-        if !evidence.lease_valid && !urgent || now < self.writes_paused_until {
+        if !evidence.lease_valid && !urgent || self.persistence.is_paused(now) {
             return;
         }
         let tidy = evidence.lease_valid && now >= self.intents.tidy_due;
@@ -286,13 +287,13 @@
         if !(due || tidy && self.intents.log.needs_compaction()) {
             return;
         }
-        let most = self.write_budget.available(now).min(self.settings.max_txn_changes);
+        let most = self.persistence.available(now).min(self.settings.max_txn_changes);
         let Some(changes) =
             (most > 0).then(|| self.intents.log.begin_write(most, tidy || !urgent && lacks)).flatten()
         else {
             return;
         };
-        self.write_budget.take(now, changes.len());
+        self.persistence.take(now, changes.len());
         self.intents.write_due = now + self.intents.settings.write_interval;
         self.intents.tidy_due = now + self.intents.settings.compaction_interval;
         let (conditions, changes) = self.intent_transaction(changes);
@@ -333,7 +334,7 @@
             _ => WriteOutcome::Lost,
         };
         if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Lost) {
-            self.writes_paused_until = self.writes_paused_until.max(now + PAUSE);
+            self.persistence.pause(now);
         }
         let durable = self.intents.log.end_write(outcome);
         if !fresh {
@@ -355,9 +356,9 @@
         self.intents.reading.remove(&page);
         match reply {
             Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
-            Err(CallError::RateLimited) => self.writes_paused_until = now + PAUSE,
+            Err(CallError::RateLimited) => self.persistence.pause(now),
             _ => {
-                self.writes_paused_until = now + PAUSE;
+                self.persistence.pause(now);
                 if now.saturating_sub(sent) < FRESH_FAILURE {
                     self.intents.log.reread_failed();
                 }
@@ -366,7 +367,7 @@
     }
 
     pub(super) fn list_intents(&mut self, effects: &mut EffectSink) {
-        let after = self.load_after_key.clone();
+        let after = self.loading.after_key();
         if after.is_none() {
             self.intents.log.begin_reading();
         }
@@ -386,7 +387,7 @@
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             return self.retry_loading(times.now);
         };
-        self.load_after_key = rows.last().map(|row| row.key.clone());
+        self.loading.page_loaded(&rows);
         for row in &rows {
             for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
                 effects.log(LogLevel::Error, format!("left alone: {fault}"));
@@ -395,7 +396,7 @@
         if truncated {
             return self.list_intents(effects);
         }
-        self.load_after_key = None;
+        self.loading.list_completed();
         self.read_target(effects);
     }
 
@@ -407,10 +408,10 @@
             self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
         for (key, action) in &adopted {
             match action {
-                CloudAction::Rent(rental) => self.retry_rental(now, rental.clone().into()),
+                CloudAction::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
                 CloudAction::Return(back) => {
                     self.fleet.returns_inherited(&back.machines);
-                    self.releasing.extend(back.machines.iter().cloned());
+                    self.scaling.release_requested(back.machines.iter().cloned());
                     self.intents.returns_due.push((now, key.clone()));
                 }
             }
@@ -420,12 +421,6 @@
         }
     }
 
-    /// Has a rental asked for again as soon as the cloud's rate allows.
-    fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
-        self.rentals_in_flight.push(rental.clone());
-        self.rental_retries.push(RentalRetry { due: now, rental });
-    }
-
     /// A duty is over.
     fn end_intent(&mut self, key: &IdempotencyKey, last: IntentState, effects: &mut EffectSink) {
         let ended = match last {
@@ -481,7 +476,7 @@
         let key = self.intents.log.next_key();
         let hosts = back.machines.clone();
         if !hosts.is_empty() && self.request_cloud_action(key.clone(), CloudAction::Return(back), effects) {
-            self.releasing.extend(hosts);
+            self.scaling.release_requested(hosts);
             if forced && self.intents.is_fenced() {
                 self.intents.forced.insert(key, blind);
             }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,219 +1,85 @@
 //! The leader's role: it knows every job, places tasks, minds the workers and
 //! sizes the fleet. Whatever it writes fails once somebody else leads.
 
+mod arrivals;
+mod commands;
+mod evidence;
+mod garbage;
+mod heartbeats;
 mod intents;
+mod inventory;
+mod job_watch;
+mod job_work;
 mod loading;
+mod machine_checks;
 mod maintenance;
 mod permissions;
 mod persistence;
 mod placement;
+mod preemption;
 mod replies;
 mod scaling;
 mod shards;
 mod sizing_rounds;
+mod slots;
+mod target;
 mod view;
-mod workers;
+mod wide_jobs;
 
-use crate::calls::{CallPurpose, FinishedJob, LeaderCall, PendingRental, StoredKey, WriteBatch};
+use crate::calls::{CallPurpose, LeaderCall};
 use crate::effects::EffectSink;
 use crate::fleet::Fleet;
-use crate::jobs::job::{JobId, JobSpec};
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election;
-use crate::placement::index::PlacementIndex;
-use crate::protocol::{Condition, Instance, KvChange, KvRequest, MachineName, MachineType};
+use crate::protocol::{Condition, KvRequest, MachineType};
 use crate::settings::Settings;
 use crate::sizing::cpu_budget::CpuBudget;
-use crate::token_bucket::TokenBucket;
-use plankhead_reachability::mode::Mode;
-use serde::{Deserialize, Serialize};
+pub use evidence::LeaderEvidence;
 pub use shards::LeaderRoute;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+pub use target::{Size, Target};
 
-const TARGET: &str = "target";
-/// How long the watch on the jobs waits; its return proves that no
-/// cancellation up to its start is unseen.
-const WATCH: Duration = Duration::from_secs(1);
 const PAUSE: Duration = Duration::from_millis(250);
-/// Ends that need no hurry are written together after this time.
-const ENDS_WAIT: Duration = Duration::from_secs(4);
-/// Transactions under way at most.
-const MAX_TXNS: usize = 4;
-const TXN_BYTES: usize = 56 * 1024;
-/// Jobs that one pass looks at.
-const MAX_WORK: usize = 400;
-/// Orders in one answer to a worker: its lines must stay below 64 KiB.
-const MAX_ORDERS: usize = 300;
-/// Time a saving task is given at the most.
-const MAX_LEEWAY: Duration = Duration::from_secs(10);
 /// What answers of a leader without sight end sooner than leases and cancellations
 /// ask for: for the drift of clocks and for what is under way.
 const BLIND_MARGIN: Duration = Duration::from_secs(2);
 /// No starts once the jobs were not seen afresh for this long.
 const STALE: Duration = Duration::from_secs(4);
-/// A worker that refused a task for room is left alone this long.
-const FULL_PAUSE: Duration = Duration::from_secs(2);
 const LATE_SCAN: Duration = Duration::from_secs(5);
 /// A job is stuck when nothing of it has started for this long.
 const STUCK: Duration = Duration::from_secs(120);
-/// A machine without work goes back after this time at the earliest.
-const IDLE: Duration = Duration::from_secs(3);
-/// How long a stopped task takes to be gone, usually.
-const STOPPING: Duration = Duration::from_millis(300);
-/// Tasks stopped for others in one pass at most.
-const MAX_STOPS: usize = 64;
-/// How much longer a pass waits for earlier placements to be written.
-const PASS_PATIENCE: Duration = Duration::from_secs(1);
-/// How often machines are judged, rented and given back.
-const MIND: Duration = Duration::from_millis(200);
-/// How often ends are looked through for ones to write.
-const ENDS_LOOK: Duration = Duration::from_millis(250);
-/// A task that needed more attempts than this is not stopped again.
-const MAX_PREEMPTED: u64 = 2;
-/// Time between rounds while no machine is up yet.
-const COLD_ROUND: Duration = Duration::from_secs(5);
-/// Arrivals remembered for the replay, and the shortest time that they are
-/// taken to tell a rate.
-const MAX_ARRIVALS: usize = 1_000;
-const MIN_WINDOW: Duration = Duration::from_secs(20);
-const RUSH: Duration = Duration::from_secs(5);
-
-/// A chunk as it is stored: of which job, whether laid anew, its number, its value
-/// and its stamp.
-type ChunkRow = (JobId, (bool, u32), String, u64);
-
-/// A round's decision, as the state service keeps it.
-#[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Target {
-    pub round: u64,
-    pub at_ms: u64,
-    #[serde(rename = "rigs")]
-    pub sizes: BTreeMap<String, Size>,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Size {
-    /// Machines of the type.
-    pub machines: u32,
-    /// How many of them must not be spot.
-    pub ordinary: u32,
-}
-
-/// How well a leader sees what others do.
-#[derive(Debug, Clone, Copy)]
-pub struct LeaderEvidence {
-    /// Its grant was renewed lately, so that its writes make sense.
-    pub lease_valid: bool,
-    /// And the state service has not failed it since.
-    pub kv_undisputed: bool,
-    /// It hears every sibling, and none of them leads.
-    pub no_peer_leads: bool,
-    /// The process has no processor time left.
-    pub cpu_starved: bool,
-    /// Which sides this node sees.
-    pub mode: Mode,
-    /// Every other node hears no worker either.
-    pub peers_agree: bool,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
-    Loading,
-    Ready,
-}
 
 #[derive(Debug)]
 pub struct Leader {
     settings: Arc<Settings>,
     pub token: u64,
     started_at: Duration,
-    stage: Stage,
+    loading: loading::JobLoading,
+    job_watch: job_watch::JobWatch,
+    evidence: evidence::Evidence,
+    placement: placement::Placement,
+    persistence: persistence::Persistence,
+    garbage: garbage::Garbage,
     pub job_table: JobTable,
     pub fleet: Fleet,
-    loaded_chunks: Vec<ChunkRow>,
     /// Every node has this version: what older ones can't read may be stored.
     pub all_nodes_upgraded: bool,
     /// Some job's chunks are still to be laid anew.
     rechunk_pending: bool,
-    load_after_key: Option<String>,
-    load_retry_at: Option<Duration>,
-    /// Reading failed since it last succeeded.
-    loading_failed: bool,
-    /// The revision up to which the jobs are known; `fresh`: as of when.
-    jobs_revision: Option<u64>,
-    jobs_synced_at: Duration,
-    watch_in_flight: bool,
-    next_watch_at: Duration,
-    txns_in_flight: usize,
-    writes_paused_until: Duration,
-    write_budget: TokenBucket,
-    cloud_budget: TokenBucket,
-    keys_being_read: HashSet<String>,
-    garbage: Vec<StoredKey>,
-    /// How many of these, at the front, should go soon.
-    urgent_garbage: usize,
-    /// Records of jobs that are over, to be moved out of the next leader's way.
-    to_archive: VecDeque<FinishedJob>,
-    garbage_write_in_flight: bool,
     /// It has sent its first starts.
     first_start_sent: bool,
-    /// Something changed that may let tasks start.
-    pass_needed: bool,
-    next_pass_at: Duration,
-    next_preemption_at: Duration,
     /// When what time alone brings about is looked at again.
     next_maintenance_at: Duration,
-    /// Some key's stamp is in doubt.
-    has_uncertain_revisions: bool,
-    next_end_flush_at: Duration,
-    pub target: Target,
-    next_round_at: Duration,
-    round: Option<sizing_rounds::Round>,
-    /// When the round may go on.
-    next_replay_slice_at: Duration,
+    target: target::TargetState,
+    sizing: sizing_rounds::SizingRounds,
+    arrivals: arrivals::ArrivalHistory,
     cpu_budget: CpuBudget,
-    target_dirty: bool,
-    target_write_in_flight: bool,
-    rental_counter: u64,
-    /// Rentals without an answer.
-    rentals_in_flight: Vec<PendingRental>,
-    rental_retries: Vec<scaling::RentalRetry>,
-    releasing: BTreeSet<MachineName>,
+    scaling: scaling::Scaling,
+    inventory: inventory::Inventory,
     intents: intents::Intents,
-    next_release_at: Duration,
-    next_inventory_at: Duration,
-    inventory_in_flight: bool,
-    inventory_pages: Vec<Instance>,
-    /// The whole machine list was read once: what is held is known.
-    inventory_complete: bool,
-    placement_index: PlacementIndex,
-    /// Where a gang that waits for machines will have most of its room.
-    wanted_zone: Option<String>,
-    /// Each team's place among the teams.
-    team_indices: HashMap<String, usize>,
-    /// Run time over estimate, by class.
-    runtime_ratios: HashMap<String, f64>,
     next_lateness_scan_at: Duration,
-    /// A worker reached this node itself; `contact`: when that was last looked at.
-    direct_heartbeat_arrived: bool,
-    last_direct_heartbeat_at: Duration,
-    /// Whether silence of a machine could be blamed on the machine.
-    silence_is_reliable: bool,
-    /// When the state service last failed this node, or was about to.
-    lease_doubted_at: Option<Duration>,
-    /// The process is behind: starts go with the answers to reports only.
-    cpu_starved: bool,
-    /// Which sides this node sees, and whether the others hear no worker either.
-    mode: Mode,
-    peers_agree: bool,
-    /// When the cloud last answered.
-    cloud_replied_at: Option<Duration>,
-    /// The jobs of the last interval: when each came, and what it was.
-    recent_arrivals: VecDeque<(Duration, Arc<JobSpec>)>,
-    /// When the service's first job came; zero if that was before this leader.
-    first_job_at: Option<Duration>,
     /// Who holds which machines, where they are divided.
     shards: Option<shards::LeaderShards>,
 }
@@ -223,70 +89,26 @@
         Self {
             token,
             started_at: now,
-            stage: Stage::Loading,
+            loading: loading::JobLoading::default(),
+            job_watch: job_watch::JobWatch::new(now),
+            evidence: evidence::Evidence::new(now),
+            placement: placement::Placement::new(&settings, now),
+            persistence: persistence::Persistence::new(settings.kv_changes_per_s, now),
+            garbage: garbage::Garbage::default(),
             job_table: JobTable::default(),
             fleet: Fleet::default(),
-            loaded_chunks: Vec::new(),
             all_nodes_upgraded: false,
             rechunk_pending: false,
-            load_after_key: None,
-            load_retry_at: None,
-            loading_failed: false,
-            jobs_revision: None,
-            jobs_synced_at: now,
-            watch_in_flight: false,
-            next_watch_at: now,
-            txns_in_flight: 0,
-            writes_paused_until: Duration::ZERO,
-            write_budget: write_budget(settings.kv_changes_per_s),
-            cloud_budget: TokenBucket::new(
-                settings.cloud_requests_per_s * 0.8,
-                settings.cloud_requests_per_s,
-            ),
-            keys_being_read: HashSet::new(),
-            garbage: Vec::new(),
-            urgent_garbage: 0,
-            to_archive: VecDeque::new(),
-            garbage_write_in_flight: false,
             first_start_sent: false,
-            pass_needed: true,
-            next_pass_at: now,
-            next_preemption_at: now,
             next_maintenance_at: now,
-            has_uncertain_revisions: false,
-            next_end_flush_at: now,
-            target: Target::default(),
-            next_round_at: now,
-            round: None,
-            next_replay_slice_at: now,
+            target: target::TargetState::default(),
+            sizing: sizing_rounds::SizingRounds::new(now),
+            arrivals: arrivals::ArrivalHistory::default(),
             cpu_budget: CpuBudget::new(settings.cpu_share),
-            target_dirty: false,
-            target_write_in_flight: false,
-            rental_counter: 0,
-            rentals_in_flight: Vec::new(),
-            rental_retries: Vec::new(),
-            releasing: BTreeSet::new(),
+            scaling: scaling::Scaling::new(&settings, now),
+            inventory: inventory::Inventory::new(now),
             intents: intents::Intents::new(&settings, token, now),
-            next_release_at: now,
-            next_inventory_at: now,
-            inventory_in_flight: false,
-            inventory_pages: Vec::new(),
-            inventory_complete: false,
-            placement_index: PlacementIndex::default(),
-            wanted_zone: None,
-            team_indices: settings.teams.keys().cloned().zip(0..).collect(),
-            runtime_ratios: HashMap::new(),
             next_lateness_scan_at: now,
-            direct_heartbeat_arrived: false,
-            last_direct_heartbeat_at: now,
-            silence_is_reliable: true,
-            lease_doubted_at: None,
-            cpu_starved: false,
-            mode: Mode::Whole,
-            peers_agree: false,
-            cloud_replied_at: None,
-            recent_arrivals: VecDeque::new(),
-            first_job_at: None,
             shards: settings.sharding.enabled.then(|| shards::LeaderShards::new(&settings, token, now)),
             settings,
         }
@@ -297,14 +119,14 @@
         self.fleet.machine_types = machine_types;
         for machine_type in self.fleet.machine_types.keys() {
             for pool in self.fleet.pools(machine_type) {
-                self.placement_index.pool_index(&pool);
-                self.placement_index.zone_index(&pool.zone);
+                self.placement.index.pool_index(&pool);
+                self.placement.index.zone_index(&pool.zone);
             }
         }
         for machine in self.fleet.machines.values_mut() {
             machine.cached_slot = None;
         }
-        self.pass_needed = true;
+        self.placement.request_pass();
     }
 
     /// Every node has this version by now: the limits may be lowered at any time, and
@@ -313,7 +135,7 @@
         if !std::mem::replace(&mut self.all_nodes_upgraded, true) {
             let (now, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
             if next < now {
-                self.write_budget = write_budget(next);
+                self.persistence.limit_rate(next);
             }
             self.rechunk_pending = true;
         }
@@ -328,26 +150,3 @@
         Condition { key: election::KEY.into(), mod_revision: self.token }
     }
 }
-
-/// The leader's part of the changes that the state service takes.
-fn write_budget(write_rps: f64) -> TokenBucket {
-    TokenBucket::new(write_rps * 0.8, write_rps * 0.6)
-}
-
-/// A transaction in the making.
-#[derive(Debug, Default)]
-struct Txn {
-    conditions: Vec<Condition>,
-    changes: Vec<KvChange>,
-    batch: WriteBatch,
-    bytes: usize,
-}
-
-impl Txn {
-    fn condition(&mut self, condition: Condition) {
-        if !self.conditions.contains(&condition) {
-            self.bytes += condition.key.len() + 40;
-            self.conditions.push(condition);
-        }
-    }
-}
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -1,7 +1,7 @@
 //! What the leader may do with what this node reaches: the one table, and the evidence
 //! that its bounds name.
 
-use super::{Leader, Stage, BLIND_MARGIN, STALE};
+use super::{Leader, BLIND_MARGIN, STALE};
 use crate::fleet::HeartbeatId;
 use crate::protocol::{Heartbeat, MachineName};
 use crate::reachability::LeaderFacts;
@@ -12,7 +12,7 @@
 impl Leader {
     /// Whether the table allows an action at present.
     pub(super) fn permits(&self, action: Action, now: Duration) -> bool {
-        match self.settings.reachability.table.of(self.mode, action) {
+        match self.settings.reachability.table.of(self.evidence.mode(), action) {
             Permission::Allowed => true,
             Permission::Within(bound) => self.is_within(bound, now),
             Permission::Deferred(_) | Permission::Forbidden(_) => false,
@@ -20,7 +20,7 @@
     }
 
     fn is_within(&self, bound: Precondition, now: Duration) -> bool {
-        let blind = now.saturating_sub(self.jobs_synced_at);
+        let blind = now.saturating_sub(self.job_watch.synced_at());
         match bound {
             Precondition::JobsSynced => blind < STALE,
             // Leases must run out before a cancellation that was not seen is due.
@@ -28,7 +28,7 @@
                 let settings = &self.settings;
                 blind < settings.cancel_within.saturating_sub(settings.worker_lease + BLIND_MARGIN)
             }
-            Precondition::PeersAgree => self.peers_agree,
+            Precondition::PeersAgree => self.evidence.peers_agree(),
         }
     }
 
@@ -44,7 +44,7 @@
         LeaderFacts {
             token: self.token,
             leading_since: self.started_at,
-            lease_undisputed: steady && self.stage == Stage::Ready,
+            lease_undisputed: steady && self.loading.is_ready(),
             machines_up: up().count(),
             heard_directly: direct.map(|machine| machine.name.clone()).collect(),
             confirmed_commands: reached.map(|machine| machine.name.clone()).collect(),
@@ -61,7 +61,7 @@
 
     /// Machines that should report to this leader.
     pub fn machines_expected(&self) -> usize {
-        if self.stage == Stage::Ready {
+        if self.loading.is_ready() {
             self.fleet
                 .machines
                 .values()
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -3,9 +3,9 @@
 use super::shards::HolderRoute;
 use super::Node;
 use crate::effects::StepTime;
-use crate::holder::{HeartbeatPath, ShardEpoch};
+use crate::holder::ShardEpoch;
 use crate::leader::LeaderRoute;
-use crate::protocol::{Heartbeat, MachineName, RequestId, Response};
+use crate::protocol::{Heartbeat, HeartbeatPath, MachineName, RequestId, Response};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -109,7 +109,7 @@
                     return leader.handle_heartbeat(
                         times,
                         heartbeat,
-                        (relayed, is_cut_off),
+                        HeartbeatPath { relayed, is_cut_off },
                         &self.requests,
                         &mut self.effects,
                     );
