--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -112,7 +112,7 @@
             reachability.peer_heard(&heartbeat.host, now);
         }
         if heartbeat.token > 0 {
-            self.requests.progress(&heartbeat.progress);
+            self.requests.set_leader_progress(&heartbeat.progress);
         }
         self.peers.record(now, heartbeat);
     }
--- a/crates/plankhead-core/src/protocol/cloud.rs
+++ b/crates/plankhead-core/src/protocol/cloud.rs
@@ -9,11 +9,10 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
+    /// Reads all machine types, with their present prices.
     ListMachineTypes,
     /// Reads a page of the inventory, the instances after the given one.
-    ListInstances {
-        after: Option<MachineName>,
-    },
+    ListInstances { after: Option<MachineName> },
     /// An action that can't be taken back, once the fencing gate has let it through.
     Execute(PermittedAction),
 }
@@ -21,12 +20,10 @@
 /// The cloud's reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
+    /// To a read of the machine types.
     MachineTypes(Vec<MachineType>),
     /// A page of the inventory; `truncated`: there are more instances after these.
-    Instances {
-        instances: Vec<Instance>,
-        truncated: bool,
-    },
+    Instances { instances: Vec<Instance>, truncated: bool },
     /// To a rental: the new machines.
     Rented(Vec<MachineName>),
     /// To a rental: the pool has no machines left.
@@ -99,7 +96,9 @@
 /// A machine's state in the cloud's inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceStatus {
+    /// Or up for a short while: the list lags.
     Booting,
+    /// The machine is up.
     Running,
     /// It will not come up, or is broken.
     Failed,
--- a/crates/plankhead-core/src/protocol/kv.rs
+++ b/crates/plankhead-core/src/protocol/kv.rs
@@ -98,25 +98,17 @@
         revision: u64,
     },
     /// To a transaction: carried out, at this revision.
-    Committed {
-        revision: u64,
-    },
+    Committed { revision: u64 },
     /// To a transaction: not carried out, since the conditions on these keys did not hold.
-    Conflict {
-        failed: Vec<String>,
-    },
+    Conflict { failed: Vec<String> },
     /// The lease that a write or a renewal names is over.
     NoSuchLease,
     /// To a grant: the new lease.
-    LeaseGranted {
-        lease: u64,
-    },
+    LeaseGranted { lease: u64 },
+    /// To a renewal.
     LeaseRenewed,
     /// To a watch: the changes up to a revision, none if its time ran out.
-    Events {
-        revision: u64,
-        events: Vec<WatchEvent>,
-    },
+    Events { revision: u64, events: Vec<WatchEvent> },
     /// To a watch: the history that it asks for is gone, so that the keys must be listed anew.
     Compacted,
 }
--- a/crates/plankhead-core/src/protocol/users.rs
+++ b/crates/plankhead-core/src/protocol/users.rs
@@ -81,7 +81,9 @@
 pub enum JobStatus {
     /// None of its tasks runs now.
     Queued,
+    /// At least one of its tasks runs now.
     Running,
+    /// All of its tasks have completed.
     Done,
     Cancelled,
 }
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -47,10 +47,12 @@
 /// The status of an attempt on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
+    /// It waits for its image.
     FetchingImage,
     /// A task of a gang that waits for the others.
     WaitingForGang,
     Running,
+    /// It was told to stop and writes a checkpoint.
     Checkpointing,
     /// A status that this version does not know: the attempt exists, and no more is known.
     Unrecognized,
@@ -61,6 +63,7 @@
 /// Why an attempt is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
+    /// The task is done.
     Completed,
     /// Killed by a command.
     Stopped,
@@ -111,10 +114,12 @@
     pub kind: EffectKind,
 }
 
-/// Whether an attempt is there, or on its way out.
+/// Whether a command starts an attempt or ends it, as the worker's next heartbeat shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EffectKind {
+    /// The attempt is listed.
     Started,
+    /// The attempt is not listed, has exited, or writes its checkpoint.
     Stopped,
 }
 
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// Takes in the progress of jobs that a leader's peer heartbeat tells.
-    pub fn progress(&mut self, progress: &[JobProgress]) {
+    pub fn set_leader_progress(&mut self, progress: &[JobProgress]) {
         self.leader_progress.clear();
         for JobProgress { id, done, running } in progress {
             if let Ok(id) = JobId::parse(id) {
