--- a/crates/plankhead-core/src/protocol/mod.rs
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -14,6 +14,6 @@
 pub use peers::{JobProgress, PeerHeartbeat};
 pub use users::{JobStatus, Response, SpecRejection, UnsatisfiableSpec};
 pub use worker::{
-    CommandReply, ExitReason, Heartbeat, HeartbeatPath, MachineName, ReportedTask, TaskId, TaskStatus,
-    WorkerCommand,
+    CommandReply, EffectKind, ExitReason, ExpectedEffect, Heartbeat, HeartbeatPath, MachineName,
+    ReportedTask, TaskId, TaskStatus, WorkerCommand,
 };
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -47,10 +47,12 @@
 /// The status of an attempt on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
+    /// It waits for its image.
     FetchingImage,
     /// A task of a gang that waits for the others.
     WaitingForGang,
     Running,
+    /// It was told to stop and writes a checkpoint.
     Checkpointing,
     /// A status that this version does not know: the attempt exists, and no more is known.
     Unrecognized,
@@ -61,6 +63,7 @@
 /// Why an attempt is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
+    /// The task is done.
     Completed,
     /// Killed by a command.
     Stopped,
@@ -92,17 +95,34 @@
 }
 
 impl WorkerCommand {
-    /// What a worker's next heartbeat must show: that an attempt runs (true), or that it is
-    /// over (false).
-    pub fn expected_effect(&self) -> Option<(TaskId, u64, bool)> {
-        match self {
-            WorkerCommand::Run { task, attempt } => Some((task.clone(), *attempt, true)),
-            WorkerCommand::Kill { task, attempt, .. } => Some((task.clone(), *attempt, false)),
-            WorkerCommand::Acknowledge { .. } => None,
-        }
+    /// What the worker's next heartbeat must show if it carries the command out.
+    pub fn expected_effect(&self) -> Option<ExpectedEffect> {
+        let (task, attempt, kind) = match self {
+            WorkerCommand::Run { task, attempt } => (task, attempt, EffectKind::Started),
+            WorkerCommand::Kill { task, attempt, .. } => (task, attempt, EffectKind::Stopped),
+            WorkerCommand::Acknowledge { .. } => return None,
+        };
+        Some(ExpectedEffect { task: task.clone(), attempt: *attempt, kind })
     }
 }
 
+/// What a command leads to on its worker.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ExpectedEffect {
+    pub task: TaskId,
+    pub attempt: u64,
+    pub kind: EffectKind,
+}
+
+/// Whether a command starts an attempt or ends it, as the worker's next heartbeat shows it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EffectKind {
+    /// The attempt is listed.
+    Started,
+    /// The attempt is not listed, has exited, or writes its checkpoint.
+    Stopped,
+}
+
 /// What came of commands sent directly to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandReply {
