--- a/crates/plankhead/tests/common/mod.rs
+++ b/crates/plankhead/tests/common/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use clap::Parser;
-use plankhead_standins::Load;
+use plankhead_standins::CommandLine;
 
 /// The directory with the settings files that are deployed.
 pub const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
@@ -26,21 +26,10 @@
     "--longest-s=3",
 ];
 
-/// The arguments of a program of the stand-ins: the load, and the troubles of this program.
-#[derive(Debug, Parser)]
-pub struct Args<T: clap::Args> {
-    #[command(flatten)]
-    pub load: Load,
-    #[command(flatten)]
-    pub troubles: T,
-}
-
-impl<T: clap::Args> Args<T> {
-    /// Arguments with which the program under test is started, and each of its nodes with
-    /// `node_arguments`.
-    pub fn new(node_arguments: &str, arguments: &[&str]) -> Self {
-        let binary = env!("CARGO_BIN_EXE_plankhead");
-        let fixed = ["test", "--binary", binary, "--node-arguments", node_arguments];
-        Self::parse_from([&fixed, arguments].concat())
-    }
+/// The command line of a fault program of the stand-ins, with which the program under test is
+/// started, and each of its nodes with `node_arguments`.
+pub fn command_line<A: clap::Args>(node_arguments: &str, arguments: &[&str]) -> CommandLine<A> {
+    let binary = env!("CARGO_BIN_EXE_plankhead");
+    let fixed = ["test", "--binary", binary, "--node-arguments", node_arguments];
+    CommandLine::parse_from([&fixed, arguments].concat())
 }
--- a/crates/plankhead/tests/freezes.rs
+++ b/crates/plankhead/tests/process_pauses.rs
@@ -7,11 +7,11 @@
 
 mod common;
 
-use common::{Args, DEPLOY};
+use common::{command_line, DEPLOY};
 use plankhead_standins::cloud::{Effect, Subject};
-use plankhead_standins::freeze::{self, Outcome, Pauses};
-use plankhead_standins::stale;
-use plankhead_standins::state::Written;
+use plankhead_standins::kv_store::KeyChange;
+use plankhead_standins::process_pauses::{self, Outcome, PauseArgs};
+use plankhead_standins::stale_effects;
 use serde_json::{json, Value};
 use std::time::Instant;
 
@@ -35,8 +35,8 @@
         "--longest-s=5",
         "--instants=cloud-called",
     ];
-    let args = Args::<Pauses>::new(node_arguments, &arguments);
-    freeze::run(&args.load, &args.troubles).await.unwrap()
+    let args = command_line::<PauseArgs>(node_arguments, &arguments);
+    process_pauses::run(&args.load, &args.own).await.unwrap()
 }
 
 #[tokio::test]
@@ -52,7 +52,7 @@
 /// The check itself, on histories written by hand.
 #[test]
 fn the_check_tells_stale_effects() {
-    let written = |revision, key: &str, value: Option<Value>| Written {
+    let written = |revision, key: &str, value: Option<Value>| KeyChange {
         revision,
         key: key.into(),
         value,
@@ -78,7 +78,7 @@
     let rental = |name: &str| Subject::Rental(name.into());
     let machine = |name: &str| Subject::Machine(name.into());
     let count = |effects: &[Effect]| {
-        let found = stale::check(&history, effects);
+        let found = stale_effects::check(&history, effects);
         (found.of_former, found.stale)
     };
     assert_eq!(count(&[effect("plank-0", rental("r-9"), 1)]), (0, 0), "the holder's own");
--- a/crates/plankhead/tests/moves.rs
+++ b/crates/plankhead/tests/shard_move_faults.rs
@@ -8,8 +8,8 @@
 
 mod common;
 
-use common::{Args, DEPLOY, SMALL_LOAD};
-use plankhead_standins::moves::{self, Moves};
+use common::{command_line, DEPLOY, SMALL_LOAD};
+use plankhead_standins::shard_move_faults::{self, ShardMoveFaultArgs};
 
 #[tokio::test]
 async fn every_job_reaches_one_final_answer_while_shards_move() {
@@ -17,8 +17,11 @@
     let sharding = r#"{"enabled": true, "shards_per_zone": 4, "rotate_ms": 1500}"#;
     std::fs::write(&file, sharding).unwrap();
     let arguments = format!("--fencing {DEPLOY}/fencing.json --sharding {}", file.display());
-    let args = Args::<Moves>::new(&arguments, &[&SMALL_LOAD[..], &["--troubles=6", "--seed=2"]].concat());
-    let outcome = moves::run(&args.load, &args.troubles).await.unwrap();
+    let args = command_line::<ShardMoveFaultArgs>(
+        &arguments,
+        &[&SMALL_LOAD[..], &["--troubles=6", "--seed=2"]].concat(),
+    );
+    let outcome = shard_move_faults::run(&args.load, &args.own).await.unwrap();
     std::fs::remove_file(&file).unwrap();
     assert_eq!(outcome.verdict.faults, Vec::<String>::new(), "{outcome:?}");
     assert_eq!(outcome.verdict.accepted, 60, "{outcome:?}");
