--- a/crates/plankhead/src/clients/workers.rs
+++ b/crates/plankhead/src/clients/workers.rs
@@ -26,11 +26,13 @@
 /// Commands for one worker.
 #[derive(Debug)]
 pub struct CommandBatch {
+    /// Where the worker listens.
     pub address: Arc<str>,
     /// The fencing token of the sender's term.
     pub token: u64,
     /// The incarnation that the commands are meant for.
     pub incarnation: u64,
+    /// Carried out in order, or refused as a whole.
     pub commands: Vec<WorkerCommand>,
 }
 
--- a/crates/plankhead/src/http/server.rs
+++ b/crates/plankhead/src/http/server.rs
@@ -35,7 +35,9 @@
 /// What a server answers.
 #[derive(Debug)]
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// JSON, or a message between controllers.
     pub body: Vec<u8>,
     /// After what time the client should try again.
     pub retry: Option<Duration>,
--- a/crates/plankhead/src/node_handle.rs
+++ b/crates/plankhead/src/node_handle.rs
@@ -19,11 +19,18 @@
 /// A request that wants a response.
 #[derive(Debug)]
 pub enum NodeRequest {
+    /// Create a job.
     Submit { id: JobId, job: Result<JobSpec, SubmissionError> },
+    /// Tell a job's status.
     Poll { id: JobId },
+    /// Cancel a job.
     Cancel { id: JobId },
+    /// Take in a worker's heartbeat. `relayed`: it came through a peer, since the worker can't
+    /// reach this node.
     Heartbeat { heartbeat: Heartbeat, relayed: bool },
+    /// Take in a peer's message about shards, or why it was rejected.
     ShardMessage { message: Result<ShardMessage, ShardMessageError> },
+    /// Tell the operators' view.
     View,
 }
 
@@ -48,6 +55,7 @@
 pub enum NodeMessage {
     /// A request, and where its response goes. The sender is dropped if there is none in time.
     Request(NodeRequest, oneshot::Sender<Response>),
+    /// Anything else that the core takes.
     Event(Event),
 }
 
--- a/crates/plankhead/src/runtime/mod.rs
+++ b/crates/plankhead/src/runtime/mod.rs
@@ -31,8 +31,10 @@
 /// Why a node ended.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// A port can't be opened.
     #[error("can't listen on {address}: {error}")]
     Listen { address: SocketAddr, error: io::Error },
+    /// No part of the program can send to the event loop any more.
     #[error("the queue of commands is closed")]
     QueueClosed,
 }
--- a/crates/plankhead/src/settings/mod.rs
+++ b/crates/plankhead/src/settings/mod.rs
@@ -26,10 +26,15 @@
 /// The settings files; only the platform's is needed.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsFiles {
+    /// The platform's settings.
     pub platform: PathBuf,
+    /// The operators' settings on the size of the fleet.
     pub operator: Option<PathBuf>,
+    /// Turns fencing on and configures it.
     pub fencing: Option<PathBuf>,
+    /// Turns reachability checks on and configures them.
     pub reachability: Option<PathBuf>,
+    /// Turns sharding on and configures it.
     pub sharding: Option<PathBuf>,
 }
 
--- a/crates/plankhead/src/settings/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -1,4 +1,4 @@
-//! The operators' file that switches reachability on.
+//! The operators' file that turns reachability checks on and configures them.
 
 use super::as_millis;
 use super::schema::SettingsFile;
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Whether and how a node judges what it reaches.
+/// Whether and how a node judges which of its links work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ReachabilityFile {
-    /// Whether links are judged, and actions permitted by what they show.
+    /// Whether links are judged, and actions are permitted by their condition.
     pub enabled: bool,
-    /// Milliseconds that a link must fail without a confirmation to be down.
+    /// Milliseconds without a confirmation after which a failing link is down.
     #[cfg_attr(test, schemars(range(min = 200, max = 60_000)))]
     pub down_after_ms: u64,
     /// Milliseconds that a side which was down must hold to be up.
     #[cfg_attr(test, schemars(range(min = 0, max = 60_000)))]
     pub up_after_ms: u64,
-    /// Milliseconds in which the penalty of a flapping side falls to half.
+    /// Milliseconds in which the penalty of a flapping side halves.
     #[cfg_attr(test, schemars(range(min = 100, max = 3_600_000)))]
     pub half_life_ms: u64,
     /// Penalty, in failures, at which a flapping side is suppressed.
@@ -28,13 +28,13 @@
     /// Penalty at which a suppressed side is used again.
     #[cfg_attr(test, schemars(range(min = 0.1, max = 1.0)))]
     pub reuse: f64,
-    /// Milliseconds between two messages of coverage.
+    /// Milliseconds between two coverage messages.
     #[cfg_attr(test, schemars(range(min = 200, max = 2_500)))]
     pub coverage_interval_ms: u64,
     /// Milliseconds that another node must be better placed before a leader hands over.
     #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
     pub handover_after_ms: u64,
-    /// Milliseconds that a leader leads at the least before it hands over.
+    /// The shortest time, in milliseconds, that a leader leads before it hands over.
     #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
     pub least_tenure_ms: u64,
 }
--- a/crates/plankhead/src/settings/sharding.rs
+++ b/crates/plankhead/src/settings/sharding.rs
@@ -1,4 +1,4 @@
-//! The operators' file that divides machines among controllers.
+//! The operators' file that turns sharding on and configures it.
 
 use super::as_millis;
 use super::schema::SettingsFile;
@@ -7,34 +7,34 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Whether and how machines are divided among controllers.
+/// Whether and how machines are sharded among controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ShardingFile {
-    /// Whether machines are divided.
+    /// Whether machines are sharded.
     pub enabled: bool,
-    /// Parts that each zone's machines are divided into.
+    /// Shards of each zone.
     #[cfg_attr(test, schemars(range(min = 1, max = 64)))]
     pub shards_per_zone: u32,
-    /// The part of another controller's load that the leader takes beside its own work.
+    /// The share of another controller's load that the leader takes besides its own work.
     #[cfg_attr(test, schemars(range(min = 0.01, max = 10.0)))]
     pub leader_capacity: f64,
-    /// The share of its holder's load by which a move must gain.
+    /// The least gain of a move, as a share of its holder's load.
     #[cfg_attr(test, schemars(range(min = 0.05, max = 1.0)))]
     pub hysteresis: f64,
-    /// Milliseconds between two moves for the sake of balance.
+    /// Milliseconds between two moves that balance the load.
     #[cfg_attr(test, schemars(range(min = 500, max = 3_600_000)))]
     pub move_pause_ms: u64,
-    /// Milliseconds that a holder which is asked to let go is waited for.
+    /// Milliseconds that a holder has to release a shard before the shard is seized.
     #[cfg_attr(test, schemars(range(min = 100, max = 60_000)))]
     pub release_timeout_ms: u64,
-    /// Milliseconds that a holder may be silent before its shards go to others.
+    /// Milliseconds without a message after which a holder's shards go to others.
     #[cfg_attr(test, schemars(range(min = 1_500, max = 60_000)))]
     pub holder_timeout_ms: u64,
-    /// Names of controllers that are to hold no shards.
+    /// Names of controllers that must hold no shards.
     pub drained: BTreeSet<String>,
-    /// Moves one shard every so many milliseconds whatever the balance, as a drill.
+    /// Milliseconds between moves of one shard whatever the balance, as a drill.
     #[cfg_attr(test, schemars(range(min = 1_000, max = 86_400_000)))]
     pub rotate_ms: Option<u64>,
 }
--- a/crates/plankhead/src/subcommands/intents.rs
+++ b/crates/plankhead/src/subcommands/intents.rs
@@ -19,10 +19,13 @@
 /// Why intents can't be listed.
 #[derive(Debug, Error)]
 pub enum ListError {
+    /// The time zone's name is not known.
     #[error("there is no time zone {0}")]
     UnknownTimeZone(String),
+    /// A call of the state service failed.
     #[error("the state service can't be read: {0:?}")]
     StateService(CallError),
+    /// The state service's reply does not fit the request.
     #[error("the state service gave another answer than was asked for")]
     UnexpectedReply,
 }
@@ -30,14 +33,18 @@
 /// The leader, and its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
+    /// The node's name.
     pub host: String,
+    /// The token under which it leads.
     pub token: u64,
 }
 
 /// What the state service has of intents.
 #[derive(Debug, Default)]
 pub struct Listing {
+    /// `None`: no node holds the lease.
     pub leader: Option<Leadership>,
+    /// Open intents, in the order of their keys.
     pub intents: Vec<Intent>,
     /// Records that can't be read.
     pub faults: Vec<RecordError>,
--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -14,6 +14,7 @@
 /// What one controller says of itself and of the others.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NodeView {
+    /// The mode of reachability; `not judged` while it is off.
     pub mode: String,
     /// For how long it has been in this mode.
     pub since_s: f64,
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -16,8 +16,10 @@
 /// Why the shards can't be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
+    /// A call of the state service failed.
     #[error("the records of shards can't be read: {0:?}")]
     StateService(CallError),
+    /// The state service's reply does not fit the request.
     #[error("the state service answered something else than a list")]
     UnexpectedReply,
 }
@@ -25,7 +27,9 @@
 /// What one controller says of a shard that it holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
+    /// The epoch under which it holds the shard.
     pub epoch: u64,
+    /// Machines of the shard that report to it.
     pub machines: u64,
     /// Whether it answers workers of the shard.
     pub acts: bool,
@@ -34,6 +38,7 @@
 /// The records, and what the controllers say of them.
 #[derive(Debug, Default)]
 pub struct Shards {
+    /// The records of the state service.
     pub table: ShardTable,
     /// Records that can't be read.
     pub faults: Vec<String>,
@@ -41,6 +46,7 @@
     pub claims: BTreeMap<String, Option<BTreeMap<String, Claim>>>,
     /// What moves wait for, by shard, as the leader says.
     pub waits_for: BTreeMap<String, String>,
+    /// The node that says that it leads.
     pub leader: Option<String>,
 }
 
--- a/crates/plankhead/src/wire/cloud.rs
+++ b/crates/plankhead/src/wire/cloud.rs
@@ -131,6 +131,7 @@
 /// A page of the inventory.
 #[derive(Debug, PartialEq)]
 pub struct InstancePage {
+    /// In the order of their names.
     pub instances: Vec<Instance>,
     /// Whether further pages follow.
     pub truncated: bool,
--- a/crates/plankhead/src/wire/state_service.rs
+++ b/crates/plankhead/src/wire/state_service.rs
@@ -26,9 +26,11 @@
 /// A page of the keys under a prefix.
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
+    /// In the order of the keys.
     pub rows: Vec<KeyValueMessage>,
     /// Whether further pages follow.
     pub truncated: bool,
+    /// The revision of the whole store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -36,6 +38,7 @@
 /// An answer that gives the store's revision and nothing else that is used here.
 #[derive(Debug, Deserialize)]
 pub struct RevisionMessage {
+    /// The revision of the whole store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -43,12 +46,14 @@
 /// The keys whose conditions did not hold.
 #[derive(Debug, Deserialize)]
 pub struct ConflictMessage {
+    /// The keys.
     pub failed: Vec<String>,
 }
 
 /// A lease that was granted.
 #[derive(Debug, Deserialize)]
 pub struct LeaseMessage {
+    /// The lease's number.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
@@ -56,6 +61,7 @@
 /// What a watch answers.
 #[derive(Debug, Deserialize)]
 pub struct WatchMessage {
+    /// The revision of the whole store.
     #[serde(rename = "epoch")]
     pub revision: u64,
     events: Vec<WatchEventMessage>,
--- a/crates/plankhead/src/wire/users.rs
+++ b/crates/plankhead/src/wire/users.rs
@@ -9,12 +9,16 @@
 /// Why a submission was refused. Users are shown the text.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
+    /// The body is no JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
+    /// The body is JSON and no object.
     #[error("not an object")]
     NotAnObject,
+    /// Without an id there is nothing to look up.
     #[error("nameId is missing or no text")]
     MissingJobId,
+    /// The id can't be one.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidJobId),
     /// A field is missing or of another type than published.
@@ -29,7 +33,9 @@
 /// before its body is judged.
 #[derive(Debug)]
 pub struct Submission {
+    /// The id that the user chose.
     pub id: JobId,
+    /// The job, or why it is malformed.
     pub job: Result<JobSpec, SubmissionError>,
 }
 
--- a/crates/plankhead/src/wire/workers.rs
+++ b/crates/plankhead/src/wire/workers.rs
@@ -21,16 +21,22 @@
     /// It is no JSON, or a field is missing or of another type than published.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
+    /// It is empty, too long, or has other characters than printable ASCII.
     #[error("a strange host name")]
     InvalidMachineName,
+    /// The time of the preemption notice is too long to be one.
     #[error("warningS is out of range")]
     PreemptionNoticeOutOfRange,
+    /// A task is over, and the heartbeat does not say why.
     #[error("an ended task without a cause")]
     MissingExitReason,
+    /// A task's name lacks its index.
     #[error("a task without a number")]
     MissingTaskIndex,
+    /// A task's index is no number.
     #[error("a task with a strange number")]
     InvalidTaskIndex,
+    /// A task's job can't be one.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidJobId),
 }
