--- a/crates/plankhead/src/subcommands/node_views.rs
+++ b/crates/plankhead/src/subcommands/node_views.rs
@@ -18,8 +18,8 @@
     let own = (settings.core.host.clone(), settings.controller_address);
     let peers = settings.peers.iter().map(|peer| (peer.name.clone(), peer.address));
     let mut calls = JoinSet::new();
-    for (host, address) in peers.chain([own]) {
-        calls.spawn(async move { (host, fetch(address).await) });
+    for (node, address) in peers.chain([own]) {
+        calls.spawn(async move { (node, fetch(address).await) });
     }
     calls.join_all().await.into_iter().collect()
 }
--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -34,7 +34,7 @@
 /// Asks all controllers that the settings name.
 pub async fn fetch(settings: &NodeSettings) -> NodeViews {
     let views = node_views::fetch_all(settings).await.into_iter();
-    views.map(|(host, view)| (host, view.as_ref().map(read))).collect()
+    views.map(|(node, view)| (node, view.as_ref().map(read))).collect()
 }
 
 fn text(value: &Value) -> Option<String> {
@@ -81,11 +81,11 @@
 /// Where the views contradict each other, a line each.
 pub fn disagreements(views: &NodeViews) -> Vec<String> {
     let answered: Vec<(&String, &NodeView)> =
-        views.iter().filter_map(|(host, view)| Some((host, view.as_ref()?))).collect();
+        views.iter().filter_map(|(node, view)| Some((node, view.as_ref()?))).collect();
     let mut lines = leader_disagreements(&answered);
-    for (host, view) in &answered {
+    for (node, view) in &answered {
         for (peer, hears) in &view.hears {
-            lines.extend(link_disagreement(views, host, peer, *hears));
+            lines.extend(link_disagreement(views, node, peer, *hears));
         }
     }
     lines
@@ -93,8 +93,8 @@
 
 fn leader_disagreements(answered: &[(&String, &NodeView)]) -> Vec<String> {
     let mut by_leader: BTreeMap<Option<&str>, Vec<&str>> = BTreeMap::new();
-    for (host, view) in answered {
-        by_leader.entry(view.leader.as_deref()).or_default().push(host);
+    for (node, view) in answered {
+        by_leader.entry(view.leader.as_deref()).or_default().push(node);
     }
     if by_leader.len() <= 1 {
         return Vec::new();
@@ -105,12 +105,12 @@
         .collect()
 }
 
-fn link_disagreement(views: &NodeViews, host: &str, peer: &str, hears: bool) -> Option<String> {
+fn link_disagreement(views: &NodeViews, node: &str, peer: &str, hears: bool) -> Option<String> {
     let peer_view = views.get(peer).and_then(Option::as_ref);
-    let peer_hears = peer_view.and_then(|view| view.hears.get(host)).copied();
+    let peer_hears = peer_view.and_then(|view| view.hears.get(node)).copied();
     match (hears, peer_hears) {
-        (false, Some(true)) => Some(format!("{host} does not hear {peer}, which hears {host}")),
-        (true, None) if peer_view.is_none() => Some(format!("{host} hears {peer}, which did not answer")),
+        (false, Some(true)) => Some(format!("{node} does not hear {peer}, which hears {node}")),
+        (true, None) if peer_view.is_none() => Some(format!("{node} hears {peer}, which did not answer")),
         _ => None,
     }
 }
@@ -124,16 +124,16 @@
         "{:<16} {:<14} {:>8} {:<16} {:>7}  links down",
         "node", "mode", "since", "leader", "workers"
     );
-    for (host, view) in views {
+    for (node, view) in views {
         let Some(view) = view else {
-            _ = writeln!(text, "{host:<16} does not answer");
+            _ = writeln!(text, "{node:<16} does not answer");
             continue;
         };
         let down = if view.down_links.is_empty() { "none".into() } else { view.down_links.join(", ") };
         let leader = view.leader.as_deref().unwrap_or("nobody");
         _ = writeln!(
             text,
-            "{host:<16} {:<14} {:>6.0} s {leader:<16} {:>7}  {down}",
+            "{node:<16} {:<14} {:>6.0} s {leader:<16} {:>7}  {down}",
             view.mode, view.since_s, view.workers
         );
     }
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -69,31 +69,31 @@
             break;
         }
     }
-    for (host, view) in node_views::fetch_all(settings).await {
-        shards.add_view(&host, view.as_ref());
+    for (node, view) in node_views::fetch_all(settings).await {
+        shards.add_view(&node, view.as_ref());
     }
     Ok(shards)
 }
 
 impl Shards {
     /// Takes in a controller's view; `None`: it did not answer.
-    pub fn add_view(&mut self, host: &str, view: Option<&Value>) {
-        let claims = view.map(|view| self.claims_of_view(host, view));
-        self.claims.insert(host.into(), claims);
+    pub fn add_view(&mut self, node: &str, view: Option<&Value>) {
+        let claims = view.map(|view| self.claims_of_view(node, view));
+        self.claims.insert(node.into(), claims);
     }
 
-    fn claims_of_view(&mut self, host: &str, view: &Value) -> BTreeMap<String, Claim> {
+    fn claims_of_view(&mut self, node: &str, view: &Value) -> BTreeMap<String, Claim> {
         let mut claims = BTreeMap::new();
         let is_leader = !view["leader"].is_null();
         if is_leader {
-            self.leader = Some(host.to_owned());
+            self.leader = Some(node.to_owned());
         }
         let led = view["leader"]["sharding"]["shards"].as_array();
         for row in led.into_iter().flatten() {
             if let (Some(shard), Some(waits_for)) = (row["shard"].as_str(), row["waitsFor"].as_str()) {
                 self.waits_for.insert(shard.into(), waits_for.into());
             }
-            if row["holder"].as_str() == Some(host) {
+            if row["holder"].as_str() == Some(node) {
                 claims.extend(parse_claim(row, true));
             }
         }
@@ -111,9 +111,9 @@
         for (shard, known) in self.table.iter() {
             lines.extend(self.record_disagreement(&shard.to_string(), &known.record.holder, known.epoch()));
         }
-        for (host, claims) in &self.claims {
+        for (node, claims) in &self.claims {
             for (shard, claim) in claims.iter().flatten().filter(|(_, claim)| claim.acts) {
-                lines.extend(self.claim_disagreement(host, shard, claim.epoch));
+                lines.extend(self.claim_disagreement(node, shard, claim.epoch));
             }
         }
         lines
@@ -138,13 +138,13 @@
     }
 
     /// Whether a controller acts for a shard whose record names another one.
-    fn claim_disagreement(&self, host: &str, shard: &str, epoch: u64) -> Option<String> {
+    fn claim_disagreement(&self, node: &str, shard: &str, epoch: u64) -> Option<String> {
         let holder = self.holder(shard);
-        if holder == Some(host) {
+        if holder == Some(node) {
             return None;
         }
         let holder = holder.unwrap_or("nobody");
-        Some(format!("{shard}: {host} acts for it under {epoch}, its record names {holder}"))
+        Some(format!("{shard}: {node} acts for it under {epoch}, its record names {holder}"))
     }
 
     fn holder(&self, shard: &str) -> Option<&str> {
