--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -3,6 +3,7 @@
 
 #![allow(clippy::unwrap_used)]
 
+use plankhead_reachability::bitmap;
 use plankhead_reachability::coverage::*;
 use plankhead_reachability::handover::*;
 use plankhead_reachability::mode::Mode;
@@ -58,8 +59,8 @@
         }
         assert!(names.iter().all(|name| other.number(name) == numbering.number(name)));
         let all: RoaringBitmap = numbers.iter().copied().collect();
-        assert!(encode_bitmap(&all).len() < 16_384);
-        assert_eq!(decode_bitmap(&encode_bitmap(&all)).unwrap(), all);
+        assert!(bitmap::encode(&all).len() < 16_384);
+        assert_eq!(decode_bitmap(&bitmap::encode(&all)).unwrap(), all);
     }
 }
 
@@ -165,12 +166,12 @@
 fn malformed_and_oversized_bitmaps_are_refused() {
     assert_eq!(decode_bitmap(&vec![0; MAX_BITMAP_BYTES + 1]), Err(CoverageError::TooLarge));
     assert!(matches!(decode_bitmap(b"no bitmap"), Err(CoverageError::Malformed(_))));
-    let whole = encode_bitmap(&(0..5_000).step_by(3).collect());
+    let whole = bitmap::encode(&(0..5_000).step_by(3).collect());
     for length in 0..whole.len() {
         assert!(matches!(decode_bitmap(&whole[..length]), Err(CoverageError::Malformed(_))), "{length}");
     }
     let far: RoaringBitmap = [MAX_NUMBER].into_iter().collect();
-    assert!(matches!(decode_bitmap(&encode_bitmap(&far)), Err(CoverageError::Malformed(_))));
+    assert!(matches!(decode_bitmap(&bitmap::encode(&far)), Err(CoverageError::Malformed(_))));
 }
 
 #[test]
@@ -181,13 +182,13 @@
     table.receive(hears, NOW, &numbering, None).unwrap();
     assert!(table.heard_by_a_peer("machine-00004", &numbering, NOW));
     assert!(!table.heard_by_a_peer("machine-00005", &numbering, NOW));
-    assert!(!table.heard_by_a_peer("machine-00004", &numbering, NOW + LIFE), "it is too old");
+    assert!(!table.heard_by_a_peer("machine-00004", &numbering, NOW + COVERAGE_TIMEOUT), "it is too old");
     assert!(!table.nobody_hears(NOW));
     table.receive(from("plank-1", 2), NOW, &numbering, None).unwrap();
     assert!(!table.nobody_hears(NOW), "one peer has said nothing");
     table.receive(from("plank-2", 1), NOW, &numbering, None).unwrap();
     assert!(table.nobody_hears(NOW));
-    assert!(!table.nobody_hears(NOW + LIFE));
+    assert!(!table.nobody_hears(NOW + COVERAGE_TIMEOUT));
 }
 
 fn own(mode: Mode, heard: u64) -> LeaderView {
--- a/crates/plankhead/src/clients/cloud.rs
+++ b/crates/plankhead/src/clients/cloud.rs
@@ -6,7 +6,7 @@
 };
 use hyper::{Method, StatusCode};
 use plankhead_core::protocol::{CallError, CloudReply, CloudRequest};
-use plankhead_fencing::action::Action;
+use plankhead_fencing::action::CloudAction;
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -23,8 +23,8 @@
             (Method::GET, format!("/hosts?{after}most={MAX_PAGE}"), Vec::new())
         }
         CloudRequest::Execute(permitted) => match permitted.action() {
-            Action::Rent(rental) => (Method::POST, "/hosts".into(), encode_rental(rental)),
-            Action::Return(release) => (Method::POST, "/hosts/release".into(), encode_release(release)),
+            CloudAction::Rent(rental) => (Method::POST, "/hosts".into(), encode_rental(rental)),
+            CloudAction::Return(release) => (Method::POST, "/hosts/release".into(), encode_release(release)),
         },
     };
     let (status, body) = client.call(method, &path, body, CALL_TIMEOUT).await?;
@@ -42,15 +42,15 @@
     }
 }
 
-fn parse_outcome(action: &Action, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
+fn parse_outcome(action: &CloudAction, status: StatusCode, body: &[u8]) -> Result<CloudReply, CallError> {
     match (action, status) {
-        (Action::Rent(_), StatusCode::OK) => {
+        (CloudAction::Rent(_), StatusCode::OK) => {
             parse_rented(body).map(CloudReply::Rented).ok_or(CallError::OutcomeUnknown)
         }
-        (Action::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if is_no_capacity(body) => {
+        (CloudAction::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if is_no_capacity(body) => {
             Ok(CloudReply::NoCapacity)
         }
-        (Action::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
+        (CloudAction::Return(_), StatusCode::OK) => Ok(CloudReply::Released),
         (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Err(CallError::Refused),
         _ => Err(CallError::OutcomeUnknown),
     }
--- a/crates/plankhead/src/node_handle.rs
+++ b/crates/plankhead/src/node_handle.rs
@@ -6,7 +6,7 @@
 use crate::wire::users::SubmissionError;
 use crate::wire::workers::response_token;
 use plankhead_core::jobs::job::{JobId, JobSpec};
-use plankhead_core::protocol::{Event, Heartbeat, RequestId, Response};
+use plankhead_core::protocol::{Event, Heartbeat, RequestId, Response, SpecRejection};
 use plankhead_core::shards::messages::{ShardMessage, ShardMessageError};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -39,7 +39,8 @@
     pub fn into_event(self, request: RequestId) -> Event {
         match self {
             NodeRequest::Submit { id, job } => {
-                Event::Submit { request, id, job: job.map_err(|error| error.to_string()) }
+                let job = job.map_err(|error| SpecRejection::Malformed(error.to_string()));
+                Event::Submit { request, id, job }
             }
             NodeRequest::Poll { id } => Event::Poll { request, id },
             NodeRequest::Cancel { id } => Event::Cancel { request, id },
--- a/crates/plankhead/src/peer_messages/shards/decode.rs
+++ b/crates/plankhead/src/peer_messages/shards/decode.rs
@@ -12,7 +12,7 @@
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
     ShardMessageError, MAX_MACHINES, MAX_SHARDS,
 };
-use plankhead_sharding::alive;
+use plankhead_sharding::machine_numbers;
 use plankhead_sharding::sequence::MessageStamp;
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     check_count(message.shards.len(), MAX_SHARDS, "shards")?;
     let shards = message.shards.iter().map(shard_holding).collect::<Result<_, _>>()?;
     let updates = message.updates.into_iter().map(machine_update).collect::<Result<_, _>>()?;
-    let alive = alive::decode(&message.alive).map_err(malformed)?;
+    let alive = machine_numbers::decode(&message.alive).map_err(malformed)?;
     Ok(HolderStatus {
         host: name(message.host, "host")?,
         stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
--- a/crates/plankhead/src/peer_messages/shards/encode.rs
+++ b/crates/plankhead/src/peer_messages/shards/encode.rs
@@ -11,7 +11,7 @@
 use plankhead_core::shards::messages::{
     HolderStatus, LeaderCommands, MachineCommands, MachineUpdate, ShardHolding, ShardMessage,
 };
-use plankhead_sharding::alive;
+use plankhead_reachability::bitmap;
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
         stream: status.stream,
         first: status.first,
         updates: status.updates.iter().map(machine_update).collect(),
-        alive: alive::encode(&status.alive),
+        alive: bitmap::encode(&status.alive),
         alive_age_ms: millis(status.alive_age),
     }
 }
--- a/crates/plankhead/src/subcommands/intents.rs
+++ b/crates/plankhead/src/subcommands/intents.rs
@@ -5,9 +5,9 @@
 use crate::http::Client;
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use plankhead_core::leadership::election::{self, Holder};
+use plankhead_core::leadership::election::{self, LeaderRecord};
 use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
-use plankhead_fencing::duty::Intent;
+use plankhead_fencing::intent::Intent;
 use plankhead_fencing::record::{self, RecordError};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
 }
 
 fn parse_leader(row: &KeyValue) -> Option<Leadership> {
-    let holder: Holder = serde_json::from_str(&row.value).ok()?;
+    let holder: LeaderRecord = serde_json::from_str(&row.value).ok()?;
     Some(Leadership { host: holder.host, token: row.mod_revision })
 }
 
@@ -96,8 +96,8 @@
 fn waits_for(intent: &Intent, leader: Option<&Leadership>) -> &'static str {
     match leader {
         None => "a leader, who will adopt it",
-        Some(leader) if leader.token == intent.holder => "the cloud's answer, or its record's removal",
-        Some(leader) if leader.token > intent.holder => "the leader, who has adopted it or will",
+        Some(leader) if leader.token == intent.token => "the cloud's answer, or its record's removal",
+        Some(leader) if leader.token > intent.token => "the leader, who has adopted it or will",
         Some(_) => "nobody: its holder is later than the leader",
     }
 }
@@ -127,7 +127,7 @@
             text,
             "{:<24} {:>10} {:<8} {:<32} {local:<20} {age:>6} s  {}",
             intent.key.to_string(),
-            intent.holder,
+            intent.token,
             intent.action.kind(),
             intent.action.subject(),
             waits_for(intent, listing.leader.as_ref()),
--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -46,10 +46,12 @@
     let reachability = &view["reachability"];
     let links = reachability["links"].as_array().cloned().unwrap_or_default();
     let is_leader = !view["leader"].is_null();
+    // Nodes of the version before name the leader `foreman`.
+    let leader_host = view.get("leaderHost").unwrap_or(&view["foreman"]);
     NodeView {
         mode: text(&reachability["mode"]).unwrap_or_else(|| "not judged".into()),
         since_s: reachability["sinceS"].as_f64().unwrap_or_default(),
-        leader: if is_leader { text(&view["host"]) } else { text(&view["foreman"]) },
+        leader: if is_leader { text(&view["host"]) } else { text(leader_host) },
         down_links: links.iter().filter(|link| link["condition"] == "down").map(link_name).collect(),
         workers: reachability["heard"].as_u64().unwrap_or_default(),
         hears: if reachability.is_null() { heard_by_age(view) } else { heard_by_link(&links) },
@@ -72,7 +74,8 @@
 
 /// Which peers a node hears by the age of their last heartbeats.
 fn heard_by_age(view: &Value) -> BTreeMap<String, bool> {
-    let peers = view["siblings"].as_array().into_iter().flatten();
+    // Nodes of the version before name the peers `siblings`.
+    let peers = view.get("peers").unwrap_or(&view["siblings"]).as_array().into_iter().flatten();
     peers
         .filter_map(|peer| Some((text(&peer["host"])?, peer["heardS"].as_f64()? < PEER_HEARTBEAT_TIMEOUT_S)))
         .collect()
--- a/crates/plankhead/src/tests/wire_bytes.rs
+++ b/crates/plankhead/src/tests/wire_bytes.rs
@@ -8,7 +8,7 @@
 use crate::wire::workers::{encode_commands, parse_heartbeat};
 use plankhead_core::jobs::job::JobId;
 use plankhead_core::protocol::{Condition, JobStatus, KvChange, Response, TaskId, WorkerCommand};
-use plankhead_fencing::action::{Rental, Return, ReturnReason};
+use plankhead_fencing::action::{InstanceReturn, Rental, ReturnReason};
 use std::time::Duration;
 
 fn text(bytes: Vec<u8>) -> String {
@@ -57,7 +57,8 @@
         Rental { name: "r-1".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 7 };
     let expected = r#"{"hire":"r-1","loaners":true,"number":7,"rig":"g8","yard":"a"}"#;
     assert_eq!(text(encode_rental(&rental)), expected);
-    let release = Return { hosts: vec!["i-1".into(), "i-2".into()], cause: ReturnReason::Surplus };
+    let release =
+        InstanceReturn { machines: vec!["i-1".into(), "i-2".into()], reason: ReturnReason::Surplus };
     assert_eq!(text(encode_release(&release)), r#"{"hosts":["i-1","i-2"]}"#);
 }
 
--- a/crates/plankhead/src/wire/cloud.rs
+++ b/crates/plankhead/src/wire/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::{duration_from_seconds, to_json};
 use plankhead_core::protocol::{Instance, InstanceStatus, MachineName, MachineType};
-use plankhead_fencing::action::{Rental, Return};
+use plankhead_fencing::action::{InstanceReturn, Rental};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -177,13 +177,13 @@
 }
 
 /// Encodes the release of machines.
-pub fn encode_release(release: &Return) -> Vec<u8> {
+pub fn encode_release(release: &InstanceReturn) -> Vec<u8> {
     #[derive(Serialize)]
     struct ReleaseMessage<'a> {
         #[serde(rename = "hosts")]
         machines: Vec<&'a str>,
     }
-    to_json(&ReleaseMessage { machines: release.hosts.iter().map(|machine| machine.as_ref()).collect() })
+    to_json(&ReleaseMessage { machines: release.machines.iter().map(|machine| machine.as_ref()).collect() })
 }
 
 /// Whether the body of a refusal says that the pool has no machines left.
--- a/crates/plankhead/src/wire/responses.rs
+++ b/crates/plankhead/src/wire/responses.rs
@@ -27,8 +27,8 @@
                 JobResponse { id: id.as_str(), status: status_name(*status), done: *done, running: *running };
             json(if *created { 201 } else { 200 }, &job)
         }
-        Response::BadRequest(reason) => error(400, reason),
-        Response::Unprocessable(reason) => error(422, reason),
+        Response::BadRequest(reason) => error(400, &reason.to_string()),
+        Response::Unprocessable(reason) => error(422, &reason.to_string()),
         Response::NotFound => error(404, "no such job"),
         Response::Unavailable { retry_after } => {
             Reply { retry: Some(*retry_after), ..error(503, "try again later") }
