--- a/crates/plankhead-standins/src/bin/link_faults.rs
+++ b/crates/plankhead-standins/src/bin/link_faults.rs
@@ -1,8 +1,10 @@
 //! Cuts single links of real controller processes under load, and checks that every job
 //! reached exactly one final answer. Run by hand:
 //!
-//!     cargo run --release -p plankhead-standins --bin link_faults -- --nodes 3 --jobs 300 --cuts 50 \
-//!         --node-arguments "--reachability deploy/reachability.json"
+//! ```sh
+//! cargo run --release -p plankhead-standins --bin link_faults -- --nodes 3 --jobs 300 --cuts 50 \
+//!     --node-arguments "--reachability deploy/reachability.json"
+//! ```
 //!
 //! It ends with an error if a job did not.
 
--- a/crates/plankhead-standins/src/bin/load_generator.rs
+++ b/crates/plankhead-standins/src/bin/load_generator.rs
@@ -2,7 +2,9 @@
 //! workers and users, at rates set on the command line, and the real `plankhead`
 //! processes under a profiler if one is named. Run by hand:
 //!
-//!     cargo run --release -p plankhead-standins --bin load_generator -- --machines 185 --report-s 1 --seconds 60
+//! ```sh
+//! cargo run --release -p plankhead-standins --bin load_generator -- --machines 185 --report-s 1 --seconds 60
+//! ```
 //!
 //! It prints how often each kind of request was made and what the processes used. It is
 //! not a simulation: nothing fails, and a process has a whole core.
--- a/crates/plankhead-standins/src/bin/local_cluster.rs
+++ b/crates/plankhead-standins/src/bin/local_cluster.rs
@@ -1,7 +1,9 @@
 //! A small cluster on loopback to try: three controllers, a state service, a cloud and
 //! workers. It takes jobs until it is interrupted:
 //!
-//!     cargo run --release -p plankhead-standins --bin local_cluster
+//! ```sh
+//! cargo run --release -p plankhead-standins --bin local_cluster
+//! ```
 //!
 //! The controllers are this program, too, started with their settings.
 
--- a/crates/plankhead-standins/src/bin/process_pauses.rs
+++ b/crates/plankhead-standins/src/bin/process_pauses.rs
@@ -1,8 +1,10 @@
 //! Pauses and resumes real controller processes under load, and counts what the cloud did
 //! for those that did not hold the lease any more. Run by hand:
 //!
-//!     cargo run --release -p plankhead-standins --bin process_pauses -- --pauses 1000 \
-//!         --node-arguments "--fencing deploy/fencing.json"
+//! ```sh
+//! cargo run --release -p plankhead-standins --bin process_pauses -- --pauses 1000 \
+//!     --node-arguments "--fencing deploy/fencing.json"
+//! ```
 //!
 //! It ends with an error if it finds a stale effect while fencing is on.
 
--- a/crates/plankhead-standins/src/bin/shard_move_faults.rs
+++ b/crates/plankhead-standins/src/bin/shard_move_faults.rs
@@ -1,8 +1,10 @@
 //! Kills and pauses real controller processes under load while shards of machines move
 //! between them, and checks that every job reached exactly one final answer. Run by hand:
 //!
-//!     cargo run --release -p plankhead-standins --bin shard_move_faults -- --nodes 3 --jobs 300 \
-//!         --node-arguments "--sharding rotate.json"
+//! ```sh
+//! cargo run --release -p plankhead-standins --bin shard_move_faults -- --nodes 3 --jobs 300 \
+//!     --node-arguments "--sharding rotate.json"
+//! ```
 //!
 //! It ends with an error if a job did not, or a task ran twice.
 
