--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -1,6 +1,6 @@
 //! Stored keys that nobody needs any more, and the archive of ended jobs.
 
-use super::Leader;
+use super::{Leader, TermStatus};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase};
@@ -140,32 +140,36 @@
         self.call_kv(LeaderCall::ArchiveJobs(jobs), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a deletion; false: another node leads.
+    /// Takes in the reply to a deletion.
     pub(super) fn garbage_deleted(
         &mut self,
         keys: Vec<StoredKey>,
         reply: Result<KvReply, CallError>,
-    ) -> bool {
+    ) -> TermStatus {
         self.garbage.write_in_flight = false;
         match reply {
             Ok(KvReply::Committed { .. }) => {}
-            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => return false,
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
+                return TermStatus::Over
+            }
             Ok(KvReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
             _ => self.garbage.keys.extend(keys),
         }
-        true
+        TermStatus::Continues
     }
 
-    /// Takes in the reply to a move into the archive; false: another node leads.
+    /// Takes in the reply to a move into the archive.
     pub(super) fn jobs_archived(
         &mut self,
         jobs: Vec<FinishedJob>,
         reply: Result<KvReply, CallError>,
-    ) -> bool {
+    ) -> TermStatus {
         self.garbage.write_in_flight = false;
         match reply {
             Ok(KvReply::Committed { .. }) => {}
-            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => return false,
+            Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
+                return TermStatus::Over
+            }
             // Moved already, by a transaction whose reply was lost.
             Ok(KvReply::Conflict { failed }) => {
                 let left = jobs.into_iter().filter(|job| !failed.contains(&job.id.key()));
@@ -173,6 +177,6 @@
             }
             _ => self.garbage.to_archive.extend(jobs),
         }
-        true
+        TermStatus::Continues
     }
 }
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -4,7 +4,7 @@
 use super::state::ReturnRetry;
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
-use crate::leader::{Leader, LeaderEvidence};
+use crate::leader::{Leader, LeaderEvidence, TermStatus};
 use crate::leadership::election;
 use crate::protocol::{CallError, Condition, KvChange, KvReply, KvRequest, LogLevel};
 use plankhead_fencing::action::CloudAction;
@@ -80,20 +80,19 @@
         (conditions, changes)
     }
 
-    /// Takes in the reply to a write of intents that was sent at `sent`; false: another
-    /// node leads.
+    /// Takes in the reply to a write of intents that was sent at `sent`.
     pub(in crate::leader) fn intents_written(
         &mut self,
         now: Duration,
         sent: Duration,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
-    ) -> bool {
+    ) -> TermStatus {
         let fresh = now.saturating_sub(sent) < MAX_FAILURE_AGE;
         let outcome = match reply {
             Ok(KvReply::Committed { revision }) => WriteOutcome::Committed { revision },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
-                return false;
+                return TermStatus::Over;
             }
             Ok(KvReply::Conflict { .. }) => WriteOutcome::Conflict,
             Err(CallError::RateLimited) => WriteOutcome::Busy,
@@ -109,7 +108,7 @@
         }
         self.intents.ready.extend(durable);
         self.send_ready(effects);
-        true
+        TermStatus::Continues
     }
 
     /// Takes in the reply to a reading of a page's revision that was sent at `sent`.
--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -1,6 +1,6 @@
 //! The watch on job records: how the leader learns of new and cancelled jobs.
 
-use super::{Leader, RETRY_INTERVAL};
+use super::{Leader, TermStatus, RETRY_INTERVAL};
 use crate::calls::LeaderCall;
 use crate::effects::{EffectSink, StepTime};
 use crate::protocol::{CallError, KvReply, KvRequest, WatchEvent};
@@ -67,8 +67,8 @@
         self.call_kv(LeaderCall::WatchJobs { sent: now }, op, effects);
     }
 
-    /// Takes in the reply to a watch that was sent at `sent`; false: events are missing,
-    /// so that this leader must resign.
+    /// Takes in the reply to a watch that was sent at `sent`. Where events are missing, this leader
+    /// must resign.
     pub(super) fn jobs_watched(
         &mut self,
         times: StepTime,
@@ -76,7 +76,7 @@
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         effects: &mut EffectSink,
-    ) -> bool {
+    ) -> TermStatus {
         self.job_watch.in_flight = false;
         match reply {
             Ok(KvReply::Events { revision, events }) => {
@@ -88,9 +88,9 @@
                 self.job_watch.advance(revision, sent);
                 self.kill_cancelled(times.now, effects);
             }
-            Ok(KvReply::Compacted) => return false,
+            Ok(KvReply::Compacted) => return TermStatus::Over,
             _ => self.job_watch.next_at = times.now + RETRY_INTERVAL,
         }
-        true
+        TermStatus::Continues
     }
 }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -44,6 +44,7 @@
 use loading::JobLoading;
 use persistence::Persistence;
 use placement::Placement;
+pub use replies::TermStatus;
 use scaling::Scaling;
 pub use shards::LeaderRoute;
 use shards::LeaderShards;
--- a/crates/plankhead-core/src/leader/persistence.rs
+++ b/crates/plankhead-core/src/leader/persistence.rs
@@ -1,6 +1,6 @@
 //! Making decisions durable, within the write budget.
 
-use super::{Leader, RETRY_INTERVAL};
+use super::{Leader, TermStatus, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, WriteBatch};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::chunk::EncodedChunk;
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Takes in the reply to a transaction; false: another node leads.
+    /// Takes in the reply to a transaction.
     pub(super) fn batch_written(
         &mut self,
         now: Duration,
@@ -292,13 +292,13 @@
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         effects: &mut EffectSink,
-    ) -> bool {
+    ) -> TermStatus {
         self.persistence.txns_in_flight -= 1;
         let (mut failed, mut lost) = (Vec::new(), false);
         match reply {
             Ok(KvReply::Committed { revision }) => {
                 self.batch_committed(now, &batch, revision, requests, effects);
-                return true;
+                return TermStatus::Continues;
             }
             Ok(KvReply::Conflict { failed: keys }) => failed = keys,
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
@@ -307,10 +307,10 @@
             _ => lost = true,
         }
         if failed.iter().any(|key| key == election::KEY) {
-            return false;
+            return TermStatus::Over;
         }
         self.batch_failed(&batch, &failed, lost);
-        true
+        TermStatus::Continues
     }
 
     fn batch_committed(
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -6,8 +6,18 @@
 use crate::protocol::{CallError, CloudReply, CommandReply, KvReply};
 use crate::requests::RequestHandler;
 
+/// Whether this leader's term goes on after a reply.
+#[must_use]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TermStatus {
+    /// Nothing says otherwise.
+    Continues,
+    /// Another node leads, or this leader can't go on from what it knows.
+    Over,
+}
+
 impl Leader {
-    /// Handles a reply of the state service; false: another node leads.
+    /// Handles a reply of the state service.
     pub fn kv_reply(
         &mut self,
         times: StepTime,
@@ -15,7 +25,7 @@
         reply: Result<KvReply, CallError>,
         requests: &mut RequestHandler,
         effects: &mut EffectSink,
-    ) -> bool {
+    ) -> TermStatus {
         let now = times.now;
         match leader_call {
             LeaderCall::ListJobs => self.jobs_page_loaded(times, reply, requests, effects),
@@ -39,7 +49,7 @@
             LeaderCall::WriteTarget => return self.target_written(reply),
             _ => {}
         }
-        true
+        TermStatus::Continues
     }
 
     /// Handles a reply of the cloud.
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -1,7 +1,7 @@
 //! Commands that the leader sends to the holders of shards, for their machines.
 
 use super::super::Leader;
-use super::{Peer, SentCommands};
+use super::{Peer, SentCommands, ShardHolder};
 use crate::calls::{CallPurpose, LeaderCall, SentShardCommands};
 use crate::effects::EffectSink;
 use crate::fleet::Machine;
@@ -83,8 +83,8 @@
     pub(in crate::leader) fn mark_commands_due(&mut self, name: &MachineName) {
         let machine = self.fleet.machines.get(name);
         let holder = machine.and_then(|machine| self.holder_of(machine));
-        let Some((holder, _)) = holder else { return };
-        if let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(&holder)) {
+        let Some(ShardHolder { node, .. }) = holder else { return };
+        if let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(&node)) {
             peer.due.insert(name.clone());
         }
     }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -39,6 +39,12 @@
     Superseded,
 }
 
+/// The node that holds a shard, under its epoch.
+struct ShardHolder {
+    node: String,
+    epoch: u64,
+}
+
 /// The commands for a machine that its holder has.
 #[derive(Debug)]
 struct SentCommands {
@@ -112,20 +118,21 @@
     }
 
     /// The controller that answers the machine's worker, if it is not the leader.
-    fn holder_of(&self, machine: &Machine) -> Option<(String, u64)> {
+    fn holder_of(&self, machine: &Machine) -> Option<ShardHolder> {
         self.other_holder(&self.shard_of(machine)?)
     }
 
     /// The holder of a shard, if it is not the leader: the one named in this term, else the
     /// one of a former term while it is heard.
-    fn other_holder(&self, shard: &ShardId) -> Option<(String, u64)> {
+    fn other_holder(&self, shard: &ShardId) -> Option<ShardHolder> {
         let shards = self.shards.as_ref()?;
         let own = self.settings.host.as_str();
         if let Some((holder, epoch)) = shards.registry.holder(shard) {
-            return (holder != own).then(|| (holder.to_owned(), epoch));
+            return (holder != own).then(|| ShardHolder { node: holder.to_owned(), epoch });
         }
         let (holder, epoch) = shards.registry.former_holder(shard)?;
-        (holder != own && shards.peers.contains_key(holder)).then(|| (holder.to_owned(), epoch))
+        (holder != own && shards.peers.contains_key(holder))
+            .then(|| ShardHolder { node: holder.to_owned(), epoch })
     }
 
     /// The fencing token of this leader's own commands for a machine.
@@ -147,7 +154,7 @@
         }
         let shard = shards.registry.shard_of(&heartbeat.zone, &heartbeat.machine);
         match self.other_holder(&shard) {
-            Some((host, epoch)) => LeaderRoute::Holder { host, epoch },
+            Some(ShardHolder { node, epoch }) => LeaderRoute::Holder { host: node, epoch },
             None => LeaderRoute::Own,
         }
     }
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -1,6 +1,6 @@
 //! Naming the holders of shards: the input of the decision, the records, and what follows.
 
-use super::super::Leader;
+use super::super::{Leader, TermStatus};
 use super::{Peer, WRITE_RETRY_INTERVAL};
 use crate::calls::LeaderCall;
 use crate::effects::EffectSink;
@@ -91,8 +91,7 @@
         self.call_kv(call, KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a write of records that was sent at `sent`; false: another
-    /// node leads.
+    /// Takes in the reply to a write of records that was sent at `sent`.
     pub(in crate::leader) fn shards_written(
         &mut self,
         now: Duration,
@@ -100,18 +99,18 @@
         sent: Duration,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
-    ) -> bool {
+    ) -> TermStatus {
         let outcome = match reply {
             Ok(KvReply::Committed { revision }) => WriteOutcome::Committed { revision },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
-                return false;
+                return TermStatus::Over;
             }
             Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 WriteOutcome::Failed
             }
             Err(CallError::OutcomeUnknown) => WriteOutcome::Lost,
         };
-        let Some(shards) = &mut self.shards else { return true };
+        let Some(shards) = &mut self.shards else { return TermStatus::Continues };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
         shards.next_write_at = if committed { now } else { now + WRITE_RETRY_INTERVAL };
         let named: Vec<HolderNamed> = writes
@@ -121,7 +120,7 @@
         for named in named {
             self.holder_named(now, named, effects);
         }
-        true
+        TermStatus::Continues
     }
 
     /// A shard has a holder from now on.
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -85,7 +85,7 @@
 
     fn is_held_by(&self, name: &MachineName, holder: &str) -> bool {
         let machine = self.fleet.machines.get(name);
-        machine.and_then(|machine| self.holder_of(machine)).is_some_and(|(of, _)| of == holder)
+        machine.and_then(|machine| self.holder_of(machine)).is_some_and(|of| of.node == holder)
     }
 
     /// Takes in a holder's update of one of its machines. False: another node holds the
@@ -104,7 +104,7 @@
         else {
             return false;
         };
-        if self.other_holder(&shard).is_none_or(|(of, _)| of != holder) {
+        if self.other_holder(&shard).is_none_or(|of| of.node != holder) {
             if let Some(shards) = &mut self.shards {
                 shards.refused += 1;
             }
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -50,6 +50,12 @@
     }
 }
 
+/// How many machines of a type there may be.
+struct FleetSizeLimits {
+    usual: u32,
+    under_overload: u32,
+}
+
 /// What a round is decided by, for all machine types.
 struct RoundInput {
     now: Duration,
@@ -148,14 +154,14 @@
 impl Leader {
     /// The most machines of a type: set, or learned, or what the guarantees would fill;
     /// and how far it goes under overload.
-    fn max_fleet_size(&self, machine_type: &str, now: Duration) -> (u32, u32) {
+    fn max_fleet_size(&self, machine_type: &str, now: Duration) -> FleetSizeLimits {
         let cpus = self.fleet.resources(machine_type).map_or(1.0, |r| r.cpus.max(1.0));
         let guaranteed: f64 = self.settings.teams.values().map(|t| t.guaranteed_cpus).sum();
         let fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
         let set = self.settings.sizing.max_machines;
         let known = self.fleet.known_capacity(machine_type, now).unwrap_or(u32::MAX);
         let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
-        (bound(1.0), bound(OVERLOAD_FACTOR))
+        FleetSizeLimits { usual: bound(1.0), under_overload: bound(OVERLOAD_FACTOR) }
     }
 
     /// The time between rounds: longer than a boot, so that each sees what the one
@@ -267,11 +273,11 @@
         let busy = if ordinary_only { 0 } else { busy };
         let room = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
         let widest = work.iter().map(|work| min_machines(work, &room, machine_type.zones.len())).max();
-        let (max_machines, max_overloaded) = self.max_fleet_size(type_name, round.now);
+        let limits = self.max_fleet_size(type_name, round.now);
         let search = FleetSizeSearch::new(
             busy.max(widest.unwrap_or(0)),
-            max_machines,
-            max_overloaded,
+            limits.usual,
+            limits.under_overload,
             self.settings.sizing.max_slowdown,
         );
         let input = ReplayInput {
--- a/crates/plankhead-core/src/leader/target.rs
+++ b/crates/plankhead-core/src/leader/target.rs
@@ -1,6 +1,6 @@
 //! The fleet's target sizes: the stored value, and its way to the state service.
 
-use super::Leader;
+use super::{Leader, TermStatus};
 use crate::calls::LeaderCall;
 use crate::effects::EffectSink;
 use crate::protocol::{CallError, KvChange, KvReply, KvRequest, LogLevel};
@@ -111,14 +111,14 @@
         );
     }
 
-    /// Takes in the reply to a write of the target; false: another node leads.
-    pub(super) fn target_written(&mut self, reply: Result<KvReply, CallError>) -> bool {
+    /// Takes in the reply to a write of the target.
+    pub(super) fn target_written(&mut self, reply: Result<KvReply, CallError>) -> TermStatus {
         self.target.write_in_flight = false;
         match reply {
             Ok(KvReply::Committed { .. }) => {}
-            Ok(KvReply::Conflict { .. }) => return false,
+            Ok(KvReply::Conflict { .. }) => return TermStatus::Over,
             _ => self.target.dirty = true,
         }
-        true
+        TermStatus::Continues
     }
 }
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -4,7 +4,7 @@
 use crate::calls::{CallPurpose, HolderCall, LeaderCall, PendingRequest};
 use crate::effects::StepTime;
 use crate::jobs::job::JobId;
-use crate::leader::Leader;
+use crate::leader::{Leader, TermStatus};
 use crate::protocol::{CallError, CallId, CloudReply, CommandReply, KvReply, LogLevel};
 use crate::requests::TaskCounts;
 use crate::shards::messages::Delivery;
@@ -80,8 +80,8 @@
         reply: Result<KvReply, CallError>,
     ) {
         let Some(leader) = leader_of_term(&mut self.leader, token) else { return };
-        let may_lead = leader.kv_reply(times, call, reply, &mut self.requests, &mut self.effects);
-        if !may_lead {
+        let status = leader.kv_reply(times, call, reply, &mut self.requests, &mut self.effects);
+        if status == TermStatus::Over {
             let change = self.election.release_lease(&mut self.effects);
             self.apply_leadership(times, change);
         }
