--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -5,6 +5,7 @@
 use crate::placement::backfill::Slot;
 use crate::protocol::{CommandReply, Heartbeat, MachineName, Pool, TaskId, WorkerCommand};
 use std::collections::VecDeque;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -38,6 +39,23 @@
     ReturnInherited,
 }
 
+impl fmt::Display for RemovalReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Surplus => "surplus",
+            Self::HeartbeatTimeout => "heartbeat_timeout",
+            Self::BootTimeout => "boot_timeout",
+            Self::InstanceFailed => "instance_failed",
+            Self::Faulty => "faulty",
+            Self::CancellationDue => "cancellation_due",
+            Self::NotInInventory => "not_in_inventory",
+            Self::IgnoresCommands => "ignores_commands",
+            Self::LostAttempts => "lost_attempts",
+            Self::ReturnInherited => "return_inherited",
+        })
+    }
+}
+
 /// What a heartbeat is to this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatNews {
--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -211,7 +211,7 @@
         let request = self.intents.machines_per_return(&machines, reason);
         let named = leaving.iter().take(request.machines.len());
         for LeavingMachine { name, reason } in named.filter(|m| m.reason != RemovalReason::Surplus) {
-            effects.log(LogLevel::Info, format!("machine scale-in: machine={name} reason={reason:?}"));
+            effects.log(LogLevel::Info, format!("machine scale-in: machine={name} reason={reason}"));
         }
         let key = self.intents.log.next_key();
         let machines = request.machines.clone();
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -41,6 +41,14 @@
     rental: PendingRental,
 }
 
+/// A machine without work; ordinary ones go first, and the oldest among them.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleMachine {
+    spot: bool,
+    rented_at: Duration,
+    name: MachineName,
+}
+
 /// Machines of a type that the target asks for beyond those held or being rented.
 #[derive(Debug, Clone, Copy)]
 struct MissingMachines {
@@ -207,47 +215,59 @@
     /// ones with a preemption notice.
     pub(super) fn remove_surplus(&mut self, now: Duration) {
         for (machine_type, size) in self.target.current().sizes.clone() {
-            let mut surplus = self.fleet.machines_of_type(&machine_type).saturating_sub(size.machines);
-            let mut idle: Vec<(bool, Duration, MachineName)> = self
-                .fleet
-                .machines
-                .values()
-                .filter(|m| {
-                    m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
-                })
-                .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
-                .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= MIN_IDLE_TIME))
-                .map(|m| (m.pool.spot, m.rented_at, m.name.clone()))
-                .collect();
-            idle.sort();
-            let mut ordinary = self
-                .fleet
-                .machines
-                .values()
-                .filter(|m| m.pool.machine_type == machine_type && !m.pool.spot && m.removal.is_none())
-                .count() as u32;
-            for (spot, _, name) in idle {
-                if surplus == 0 {
-                    break;
-                }
-                if !spot && ordinary <= size.ordinary {
-                    continue;
-                }
-                if let Some(machine) = self.fleet.machines.get_mut(&name) {
-                    machine.removal = Some(RemovalReason::Surplus);
-                    surplus -= 1;
-                    ordinary -= u32::from(!spot);
-                }
-            }
+            self.remove_surplus_of_type(now, &machine_type, size);
         }
         for machine in self.fleet.machines.values_mut() {
-            let empty = self.job_table.by_machine(&machine.name).next().is_none();
-            if machine.has_preemption_notice && machine.removal.is_none() && empty {
+            let is_empty = self.job_table.by_machine(&machine.name).next().is_none();
+            if machine.has_preemption_notice && machine.removal.is_none() && is_empty {
+                machine.removal = Some(RemovalReason::Surplus);
+            }
+        }
+    }
+
+    fn remove_surplus_of_type(&mut self, now: Duration, machine_type: &str, size: Size) {
+        let mut surplus = self.fleet.machines_of_type(machine_type).saturating_sub(size.machines);
+        let idle = self.idle_machines(now, machine_type);
+        let mut ordinary = self
+            .fleet
+            .machines
+            .values()
+            .filter(|m| m.pool.machine_type == machine_type && !m.pool.spot && m.removal.is_none())
+            .count() as u32;
+        for IdleMachine { spot, name, .. } in idle {
+            if surplus == 0 {
+                break;
+            }
+            if !spot && ordinary <= size.ordinary {
+                continue;
+            }
+            if let Some(machine) = self.fleet.machines.get_mut(&name) {
                 machine.removal = Some(RemovalReason::Surplus);
+                surplus -= 1;
+                ordinary -= u32::from(!spot);
             }
         }
     }
 
+    /// Machines of a type that have been without work for long enough, in the order in
+    /// which they go.
+    fn idle_machines(&self, now: Duration, machine_type: &str) -> Vec<IdleMachine> {
+        let stays = |m: &&Machine| {
+            m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
+        };
+        let mut idle: Vec<IdleMachine> = self
+            .fleet
+            .machines
+            .values()
+            .filter(stays)
+            .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
+            .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= MIN_IDLE_TIME))
+            .map(|m| IdleMachine { spot: m.pool.spot, rented_at: m.rented_at, name: m.name.clone() })
+            .collect();
+        idle.sort();
+        idle
+    }
+
     /// Releases machines that are to go. A leader without a valid lease, which may be cut
     /// off or not lead any more, releases only what a cancellation, or one that it may not
     /// have seen, forces it to, and only while the cloud answers it.
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -5,6 +5,7 @@
 use crate::jobs::job::{JobId, JobPhase};
 use crate::jobs::job_table::JobEntry;
 use crate::protocol::{JobProgress, LogLevel, TaskStatus};
+use crate::requests::TaskCounts;
 use std::time::Duration;
 
 /// How often jobs are searched for late and stuck ones.
@@ -25,8 +26,8 @@
 
 impl Leader {
     /// How many tasks of a job are done, and how many run.
-    pub fn progress(&self, id: &JobId) -> Option<(u32, u32)> {
-        self.job_table.jobs.get(id).map(|e| (e.done, e.running))
+    pub fn progress(&self, id: &JobId) -> Option<TaskCounts> {
+        self.job_table.jobs.get(id).map(|e| TaskCounts { done: e.done, running: e.running })
     }
 
     /// The progress of active jobs, of so many at the most.
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -6,7 +6,6 @@
 use crate::jobs::job::JobId;
 use crate::leader::{Leader, TermStatus};
 use crate::protocol::{CallError, CallId, CloudReply, CommandReply, KvReply, LogLevel};
-use crate::requests::TaskCounts;
 use crate::shards::messages::Delivery;
 use std::time::Duration;
 
@@ -94,10 +93,7 @@
         reply: Result<KvReply, CallError>,
     ) {
         let leader = self.leader.as_ref();
-        let progress = |id: &JobId| {
-            let (done, running) = leader?.progress(id)?;
-            Some(TaskCounts { done, running })
-        };
+        let progress = |id: &JobId| leader?.progress(id);
         let changed_rows = self.requests.reply(times, request, reply, &progress, &mut self.effects);
         if let Some(leader) = &mut self.leader {
             for row in changed_rows {
