--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -228,8 +228,8 @@
     /// Waits for the machines that tasks are placed on, as if they had just been heard.
     fn expect_placed_machines(&mut self, now: Duration) {
         for machine in self.fleet.machines.values_mut() {
-            machine.last_heard_at = machine.last_heard_at.max(now);
-            machine.last_direct_at = machine.last_heard_at;
+            machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(now);
+            machine.heartbeat_times.last_direct_at = machine.heartbeat_times.last_heard_at;
         }
         let placed: Vec<MachineName> = self.job_table.machines().cloned().collect();
         for name in placed {
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -44,9 +44,11 @@
         let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < timeout;
         let up = || self.fleet.machines.values().filter(|machine| machine.is_up());
-        let direct = up().filter(|machine| !machine.is_relayed && recent(machine.last_direct_at));
-        let commanded =
-            up().filter(|machine| machine.responses.answered_at.is_some() && recent(machine.last_heard_at));
+        let direct =
+            up().filter(|machine| !machine.is_relayed && recent(machine.heartbeat_times.last_direct_at));
+        let commanded = up().filter(|machine| {
+            machine.responses.answered_at.is_some() && recent(machine.heartbeat_times.last_heard_at)
+        });
         LeaderFacts {
             token: self.token,
             leading_since: self.started_at,
@@ -88,8 +90,10 @@
     pub fn record_heard_by_peers(&mut self, now: Duration, is_heard_by_peer: impl Fn(&str) -> bool) {
         let timeout = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
-            if now.saturating_sub(machine.last_heard_at) > timeout && is_heard_by_peer(&machine.name) {
-                machine.heard_by_peer_at = Some(now);
+            if now.saturating_sub(machine.heartbeat_times.last_heard_at) > timeout
+                && is_heard_by_peer(&machine.name)
+            {
+                machine.heartbeat_times.heard_by_peer_at = Some(now);
             }
         }
     }
--- a/crates/plankhead-core/src/protocol/mod.rs
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -12,8 +12,8 @@
 pub use events::{CallId, Effect, Event, LogLevel, RequestId};
 pub use kv::{CallError, Condition, KeyValue, KvChange, KvReply, KvRequest, WatchEvent};
 pub use peers::{JobProgress, PeerHeartbeat};
-pub use users::{InvalidSpec, JobStatus, Response, UnsatisfiableSpec};
+pub use users::{JobStatus, Response, SpecRejection, UnsatisfiableSpec};
 pub use worker::{
-    CommandReply, ExitReason, Heartbeat, HeartbeatPath, MachineName, ReportedTask, TaskId, TaskStatus,
-    WorkerCommand,
+    CommandReply, EffectKind, ExitReason, ExpectedEffect, Heartbeat, HeartbeatPath, MachineName,
+    ReportedTask, TaskId, TaskStatus, WorkerCommand,
 };
--- a/crates/plankhead-core/src/protocol/users.rs
+++ b/crates/plankhead-core/src/protocol/users.rs
@@ -21,7 +21,7 @@
         running: u32,
     },
     /// To a user, 400: the job can't be read or stored.
-    BadRequest(InvalidSpec),
+    BadRequest(SpecRejection),
     /// To a user, 422: no fleet that is allowed could run the job.
     Unprocessable(UnsatisfiableSpec),
     /// To a user, 404: there is no such job.
@@ -47,7 +47,7 @@
 
 /// Why a job's specification can't be used, in the text that its user gets.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
-pub enum InvalidSpec {
+pub enum SpecRejection {
     /// The submitted document could not be decoded.
     #[error("{0}")]
     Malformed(String),
@@ -81,7 +81,9 @@
 pub enum JobStatus {
     /// None of its tasks runs now.
     Queued,
+    /// At least one of its tasks runs now.
     Running,
+    /// All of its tasks have completed.
     Done,
     Cancelled,
 }
--- a/crates/plankhead-core/src/requests/submission.rs
+++ b/crates/plankhead-core/src/requests/submission.rs
@@ -7,8 +7,8 @@
 use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
 use crate::jobs::job_table::tasks_per_chunk;
 use crate::protocol::{
-    CallError, Condition, InvalidSpec, JobStatus, KeyValue, KvChange, KvReply, KvRequest, MachineType,
-    RequestId, Response,
+    CallError, Condition, JobStatus, KeyValue, KvChange, KvReply, KvRequest, MachineType, RequestId,
+    Response, SpecRejection,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 pub struct Submission {
     pub request: RequestId,
     pub id: JobId,
-    pub job: Result<JobSpec, InvalidSpec>,
+    pub job: Result<JobSpec, SpecRejection>,
 }
 
 /// What a submission is judged by, beside the settings.
@@ -92,7 +92,7 @@
         }
     }
 
-    fn judge(&self, job: Result<JobSpec, InvalidSpec>, context: SubmissionContext<'_>) -> Verdict {
+    fn judge(&self, job: Result<JobSpec, SpecRejection>, context: SubmissionContext<'_>) -> Verdict {
         let spec = match job {
             Ok(spec) => spec,
             Err(reason) => return Verdict::Rejected(Response::BadRequest(reason)),
@@ -121,7 +121,7 @@
         self.lookup(now, request, id, LookupReason::RejectUnlessKnown(response), effects);
     }
 
-    fn encode_new_record(&self, spec: JobSpec, times: StepTime) -> Result<String, InvalidSpec> {
+    fn encode_new_record(&self, spec: JobSpec, times: StepTime) -> Result<String, SpecRejection> {
         let record = JobRecord {
             phase: JobPhase::Active,
             tasks: spec.tasks,
@@ -132,7 +132,7 @@
         };
         match serde_json::to_string(&record) {
             Ok(value) if value.len() + RECORD_HEADROOM_BYTES <= self.settings.max_value_bytes => Ok(value),
-            _ => Err(InvalidSpec::TooLong),
+            _ => Err(SpecRejection::TooLong),
         }
     }
 
--- /dev/null
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -0,0 +1,79 @@
+//! The operators' file that turns reachability checks on and configures them.
+
+use super::as_millis;
+use super::schema::SettingsFile;
+use plankhead_reachability::settings::Settings;
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// Whether and how a node judges which of its links work.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[cfg_attr(test, derive(schemars::JsonSchema))]
+#[serde(deny_unknown_fields, default)]
+pub struct ReachabilityFile {
+    /// Whether links are judged, and actions are permitted by their condition.
+    pub enabled: bool,
+    /// Milliseconds without a confirmation after which a failing link is down.
+    #[cfg_attr(test, schemars(range(min = 200, max = 60_000)))]
+    pub down_after_ms: u64,
+    /// Milliseconds that a side which was down must hold to be up.
+    #[cfg_attr(test, schemars(range(min = 0, max = 60_000)))]
+    pub up_after_ms: u64,
+    /// Milliseconds in which the penalty of a flapping side halves.
+    #[cfg_attr(test, schemars(range(min = 100, max = 3_600_000)))]
+    pub half_life_ms: u64,
+    /// Penalty, in failures, at which a flapping side is suppressed.
+    #[cfg_attr(test, schemars(range(min = 1.1, max = 100.0)))]
+    pub suppress: f64,
+    /// Penalty at which a suppressed side is used again.
+    #[cfg_attr(test, schemars(range(min = 0.1, max = 1.0)))]
+    pub reuse: f64,
+    /// Milliseconds between two coverage messages.
+    #[cfg_attr(test, schemars(range(min = 200, max = 2_500)))]
+    pub coverage_interval_ms: u64,
+    /// Milliseconds that another node must be better placed before a leader hands over.
+    #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
+    pub handover_after_ms: u64,
+    /// The shortest time, in milliseconds, that a leader leads before it hands over.
+    #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
+    pub least_tenure_ms: u64,
+}
+
+impl SettingsFile for ReachabilityFile {
+    const NAME: &'static str = "reachability settings";
+    const SCHEMA: &'static str = include_str!("../../reachability.schema.json");
+}
+
+impl Default for ReachabilityFile {
+    fn default() -> Self {
+        let core = Settings::default();
+        Self {
+            enabled: core.enabled,
+            down_after_ms: as_millis(core.down_after),
+            up_after_ms: as_millis(core.up_after),
+            half_life_ms: as_millis(core.half_life),
+            suppress: core.suppress,
+            reuse: core.reuse,
+            coverage_interval_ms: as_millis(core.coverage_interval),
+            handover_after_ms: as_millis(core.handover_after),
+            least_tenure_ms: as_millis(core.least_tenure),
+        }
+    }
+}
+
+impl From<ReachabilityFile> for Settings {
+    fn from(file: ReachabilityFile) -> Self {
+        Self {
+            enabled: file.enabled,
+            down_after: Duration::from_millis(file.down_after_ms),
+            up_after: Duration::from_millis(file.up_after_ms),
+            half_life: Duration::from_millis(file.half_life_ms),
+            suppress: file.suppress,
+            reuse: file.reuse,
+            coverage_interval: Duration::from_millis(file.coverage_interval_ms),
+            handover_after: Duration::from_millis(file.handover_after_ms),
+            least_tenure: Duration::from_millis(file.least_tenure_ms),
+            ..Self::default()
+        }
+    }
+}
