--- a/crates/plankhead-standins/src/link_faults.rs
+++ b/crates/plankhead-standins/src/link_faults.rs
@@ -15,7 +15,7 @@
 /// The time until the first cut: the cluster elects a leader and rents its first machines.
 const WARM_UP_TIME: Duration = Duration::from_secs(6);
 /// What nodes log when their reachability mode changes.
-const MODE_CHANGE_LINE: &str = " sees ";
+const MODE_CHANGE_LINE: &str = "reachability mode changed: ";
 
 /// How links are cut.
 #[derive(Debug, Clone, clap::Args)]
--- a/crates/plankhead-standins/src/shard_move_faults.rs
+++ b/crates/plankhead-standins/src/shard_move_faults.rs
@@ -12,7 +12,7 @@
 /// The time until the first fault: the cluster elects a leader and rents its first machines.
 const WARM_UP_TIME: Duration = Duration::from_secs(5);
 /// What nodes log when a shard changes hands.
-const SHARD_MOVED_LINE: &str = " goes from plank-";
+const SHARD_MOVED_LINE: &str = "shard holder changed: from=plank-";
 
 /// Which troubles come while shards move.
 #[derive(Debug, Clone, clap::Args)]
