--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -41,7 +41,7 @@
                 true
             }
             Err(error) => {
-                effects.log(LogLevel::Error, format!("intent not recorded: reason={error}"));
+                effects.log(LogLevel::Error, format!("intent not recorded: intent={key} reason={error}"));
                 false
             }
         }
