--- a/crates/plankhead/src/cli.rs
+++ b/crates/plankhead/src/cli.rs
@@ -1,128 +1,159 @@
 //! The command line.
 
-use crate::config::{self, Files};
-use crate::{driver, duties, log, shard_table, views};
+use crate::log;
+use crate::runtime::{self, RunError};
+use crate::settings::{self, NodeSettings, SettingsFault, SettingsFiles};
+use crate::subcommands::{intents, reachability, shards};
 use clap::{Parser, Subcommand};
 use std::future::Future;
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// A controller node of the plankhead cluster scheduler.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
-struct Args {
+pub(crate) struct Args {
     #[command(subcommand)]
-    command: Option<Command>,
+    pub(crate) command: Option<Command>,
     /// The platform's settings file (JSON).
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
     /// The operators' own settings (JSON, see operator.schema.json).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Whether duties are fenced, and how (JSON, see fencing.schema.json). Without it they
-    /// are not.
+    /// Turns fencing on or off and configures it (JSON, see fencing.schema.json). Off without
+    /// this file.
     #[arg(long, value_name = "FILE")]
     fencing: Option<PathBuf>,
-    /// Whether the node judges what it reaches, and how (JSON, see
-    /// reachability.schema.json). Without it it does not.
+    /// Turns reachability checks on or off and configures them (JSON, see
+    /// reachability.schema.json). Off without this file.
     #[arg(long, value_name = "FILE")]
     reachability: Option<PathBuf>,
-    /// Whether machines are divided among the controllers, and how (JSON, see
-    /// sharding.schema.json). Without it the leader answers all workers.
+    /// Turns sharding of machines among the controllers on or off and configures it (JSON, see
+    /// sharding.schema.json). Off without this file: the leader answers all workers.
     #[arg(long, value_name = "FILE")]
     sharding: Option<PathBuf>,
-    /// Check the settings, print every fault found, and end.
+    /// Check the settings, print every fault found, and exit.
     #[arg(long)]
     check: bool,
 }
 
 #[derive(Debug, Subcommand)]
-enum Command {
-    /// List the open duties, as the state service has them.
-    Duties(DutiesArgs),
-    /// Print what the controllers see of each other, and where they disagree.
-    Views(ViewsArgs),
-    /// Print which controller holds which shard of the machines, and where the records and
-    /// the controllers disagree.
-    Shards(ShardsArgs),
+pub(crate) enum Command {
+    /// List the open intents, as the state service has them.
+    #[command(alias = "duties")]
+    Intents(IntentsArgs),
+    /// Print which links between the controllers work, as each of them sees it, and where they
+    /// disagree.
+    #[command(alias = "views")]
+    Reachability(ConfigArgs),
+    /// Print which controller holds which shard of the machines, and where the records and the
+    /// controllers disagree.
+    Shards(ConfigArgs),
 }
 
 #[derive(Debug, clap::Args)]
-struct DutiesArgs {
-    /// The settings file of any controller node (JSON).
-    #[arg(long, value_name = "FILE")]
-    config: PathBuf,
+pub(crate) struct IntentsArgs {
+    #[command(flatten)]
+    config: ConfigArgs,
     /// The time zone to show times in, such as Europe/Tallinn.
     #[arg(long, value_name = "NAME", default_value = "UTC")]
     time_zone: String,
 }
 
 #[derive(Debug, clap::Args)]
-struct ViewsArgs {
+pub(crate) struct ConfigArgs {
     /// The settings file of any controller node (JSON).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
 }
 
-#[derive(Debug, clap::Args)]
-struct ShardsArgs {
-    /// The settings file of any controller node (JSON).
-    #[arg(long, value_name = "FILE")]
-    config: PathBuf,
+/// Why the program failed.
+#[derive(Debug, Error)]
+enum CliError {
+    /// Printed a line each.
+    #[error("{} faults in the settings", .0.len())]
+    Settings(Vec<SettingsFault>),
+    #[error("the runtime can't start: {0}")]
+    Runtime(io::Error),
+    #[error(transparent)]
+    Node(#[from] RunError),
+    #[error(transparent)]
+    Intents(#[from] intents::ListError),
+    #[error(transparent)]
+    Shards(#[from] shards::ReadError),
 }
 
+/// Runs the program as its command line asks.
 pub fn main() -> ExitCode {
-    let args = Args::parse();
-    match run(args) {
+    match run(Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(faults) => {
+        Err(CliError::Settings(faults)) => {
             for fault in faults {
                 eprintln!("plankhead: {fault}");
             }
             ExitCode::FAILURE
         }
+        Err(error) => {
+            eprintln!("plankhead: {error}");
+            ExitCode::FAILURE
+        }
     }
 }
 
-/// Does what the command line asks for; on failure, every fault found.
-fn run(args: Args) -> Result<(), Vec<String>> {
-    if let Some(Command::Views(asked)) = args.command {
-        let config = config::read(&Files { platform: asked.config, ..Files::default() })?;
-        print!("{}", views::table(&block_on(views::ask_all(&config))?));
-        return Ok(());
-    }
-    if let Some(Command::Shards(asked)) = args.command {
-        let config = config::read(&Files { platform: asked.config, ..Files::default() })?;
-        let shards = block_on(shard_table::read(&config))?.map_err(|error| vec![error.to_string()])?;
-        print!("{}", shards.print());
-        return Ok(());
-    }
-    if let Some(Command::Duties(asked)) = args.command {
-        let config = config::read(&Files { platform: asked.config, ..Files::default() })?;
-        let table = block_on(duties::list(config.state, &asked.time_zone))?;
-        let table = table.map_err(|error| vec![error.to_string()])?;
-        print!("{table}");
-        return Ok(());
+fn run(args: Args) -> Result<(), CliError> {
+    match args.command {
+        Some(Command::Intents(args)) => {
+            let settings = read_settings(args.config)?;
+            let table = block_on(intents::list(settings.state_service, &args.time_zone))??;
+            print!("{table}");
+            Ok(())
+        }
+        Some(Command::Reachability(args)) => {
+            let settings = read_settings(args)?;
+            let views = block_on(reachability::fetch(&settings))?;
+            print!("{}", reachability::table(&views));
+            Ok(())
+        }
+        Some(Command::Shards(args)) => {
+            let settings = read_settings(args)?;
+            let shards = block_on(shards::read(&settings))??;
+            print!("{}", shards.print());
+            Ok(())
+        }
+        None => run_node(args),
     }
-    let config = config::read(&Files {
+}
+
+/// The settings that subcommands need.
+fn read_settings(args: ConfigArgs) -> Result<NodeSettings, CliError> {
+    settings::read(&SettingsFiles { platform: args.config, ..SettingsFiles::default() })
+        .map_err(CliError::Settings)
+}
+
+/// Runs a node, or only checks its settings.
+fn run_node(args: Args) -> Result<(), CliError> {
+    let files = SettingsFiles {
         platform: args.config.unwrap_or_default(),
         operator: args.operator,
         fencing: args.fencing,
         reachability: args.reachability,
         sharding: args.sharding,
-    })?;
+    };
+    let settings = settings::read(&files).map_err(CliError::Settings)?;
     if args.check {
         println!("the settings are good");
         return Ok(());
     }
     log::start();
-    block_on(driver::run(config))?.map_err(|error| vec![error.to_string()])
+    Ok(block_on(runtime::run(settings))??)
 }
 
 /// Runs a future on this thread.
-fn block_on<T>(future: impl Future<Output = T>) -> Result<T, Vec<String>> {
+fn block_on<T>(future: impl Future<Output = T>) -> Result<T, CliError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| vec![format!("the runtime can't start: {error}")])?;
-    Ok(runtime.block_on(future))
+    Ok(runtime.map_err(CliError::Runtime)?.block_on(future))
 }
--- /dev/null
+++ b/crates/plankhead/src/clients/workers.rs
@@ -0,0 +1,74 @@
+//! The client of workers: commands that are sent straight to them.
+
+use crate::http::Client;
+use crate::wire::workers::{encode_commands, parse_heartbeat};
+use hyper::Method;
+use plankhead_core::protocol::{CallError, CommandReply, WorkerCommand};
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Clients of the workers that commands were sent to last.
+#[derive(Debug)]
+pub struct WorkerClients {
+    by_address: Mutex<HashMap<Arc<str>, CachedClient>>,
+    max_clients: usize,
+}
+
+#[derive(Debug)]
+struct CachedClient {
+    last_used: Instant,
+    client: Arc<Client>,
+}
+
+/// Commands for one worker.
+#[derive(Debug)]
+pub struct CommandBatch {
+    pub address: Arc<str>,
+    /// The fencing token of the sender's term.
+    pub token: u64,
+    /// The incarnation that the commands are meant for.
+    pub incarnation: u64,
+    pub commands: Vec<WorkerCommand>,
+}
+
+impl WorkerClients {
+    /// Keeps connections to so many workers at most.
+    pub fn new(max_clients: usize) -> Self {
+        Self { by_address: Mutex::default(), max_clients }
+    }
+
+    /// The client of a worker; `None` if its address is malformed.
+    fn client(&self, address: &Arc<str>) -> Option<Arc<Client>> {
+        let mut clients = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(cached) = clients.get_mut(address) {
+            cached.last_used = Instant::now();
+            return Some(cached.client.clone());
+        }
+        if clients.len() >= self.max_clients {
+            // Dropping all of them at once would make a large fleet connect anew over and over.
+            let oldest = clients.iter().min_by_key(|(_, cached)| cached.last_used);
+            let oldest = oldest.map(|(address, _)| address.clone());
+            oldest.and_then(|address| clients.remove(&address));
+        }
+        let client = Arc::new(Client::new(address.parse().ok()?));
+        clients.insert(address.clone(), CachedClient { last_used: Instant::now(), client: client.clone() });
+        Some(client)
+    }
+
+    /// Sends commands to a worker.
+    pub async fn send(&self, batch: CommandBatch) -> CommandReply {
+        let Some(client) = self.client(&batch.address) else { return CommandReply::NotSent };
+        let body = encode_commands(batch.token, batch.incarnation, &batch.commands);
+        match client.call(Method::POST, "/orders", body, CALL_TIMEOUT).await {
+            Ok((status, body)) if matches!(status.as_u16(), 200 | 409) => match parse_heartbeat(&body) {
+                Ok(heartbeat) => CommandReply::Answered(heartbeat),
+                Err(_) => CommandReply::Unanswered,
+            },
+            Err(CallError::Refused) => CommandReply::NotSent,
+            _ => CommandReply::Unanswered,
+        }
+    }
+}
--- a/crates/plankhead/src/log.rs
+++ b/crates/plankhead/src/log.rs
@@ -1,8 +1,9 @@
-//! Logs on standard error, at the level that `LOG_LEVEL` sets.
+//! Logs on standard error, at the level that `LOG_LEVEL` sets: `error`, `info` or `debug`.
 
 use plankhead_core::protocol::LogLevel;
 use tracing::level_filters::LevelFilter;
 
+/// Sets logging up. It may be called once in a process.
 pub fn start() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
@@ -17,6 +18,7 @@
         .init();
 }
 
+/// Logs a line of the core.
 pub fn emit(level: LogLevel, text: &str) {
     match level {
         LogLevel::Error => tracing::error!("{text}"),
--- a/crates/plankhead/src/coverage.rs
+++ b/crates/plankhead/src/peer_messages/coverage.rs
@@ -1,8 +1,7 @@
-//! Coverage between controllers: a message of its own, beside the heartbeat, whose bytes
-//! stay what they were. A node that does not know the path answers 404, which shows that
-//! it is there.
+//! Coverage: which machines a node hears. A node that does not know the path answers 404,
+//! which shows that it is reachable.
 
-use crate::peer::aligned;
+use super::{decode_archive, encode_archive};
 use plankhead_reachability::coverage::{
     decode_bitmap, encode_bitmap, Coverage, CoverageError, MAX_BITMAP_BYTES,
 };
@@ -11,7 +10,7 @@
 
 /// The path on the controller port.
 pub const PATH: &str = "/coverage";
-/// Two bitmaps, names, and what rkyv adds.
+/// The largest message, in bytes: two bitmaps, names, and what rkyv adds.
 pub const MAX_MESSAGE: usize = 2 * MAX_BITMAP_BYTES + 32 * 1024;
 
 #[derive(Archive, Serialize, Deserialize)]
@@ -29,8 +28,9 @@
     successor: Option<String>,
 }
 
+/// Encodes a node's coverage.
 pub fn encode(coverage: &Coverage) -> Option<Vec<u8>> {
-    let message = CoverageMessage {
+    encode_archive(&CoverageMessage {
         host: coverage.host.clone(),
         boot: coverage.boot,
         sequence: coverage.sequence,
@@ -42,8 +42,7 @@
         expected: coverage.expected,
         peers: coverage.peers.clone(),
         successor: coverage.successor.clone(),
-    };
-    rkyv::to_bytes::<rkyv::rancor::Error>(&message).ok().map(|bytes| bytes.to_vec())
+    })
 }
 
 /// Reads a message, or says what is wrong with it.
@@ -51,9 +50,8 @@
     if bytes.len() > MAX_MESSAGE {
         return Err(CoverageError::TooLarge);
     }
-    let malformed = |error: rkyv::rancor::Error| CoverageError::Malformed(error.to_string());
-    let message = rkyv::from_bytes::<CoverageMessage, rkyv::rancor::Error>(&aligned(bytes));
-    let message = message.map_err(malformed)?;
+    let message: CoverageMessage =
+        decode_archive(bytes).map_err(|error| CoverageError::Malformed(error.to_string()))?;
     let mode = Mode::from_code(message.mode);
     Ok(Coverage {
         host: message.host,
--- /dev/null
+++ b/crates/plankhead/src/peer_messages/heartbeat.rs
@@ -0,0 +1,46 @@
+//! Peer heartbeats: what nodes tell each other every second.
+
+use super::{decode_archive, encode_archive, MAX_NAME};
+use plankhead_core::node::MAX_PROGRESS_READ;
+use plankhead_core::protocol::{JobProgress, PeerHeartbeat};
+use rkyv::{Archive, Deserialize, Serialize};
+
+/// The path on the controller port.
+pub const PATH: &str = "/pulse";
+/// The largest message, in bytes.
+pub const MAX_MESSAGE: usize = 1024 * 1024;
+
+#[derive(Archive, Serialize, Deserialize)]
+struct HeartbeatMessage {
+    host: String,
+    kv_available: bool,
+    token: u64,
+    /// (job, done, running)
+    progress: Vec<(String, u32, u32)>,
+}
+
+/// Encodes a heartbeat.
+pub fn encode(heartbeat: &PeerHeartbeat) -> Option<Vec<u8>> {
+    let progress = heartbeat.progress.iter();
+    encode_archive(&HeartbeatMessage {
+        host: heartbeat.host.clone(),
+        kv_available: heartbeat.kv_available,
+        token: heartbeat.token,
+        progress: progress.map(|job| (job.id.clone(), job.done, job.running)).collect(),
+    })
+}
+
+/// Reads a heartbeat; `None` if it is malformed or too long.
+pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
+    let message: HeartbeatMessage = decode_archive(bytes).ok()?;
+    if message.progress.len() > MAX_PROGRESS_READ || message.host.len() > MAX_NAME {
+        return None;
+    }
+    let progress = message.progress.into_iter();
+    Some(PeerHeartbeat {
+        host: message.host,
+        kv_available: message.kv_available,
+        token: message.token,
+        progress: progress.map(|(id, done, running)| JobProgress { id, done, running }).collect(),
+    })
+}
--- a/crates/plankhead/src/fencing.rs
+++ b/crates/plankhead/src/settings/fencing.rs
@@ -1,14 +1,11 @@
 //! The operators' file that switches fencing on.
 
-use crate::config;
+use super::as_millis;
+use super::schema::SettingsFile;
 use plankhead_core::settings::Fencing;
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
 use std::time::Duration;
 
-/// The file as a schema, also for editors.
-pub const SCHEMA: &str = include_str!("../fencing.schema.json");
-
 /// Whether and how the leader's duties are fenced.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
@@ -30,12 +27,17 @@
     pub abandon_rental_s: u64,
 }
 
+impl SettingsFile for FencingFile {
+    const NAME: &'static str = "fencing settings";
+    const SCHEMA: &'static str = include_str!("../../fencing.schema.json");
+}
+
 impl Default for FencingFile {
     fn default() -> Self {
         let core = Fencing::default();
         Self {
             enabled: core.enabled,
-            write_pause_ms: core.write_interval.as_millis() as u64,
+            write_pause_ms: as_millis(core.write_interval),
             tidy_pause_s: core.compaction_interval.as_secs(),
             refused_rental_retry_s: core.refused_rental_retry.as_secs(),
             abandon_rental_s: core.abandon_rental_after.as_secs(),
@@ -43,14 +45,14 @@
     }
 }
 
-/// Checks the file against its schema, then reads it.
-pub fn parse(value: &Value, faults: &mut Vec<String>) -> Fencing {
-    let file: FencingFile = config::parse_checked("fencing settings", SCHEMA, value, faults);
-    Fencing {
-        enabled: file.enabled,
-        write_interval: Duration::from_millis(file.write_pause_ms),
-        compaction_interval: Duration::from_secs(file.tidy_pause_s),
-        refused_rental_retry: Duration::from_secs(file.refused_rental_retry_s),
-        abandon_rental_after: Duration::from_secs(file.abandon_rental_s),
+impl From<FencingFile> for Fencing {
+    fn from(file: FencingFile) -> Self {
+        Self {
+            enabled: file.enabled,
+            write_interval: Duration::from_millis(file.write_pause_ms),
+            compaction_interval: Duration::from_secs(file.tidy_pause_s),
+            refused_rental_retry: Duration::from_secs(file.refused_rental_retry_s),
+            abandon_rental_after: Duration::from_secs(file.abandon_rental_s),
+        }
     }
 }
--- a/crates/plankhead/src/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -1,14 +1,11 @@
 //! The operators' file that switches reachability on.
 
-use crate::config;
+use super::as_millis;
+use super::schema::SettingsFile;
 use plankhead_reachability::settings::Settings;
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
 use std::time::Duration;
 
-/// The file as a schema, also for editors.
-pub const SCHEMA: &str = include_str!("../reachability.schema.json");
-
 /// Whether and how a node judges what it reaches.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
@@ -42,37 +39,41 @@
     pub least_tenure_ms: u64,
 }
 
+impl SettingsFile for ReachabilityFile {
+    const NAME: &'static str = "reachability settings";
+    const SCHEMA: &'static str = include_str!("../../reachability.schema.json");
+}
+
 impl Default for ReachabilityFile {
     fn default() -> Self {
         let core = Settings::default();
-        let ms = |time: Duration| time.as_millis() as u64;
         Self {
             enabled: core.enabled,
-            down_after_ms: ms(core.down_after),
-            up_after_ms: ms(core.up_after),
-            half_life_ms: ms(core.half_life),
+            down_after_ms: as_millis(core.down_after),
+            up_after_ms: as_millis(core.up_after),
+            half_life_ms: as_millis(core.half_life),
             suppress: core.suppress,
             reuse: core.reuse,
-            coverage_interval_ms: ms(core.coverage_interval),
-            handover_after_ms: ms(core.handover_after),
-            least_tenure_ms: ms(core.least_tenure),
+            coverage_interval_ms: as_millis(core.coverage_interval),
+            handover_after_ms: as_millis(core.handover_after),
+            least_tenure_ms: as_millis(core.least_tenure),
         }
     }
 }
 
-/// Checks the file against its schema, then reads it.
-pub fn parse(value: &Value, faults: &mut Vec<String>) -> Settings {
-    let file: ReachabilityFile = config::parse_checked("reachability settings", SCHEMA, value, faults);
-    Settings {
-        enabled: file.enabled,
-        down_after: Duration::from_millis(file.down_after_ms),
-        up_after: Duration::from_millis(file.up_after_ms),
-        half_life: Duration::from_millis(file.half_life_ms),
-        suppress: file.suppress,
-        reuse: file.reuse,
-        coverage_interval: Duration::from_millis(file.coverage_interval_ms),
-        handover_after: Duration::from_millis(file.handover_after_ms),
-        least_tenure: Duration::from_millis(file.least_tenure_ms),
-        ..Settings::default()
+impl From<ReachabilityFile> for Settings {
+    fn from(file: ReachabilityFile) -> Self {
+        Self {
+            enabled: file.enabled,
+            down_after: Duration::from_millis(file.down_after_ms),
+            up_after: Duration::from_millis(file.up_after_ms),
+            half_life: Duration::from_millis(file.half_life_ms),
+            suppress: file.suppress,
+            reuse: file.reuse,
+            coverage_interval: Duration::from_millis(file.coverage_interval_ms),
+            handover_after: Duration::from_millis(file.handover_after_ms),
+            least_tenure: Duration::from_millis(file.least_tenure_ms),
+            ..Self::default()
+        }
     }
 }
--- a/crates/plankhead/src/sharding.rs
+++ b/crates/plankhead/src/settings/sharding.rs
@@ -1,15 +1,12 @@
 //! The operators' file that divides machines among controllers.
 
-use crate::config;
+use super::as_millis;
+use super::schema::SettingsFile;
 use plankhead_sharding::settings::Settings;
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The file as a schema, also for editors.
-pub const SCHEMA: &str = include_str!("../sharding.schema.json");
-
 /// Whether and how machines are divided among controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
@@ -42,8 +39,9 @@
     pub rotate_ms: Option<u64>,
 }
 
-fn millis(time: Duration) -> u64 {
-    time.as_millis() as u64
+impl SettingsFile for ShardingFile {
+    const NAME: &'static str = "sharding settings";
+    const SCHEMA: &'static str = include_str!("../../sharding.schema.json");
 }
 
 impl Default for ShardingFile {
@@ -54,27 +52,27 @@
             shards_per_zone: core.shards_per_zone,
             leader_capacity: core.leader_capacity,
             hysteresis: core.hysteresis,
-            move_pause_ms: millis(core.move_pause),
-            release_timeout_ms: millis(core.release_timeout),
-            holder_timeout_ms: millis(core.holder_timeout),
+            move_pause_ms: as_millis(core.move_pause),
+            release_timeout_ms: as_millis(core.release_timeout),
+            holder_timeout_ms: as_millis(core.holder_timeout),
             drained: core.drained,
-            rotate_ms: core.rotate.map(millis),
+            rotate_ms: core.rotate.map(as_millis),
         }
     }
 }
 
-/// Checks the file against its schema, then reads it.
-pub fn parse(value: &Value, faults: &mut Vec<String>) -> Settings {
-    let file: ShardingFile = config::parse_checked("sharding settings", SCHEMA, value, faults);
-    Settings {
-        enabled: file.enabled,
-        shards_per_zone: file.shards_per_zone,
-        leader_capacity: file.leader_capacity,
-        hysteresis: file.hysteresis,
-        move_pause: Duration::from_millis(file.move_pause_ms),
-        release_timeout: Duration::from_millis(file.release_timeout_ms),
-        holder_timeout: Duration::from_millis(file.holder_timeout_ms),
-        drained: file.drained,
-        rotate: file.rotate_ms.map(Duration::from_millis),
+impl From<ShardingFile> for Settings {
+    fn from(file: ShardingFile) -> Self {
+        Self {
+            enabled: file.enabled,
+            shards_per_zone: file.shards_per_zone,
+            leader_capacity: file.leader_capacity,
+            hysteresis: file.hysteresis,
+            move_pause: Duration::from_millis(file.move_pause_ms),
+            release_timeout: Duration::from_millis(file.release_timeout_ms),
+            holder_timeout: Duration::from_millis(file.holder_timeout_ms),
+            drained: file.drained,
+            rotate: file.rotate_ms.map(Duration::from_millis),
+        }
     }
 }
--- /dev/null
+++ b/crates/plankhead/src/subcommands/intents.rs
@@ -0,0 +1,133 @@
+//! `plankhead intents`: lists open intents. It reads the state service alone, so that it also
+//! shows what a leader left that is gone.
+
+use crate::clients::kv;
+use crate::http::Client;
+use jiff::tz::TimeZone;
+use jiff::Timestamp;
+use plankhead_core::leadership::election::{self, Holder};
+use plankhead_core::protocol::{CallError, KeyValue, KvReply, KvRequest};
+use plankhead_fencing::duty::Intent;
+use plankhead_fencing::record::{self, RecordError};
+use std::fmt::Write;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// Pages of keys read at most.
+const MAX_PAGES: usize = 1_000;
+
+/// Why intents can't be listed.
+#[derive(Debug, Error)]
+pub enum ListError {
+    #[error("there is no time zone {0}")]
+    UnknownTimeZone(String),
+    #[error("the state service can't be read: {0:?}")]
+    StateService(CallError),
+    #[error("the state service gave another answer than was asked for")]
+    UnexpectedReply,
+}
+
+/// The leader, and its fencing token.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Leadership {
+    pub host: String,
+    pub token: u64,
+}
+
+/// What the state service has of intents.
+#[derive(Debug, Default)]
+pub struct Listing {
+    pub leader: Option<Leadership>,
+    pub intents: Vec<Intent>,
+    /// Records that can't be read.
+    pub faults: Vec<RecordError>,
+}
+
+/// Reads the intents and prints them as a table, with times in this time zone.
+pub async fn list(state_service: SocketAddr, time_zone: &str) -> Result<String, ListError> {
+    let time_zone = TimeZone::get(time_zone).map_err(|_| ListError::UnknownTimeZone(time_zone.into()))?;
+    let client = Client::new(state_service);
+    let mut listing = Listing::default();
+    read_intents(&client, &mut listing).await?;
+    listing.leader = read_leader(&client).await?;
+    Ok(table(&listing, Timestamp::now(), &time_zone))
+}
+
+async fn read_intents(client: &Client, listing: &mut Listing) -> Result<(), ListError> {
+    let mut after = None;
+    for _ in 0..MAX_PAGES {
+        let request = KvRequest::List { prefix: record::PREFIX.into(), after };
+        let reply = kv::call(client, request).await.map_err(ListError::StateService)?;
+        let KvReply::Page { rows, truncated, .. } = reply else { return Err(ListError::UnexpectedReply) };
+        for row in &rows {
+            let (intents, faults) = record::decode(&row.key, &row.value);
+            listing.intents.extend(intents);
+            listing.faults.extend(faults);
+        }
+        after = rows.last().map(|row| row.key.clone());
+        if !truncated {
+            break;
+        }
+    }
+    Ok(())
+}
+
+async fn read_leader(client: &Client) -> Result<Option<Leadership>, ListError> {
+    let request = KvRequest::Get { key: election::KEY.into() };
+    match kv::call(client, request).await.map_err(ListError::StateService)? {
+        KvReply::Value(row) => Ok(row.as_ref().and_then(parse_leader)),
+        _ => Err(ListError::UnexpectedReply),
+    }
+}
+
+fn parse_leader(row: &KeyValue) -> Option<Leadership> {
+    let holder: Holder = serde_json::from_str(&row.value).ok()?;
+    Some(Leadership { host: holder.host, token: row.mod_revision })
+}
+
+/// What an intent waits for.
+fn waits_for(intent: &Intent, leader: Option<&Leadership>) -> &'static str {
+    match leader {
+        None => "a leader, who will adopt it",
+        Some(leader) if leader.token == intent.holder => "the cloud's answer, or its record's removal",
+        Some(leader) if leader.token > intent.holder => "the leader, who has adopted it or will",
+        Some(_) => "nobody: its holder is later than the leader",
+    }
+}
+
+/// The listing as people read it.
+pub fn table(listing: &Listing, now: Timestamp, time_zone: &TimeZone) -> String {
+    let mut text = String::new();
+    // Writing to a string does not fail.
+    match &listing.leader {
+        Some(leader) => _ = writeln!(text, "{} leads under token {}", leader.host, leader.token),
+        None => _ = writeln!(text, "nobody leads"),
+    }
+    if listing.intents.is_empty() {
+        text.push_str("no intent is open\n");
+    } else {
+        _ = writeln!(
+            text,
+            "{:<24} {:>10} {:<8} {:<32} {:<20} {:>8}  waits for",
+            "intent", "token", "kind", "subject", "since", "age"
+        );
+    }
+    for intent in &listing.intents {
+        let since = Timestamp::from_millisecond(intent.intended_ms as i64).unwrap_or(Timestamp::UNIX_EPOCH);
+        let age = now.duration_since(since).as_secs().max(0);
+        let local = since.to_zoned_datetime(time_zone.clone()).strftime("%Y-%m-%d %H:%M:%S");
+        _ = writeln!(
+            text,
+            "{:<24} {:>10} {:<8} {:<32} {local:<20} {age:>6} s  {}",
+            intent.key.to_string(),
+            intent.holder,
+            intent.action.kind(),
+            intent.action.subject(),
+            waits_for(intent, listing.leader.as_ref()),
+        );
+    }
+    for fault in &listing.faults {
+        _ = writeln!(text, "left alone: {fault}");
+    }
+    text
+}
--- a/crates/plankhead/src/tests/messages.rs
+++ b/crates/plankhead/src/tests/messages.rs
@@ -1,4 +1,4 @@
-use crate::peer::{decode, encode};
+use crate::peer_messages::heartbeat::{decode, encode};
 use crate::wire::cloud::{parse_instances, parse_machine_types, parse_rented};
 use crate::wire::state_service::encode_txn;
 use crate::wire::workers::{parse_heartbeat, HeartbeatReader};
