--- a/crates/plankhead-standins/src/answer_history.rs
+++ b/crates/plankhead-standins/src/answer_history.rs
@@ -4,10 +4,11 @@
 use crate::LoadArgs;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
+use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a user was told.
+/// The status of a job in an answer to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobAnswer {
     Accepted,
@@ -16,52 +17,52 @@
     NotFound,
 }
 
-/// What a worker did with an attempt of a task.
+/// What happened to an attempt of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
     Started,
     Done,
-    /// Stopped, or gone with its lease or its machine.
+    /// Stopped, or lost with its worker's lease or its machine.
     Stopped,
 }
 
+/// One event of a run.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// `tasks`: how many the job has, as its user knows.
-    Answered {
-        job: String,
-        tasks: u64,
-        status: JobAnswer,
-    },
-    Attempt {
-        task: String,
-        host: usize,
-        run: AttemptEvent,
-    },
+    /// A user got an answer; `tasks`: how many the job has, as its user knows.
+    Answered { job: String, tasks: u64, status: JobAnswer },
+    /// A worker started or ended an attempt.
+    Attempt { task: String, host: usize, run: AttemptEvent },
 }
 
-/// All that happened, in order.
+/// All events of a run, in order.
 #[derive(Debug, Default)]
 pub struct AnswerHistory(Mutex<Vec<(Instant, Event)>>);
 
 impl AnswerHistory {
+    /// Adds an event, as of now.
     pub fn add(&self, happened: Event) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push((Instant::now(), happened));
     }
 
+    /// All events so far.
     pub fn all(&self) -> Vec<(Instant, Event)> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// What is wrong, a line each; and how many jobs were accepted.
+/// The result of the check.
 #[derive(Debug, Default)]
 pub struct Verdict {
+    /// What is wrong, a line each.
     pub faults: Vec<String>,
+    /// Jobs that were accepted.
     pub accepted: usize,
+    /// Jobs that ended as done.
     pub done: usize,
+    /// Jobs that ended as cancelled.
     pub cancelled: usize,
-    /// From the first word of a job to the last: the longest.
+    /// The longest time from the first answer about a job to its final one.
     pub longest: Duration,
 }
 
@@ -83,6 +84,20 @@
     }
 }
 
+impl Verdict {
+    /// Prints the faults; a run with any ends with a failure.
+    pub fn report_faults(&self) -> ExitCode {
+        for fault in &self.faults {
+            println!("fault: {fault}");
+        }
+        if self.faults.is_empty() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        }
+    }
+}
+
 /// Checks a run in which a certain number of jobs was to be submitted.
 pub fn check_all(history: &AnswerHistory, load: &LoadArgs) -> Verdict {
     let mut verdict = check(&history.all(), Duration::from_secs_f64(load.cancel_s));
--- a/crates/plankhead-standins/src/environment.rs
+++ b/crates/plankhead-standins/src/environment.rs
@@ -1,33 +1,64 @@
-//! Everything that controller processes meet, started together, without proxies.
+//! Everything that the processes of a cluster meet, started together.
 
-use crate::answer_history::AnswerHistory;
+use crate::answer_history::{self, AnswerHistory, Verdict};
 use crate::cloud::Cloud;
 use crate::kv_store::KvStore;
-use crate::nodes::Cluster;
+use crate::nodes::{Cluster, Running};
+use crate::proxy::Proxy;
 use crate::request_counts::RequestCounts;
 use crate::{cloud, kv_store, users, workers, LoadArgs};
+use std::net::SocketAddr;
 use std::sync::Arc;
+use std::time::{Duration, Instant};
 
-/// The stand-ins of one cluster, and the cluster's plan.
+/// How often it is checked whether all jobs are over.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The stand-ins of one cluster, and the cluster's addresses.
 pub struct Environment {
+    /// The cluster, whose processes are not started yet.
     pub cluster: Cluster,
+    /// The state service.
     pub state: Arc<KvStore>,
+    /// The cloud.
     pub cloud: Arc<Cloud>,
+    /// The requests so far.
     pub counts: Arc<RequestCounts>,
+    /// The answers and attempts so far.
     pub history: Arc<AnswerHistory>,
     workload: Arc<users::Workload>,
 }
 
 impl Environment {
+    /// Starts the stand-ins for a cluster that reaches them directly.
     pub async fn start(load: &LoadArgs) -> std::io::Result<Self> {
         let counts = Arc::new(RequestCounts::default());
-        let history = Arc::new(AnswerHistory::default());
-        let workload = Arc::new(users::Workload::default());
         let (state_address, state) = kv_store::start(counts.clone()).await?;
         let cluster = Cluster::plan(load, state_address)?;
-        let nodes = cluster.api_addresses();
-        let (counting, keeping) = (counts.clone(), history.clone());
-        let workers = workers::Workers::start(load, nodes, workload.clone(), counting, keeping, None).await?;
+        let heartbeat_addresses = cluster.api_addresses();
+        Self::start_for(load, cluster, (state, counts), heartbeat_addresses, None).await
+    }
+
+    /// Starts the workers and the cloud for a planned cluster. Workers send their heartbeats to
+    /// the given addresses; `commands`: filled with a proxy for each node's commands.
+    pub(crate) async fn start_for(
+        load: &LoadArgs,
+        cluster: Cluster,
+        (state, counts): (Arc<KvStore>, Arc<RequestCounts>),
+        heartbeat_addresses: Vec<SocketAddr>,
+        commands: Option<&mut Vec<Proxy>>,
+    ) -> std::io::Result<Self> {
+        let history = Arc::new(AnswerHistory::default());
+        let workload = Arc::new(users::Workload::default());
+        let workers = workers::Workers::start(
+            load,
+            heartbeat_addresses,
+            workload.clone(),
+            counts.clone(),
+            history.clone(),
+            commands,
+        )
+        .await?;
         let cloud = cloud::start(&cluster.cloud_addresses, load, workers, state.clone()).await?;
         Ok(Self { cluster, state, cloud, counts, history, workload })
     }
@@ -38,4 +69,20 @@
         let (workload, counts) = (self.workload.clone(), self.counts.clone());
         tokio::spawn(users::run(load.clone(), nodes, workload, counts, self.history.clone()));
     }
+
+    /// Waits until all jobs are over, or the time is; stops the processes, and checks what came
+    /// of the jobs.
+    pub async fn finish(
+        &self,
+        mut running: Running,
+        load: &LoadArgs,
+        timeout: Duration,
+    ) -> std::io::Result<Verdict> {
+        let deadline = Instant::now() + timeout;
+        while self.counts.jobs_over() < load.jobs && Instant::now() < deadline {
+            tokio::time::sleep(POLL_INTERVAL).await;
+        }
+        running.stop_all_running()?;
+        Ok(answer_history::check_all(&self.history, load))
+    }
 }
