--- a/crates/plankhead-core/src/jobs/attempt.rs
+++ b/crates/plankhead-core/src/jobs/attempt.rs
@@ -1,44 +1,47 @@
-//! Attempts: one start of a task each, from its placement to the evidence that it is over.
+//! Attempts. An attempt is one start of a task, from its placement until there is evidence that it
+//! is over.
 
 use crate::protocol::{ExitReason, MachineName, TaskId, TaskStatus};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One start of a task on a machine, not yet proven over.
+/// An attempt to run a task on a machine, which is not proven over yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// Counts the starts of the task, from 1; all tasks of a gang share it.
+    /// The attempt's number, counted from 1 for each task; the tasks of a gang share it.
     pub number: u64,
     /// The machine that the task was placed on.
     pub machine: MachineName,
-    /// The worker's incarnation in which alone the attempt can run.
+    /// The worker's incarnation for which the task was placed; the attempt can't run in another one.
     pub incarnation: u64,
     /// The machine's zone.
     pub zone: Arc<str>,
-    /// The chunk version that must be durable before `run` may be sent.
+    /// The chunk version that must be durable before a start may be sent.
     pub chunk_version: u64,
     /// The status in the latest heartbeat that listed the attempt.
     pub reported_status: Option<TaskStatus>,
-    /// When it was placed, or loaded by this leader.
+    /// When the task was placed, or when this leader loaded the attempt.
     pub placed_at: Duration,
-    /// When it was first reported as running.
+    /// When a heartbeat first listed the attempt as running.
     pub running_since: Option<Duration>,
-    /// An earlier leader placed it.
+    /// Whether an earlier leader placed the task.
     pub inherited: bool,
-    /// It is to stop: preempted, or its machine is drained, or its gang ends.
+    /// Whether the attempt must stop: it is preempted, its machine is drained or its gang is ending.
     pub stop_requested: bool,
-    /// A start was sent straight to the worker, once.
+    /// Whether a start was sent directly to the worker. This is done once; replies to heartbeats
+    /// repeat it.
     pub start_sent: bool,
-    /// The fencing token under which a start was last offered to the worker, whether directly,
-    /// in the response to a heartbeat or by the holder of its shard.
+    /// The highest fencing token or shard epoch under which this leader has offered a start to the
+    /// worker, whether directly, in the reply to a heartbeat or through the holder of its shard.
     pub offered_under_token: Option<u64>,
-    /// A stop was sent straight to the worker, once.
+    /// Whether a kill was sent directly to the worker. This is done once; replies to heartbeats repeat
+    /// it.
     pub kill_sent: bool,
 }
 
 impl Attempt {
-    /// An attempt that nobody has been asked to start. Its placement counts as durable until
-    /// `chunk_version` is set.
+    /// Creates an attempt whose start has not been offered to a worker. Its placement counts as
+    /// durable until `chunk_version` is set.
     pub(super) fn new(
         number: u64,
         machine: MachineName,
@@ -63,47 +66,47 @@
         }
     }
 
-    /// Whether a worker that knows this token refuses every command to run the attempt that
-    /// was given so far: this leader gave none, or only under lower ones, by the holder of a
-    /// shard that has moved since.
+    /// Whether a worker that has seen this token refuses every start of the attempt that was offered
+    /// so far. This is the case if this leader has offered none, or only under lower tokens, through
+    /// the holder of a shard that has moved since.
     pub(super) fn is_fenced_by(&self, token: u64) -> bool {
         self.offered_under_token.is_none_or(|offered| offered < token)
     }
 }
 
-/// How far a task has come.
+/// The state of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskState {
-    /// No attempt of it may be alive: it can be placed.
+    /// The task has no attempt that may still be alive, so it can be placed.
     Pending,
-    /// It has an attempt that is not proven over.
+    /// The task has an attempt that is not proven over.
     Placed(Attempt),
-    /// It has completed.
+    /// The task has completed.
     Done,
 }
 
 /// A task that was placed at least once.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task {
-    /// The highest attempt number given out.
+    /// The number of the latest attempt.
     pub latest_attempt: u64,
-    /// The chunk version that holds the end of the latest ended attempt.
+    /// The chunk version in which the end of the latest ended attempt was recorded.
     pub end_version: u64,
-    /// Where it stands.
+    /// The task's state.
     pub state: TaskState,
 }
 
-/// An attempt that is proven over by a heartbeat.
+/// An attempt that a heartbeat has proven to be over.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedAttempt {
-    /// The task that it belonged to.
+    /// The task of the attempt.
     pub task: TaskId,
-    /// Its number.
+    /// The attempt's number.
     pub attempt: u64,
-    /// How it exited; None: it is gone without the worker having said how.
+    /// The reason that the worker gave, or `None` if the attempt is gone and none was reported.
     pub reason: Option<ExitReason>,
-    /// How long it ran, where both ends were seen.
+    /// How long the attempt ran, if this leader saw both its start and its exit.
     pub ran: Option<Duration>,
-    /// It had been asked to stop.
+    /// Whether the attempt had been asked to stop.
     pub stopped: bool,
 }
--- a/crates/plankhead-core/src/jobs/gang.rs
+++ b/crates/plankhead-core/src/jobs/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: tasks that start together, and that all end once one of them has.
+//! Gangs. The tasks of a gang start together, and when one of them ends, all of them do.
 
 use crate::jobs::attempt::{EndedAttempt, TaskState};
 use crate::jobs::job::{JobId, JobPhase};
@@ -7,8 +7,10 @@
 use crate::protocol::{ExitReason, TaskId};
 
 impl JobTable {
-    /// Ends a gang's attempt of which not every task found its machine after all: it does not
-    /// wait for the rest, and none of it has been started.
+    /// Breaks the attempt of a gang of which only some tasks are placed. This occurs after a placement
+    /// pass in which some task found no machine; nothing has been started then, since starts wait until
+    /// all placements are durable. It also occurs after loading, if some task has ended or was never
+    /// placed.
     pub fn break_incomplete_gang(&mut self, id: &JobId) {
         let is_incomplete =
             |entry: &JobEntry| entry.gang.is_some() && entry.placed > 0 && entry.placed < entry.spec.tasks;
@@ -17,7 +19,7 @@
         }
     }
 
-    /// The gang's attempt can't go on: what is left of it is ended.
+    /// Marks the gang's attempt as broken and stops its remaining tasks.
     pub(super) fn break_gang(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get_mut(id) else { return };
         let Some(gang) = entry.gang.as_mut().filter(|gang| !gang.broken && !gang.completed) else { return };
@@ -25,8 +27,8 @@
         self.stop_gang(id);
     }
 
-    /// What the end of one task means for the others of a gang: their attempt is broken, unless
-    /// all were asked to stop with time to checkpoint and this one did.
+    /// Breaks a gang's attempt after one of its tasks has ended, unless the whole gang was asked to stop
+    /// with time to checkpoint and the task exited as stopped.
     pub(super) fn break_gang_after_end(&mut self, end: &EndedAttempt) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
@@ -36,8 +38,8 @@
         }
     }
 
-    /// Stops a task, and with it all others of a gang: of these, none is freed by
-    /// itself, and they checkpoint together or not at all.
+    /// Asks a task to stop. If it belongs to a gang, all tasks of the gang are asked, since they
+    /// checkpoint together or not at all, and none of them can be freed on its own.
     pub fn stop(&mut self, id: &TaskId) {
         let Some(entry) = self.jobs.get_mut(&id.job) else { return };
         if let Some(gang) = &mut entry.gang {
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Stops every task of the gang's attempt: what no worker was asked to start is over
-    /// at once, the rest on evidence. Its machines get their commands without delay.
+    /// Stops every task of the gang's attempt. Attempts whose start was never offered to a worker end at
+    /// once, the others once there is evidence. Commands to their machines are sent without delay.
     fn stop_gang(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         let never_offered: Vec<u32> = entry
@@ -68,7 +70,8 @@
         let Some(entry) = self.jobs.get_mut(id) else { return };
         for task in entry.chunks.values_mut().flat_map(|chunk| chunk.tasks.values_mut()) {
             if let TaskState::Placed(attempt) = &mut task.state {
-                // A worker that checkpoints is asked again, with no time left.
+                // A worker that is already writing a checkpoint is sent another kill. If the gang is
+                // broken, that one has no grace period.
                 (attempt.stop_requested, attempt.kill_sent) = (true, false);
                 self.changed_machines.insert(attempt.machine.clone());
                 self.machines_to_stop.insert(attempt.machine.clone());
--- a/crates/plankhead-core/src/jobs/job.rs
+++ b/crates/plankhead-core/src/jobs/job.rs
@@ -1,38 +1,38 @@
-//! Jobs as their users describe them and as the state service keeps them.
+//! Job specifications as users submit them, and job records as the state service stores them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The largest number of tasks in one job.
+/// The maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The longest text that a field of a job may hold, in bytes.
+/// The maximum length of a text field of a job, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
-/// The longest id, in bytes.
+/// The maximum length of a job id, in bytes.
 const MAX_ID_BYTES: usize = 100;
-/// The largest amount of anything that a field may name.
+/// The maximum value of a numeric field.
 const MAX_AMOUNT: f64 = 1e9;
-/// The most machine types that a job may name.
+/// The maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 64;
 
-/// A job's id: `job-` and a name, fit to be part of a key.
+/// A job's id: `job-` followed by a name. It contains only characters that are allowed in keys.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId(Arc<str>);
 
-/// A text that is no job id.
+/// The text is not a valid job id.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("nameId must be job- followed by letters, digits, '-', '_' or '.'")]
 pub struct InvalidJobId;
 
 impl JobId {
-    /// Reads an id.
+    /// Parses a job id.
     ///
     /// # Errors
     ///
-    /// [`InvalidJobId`] if the text does not begin with `job-`, is longer than 100 bytes, or holds
-    /// characters that a key may not.
+    /// Returns [`InvalidJobId`] if the text does not begin with `job-`, has nothing after that prefix, is
+    /// longer than 100 bytes, or contains other characters than ASCII letters, digits, `-`, `_` and `.`.
     pub fn parse(text: &str) -> Result<Self, InvalidJobId> {
         let name = text.strip_prefix("job-").ok_or(InvalidJobId)?;
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
@@ -42,24 +42,24 @@
         Ok(Self(text.into()))
     }
 
-    /// The id with its prefix.
+    /// Returns the id with its `job-` prefix.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The key of the job's record.
+    /// Returns the key of the job's record.
     pub fn key(&self) -> String {
         format!("job/{}", self.0)
     }
 
-    /// The key of the job's archived record: it goes there once the job is over, so that a new
-    /// leader reads only what is active.
+    /// Returns the key of the job's archived record. The record moves there once the job is over, so that
+    /// a new leader only reads active jobs.
     pub fn archive_key(&self) -> String {
         format!("over/{}", self.0)
     }
 
-    /// The key of one chunk of the job's placements. `rechunked`: of a job whose
-    /// chunks became too large for what may be written and were replaced by smaller ones.
+    /// Returns the key of a chunk of the job's placements. `rechunked` says whether the job's chunks were
+    /// replaced by smaller ones because the maximum size of values was reduced.
     pub fn chunk_key(&self, chunk: u32, rechunked: bool) -> String {
         let prefix = if rechunked { "s" } else { "" };
         format!("run/{}/{prefix}{chunk}", self.0)
@@ -91,57 +91,57 @@
     }
 }
 
-/// How urgent a job is; the greater, the sooner.
+/// A job's priority, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs when nothing else needs the room.
+    /// Runs only on resources that no other job needs.
     Idle,
-    /// The usual one.
+    /// The normal priority.
     Standard,
-    /// Before standard work.
+    /// Runs before standard jobs.
     Urgent,
-    /// Before all other work.
+    /// Runs before all other jobs.
     Critical,
 }
 
-/// An amount of a machine's resources.
+/// An amount of resources.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPU cores, or parts of them.
+    /// The number of CPU cores, possibly fractional.
     pub cpus: f64,
-    /// GPUs, or parts of them.
+    /// The number of GPUs, possibly fractional.
     pub gpus: f64,
     /// Memory in GB.
     #[serde(rename = "ram")]
     pub ram_gb: f64,
 }
 
-/// Room for the rounding errors of sums of decimal amounts.
+/// The tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this demand fits into what is free.
+    /// Returns whether this demand fits into the free resources.
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus + EPSILON
             && self.gpus <= free.gpus + EPSILON
             && self.ram_gb <= free.ram_gb + EPSILON
     }
 
-    /// Adds an amount to this one.
+    /// Adds another amount to this one.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.ram_gb += other.ram_gb;
     }
 
-    /// This amount so many times.
+    /// Returns this amount multiplied by `count`.
     pub fn times(&self, count: u32) -> Resources {
         let count = f64::from(count);
         Resources { cpus: self.cpus * count, gpus: self.gpus * count, ram_gb: self.ram_gb * count }
     }
 
-    /// Takes an amount out of this one.
+    /// Subtracts another amount from this one.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
@@ -149,95 +149,96 @@
     }
 }
 
-/// What a user asks for: a job array or a gang of equal tasks.
+/// A job's specification: a job array or a gang of identical tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class, which has a service-level objective.
+    /// The job's class, for which there is a service-level objective.
     pub class: String,
     /// The team whose quota applies.
     pub team: String,
-    /// How urgent the job is.
+    /// The job's priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// The number of tasks.
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// The resources that each task needs.
     #[serde(rename = "each")]
     pub demand: Resources,
-    /// The image that a machine must have before a task can start.
+    /// The image that a machine must have fetched before a task can start.
     pub image: String,
     /// The image's size in GB.
     pub image_gb: f64,
-    /// The allowed machine types; None: any.
+    /// The allowed machine types, or `None` if any type is allowed.
     #[serde(rename = "rigs")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The zone in which all tasks must run, or `None` if any zone is allowed.
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "one_zone")]
     pub single_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// Spot machines may be used.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "spot")]
     pub allows_spot: bool,
-    /// Seconds that a task should run without its image fetch, by its owner.
+    /// The owner's estimate of a task's run time in seconds, without the time to fetch its image.
     #[serde(rename = "estimate")]
     pub estimated_runtime_s: f64,
-    /// Seconds of progress between checkpoints; 0: tasks never save any.
+    /// The number of seconds of progress between checkpoints; 0 if tasks write none.
     #[serde(rename = "checkpoint")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a checkpoint takes when a task is stopped.
+    /// The number of seconds that a task needs to write a checkpoint when it is stopped.
     #[serde(rename = "save")]
     pub checkpoint_duration_s: f64,
-    /// Seconds from submission to the deadline.
+    /// The number of seconds from submission to the deadline.
     #[serde(rename = "due")]
     pub deadline_s: Option<f64>,
-    /// All tasks run at the same time, or none does. Left out of arrays' records,
-    /// which versions without gangs read; those take any record for an array, so
-    /// that no gang may be stored while one of them may still be there.
+    /// Whether the job is a gang: either all of its tasks run at the same time, or none does. The field
+    /// is omitted from the records of job arrays, which versions without gang support also read. Those
+    /// versions treat every record as an array, so no gang may be stored while one of them may still
+    /// be running.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub gang: bool,
 }
 
-/// Why a job description is out of range, in the protocol's names.
+/// The reason why a job specification is invalid. The messages use the field names of the protocol.
 #[derive(Debug, Clone, Copy, Error, PartialEq, Eq)]
 pub enum InvalidSpec {
-    /// No tasks, or more than [`MAX_TASKS`].
+    /// The job has no tasks, or more than [`MAX_TASKS`].
     #[error("pieces must be from 1 to 100000")]
     Tasks,
-    /// A demand, size or duration that is no usable amount.
+    /// A demand, size or duration is negative, not finite or too large.
     #[error("amounts must be finite, not negative and not over 1e9")]
     Amount,
-    /// A deadline that is no usable amount.
+    /// The deadline is negative, not finite or too large.
     #[error("dueS must be finite, not negative and not over 1e9")]
     Deadline,
-    /// An empty or overlong class, team or image.
+    /// The class, team or image is empty or too long.
     #[error("lane, crew and bundle must have 1 to 200 bytes")]
     Name,
-    /// An empty or overlong zone.
+    /// The zone is empty or too long.
     #[error("yard must have 1 to 200 bytes")]
     Zone,
-    /// No machine types, too many, or an empty or overlong one.
+    /// The list of machine types is empty or too long, or one of its names is.
     #[error("rigs must be null or name 1 to 64 types")]
     MachineTypes,
 }
 
-fn is_amount(amount: f64) -> bool {
+fn is_valid_amount(amount: f64) -> bool {
     amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount)
 }
 
-fn is_text(text: &str) -> bool {
+fn is_valid_text(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_TEXT_BYTES
 }
 
 impl JobSpec {
-    /// Checks ranges; types are checked where the job is parsed.
+    /// Checks that every field is in range. The types of the fields are checked when the job is parsed.
     ///
     /// # Errors
     ///
-    /// [`InvalidSpec`] for the first field that is out of range.
+    /// Returns [`InvalidSpec`] for the first field that is out of range.
     pub fn check(&self) -> Result<(), InvalidSpec> {
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(InvalidSpec::Tasks);
@@ -251,22 +252,24 @@
             self.checkpoint_interval_s,
             self.checkpoint_duration_s,
         ];
-        if !amounts.into_iter().all(is_amount) {
+        if !amounts.into_iter().all(is_valid_amount) {
             return Err(InvalidSpec::Amount);
         }
-        if self.deadline_s.is_some_and(|deadline| !is_amount(deadline)) {
+        if self.deadline_s.is_some_and(|deadline| !is_valid_amount(deadline)) {
             return Err(InvalidSpec::Deadline);
         }
-        if !is_text(&self.class) || !is_text(&self.team) || !is_text(&self.image) {
+        if !is_valid_text(&self.class) || !is_valid_text(&self.team) || !is_valid_text(&self.image) {
             return Err(InvalidSpec::Name);
         }
-        if self.zone.as_deref().is_some_and(|zone| !is_text(zone)) {
+        if self.zone.as_deref().is_some_and(|zone| !is_valid_text(zone)) {
             return Err(InvalidSpec::Zone);
         }
-        let are_usable = |types: &Vec<String>| {
-            !types.is_empty() && types.len() <= MAX_MACHINE_TYPES && types.iter().all(|name| is_text(name))
+        let are_valid = |types: &Vec<String>| {
+            !types.is_empty()
+                && types.len() <= MAX_MACHINE_TYPES
+                && types.iter().all(|name| is_valid_text(name))
         };
-        if !self.machine_types.as_ref().is_none_or(are_usable) {
+        if !self.machine_types.as_ref().is_none_or(are_valid) {
             return Err(InvalidSpec::MachineTypes);
         }
         Ok(())
@@ -274,14 +277,14 @@
 }
 
 impl JobRecord {
-    /// What is kept of a job of so many tasks that is over.
+    /// Creates the final record of a job with `tasks` tasks that is over.
     pub fn finished(phase: JobPhase, tasks: u32) -> Self {
         Self { phase, spec: None, tasks, per_chunk: 0, accepted_ms: 0, cancelled_ms: None }
     }
 
-    /// The record's value if it has at most `max_value_bytes`. One of a cancelled job that has
-    /// more leaves out what only placing it would need: it may have been stored
-    /// when values were allowed to be larger.
+    /// Encodes the record, or returns `None` if the value would take more than `max_value_bytes`. If the
+    /// job is cancelled, a value that is too large is encoded without the fields that only placement
+    /// needs: the record may have been stored when larger values were allowed.
     pub fn encode(&self, max_value_bytes: usize) -> Option<String> {
         let value = serde_json::to_string(self).ok()?;
         if value.len() <= max_value_bytes {
@@ -295,38 +298,39 @@
     }
 }
 
-/// How far a job has come, as the state service knows it.
+/// The phase of a job, as stored in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// Accepted, and not over.
+    /// The job has been accepted and is not over.
     #[serde(rename = "live")]
     Active,
-    /// All its tasks are done.
+    /// All tasks have completed.
     Done,
-    /// Its user cancelled it.
+    /// A user has cancelled the job.
     Cancelled,
 }
 
-/// The value of a `job/<id>` key, later of `over/<id>`. Final records keep the description of a
-/// cancelled job only, for as long as its tasks may be somewhere.
+/// The record of a job: the value of the key `job/<id>` and, once archived, of `over/<id>`. When a job
+/// is over, the record keeps the specification only if the job was cancelled, and only as long as its
+/// tasks may still be on machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// How far the job has come.
+    /// The job's phase.
     pub phase: JobPhase,
-    /// What its user asked for.
+    /// The job's specification, unless the job is over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// Tasks in the job.
+    /// The number of tasks in the job.
     #[serde(default)]
     pub tasks: u32,
-    /// Tasks in each chunk of its placements.
+    /// The number of tasks in each chunk of the job's placements.
     #[serde(default)]
     pub per_chunk: u32,
-    /// Wall-clock time of the submission, in milliseconds since 1970.
+    /// The wall-clock time of the submission, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub accepted_ms: u64,
-    /// Wall-clock time of the cancellation, in milliseconds since 1970.
+    /// The wall-clock time of the cancellation, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cancelled_ms: Option<u64>,
 }
--- a/crates/plankhead-core/src/jobs/job_entry.rs
+++ b/crates/plankhead-core/src/jobs/job_entry.rs
@@ -1,4 +1,5 @@
-//! A job in the job table: its description, its chunks and the counts over its tasks.
+//! The entry of a job in the job table: its specification, its chunks and the counts of its tasks by
+//! state.
 
 use crate::calls::StoredKey;
 use crate::jobs::attempt::{Attempt, TaskState};
@@ -9,85 +10,88 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the tasks of a gang have in common.
+/// The state that the tasks of a gang share.
 #[derive(Debug, Clone, Default)]
 pub struct Gang {
-    /// The latest attempt's number.
+    /// The number of the latest attempt.
     pub attempt: u64,
-    /// That attempt can't go on: what is left of it is ended at once.
+    /// Whether the attempt can't continue, because a task of it ended or was not placed. The remaining
+    /// tasks are stopped without time to checkpoint.
     pub broken: bool,
-    /// One of its tasks is done, and so are all.
+    /// Whether a task has completed, which makes all tasks of the gang count as completed.
     pub completed: bool,
-    /// Some task was asked to stop and may checkpoint: the others are asked, too.
+    /// Whether all tasks were asked to stop. Unless the attempt is broken, they may checkpoint.
     pub stopping: bool,
 }
 
-/// A job's row in the state service, with its times on this node's clock.
+/// A job's row in the state service, with times converted to this node's steady clock.
 #[derive(Debug, Clone)]
 pub struct StoredJob {
-    /// The row's value.
+    /// The job's record.
     pub record: JobRecord,
     /// The row's mod revision.
     pub mod_revision: u64,
     /// When the job was accepted.
     pub accepted_at: Duration,
-    /// When it was cancelled.
+    /// When the job was cancelled.
     pub cancelled_at: Option<Duration>,
-    /// How many tasks each of its chunks has, unless they were rechunked.
+    /// The number of tasks in each chunk, unless the job was rechunked.
     pub tasks_per_chunk: u32,
 }
 
 /// A job with its attempts, as the leader knows it.
 #[derive(Debug, Clone)]
 pub struct JobEntry {
-    /// What the user asked for.
+    /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// Of a gang: what its tasks have in common.
+    /// The state that the tasks share, if the job is a gang.
     pub gang: Option<Gang>,
-    /// As the state service knows it.
+    /// The phase as stored in the state service.
     pub phase: JobPhase,
     /// The mod revision of the job's row.
     pub mod_revision: u64,
-    /// When the job was accepted, on this node's clock.
+    /// When the job was accepted, on this node's steady clock.
     pub accepted_at: Duration,
-    /// When it was cancelled, on this node's clock.
+    /// When the job was cancelled, on this node's steady clock.
     pub cancelled_at: Option<Duration>,
-    /// How many tasks each of the chunks has.
+    /// The number of tasks in each chunk.
     pub tasks_per_chunk: u32,
     /// The chunks that hold tasks, by number.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// The job was rechunked: its chunks are under the keys for smaller ones.
+    /// Whether the job was rechunked, so that its chunks are stored under the keys for smaller chunks.
     pub rechunked: bool,
-    /// Keys that hold chunks of the layout before, dropped with the job.
+    /// Keys of chunks from before rechunking, which are deleted once the job is over.
     pub superseded_keys: Vec<StoredKey>,
-    /// Tasks from here on were never placed.
+    /// The index from which on tasks were never placed.
     pub first_unplaced: u32,
-    /// Tasks whose last attempt is proven over, and that are not done.
+    /// Indices below `first_unplaced` of pending tasks: the latest attempt is proven over without having
+    /// completed, or none is stored.
     pub to_restart: BTreeSet<u32>,
-    /// Tasks that are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// Attempts not proven over.
+    /// The number of attempts not proven over.
     pub placed: u32,
-    /// Attempts that were last reported as running.
+    /// The number of attempts that their latest heartbeats listed as running.
     pub running: u32,
-    /// Attempts not proven over, by zone; only zones that have some.
+    /// The number of attempts not proven over in each zone; zones without any are left out.
     pub attempts_by_zone: BTreeMap<Arc<str>, u32>,
-    /// Errors in a row.
+    /// The number of failed attempts since a task last completed.
     pub consecutive_errors: u32,
-    /// The machines that those errors came from.
+    /// The machines on which those attempts failed.
     pub failed_machines: BTreeSet<MachineName>,
-    /// Nothing of the job is placed before this time, after errors.
+    /// No task is placed before this time, because attempts failed or were refused.
     pub backoff_until: Duration,
-    /// The final record is being written.
+    /// Whether a write of the final record is in flight.
     pub final_write_in_flight: bool,
-    /// The job's row must be read again before anything is written for it.
+    /// Whether the job's row must be read again before anything is written for the job.
     pub revision_uncertain: bool,
-    /// It was logged that the job is late.
+    /// Whether it was logged that the job is late.
     pub late_logged: bool,
 }
 
 impl JobEntry {
-    /// A job none of whose placements are known; None for a record without a description.
+    /// Creates the entry of a job whose placements are not loaded. Returns `None` if the record has no
+    /// specification.
     pub(super) fn new(job: StoredJob) -> Option<Self> {
         let spec = job.record.spec?;
         let gang = spec.gang.then(Gang::default);
@@ -117,44 +121,44 @@
         })
     }
 
-    /// The number of tasks that could be placed now.
+    /// Returns the number of tasks that can be placed.
     pub fn pending(&self) -> u32 {
         self.spec.tasks - self.first_unplaced + self.to_restart.len() as u32
     }
 
-    /// The number of tasks that are not done.
+    /// Returns the number of tasks that are not done.
     pub fn unfinished(&self) -> u32 {
         self.spec.tasks - self.done
     }
 
-    /// Whether tasks can be placed: those of a gang only together, when nothing of
-    /// the attempt before is left.
+    /// Whether the job has tasks that can be placed. The tasks of a gang are placed together, once the
+    /// previous attempt is over for all of them.
     pub fn is_placeable(&self) -> bool {
         self.pending() > 0 && (self.gang.is_none() || self.placed == 0)
     }
 
-    /// Whether every task of a gang has a durable placement, so that they may start.
+    /// Whether every task of the job has a durable placement. The tasks of a gang may only start then.
     pub fn all_placements_durable(&self) -> bool {
         self.placed == self.spec.tasks
             && self.chunks.values().all(|chunk| chunk.placement_version <= chunk.durable_version)
     }
 
-    /// Whether the job is a gang whose attempt is to end at once.
+    /// Whether the job is a gang whose attempt must end without time to checkpoint.
     pub fn is_gang_broken(&self) -> bool {
         self.gang.as_ref().is_some_and(|gang| gang.broken)
     }
 
-    /// Whether the job is a gang whose attempt is to end, with or without time to checkpoint.
+    /// Whether the job is a gang whose attempt must end, with or without time to checkpoint.
     pub fn is_gang_ending(&self) -> bool {
         self.gang.as_ref().is_some_and(|gang| gang.broken || gang.stopping)
     }
 
-    /// Whether one task of a gang is done, and so all are.
+    /// Whether the job is a gang of which a task has completed, so that all tasks count as completed.
     pub(super) fn is_gang_completed(&self) -> bool {
         self.gang.as_ref().is_some_and(|gang| gang.completed)
     }
 
-    /// Every key that holds placements of the job.
+    /// Returns all keys under which placements of the job are or may be stored.
     pub fn stored_keys(&self, id: &JobId) -> Vec<StoredKey> {
         let superseded = self.superseded_keys.iter().cloned();
         let written =
@@ -166,23 +170,23 @@
         superseded.chain(written.map(stored_key)).collect()
     }
 
-    /// The number of the chunk that holds this task.
+    /// Returns the number of the chunk that contains the task.
     pub(super) fn chunk_number(&self, index: u32) -> u32 {
         index / self.tasks_per_chunk
     }
 
-    /// The chunk that holds this task.
+    /// Returns the chunk that contains the task.
     pub(super) fn chunk_of(&self, index: u32) -> Option<&Chunk> {
         self.chunks.get(&self.chunk_number(index))
     }
 
-    /// The chunk that holds this task.
+    /// Returns the chunk that contains the task.
     pub(super) fn chunk_of_mut(&mut self, index: u32) -> Option<&mut Chunk> {
         let number = self.chunk_number(index);
         self.chunks.get_mut(&number)
     }
 
-    /// The task's attempt if it is not proven over.
+    /// Returns the task's attempt, if it has one that is not proven over.
     pub(super) fn attempt(&self, index: u32) -> Option<&Attempt> {
         match &self.chunk_of(index)?.tasks.get(&index)?.state {
             TaskState::Placed(attempt) => Some(attempt),
@@ -190,7 +194,7 @@
         }
     }
 
-    /// The attempts not proven over, with the indices of their tasks.
+    /// Returns the attempts not proven over, with the indices of their tasks.
     pub(super) fn attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
         self.chunks.values().flat_map(|chunk| &chunk.tasks).filter_map(|(index, task)| match &task.state {
             TaskState::Placed(attempt) => Some((*index, attempt)),
@@ -198,7 +202,8 @@
         })
     }
 
-    /// Takes the next pending task, of which there must be one, and returns its index.
+    /// Removes the next task from the pending ones and returns its index. The job must have a pending
+    /// task.
     pub(super) fn take_pending(&mut self) -> u32 {
         self.to_restart.pop_first().unwrap_or_else(|| {
             self.first_unplaced += 1;
@@ -206,13 +211,13 @@
         })
     }
 
-    /// Counts an attempt in this zone that no heartbeat has listed yet.
+    /// Adds an attempt that no heartbeat has listed yet to the counts.
     pub(super) fn count_attempt(&mut self, zone: &Arc<str>) {
         self.placed += 1;
         *self.attempts_by_zone.entry(zone.clone()).or_default() += 1;
     }
 
-    /// Takes an attempt out of the counts.
+    /// Removes an attempt from the counts.
     pub(super) fn uncount_attempt(&mut self, zone: &Arc<str>, reported_status: Option<TaskStatus>) {
         self.placed -= 1;
         if reported_status == Some(TaskStatus::Running) {
--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -1,14 +1,14 @@
-//! The job table: what was placed where, and the evidence that an attempt is over.
+//! The job table: which tasks are placed on which machines, and which attempts are proven over.
 //!
-//! A task has at most one attempt that is not proven over. There are three kinds of evidence: the
-//! worker listed the attempt as ended, the worker reported a later incarnation, or the cloud
-//! confirmed the release of the machine. That a heartbeat does not list an attempt proves nothing,
-//! and neither does time.
+//! A task has at most one attempt that is not proven over. There are three kinds of evidence that an
+//! attempt is over: the worker listed it as exited, the worker reported a later incarnation, or the
+//! cloud confirmed the release of the machine. A heartbeat that does not list an attempt proves
+//! nothing by itself, and neither does the passing of time.
 //!
-//! The tasks of a gang share one attempt: they are placed together, start together
-//! and end together. Once one of them has ended other than done, or is gone, what
-//! is left of the attempt is ended too, and the next one begins only when nothing
-//! of it is left: so no task, zone or limit ever has two attempts of a gang at a time.
+//! The tasks of a gang share one attempt: they are placed together, start together and end together.
+//! If one of them is lost or exits without having completed, the rest of the attempt is stopped too.
+//! The next attempt begins only when the previous one is over for all tasks, so that two attempts of a
+//! gang never overlap and never count twice towards zones or limits.
 
 pub use crate::jobs::attempt::{Attempt, EndedAttempt, Task, TaskState};
 pub use crate::jobs::chunk::{tasks_per_chunk, Chunk, ChunkError, EncodedChunk};
@@ -20,30 +20,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The tasks with an attempt on each machine.
+/// The tasks that have an attempt on each machine.
 pub(super) type TasksByMachine = HashMap<MachineName, BTreeSet<TaskId>>;
 
-/// Every job that is not over, with its attempts.
+/// The jobs that are not over, with their attempts.
 #[derive(Debug, Default)]
 pub struct JobTable {
     /// The jobs by id.
     pub jobs: BTreeMap<JobId, JobEntry>,
     pub(super) by_machine: TasksByMachine,
-    /// Chunks with changes that are not durable.
+    /// The chunks that have changes which are not durable.
     pub dirty_chunks: BTreeSet<(JobId, u32)>,
-    /// Those of them with placements that wait to be written.
+    /// The chunks that have placements which are not durable.
     pub dirty_placements: BTreeSet<(JobId, u32)>,
-    /// Machines whose attempts have changed since the reader last took this set.
+    /// Machines whose attempts have changed since this set was last taken.
     pub changed_machines: BTreeSet<MachineName>,
-    /// Jobs all of whose tasks have ended, one way or the other.
+    /// Active jobs whose tasks are all done, and other jobs without attempts that may be alive. These
+    /// jobs can be closed.
     pub ended_jobs: BTreeSet<JobId>,
-    /// Machines with tasks of gangs that are to stop, and whose workers should hear it at once.
+    /// Machines whose workers must be told without delay to stop tasks of gangs.
     pub machines_to_stop: BTreeSet<MachineName>,
 }
 
 impl JobTable {
-    /// Notes whether nothing of the job is left to run or to wait for, and ends attempts of a
-    /// cancelled job that no worker was ever asked to start.
+    /// Adds the job to `ended_jobs` if it has nothing left to run or to wait for. First ends those
+    /// attempts of a cancelled job whose start was never sent to a worker.
     pub(super) fn check_ended(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         if entry.phase == JobPhase::Cancelled {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Ends the job's attempts whose placement is not durable: no worker was asked to start them.
+    /// Ends the job's attempts whose placement is not durable. Their starts were not sent to a worker.
     fn end_unwritten_attempts(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else { return };
         let unwritten: Vec<u32> = entry
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Gives the job's next pending task to a machine, for the worker's present incarnation. The
-    /// placement must be durable before the worker hears of it. None if nothing of the job may be
-    /// placed.
+    /// Places the job's next pending task on a machine, for the worker's current incarnation. The
+    /// placement must be durable before the worker is told to start the task. Returns `None` if no task
+    /// of the job may be placed.
     pub fn place(
         &mut self,
         id: &JobId,
@@ -121,12 +122,12 @@
         Some(id)
     }
 
-    /// The task's attempt if it is not proven over.
+    /// Returns the task's attempt, if it has one that is not proven over.
     pub fn attempt(&self, id: &TaskId) -> Option<&Attempt> {
         self.jobs.get(&id.job)?.attempt(id.index)
     }
 
-    /// The task's attempt if it is not proven over.
+    /// Returns the task's attempt, if it has one that is not proven over.
     pub fn attempt_mut(&mut self, id: &TaskId) -> Option<&mut Attempt> {
         let chunk = self.jobs.get_mut(&id.job)?.chunk_of_mut(id.index)?;
         match &mut chunk.tasks.get_mut(&id.index)?.state {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Whether the task may be started: its placement is durable, and with it that
-    /// of all others of a gang.
+    /// Whether the task may be started: its placement must be durable, and for a gang those of all
+    /// tasks.
     pub fn may_start(&self, id: &TaskId) -> bool {
         let Some(entry) = self.jobs.get(&id.job) else { return false };
         if entry.is_gang_completed() || entry.is_gang_ending() {
@@ -149,13 +150,13 @@
         entry.attempt(id.index).is_some_and(|attempt| attempt.chunk_version <= chunk.durable_version)
     }
 
-    /// The tasks with an attempt on the machine that is not proven over.
+    /// Returns the tasks with an attempt on the machine that is not proven over.
     pub fn by_machine(&self, machine: &str) -> impl Iterator<Item = &TaskId> {
         self.by_machine.get(machine).into_iter().flatten()
     }
 
-    /// Whether an ended attempt may be forgotten by its worker: its end must be
-    /// durable, since a later leader would take it for a live one.
+    /// Whether the worker may be told to forget an attempt that has exited. The end must be durable:
+    /// a later leader would otherwise take the attempt for a live one.
     pub fn may_acknowledge(&self, id: &TaskId, attempt: u64) -> bool {
         let Some(entry) = self.jobs.get(&id.job) else { return false };
         let Some(chunk) = entry.chunk_of(id.index) else { return false };
@@ -163,14 +164,15 @@
         let is_current = matches!(&task.state, TaskState::Placed(current) if current.number == attempt);
         let is_end_durable = match entry.phase {
             JobPhase::Active => chunk.durable_version >= task.end_version,
-            // The job's end was written, which is that of all its tasks.
+            // The final record is durable, and stands for the ends of all tasks.
             JobPhase::Done => true,
             JobPhase::Cancelled => false,
         };
         !is_current && is_end_durable
     }
 
-    /// Ends the task's attempt, as done or to be restarted. For callers that have evidence.
+    /// Ends the task's attempt, and marks the task as done or as pending. The caller must have evidence
+    /// that the attempt is over.
     pub(super) fn end_attempt(&mut self, id: &TaskId, done: bool) {
         let Some(entry) = self.jobs.get_mut(&id.job) else { return };
         let Some(attempt) = entry.attempt(id.index) else { return };
@@ -203,13 +205,13 @@
         self.changed_machines.insert(machine);
     }
 
-    /// A chunk's value as it is now.
+    /// Encodes a chunk at its current version.
     pub fn encode_chunk(&self, id: &JobId, number: u32) -> Option<EncodedChunk> {
         self.jobs.get(id)?.chunks.get(&number)?.encode()
     }
 
-    /// A write of a chunk's `version` is durable, at `mod_revision`. Returns the machines with
-    /// tasks that may start for that.
+    /// Records that a chunk's `version` was written at `mod_revision`. Returns the machines whose tasks
+    /// may now start.
     pub fn chunk_committed(
         &mut self,
         id: &JobId,
@@ -245,7 +247,8 @@
         machines
     }
 
-    /// The mod revision that a chunk's key has now, after a write in doubt.
+    /// Sets the current mod revision of a chunk's key, which was read again after a write whose outcome
+    /// was unknown or that conflicted.
     pub fn set_chunk_revision(&mut self, id: &JobId, number: u32, mod_revision: u64) {
         if let Some(chunk) = self.chunk_mut(id, number) {
             chunk.revision_uncertain = false;
@@ -253,8 +256,8 @@
         }
     }
 
-    /// A chunk's write failed or its reply was lost. `revision_uncertain`: the key's mod
-    /// revision must be read again.
+    /// Records that the write of a chunk failed or that its reply was lost. `revision_uncertain` says
+    /// whether the key's mod revision must be read again.
     pub fn chunk_write_failed(&mut self, id: &JobId, number: u32, revision_uncertain: bool) {
         if let Some(chunk) = self.chunk_mut(id, number) {
             chunk.write_in_flight = false;
@@ -266,18 +269,20 @@
         self.jobs.get_mut(id)?.chunks.get_mut(&number)
     }
 
-    /// Every machine with attempts not proven over.
+    /// Returns the machines with attempts not proven over. This includes machines whose last attempts
+    /// were dropped with a removed job or a superseded chunk.
     pub fn machines(&self) -> impl Iterator<Item = &MachineName> {
         self.by_machine.keys()
     }
 
-    /// A job's attempts not proven over.
+    /// Returns a job's attempts not proven over.
     pub fn attempts_of<'a>(&self, entry: &'a JobEntry) -> impl Iterator<Item = &'a Attempt> + 'a {
         entry.attempts().map(|(_, attempt)| attempt)
     }
 
-    /// The job's end is durable; true if that is news. A gang is kept until all its
-    /// tasks are proven over, which are all done although only some have said so.
+    /// Records that the job's final record is durable, and returns whether this was not known yet. A
+    /// gang stays in the table until all its attempts are proven over: its tasks count as done once one
+    /// of them has completed, although others have not been reported as exited yet.
     pub fn job_finished(&mut self, id: &JobId) -> bool {
         let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.phase != JobPhase::Done) else {
             return false;
@@ -291,7 +296,7 @@
         true
     }
 
-    /// Forgets a job, which is over in the state service too or can't be read.
+    /// Removes a job that is over in the state service or whose placements can't be read.
     pub fn remove(&mut self, id: &JobId) -> Option<JobEntry> {
         self.ended_jobs.remove(id);
         let entry = self.jobs.remove(id)?;
--- a/crates/plankhead-core/src/jobs/loading.rs
+++ b/crates/plankhead-core/src/jobs/loading.rs
@@ -1,4 +1,4 @@
-//! Loading: the job table from the rows of the state service.
+//! Loading: fills the job table from the rows of the state service.
 
 use crate::jobs::attempt::{Task, TaskState};
 use crate::jobs::chunk::{ChunkError, StoredChunk};
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 impl JobTable {
-    /// Takes in a job's row. Of a known job, only a cancellation is news; an older row than the
-    /// one known is ignored.
+    /// Adds a job from its row, or updates a known job. For a known job, the row can only change the
+    /// revision and the phase from active to cancelled; a row older than the known one is ignored.
     pub fn upsert(&mut self, id: &JobId, job: StoredJob) {
         let Some(entry) = self.jobs.get_mut(id) else {
             if let Some(entry) = JobEntry::new(job) {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Takes in a stored chunk, whose attempts count as placed at `now`. Only for jobs whose
-    /// record is known.
+    /// Adds a stored chunk to its job, whose record must be loaded; chunks of other jobs are ignored.
+    /// The chunk's attempts count as placed at `now`.
     ///
     /// # Errors
     ///
-    /// [`ChunkError`] if the value can't be read: nothing may be started for a job whose
-    /// attempts are unknown.
+    /// Returns [`ChunkError`] if the value can't be decoded. The caller must not start any task of the
+    /// job then, since its attempts are unknown.
     pub fn load_chunk(
         &mut self,
         id: &JobId,
@@ -49,8 +49,8 @@
     ) -> Result<(), ChunkError> {
         let stored = StoredChunk::parse(value)?;
         let Some(entry) = self.jobs.get_mut(id) else { return Ok(()) };
-        // A job that was accepted when values could be larger: the smaller chunk
-        // takes the place of what the old ones say of its tasks.
+        // The job was rechunked after it had been loaded from its original chunks. The stored smaller
+        // chunk replaces what the original ones contain about its range of tasks.
         if let Some(superseded) = entry.chunks.remove(&number) {
             for (index, task) in &superseded.tasks {
                 uncount_task(entry, &mut self.by_machine, TaskId { job: id.clone(), index: *index }, task);
@@ -77,8 +77,9 @@
         Ok(())
     }
 
-    /// After every chunk is loaded: finds tasks below the highest placed one that were
-    /// never placed, gangs that can't go on, and jobs that are over.
+    /// Completes the table after all chunks are loaded: marks tasks as pending that have no stored
+    /// state although a task with a higher index has, breaks gangs of which only some tasks are placed,
+    /// and finds the jobs that have ended.
     pub fn finish_loading(&mut self) {
         for entry in self.jobs.values_mut() {
             let known: BTreeSet<u32> =
@@ -96,14 +97,15 @@
             }
         }
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            // Some task of the attempt has ended, or was never placed.
+            // If only some tasks are placed, others have ended or were never placed.
             self.break_incomplete_gang(&id);
             self.check_ended(&id);
         }
     }
 }
 
-/// Takes a loaded task out of its job's counts. Its machine stays known as one that had tasks.
+/// Removes a loaded task from its job's counts and from its machine, which stays in `by_machine` even
+/// if it has no other tasks.
 fn uncount_task(entry: &mut JobEntry, by_machine: &mut TasksByMachine, id: TaskId, task: &Task) {
     match &task.state {
         TaskState::Pending => {
--- a/crates/plankhead-core/src/jobs/mod.rs
+++ b/crates/plankhead-core/src/jobs/mod.rs
@@ -1,7 +1,8 @@
-//! Jobs: what users ask for, and what became of each task.
+//! Jobs and the state of their tasks.
 //!
-//! [`job`] holds what is submitted and stored, [`job_table`] every job with its attempts as the
-//! leader knows it. The other modules each hold one concern of the table.
+//! [`job`] defines job specifications and the stored job records. [`job_table`] holds the jobs and
+//! their attempts as the leader knows them. Each of the other modules covers one aspect of the
+//! table.
 
 pub mod attempt;
 pub mod chunk;
--- a/crates/plankhead-core/src/jobs/rechunk.rs
+++ b/crates/plankhead-core/src/jobs/rechunk.rs
@@ -1,9 +1,8 @@
-//! Rechunking: jobs whose chunks were laid out for larger values get smaller ones.
+//! Rechunking: replaces a job's chunks by smaller ones after the maximum size of values was reduced.
 //!
-//! Where values may be smaller than they were when a job was accepted, its chunks are written
-//! anew under other keys. Each of the smaller ones stands for its range of tasks from when it is
-//! written; until then, and for the other ranges, the old one does. So nothing is ever moved in
-//! steps that need each other.
+//! The smaller chunks are written under other keys than the original ones. From its first write, a
+//! smaller chunk is authoritative for its range of tasks; until then, the original chunk is. Each
+//! smaller chunk can therefore be written independently of the others.
 
 use crate::jobs::attempt::{Task, TaskState};
 use crate::jobs::job::JobId;
@@ -11,16 +10,15 @@
 use crate::jobs::job_table::JobTable;
 use std::time::Duration;
 
-/// What of a task is not durable yet when it moves into a smaller chunk.
+/// The changes of a task that are not durable yet when the task moves to a smaller chunk.
 struct UnwrittenChanges {
     end: bool,
     placement: bool,
 }
 
 impl JobTable {
-    /// Has jobs whose chunks hold more than `tasks_per_chunk` tasks kept in smaller chunks from
-    /// now on. What is on its way to the state service is waited for; true if some job still has
-    /// to be rechunked.
+    /// Rechunks all jobs whose chunks contain more than `tasks_per_chunk` tasks, except those with writes
+    /// in flight or of unknown outcome. Returns whether there are such jobs left to rechunk.
     pub fn rechunk(&mut self, tasks_per_chunk: u32) -> bool {
         let mut is_left = false;
         let oversized: Vec<JobId> = self
@@ -35,7 +33,8 @@
         is_left
     }
 
-    /// Rechunks one job; false while a write of it is on its way or in doubt.
+    /// Rechunks a job. Returns false, and changes nothing, if a write of one of its chunks is in flight
+    /// or has an unknown outcome.
     fn rechunk_job(&mut self, id: &JobId, tasks_per_chunk: u32) -> bool {
         let Some(entry) = self.jobs.get_mut(id) else { return true };
         if entry.chunks.values().any(|chunk| chunk.write_in_flight || chunk.revision_uncertain) {
@@ -63,8 +62,8 @@
     }
 }
 
-/// Sets the task's versions for a chunk that has not been written yet, whose first write is
-/// version 1: what is durable counts as version 0.
+/// Renumbers the task's versions for a chunk that has not been written yet: changes that are durable
+/// belong to version 0, all others to version 1, which is the first to be written.
 fn renumber_versions(task: &mut Task, durable_version: u64) -> UnwrittenChanges {
     let end = task.end_version > durable_version;
     task.end_version = u64::from(end);
@@ -76,7 +75,7 @@
     UnwrittenChanges { end, placement }
 }
 
-/// Puts the task into its new chunk.
+/// Moves the task to its new chunk.
 fn move_task(
     entry: &mut JobEntry,
     index: u32,
--- a/crates/plankhead-core/src/jobs/reconcile.rs
+++ b/crates/plankhead-core/src/jobs/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: comparing heartbeats with the job table, and what follows.
+//! Reconciliation: updates the job table from heartbeats and from confirmed releases of machines.
 
 use crate::jobs::attempt::{Attempt, EndedAttempt};
 use crate::jobs::job::{JobId, JobPhase};
@@ -7,37 +7,38 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What a heartbeat showed of the attempts on its machine.
+/// The result of comparing a heartbeat with the attempts on its machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HeartbeatOutcome {
-    /// Attempts that are proven over.
+    /// The attempts that the heartbeat has proven over.
     pub ended: Vec<EndedAttempt>,
-    /// The number of attempts that earlier heartbeats listed and this one does not, without
-    /// being proven over.
+    /// The number of attempts that earlier heartbeats listed and this one does not, and that are not
+    /// proven over.
     pub missing: u32,
 }
 
-/// What a heartbeat shows of one attempt.
+/// What a heartbeat shows about one attempt.
 enum Finding {
-    /// The heartbeat is of an earlier incarnation than the attempt: it shows nothing.
+    /// The heartbeat belongs to an earlier incarnation than the attempt and shows nothing about it.
     OlderHeartbeat,
-    /// It is over: of an earlier incarnation, or unlisted where no start can follow.
+    /// The attempt is over: it belongs to an earlier incarnation, or it is not listed and the worker
+    /// refuses every start of it.
     Gone,
-    /// It was listed before and is not now, which proves nothing.
+    /// The attempt was listed before and is not listed now, which proves nothing.
     Missing,
-    /// It was never listed: its start may still be under way.
+    /// The attempt was never listed: a start of it may still be in flight.
     NotListedYet,
     Exited(ExitReason),
     Alive(TaskStatus),
 }
 
 impl JobTable {
-    /// Takes in a worker's heartbeat, newer than any seen of this worker.
+    /// Updates the table from a worker's heartbeat, which must be newer than all seen from this worker.
     ///
-    /// `carries_own_token`: the heartbeat carries this leader's token. Then commands of earlier
-    /// leaders are refused from now on, so that an attempt of theirs that is not
-    /// listed is not there and can't come. That is enough to forget attempts of
-    /// cancelled jobs, of which no new ones will be made.
+    /// `carries_own_token` says whether the heartbeat carries this leader's token. If it does, the worker
+    /// refuses commands of earlier leaders, so that an attempt of theirs that is not listed does not
+    /// exist and can't start any more. This suffices to end attempts of cancelled jobs and of ending
+    /// gangs.
     pub fn observe_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -62,7 +63,7 @@
                 stopped: attempt.stop_requested,
             };
             let running_since = attempt.running_since;
-            match self.compare(&id, attempt, listed_status, heartbeat, carries_own_token) {
+            match self.classify(&id, attempt, listed_status, heartbeat, carries_own_token) {
                 Finding::OlderHeartbeat | Finding::NotListedYet => {}
                 Finding::Missing => outcome.missing += 1,
                 Finding::Alive(status) => self.record_status(&id, status, now),
@@ -77,16 +78,17 @@
                 }
             }
         }
-        // After all ends, so that one `done` counts for a gang whatever stands before
-        // it in the heartbeat.
+        // Done after all ends are recorded: if one task of a gang has completed, the gang must not be
+        // broken by another task that is processed before it.
         for end in &outcome.ended {
             self.break_gang_after_end(end);
         }
         outcome
     }
 
-    /// What the heartbeat shows of an attempt, which it lists with this status or not at all.
-    fn compare(
+    /// Determines what the heartbeat shows about an attempt. `listed_status` is the status in which the
+    /// heartbeat lists the attempt, if it does.
+    fn classify(
         &self,
         id: &TaskId,
         attempt: &Attempt,
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Whether no attempt of the job may go on.
+    /// Whether the job is cancelled, or a gang whose attempt must end.
     fn is_ending(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|entry| entry.phase == JobPhase::Cancelled || entry.is_gang_ending())
     }
 
-    /// Notes the status in which a heartbeat lists an attempt.
+    /// Records the status in which a heartbeat lists an attempt.
     fn record_status(&mut self, id: &TaskId, status: TaskStatus, now: Duration) {
         let Some(attempt) = self.attempt_mut(id) else { return };
         let previous = attempt.reported_status.replace(status);
@@ -131,15 +133,15 @@
             (true, false) => entry.running -= 1,
             _ => {}
         }
-        // An earlier leader began to stop the gang: a task that is not asked in time
-        // spoils the others' checkpoint.
+        // If this leader has not stopped the gang, an earlier one has begun to. The other tasks must be
+        // asked to stop in time, since a gang's checkpoint is only complete if all tasks write it.
         if status == TaskStatus::Checkpointing && entry.gang.is_some() {
             self.stop(id);
         }
     }
 
-    /// Ends the task's attempt on evidence, as done or to be restarted, and notes that the end
-    /// waits to be written.
+    /// Ends the task's attempt, marks the task as done or as pending, and records since when the end has
+    /// been waiting to be written.
     fn end_on_evidence(&mut self, id: &TaskId, done: bool, now: Duration) {
         self.end_attempt(id, done);
         if let Some(chunk) = self.jobs.get_mut(&id.job).and_then(|entry| entry.chunk_of_mut(id.index)) {
@@ -148,8 +150,7 @@
         self.check_ended(&id.job);
     }
 
-    /// The cloud confirmed that the machine is gone, and every attempt on it; returns how many
-    /// there were.
+    /// Ends every attempt on a machine whose release the cloud has confirmed, and returns their number.
     pub fn machine_gone(&mut self, machine: &str, now: Duration) -> usize {
         let tasks: Vec<TaskId> = self.by_machine(machine).cloned().collect();
         for id in &tasks {
