--- a/crates/plankhead-core/src/jobs/rechunk.rs
+++ b/crates/plankhead-core/src/jobs/rechunk.rs
@@ -20,7 +20,7 @@
     /// Rechunks all jobs whose chunks contain more than `tasks_per_chunk` tasks, except those with writes
     /// in flight or of unknown outcome. Returns whether there are such jobs left to rechunk.
     pub fn rechunk(&mut self, tasks_per_chunk: u32) -> bool {
-        let mut is_left = false;
+        let mut any_left = false;
         let oversized: Vec<JobId> = self
             .jobs
             .iter()
@@ -28,9 +28,9 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in oversized {
-            is_left |= !self.rechunk_job(&id, tasks_per_chunk);
+            any_left |= !self.rechunk_job(&id, tasks_per_chunk);
         }
-        is_left
+        any_left
     }
 
     /// Rechunks a job. Returns false, and changes nothing, if a write of one of its chunks is in flight
--- a/crates/plankhead-core/src/requests/cancellation.rs
+++ b/crates/plankhead-core/src/requests/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancelling a job: its record is read, and written as cancelled if it has not changed.
+//! Cancellation of jobs: reads a job's record and writes it as cancelled, on the condition that it has
+//! not changed in between.
 
 use super::{respond_unavailable, RequestHandler};
 use crate::calls::{CallPurpose, Cancellation, LookupReason, PendingRequest};
@@ -7,11 +8,11 @@
 use crate::protocol::{CallError, Condition, JobStatus, KeyValue, KvChange, KvReply, KvRequest, RequestId};
 use std::time::Duration;
 
-/// Attempts to cancel a job whose record changes meanwhile.
+/// The maximum number of attempts to cancel a job whose record keeps changing.
 const MAX_CANCEL_ATTEMPTS: u32 = 6;
 
 impl RequestHandler {
-    /// A user cancels a job.
+    /// Handles a user's request to cancel a job.
     pub fn cancel_requested(
         &mut self,
         now: Duration,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Writes the record that was read at this revision as cancelled.
+    /// Writes the record as cancelled, on the condition that its mod revision is still `mod_revision`.
     pub(super) fn write_cancellation(
         &mut self,
         times: StepTime,
@@ -57,7 +58,7 @@
         );
     }
 
-    /// Handles the reply to that write; returns the row if it was written.
+    /// Handles the reply to the write of a cancelled record. Returns the row if it was written.
     pub(super) fn cancellation_reply(
         &mut self,
         now: Duration,
@@ -76,7 +77,7 @@
             Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 respond_unavailable(request, effects)
             }
-            // The record has changed, or the outcome is unknown: it is read and judged anew.
+            // The record has changed, or the outcome is unknown: start over by reading the record.
             _ => self.lookup(now, request, id, LookupReason::Cancel { attempts: attempts + 1 }, effects),
         }
         None
--- a/crates/plankhead-core/src/requests/ended_jobs.rs
+++ b/crates/plankhead-core/src/requests/ended_jobs.rs
@@ -1,25 +1,25 @@
-//! The memory of jobs that are over, whose state never changes again.
+//! A cache of ended jobs, whose status never changes again.
 
 use crate::jobs::job::JobId;
 use crate::protocol::JobStatus;
 use std::collections::{HashMap, VecDeque};
 
-/// Jobs kept in memory; the state of others is read again.
+/// The maximum number of cached jobs; the status of other jobs is read from the state service.
 const MAX_ENDED_JOBS: usize = 50_000;
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct EndedJob {
     pub status: JobStatus,
-    /// Its tasks that completed.
+    /// The number of its tasks that completed.
     pub done: u32,
 }
 
-/// The jobs that ended last.
+/// The jobs that ended most recently.
 #[derive(Debug, Default)]
 pub(super) struct EndedJobs {
     by_id: HashMap<JobId, EndedJob>,
-    /// In the order in which they were recorded.
+    /// The cached jobs, in the order in which they were recorded.
     order: VecDeque<JobId>,
 }
 
--- a/crates/plankhead-core/src/requests/lookups.rs
+++ b/crates/plankhead-core/src/requests/lookups.rs
@@ -1,5 +1,5 @@
-//! Reading a job's record for a user, under the key of live jobs and then under the one of
-//! archived jobs.
+//! Lookups: reads of a job's record for a user, first under the key of active jobs and then under the
+//! key of archived ones.
 
 use super::{respond_unavailable, RequestHandler, TaskCounts};
 use crate::calls::{CallPurpose, Cancellation, Lookup, LookupReason, PendingRequest};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl RequestHandler {
-    /// Reads a job's record under the key of live jobs.
+    /// Reads a job's record under the key of active jobs.
     pub(super) fn lookup(
         &mut self,
         now: Duration,
@@ -30,6 +30,7 @@
         effects.call_kv(CallPurpose::UserRequest(PendingRequest::Lookup(lookup)), KvRequest::Get { key });
     }
 
+    /// Handles the reply to a lookup.
     pub(super) fn lookup_reply(
         &mut self,
         times: StepTime,
@@ -41,7 +42,7 @@
         let Ok(KvReply::Value(row)) = reply else {
             return respond_unavailable(lookup.request, effects);
         };
-        // The job may have ended since it was read.
+        // The job may have ended since its record was read.
         if self.answer_if_ended(lookup.request, &lookup.id, effects) {
             return;
         }
@@ -69,9 +70,10 @@
         self.answer_if_ended(request, &id, effects);
     }
 
-    /// There is no record under the key that was read.
+    /// Handles a lookup whose key does not exist.
     fn record_missing(&mut self, now: Duration, lookup: Lookup, effects: &mut EffectSink) {
-        // It may have been archived just now, in one transaction.
+        // The job may have been archived before the read: one transaction moves the record to its
+        // archive key.
         if !lookup.archived {
             return self.send_lookup(now, Lookup { archived: true, ..lookup }, effects);
         }
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -1,5 +1,5 @@
-//! Requests of users: accepts jobs, tells their state and cancels them, directly in the
-//! state service and on any node.
+//! User requests: submitting a job, reading its status and cancelling it. Every node handles them by
+//! reading and writing the state service itself, without the leader.
 
 mod cancellation;
 mod ended_jobs;
@@ -20,31 +20,31 @@
 use std::time::Duration;
 pub use submission::{Submission, SubmissionContext};
 
-/// Requests in flight at the same time; more are refused at once.
+/// The maximum number of requests in flight; further ones are refused at once.
 const MAX_REQUESTS_IN_FLIGHT: usize = 250;
-/// While the state service fails, one request in this time tries it.
+/// The interval at which a request is passed on to the state service while its calls fail.
 const KV_PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// When a user who can't be served now should try again.
+/// The time after which a user whose request can't be handled now should retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Shares of the state service's limits that users' requests may use; the leader's own calls
-/// need the rest.
+/// The shares of the state service's limits that user requests may use; the leader's own calls need
+/// the rest.
 const READ_RATE_SHARE: f64 = 0.5;
 const READ_BURST_SHARE: f64 = 0.7;
 const WRITE_BURST_SHARE: f64 = 0.4;
 
-/// How many of a job's tasks completed, and how many run.
+/// The numbers of a job's tasks that have completed and that are running.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCounts {
     pub done: u32,
     pub running: u32,
 }
 
-/// The requests of one node's users.
+/// Handles the user requests that arrive at one node.
 #[derive(Debug)]
 pub struct RequestHandler {
     settings: Arc<Settings>,
-    /// New jobs that wait for the write budget.
+    /// New jobs that are waiting for the write budget.
     queued: VecDeque<JobCreation>,
     batches_in_flight: usize,
     requests_in_flight: usize,
@@ -52,21 +52,21 @@
     write_budget: TokenBucket,
     writes_paused_until: Duration,
     ended_jobs: EndedJobs,
-    /// The progress of jobs as the leader's latest peer heartbeat told it.
+    /// The progress of jobs from the leader's latest peer heartbeat.
     leader_progress: HashMap<JobId, TaskCounts>,
-    /// The latest call to the state service on behalf of a user failed.
+    /// Whether the latest reply to a call on behalf of a user was a failure of the state service.
     kv_failing: bool,
-    last_kv_probe_at: Duration,
+    last_admitted_at: Duration,
     permissions: UserPermissions,
 }
 
-/// A node's part of the state service's changes for its users.
+/// Returns the budget of one node for changes on behalf of its users.
 fn write_budget(changes_per_s: f64, nodes: usize) -> TokenBucket {
     let nodes = nodes.max(1) as f64;
     TokenBucket::new(changes_per_s * WRITE_BURST_SHARE / nodes, changes_per_s / nodes)
 }
 
-/// A node's part of the state service's reads for its users.
+/// Returns the budget of one node for reads on behalf of its users.
 fn read_budget(requests_per_s: f64, nodes: usize) -> TokenBucket {
     let nodes = nodes.max(1) as f64;
     TokenBucket::new(requests_per_s * READ_BURST_SHARE / nodes, requests_per_s * READ_RATE_SHARE / nodes)
@@ -77,7 +77,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that knows no job yet.
+    /// Creates a handler with no requests in flight and no known jobs.
     pub fn new(settings: Arc<Settings>) -> Self {
         Self {
             queued: VecDeque::new(),
@@ -90,17 +90,18 @@
             ended_jobs: EndedJobs::default(),
             leader_progress: HashMap::new(),
             kv_failing: false,
-            last_kv_probe_at: Duration::ZERO,
+            last_admitted_at: Duration::ZERO,
             permissions: UserPermissions::ALL,
         }
     }
 
-    /// Sets what this node may do for users at present.
+    /// Sets what this node may currently do for users.
     pub fn set_permissions(&mut self, permissions: UserPermissions) {
         self.permissions = permissions;
     }
 
-    /// Every node has this version: the state service may allow fewer changes from now on.
+    /// Records that all nodes run this version. From then on, the state service may allow fewer changes,
+    /// so the write budget is reduced to the next limit in the settings.
     pub fn set_all_nodes_upgraded(&mut self) {
         let (current, next) = (self.settings.kv_changes_per_s, self.settings.next_kv_changes_per_s);
         if next < current {
@@ -108,18 +109,18 @@
         }
     }
 
-    /// Remembers that a job is over, which never changes; `done`: its completed tasks.
+    /// Remembers that a job has ended, with the number of its completed tasks. This never changes again.
     pub fn record_ended(&mut self, id: &JobId, status: JobStatus, done: u32) {
         self.leader_progress.remove(id);
         self.ended_jobs.record(id, EndedJob { status, done });
     }
 
-    /// Whether the job is remembered as over.
+    /// Whether the job is remembered as ended.
     pub fn is_ended(&self, id: &JobId) -> bool {
         self.ended_jobs.contains(id)
     }
 
-    /// Takes in the progress of jobs that a leader's peer heartbeat tells.
+    /// Replaces the progress of jobs by that from a leader's peer heartbeat.
     pub fn set_leader_progress(&mut self, progress: &[JobProgress]) {
         self.leader_progress.clear();
         for JobProgress { id, done, running } in progress {
@@ -129,19 +130,20 @@
         }
     }
 
-    /// Whether one more request may go to the state service; if not, it is refused at once.
+    /// Returns whether a request may be passed on to the state service. If not, responds to it that the
+    /// service is unavailable.
     fn admit(&mut self, now: Duration, request: RequestId, effects: &mut EffectSink) -> bool {
-        let may_try = !self.kv_failing || now.saturating_sub(self.last_kv_probe_at) >= KV_PROBE_INTERVAL;
+        let may_try = !self.kv_failing || now.saturating_sub(self.last_admitted_at) >= KV_PROBE_INTERVAL;
         if !may_try || self.requests_in_flight >= MAX_REQUESTS_IN_FLIGHT {
             respond_unavailable(request, effects);
             return false;
         }
-        self.last_kv_probe_at = now;
+        self.last_admitted_at = now;
         true
     }
 
-    /// Answers a request about a job that is remembered as over; false if it is not, or if
-    /// this node may not answer from memory now.
+    /// Answers a request about a job that is remembered as ended. Returns false, without an answer, if
+    /// the job is not remembered or this node may currently not answer from memory.
     fn answer_if_ended(&self, request: RequestId, id: &JobId, effects: &mut EffectSink) -> bool {
         if !self.permissions.answer_from_memory {
             return false;
@@ -152,14 +154,15 @@
         true
     }
 
-    /// A user asks for a job's state.
+    /// Handles a user's request for a job's status.
     pub fn poll(&mut self, now: Duration, request: RequestId, id: JobId, effects: &mut EffectSink) {
         if !self.answer_if_ended(request, &id, effects) && self.admit(now, request, effects) {
             self.lookup(now, request, id, LookupReason::Status, effects);
         }
     }
 
-    /// Handles a reply; returns rows of job records that have changed, for a leader here.
+    /// Handles a reply of the state service. Returns the rows of job records that were written, which are
+    /// meant for the leader if this node leads.
     pub fn reply(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/requests/submission.rs
+++ b/crates/plankhead-core/src/requests/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs: which are accepted, and their records, written in batches.
+//! Submission of jobs: decides which jobs are accepted, and writes their records in batches.
 
 use super::validation::check_satisfiable;
 use super::{respond_unavailable, RequestHandler, RETRY_AFTER};
@@ -13,17 +13,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Transactions with new jobs in flight at the same time.
+/// The maximum number of transactions with new jobs in flight.
 const MAX_BATCHES_IN_FLIGHT: usize = 4;
-/// How long a new job may wait for the write budget.
+/// The maximum time for which a new job waits for the write budget.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(700);
-/// The pause after the state service refused a write as one too many.
+/// The pause in writes after the state service has refused one because of its rate limit.
 const RATE_LIMIT_PAUSE: Duration = Duration::from_millis(100);
-/// A transaction's size, with room left below the limit of 64 KiB.
+/// The maximum size of a transaction, with a margin below the state service's limit of 64 KiB.
 const MAX_TXN_BYTES: usize = 56 * 1024;
-/// What a job takes in a transaction beside its value.
+/// The bytes that a job takes in a transaction in addition to its value.
 const CREATION_OVERHEAD_BYTES: usize = 300;
-/// Room that a new job's record leaves for what the leader adds to it.
+/// The bytes that a new job's record leaves free below the maximum size of values, for the fields that
+/// are added to the record later.
 const RECORD_HEADROOM_BYTES: usize = 200;
 
 /// A user's request to run a job.
@@ -34,24 +35,24 @@
     pub job: Result<JobSpec, SpecRejection>,
 }
 
-/// What a submission is judged by, beside the settings.
+/// What the acceptance of a submission depends on, in addition to the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct SubmissionContext<'a> {
-    /// Empty until the list was read once.
+    /// The machine types by name; empty until the list has been read once.
     pub machine_types: &'a BTreeMap<String, MachineType>,
-    /// Every node knows gangs: older ones would take one for a job array.
+    /// Whether all nodes support gangs; a node that does not would treat a gang as a job array.
     pub gangs_allowed: bool,
 }
 
-/// Whether a valid job can be accepted now.
-enum Verdict {
+/// The decision about a submitted job.
+enum Decision {
     Accepted(JobSpec),
-    /// The answer, unless the job is known already.
+    /// The job is answered with this response, unless its id is already known.
     Rejected(Response),
 }
 
 impl RequestHandler {
-    /// A user submits a job.
+    /// Handles a user's submission of a job.
     pub fn submit(
         &mut self,
         times: StepTime,
@@ -69,9 +70,9 @@
         if !self.admit(times.now, request, effects) {
             return;
         }
-        let spec = match self.judge(job, context) {
-            Verdict::Accepted(spec) => spec,
-            Verdict::Rejected(response) => {
+        let spec = match self.decide(job, context) {
+            Decision::Accepted(spec) => spec,
+            Decision::Rejected(response) => {
                 return self.reject_unless_known(times.now, request, id, response, effects);
             }
         };
@@ -92,24 +93,26 @@
         }
     }
 
-    fn judge(&self, job: Result<JobSpec, SpecRejection>, context: SubmissionContext<'_>) -> Verdict {
+    /// Decides whether a submitted job can be accepted now.
+    fn decide(&self, job: Result<JobSpec, SpecRejection>, context: SubmissionContext<'_>) -> Decision {
         let spec = match job {
             Ok(spec) => spec,
-            Err(reason) => return Verdict::Rejected(Response::BadRequest(reason)),
+            Err(reason) => return Decision::Rejected(Response::BadRequest(reason)),
         };
         if context.machine_types.is_empty() {
-            return Verdict::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
+            return Decision::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
         }
         if let Err(reason) = check_satisfiable(&spec, &self.settings, context.machine_types) {
-            return Verdict::Rejected(Response::Unprocessable(reason));
+            return Decision::Rejected(Response::Unprocessable(reason));
         }
         if spec.gang && !context.gangs_allowed {
-            return Verdict::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
+            return Decision::Rejected(Response::Unavailable { retry_after: RETRY_AFTER });
         }
-        Verdict::Accepted(spec)
+        Decision::Accepted(spec)
     }
 
-    /// A known id is answered with the job's state, whatever the body says.
+    /// Responds with `response`, unless a job with this id exists. In that case the response is the
+    /// status of the existing job, whatever the submission contains.
     fn reject_unless_known(
         &mut self,
         now: Duration,
@@ -136,13 +139,13 @@
         }
     }
 
-    /// Whether new jobs wait for the write budget.
+    /// Whether new jobs are waiting for the write budget.
     pub fn has_queued(&self) -> bool {
         !self.queued.is_empty()
     }
 
-    /// Writes the jobs that wait, as far as the write budget goes, and refuses those that
-    /// have waited too long.
+    /// Refuses the jobs that have waited too long, and writes the others as far as the write budget
+    /// allows.
     pub fn tick(&mut self, times: StepTime, effects: &mut EffectSink) {
         let now = times.now;
         self.refuse_expired(now, effects);
@@ -186,7 +189,7 @@
         batch
     }
 
-    /// Handles the reply to a batch; returns the rows that it has written.
+    /// Handles the reply to a batch. Returns the rows that the batch has written.
     pub(super) fn creation_reply(
         &mut self,
         now: Duration,
@@ -204,7 +207,8 @@
                     respond_unavailable(request, effects);
                 }
             }
-            // Others have used the rate: there is some again within the queue's timeout.
+            // Other clients have used up the rate limit; writes are possible again within
+            // `QUEUE_TIMEOUT`.
             Err(CallError::RateLimited) => {
                 self.requests_in_flight += batch.len();
                 self.writes_paused_until = now + RATE_LIMIT_PAUSE;
@@ -212,7 +216,7 @@
                     self.queued.push_front(creation);
                 }
             }
-            // It may have been committed: only the jobs' keys show it.
+            // The batch may have been committed, which only the jobs' keys show.
             _ => {
                 for creation in batch {
                     self.lookup_for_all(now, creation, effects);
@@ -231,7 +235,7 @@
         let mut written = Vec::new();
         for JobCreation { requests, id, value, .. } in batch {
             for request in requests {
-                // The job may have been cancelled while the reply was on its way.
+                // The job may have been cancelled while the reply was in flight.
                 if self.answer_if_ended(request, &id, effects) {
                     continue;
                 }
@@ -244,7 +248,8 @@
         written
     }
 
-    /// Some of the batch's jobs exist, `failed` has their keys; the others are tried again.
+    /// Handles a batch that was not written because some of its jobs exist already. `failed` contains
+    /// the keys of these jobs; the other jobs are queued again.
     fn batch_conflicted(
         &mut self,
         now: Duration,
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Reads the job's record for each request that waits for it.
+    /// Reads the job's record once for each request that is waiting for it.
     fn lookup_for_all(&mut self, now: Duration, creation: JobCreation, effects: &mut EffectSink) {
         for request in creation.requests {
             let id = creation.id.clone();
@@ -271,7 +276,7 @@
     }
 }
 
-/// Creates the jobs in one transaction, if none of them exists, live or archived.
+/// Creates the jobs in one transaction, on the condition that none of them exists, active or archived.
 fn write_batch(batch: Vec<JobCreation>, effects: &mut EffectSink) {
     let keys = batch.iter().flat_map(|creation| [creation.id.key(), creation.id.archive_key()]);
     let conditions = keys.map(|key| Condition { key, mod_revision: 0 }).collect();
--- a/crates/plankhead-core/src/requests/validation.rs
+++ b/crates/plankhead-core/src/requests/validation.rs
@@ -1,12 +1,12 @@
-//! Which jobs are refused for good: their specification can't be used, or no fleet that the
-//! settings and the machine types allow could run them.
+//! Validation of jobs: rejects a job that could never run, whatever machines are rented, because of its
+//! team's limits or the available machine types.
 
 use crate::jobs::job::{JobSpec, Resources};
 use crate::protocol::{MachineType, UnsatisfiableSpec};
 use crate::settings::{Settings, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Differences of this size between a demand and a limit come from rounding.
+/// Tolerances for rounding errors when a demand is compared with a limit.
 const TASK_TOLERANCE: f64 = 1e-9;
 const GANG_TOLERANCE: f64 = 1e-6;
 
@@ -31,8 +31,8 @@
         .filter(allowed)
         .filter(|machine_type| can_hold_task(spec, machine_type))
         .collect();
-    // At most half of a spread gang, rounded up, may be in one zone, and all of it runs at
-    // the same time: it needs a second zone.
+    // At most half of a spread gang, rounded up, may run in one zone, and all of its tasks run at the
+    // same time, so it needs at least two zones.
     let zones: BTreeSet<&String> = candidates.iter().flat_map(|machine_type| &machine_type.zones).collect();
     let confined_to_one_zone = spec.single_zone || spec.zone.is_some() || zones.len() < 2;
     if spec.gang && spec.spread && spec.tasks > 1 && confined_to_one_zone {
@@ -48,7 +48,8 @@
     demand.cpus > team.max_cpus + tolerance || demand.gpus > team.max_gpus + tolerance
 }
 
-/// Whether an empty machine of the type has room for one task, in the zone that it asks for.
+/// Whether the machine type exists in the zone of the job, if it specifies one, and an empty machine of
+/// that type has the resources for one task.
 fn can_hold_task(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let capacity = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
     let zone_matches = spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone));
