--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -1,5 +1,5 @@
-//! Coverage, which machines a node hears: its exchange with peers, and the handover to a
-//! peer that hears more.
+//! Coverage, the set of machines whose heartbeats a node receives: its exchange with peers, and the
+//! handover of the leader's lease to a peer that hears more machines.
 
 use super::{LeaderFacts, Reachability};
 use crate::effects::EffectSink;
@@ -9,13 +9,15 @@
 use roaring::RoaringBitmap;
 use std::time::Duration;
 
-/// Time between two log lines about refused coverage.
-const FAULT_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// How much longer a machine counts as heard than its heartbeats may take.
+/// The minimum time between two log lines about rejected coverage.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// The time beyond the heartbeat timeout for which a machine counts as heard after its latest heartbeat.
 const HEARD_MARGIN: Duration = Duration::from_secs(1);
 
 impl Reachability {
-    /// Takes in a peer's coverage, or logs why it was refused; false: it was.
+    /// Records a peer's coverage, and returns whether it was accepted. If it refers to a later numbering
+    /// than this node has read, a read of the numbering is scheduled. Other reasons for rejecting it are
+    /// logged, but not more often than every `REJECTION_LOG_INTERVAL`.
     pub fn coverage_received(
         &mut self,
         coverage: Result<Coverage, CoverageError>,
@@ -28,32 +30,33 @@
                 let numbering = self.numbering.current();
                 self.coverage_table.receive(coverage, now, numbering, known_leader).map(|_| ())
             }
-            Err(fault) => {
+            Err(error) => {
                 self.coverage_table.count_refused();
-                Err(fault)
+                Err(error)
             }
         };
-        let Err(fault) = received else { return true };
-        if fault == CoverageError::NumberingAhead {
+        let Err(error) = received else { return true };
+        if error == CoverageError::NumberingAhead {
             self.numbering.refresh_soon(now);
-        } else if now >= self.next_fault_log_at {
-            self.next_fault_log_at = now + FAULT_LOG_INTERVAL;
-            effects.log(LogLevel::Info, format!("coverage rejected: reason=\"{fault}\""));
+        } else if now >= self.next_rejection_log_at {
+            self.next_rejection_log_at = now + REJECTION_LOG_INTERVAL;
+            effects.log(LogLevel::Info, format!("coverage rejected: reason=\"{error}\""));
         }
         false
     }
 
-    /// Whether some peer hears the machine.
+    /// Whether a peer receives the machine's heartbeats, according to its coverage.
     pub fn heard_by_a_peer(&self, machine: &str, now: Duration) -> bool {
         self.coverage_table.heard_by_a_peer(machine, self.numbering.current(), now)
     }
 
-    /// Whether every peer says that it hears no machine either.
+    /// Whether the coverage of every peer is recent and shows that the peer hears no machine either.
     pub fn peers_agree(&self, now: Duration) -> bool {
         self.coverage_table.nobody_hears(now)
     }
 
-    /// Whether all peers exchange coverage, so that it decides who should lead.
+    /// Whether reachability is enabled, there are peers and the coverage of all of them is recent, so that
+    /// coverage can decide which node should lead.
     pub fn is_complete(&self, now: Duration) -> bool {
         self.is_enabled() && !self.settings.peers.is_empty() && self.coverage_table.complete(now)
     }
@@ -62,6 +65,8 @@
         machines.filter_map(|machine| self.numbering.current().number(machine)).collect()
     }
 
+    /// Sends this node's coverage to all peers. `facts` is given if this node leads, `successor` if it
+    /// hands its lease over to that node.
     pub(super) fn send_coverage(
         &mut self,
         facts: Option<&LeaderFacts>,
@@ -89,7 +94,8 @@
         effects.queued.push(Effect::SendCoverage(Box::new(coverage)));
     }
 
-    /// The peer that this leader should hand over to now, if any; all peers are sent its name.
+    /// Returns the peer to which this leader should now hand over its lease, if there is one, and tells all
+    /// peers its name.
     pub fn successor(
         &mut self,
         facts: &LeaderFacts,
@@ -97,7 +103,7 @@
         effects: &mut EffectSink,
     ) -> Option<String> {
         if !facts.lease_undisputed {
-            // A lease that can't be given up expires by itself.
+            // Giving up the lease needs the state service; without it, the lease expires by itself.
             return None;
         }
         let own = LeaderView {
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -1,11 +1,11 @@
-//! Evidence of which links work: what calls, heartbeats and messages confirm.
+//! Evidence of which links work, from the outcomes of calls, heartbeats and messages.
 
 use super::Reachability;
 use crate::protocol::{CallError, CallId, CommandReply, Effect, KvReply, KvRequest, MachineName};
 use plankhead_reachability::link::LinkId;
 use std::time::Duration;
 
-/// The link that a request to the state service uses.
+/// Returns the link that a request to the state service uses.
 fn kv_link(request: &KvRequest) -> LinkId {
     match request {
         KvRequest::Get { .. } | KvRequest::List { .. } => LinkId::KvReads,
@@ -18,7 +18,7 @@
 }
 
 impl Reachability {
-    /// Records the calls among a step's effects.
+    /// Records the calls among the effects of a step.
     pub fn calls_sent(&mut self, effects: &[Effect], now: Duration) {
         for effect in effects {
             let (call, link) = match effect {
@@ -27,58 +27,61 @@
                 Effect::SendCommands { call, .. } => (*call, LinkId::Commands),
                 _ => continue,
             };
-            self.links_of_calls.insert(call, link);
-            // A watch waits by its nature, and a machine that hangs is no link's fault.
+            self.link_by_call.insert(call, link);
+            // A watch waits for changes, and an overdue reply to commands may be the fault of a machine
+            // that hangs: neither shows that a link is slow.
             if !matches!(link, LinkId::KvWatch | LinkId::Commands) {
                 self.monitor.sent(link, call, now);
             }
         }
     }
 
-    /// Records what became of a call to the state service.
+    /// Records the outcome of a call to the state service.
     pub fn kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
-        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
-            // The service is reached, and has too much to do.
+            // The service was reached, but refused the call because of its rate limit: this counts neither
+            // as an answer nor as a failure.
             Err(CallError::RateLimited) => self.monitor.dropped(link, call),
             Err(CallError::Refused | CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
         }
     }
 
-    /// Records what became of a call to the cloud.
+    /// Records the outcome of a call to the cloud.
     pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
-        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
             _ => self.monitor.answered(link, call, now),
         }
     }
 
-    /// Records what became of commands sent directly to a worker.
+    /// Records the outcome of commands sent directly to a worker.
     pub fn command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
-        let Some(link) = self.links_of_calls.remove(&call) else { return };
+        let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             CommandReply::Answered(_) => self.monitor.confirmed(link, now),
             CommandReply::NotSent | CommandReply::Unanswered => self.monitor.failed(link, now),
         }
     }
 
-    /// Records a worker's heartbeat; `relayed`: it came through a peer.
+    /// Records a worker's heartbeat. `relayed` says whether a peer has passed it on.
     pub fn heartbeat_arrived(&mut self, machine: &MachineName, relayed: bool, now: Duration) {
         self.monitor.report_arrived(now);
         if relayed {
             return;
         }
         if self.heard_machines.is_empty() {
-            // Workers begin to report here: their leader may not hear them.
+            // Workers have begun to send heartbeats to this node, perhaps because the leader can't hear
+            // them: tell the peers at once.
             self.next_coverage_at = now;
         }
         self.heard_machines.record(machine, now);
     }
 
-    /// Records that a worker reported again after an answer, and whether it shows that it got
-    /// the answer.
+    /// Records the first heartbeat of a worker after a reply to it. `shown` says whether the heartbeat shows
+    /// that the worker has received the reply.
     pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
         match shown {
             true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
@@ -90,7 +93,7 @@
         self.settings.peers.iter().position(|peer| peer == host)
     }
 
-    /// Records a peer's heartbeat.
+    /// Records a heartbeat of a peer.
     pub fn peer_heard(&mut self, host: &str, now: Duration) {
         if let Some(peer) = self.peer_index(host) {
             self.monitor.peer_heard(peer, now);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// This node no longer leads: nothing uses the links of a leader any more.
+    /// Forgets the state of the links that only a leader uses, after this node has lost the leadership.
     pub fn leadership_lost(&mut self) {
         self.monitor.forget_link(LinkId::KvLeaseRenewal);
         self.monitor.forget_link(LinkId::HeartbeatReplies);
--- a/crates/plankhead-core/src/reachability/heard_machines.rs
+++ b/crates/plankhead-core/src/reachability/heard_machines.rs
@@ -1,13 +1,13 @@
-//! Machines whose heartbeats reached this node directly.
+//! The machines whose heartbeats reach this node directly.
 
 use crate::protocol::MachineName;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Machines that are remembered at the same time.
+/// The maximum number of machines that are remembered.
 const MAX_HEARD_MACHINES: usize = 16_384;
 
-/// When each machine was last heard.
+/// The machines from which this node has received heartbeats, with the time of the latest one.
 #[derive(Debug, Default)]
 pub(super) struct HeardMachines {
     last_heard_at: HashMap<MachineName, Duration>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Forgets machines that were last heard this long ago, or longer.
+    /// Forgets the machines whose latest heartbeat is at least `timeout` old.
     pub fn forget_silent(&mut self, timeout: Duration, now: Duration) {
         self.last_heard_at.retain(|_, at| now.saturating_sub(*at) < timeout);
     }
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -1,6 +1,7 @@
-//! What this node can reach, and what follows from it: feeds [`plankhead_reachability`]
-//! with what calls and messages confirm, keeps the numbering of machines, and exchanges
-//! coverage with the peers.
+//! Reachability: which links of this node work, and what the node may do as a result.
+//!
+//! This module feeds [`plankhead_reachability`] with the outcomes of calls and messages, maintains the
+//! numbering of machines, and exchanges coverage with the peers.
 
 mod coverage;
 mod evidence;
@@ -25,43 +26,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How much longer than heartbeats may take no worker is heard before that link counts as
-/// failing.
+/// The time beyond the heartbeat timeout for which no worker is heard before the link on which
+/// heartbeats arrive counts as failed.
 const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What the leader here knows of itself.
+/// The state of the leader on this node, as far as reachability depends on it.
 #[derive(Debug, Clone, Default)]
 pub struct LeaderFacts {
-    /// Its fencing token.
+    /// The leader's fencing token.
     pub token: u64,
     pub leading_since: Duration,
-    /// Its lease is valid, and no call to the state service has failed since.
+    /// Whether the leader has loaded its state, its lease is valid and the latest renewal of the lease
+    /// has not failed.
     pub lease_undisputed: bool,
-    /// Machines that should report to it.
+    /// The number of machines that are up and should send heartbeats to the leader.
     pub machines_up: usize,
-    /// Machines whose latest heartbeats came directly.
+    /// Machines whose recent heartbeats came directly, not relayed by a peer.
     pub heard_directly: Vec<MachineName>,
-    /// Machines that have confirmed the latest answer or command.
+    /// Machines with recent heartbeats to which the leader has replied since their presence was
+    /// confirmed.
     pub confirmed_commands: Vec<MachineName>,
 }
 
-/// What users' requests may lead to on this node now.
+/// What this node may currently do for users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UserPermissions {
-    /// New jobs are accepted.
+    /// Whether new jobs may be accepted.
     pub accept: bool,
-    /// Jobs are cancelled.
+    /// Whether jobs may be cancelled.
     pub cancel: bool,
-    /// The state of ended jobs is answered without reading it.
+    /// Whether the status of ended jobs may be answered from memory, without a read.
     pub answer_from_memory: bool,
 }
 
 impl UserPermissions {
-    /// Everything is allowed.
+    /// All permissions.
     pub const ALL: Self = Self { accept: true, cancel: true, answer_from_memory: true };
 }
 
-/// The reachability of one node.
+/// Tracks the reachability of this node.
 #[derive(Debug)]
 pub struct Reachability {
     settings: Arc<Settings>,
@@ -70,17 +73,17 @@
     numbering: NumberingStore,
     handover: Handover,
     /// The link that each call in flight uses.
-    links_of_calls: HashMap<CallId, LinkId>,
+    link_by_call: HashMap<CallId, LinkId>,
     heard_machines: HeardMachines,
-    /// Of the latest coverage that was sent.
+    /// The sequence number of the latest coverage that was sent.
     sequence: u64,
     next_coverage_at: Duration,
     next_probe_at: Duration,
-    next_fault_log_at: Duration,
+    next_rejection_log_at: Duration,
 }
 
 impl Reachability {
-    /// A part that takes all links for good until something shows otherwise.
+    /// Creates the reachability of a node whose links all count as working until calls or messages fail.
     pub fn new(settings: Arc<Settings>, now: Duration) -> Self {
         let reachability = &settings.reachability;
         let max_silence = settings.heartbeat_timeout() + SILENCE_MARGIN;
@@ -90,32 +93,33 @@
             numbering: NumberingStore::new(now),
             handover: Handover::new(reachability),
             settings,
-            links_of_calls: HashMap::new(),
+            link_by_call: HashMap::new(),
             heard_machines: HeardMachines::default(),
             sequence: 0,
             next_coverage_at: now,
             next_probe_at: now,
-            next_fault_log_at: now,
+            next_rejection_log_at: now,
         }
     }
 
-    /// Whether the settings have reachability decide anything.
+    /// Whether reachability is enabled in the settings, so that decisions depend on it.
     pub fn is_enabled(&self) -> bool {
         self.settings.reachability.enabled
     }
 
-    /// The mode that the links give.
+    /// Returns the node's reachability mode.
     pub fn mode(&self) -> Mode {
         self.monitor.mode()
     }
 
-    /// The permission for an action, where no bound has to be judged.
+    /// Whether an action is allowed in a mode without any precondition.
     fn allows(&self, mode: Mode, action: Action) -> bool {
         matches!(self.settings.reachability.table.of(mode, action), Permission::Allowed)
     }
 
-    /// What users may have now. Their requests carry their own evidence, so that a state
-    /// service which answers is enough, even where it is not trusted to last.
+    /// Returns what this node may currently do for users. Each request depends on the state service's own
+    /// answer, so it is sufficient that no link to the service is down at the moment, even if flap
+    /// damping still treats the service as not reached.
     pub fn user_permissions(&self) -> UserPermissions {
         let mode = match (self.monitor.mode(), self.monitor.state_good()) {
             (Mode::WorkersOnly, true) => Mode::Whole,
@@ -129,7 +133,9 @@
         }
     }
 
-    /// Whether this node should leave a vacant lease to peers that reach more, for a moment.
+    /// Whether this node should leave a vacant lease to its peers for a short time. This is the case if a
+    /// peer names another node as its successor, or if this node may not lead in its mode and a peer
+    /// reaches both the state service and workers.
     pub fn defers_to_peers(&self, now: Duration) -> bool {
         let may_not_lead = !self.allows(self.mode(), Action::Lead);
         let names_another =
@@ -139,38 +145,38 @@
             .any(|coverage| names_another(coverage) || may_not_lead && coverage.mode == Mode::Whole)
     }
 
-    /// Whether it is time to judge the links.
+    /// Whether the links are due to be evaluated.
     pub fn is_due(&self, now: Duration) -> bool {
         self.monitor.due(now)
     }
 
-    /// When this node's coverage is to be sent next.
+    /// Returns when this node's coverage is next due to be sent.
     pub fn next_coverage_due(&self) -> Duration {
         self.next_coverage_at
     }
 
-    /// When something is to be done next unless something comes before.
+    /// Returns when the next action is due, unless an event occurs earlier.
     pub fn next_due(&self, now: Duration) -> Duration {
         let dues = [self.numbering.next_due(), self.monitor.next_due(now)];
         dues.into_iter().flatten().fold(self.next_coverage_at, Duration::min)
     }
 
-    /// Judges the links; a change of mode is logged, in one line.
+    /// Evaluates the links, and logs and returns a change of mode.
     pub fn judge(&mut self, machines: usize, now: Duration, effects: &mut EffectSink) -> Option<ModeChange> {
         let change = self.monitor.judge(now, machines)?;
         let causes =
-            if change.causes.is_empty() { "all links hold".into() } else { change.causes.join(", ") };
+            if change.causes.is_empty() { "no link is down".into() } else { change.causes.join(", ") };
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
         let text = format!(
             "reachability mode changed: from=\"{from}\" to=\"{to}\" after_s={lasted:.1} reason=\"{causes}\""
         );
         effects.log(LogLevel::Info, text);
-        // The peers should know at once.
+        // Tell the peers at once.
         self.next_coverage_at = now;
         Some(change)
     }
 
-    /// Sends what is due: coverage, the next read of the numbering, and probes.
+    /// Sends coverage, reads the numbering and probes links, each if it is due.
     pub fn tick(&mut self, facts: Option<&LeaderFacts>, now: Duration, effects: &mut EffectSink) {
         if now >= self.next_coverage_at {
             self.next_coverage_at = now + self.settings.reachability.coverage_interval;
@@ -183,12 +189,14 @@
         }
     }
 
-    /// Whether the leader should check now for machines without a number; counts as checked.
+    /// Returns whether the leader is due to check for machines without a number. If so, the next check is
+    /// scheduled.
     pub fn take_numbering_check(&mut self, now: Duration) -> bool {
         self.numbering.take_check_due(now)
     }
 
-    /// Writes one page of the numbering, as the leader with this fencing token.
+    /// Writes the next page of the numbering that must change so that these machines, and no others, have
+    /// numbers. The write succeeds only if the leader with this fencing token still leads.
     pub fn write_numbering(
         &mut self,
         machines: &BTreeSet<MachineName>,
@@ -198,7 +206,7 @@
         self.numbering.write_page(machines, token, self.settings.max_value_bytes, effects);
     }
 
-    /// Handles a reply to one of this part's own calls.
+    /// Handles the reply to one of the calls that this module makes itself.
     pub fn reply(
         &mut self,
         call: ReachabilityCall,
--- a/crates/plankhead-core/src/reachability/numbering.rs
+++ b/crates/plankhead-core/src/reachability/numbering.rs
@@ -1,5 +1,5 @@
-//! The numbering of machines as this node reads it from the state service, and as the
-//! leader extends it. Coverage names machines by these numbers.
+//! The numbering of machines, which coverage refers to. Every node reads it from the state service; the
+//! leader assigns numbers to new machines and frees those of removed ones.
 
 use crate::calls::{CallPurpose, ReachabilityCall};
 use crate::effects::EffectSink;
@@ -9,20 +9,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two reads of the numbering, and after one that failed.
+/// The time between two reads of the numbering.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(15);
+/// The time after which a failed read is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two checks of the leader for machines without a number.
+/// The time between two checks by the leader for machines without a number.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The numbering, and the calls that keep it up to date.
+/// The numbering as this node knows it, and the state of the calls that read and write it.
 #[derive(Debug)]
 pub(super) struct NumberingStore {
     numbering: MachineNumbering,
-    /// All pages were read once.
+    /// Whether all pages have been read at least once.
     loaded: bool,
     list_in_flight: bool,
-    /// The last key of the page before, while a list has more pages.
+    /// The last key of the previous page, while a list has more pages.
     list_after_key: Option<String>,
     next_list_at: Duration,
     write_in_flight: bool,
@@ -42,22 +43,22 @@
         }
     }
 
-    /// The numbering as it was last read.
+    /// Returns the numbering as last read.
     pub fn current(&self) -> &MachineNumbering {
         &self.numbering
     }
 
-    /// When the numbering is to be read next, unless a read is in flight.
+    /// Returns when the numbering is due to be read next, or `None` if a read is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.list_in_flight).then_some(self.next_list_at)
     }
 
-    /// A peer has a later numbering: it is read as soon as can be.
+    /// Schedules a read of the numbering at once, because a peer knows a later one.
     pub fn refresh_soon(&mut self, now: Duration) {
         self.next_list_at = self.next_list_at.min(now);
     }
 
-    /// Reads the numbering, if it is time.
+    /// Reads the numbering if a read is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if !self.list_in_flight && now >= self.next_list_at {
             self.list_in_flight = true;
@@ -70,6 +71,7 @@
         effects.call_kv(CallPurpose::Reachability(ReachabilityCall::ListPages), request);
     }
 
+    /// Handles the reply to a read of a page.
     pub fn list_reply(&mut self, reply: Result<KvReply, CallError>, now: Duration, effects: &mut EffectSink) {
         let Ok(KvReply::Page { rows, truncated, .. }) = reply else {
             self.list_in_flight = false;
@@ -90,12 +92,13 @@
     }
 
     fn apply_page(&mut self, row: &KeyValue, effects: &mut EffectSink) {
-        if let Err(fault) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
-            effects.log(LogLevel::Debug, format!("numbering page ignored: reason=\"{fault}\""));
+        if let Err(error) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
+            effects.log(LogLevel::Debug, format!("numbering page ignored: reason=\"{error}\""));
         }
     }
 
-    /// Whether the leader should check now for machines without a number; counts as checked.
+    /// Returns whether the leader is due to check for machines without a number. If so, the next check is
+    /// scheduled.
     pub fn take_check_due(&mut self, now: Duration) -> bool {
         let due = self.loaded && !self.write_in_flight && now >= self.next_check_at;
         if due {
@@ -104,8 +107,8 @@
         due
     }
 
-    /// Writes a page with numbers for machines that have none, as the leader with this
-    /// fencing token.
+    /// Writes the next page that must change so that these machines, and no others, have numbers. The write
+    /// succeeds only if the leader with this fencing token still leads and the page has not changed.
     pub fn write_page(
         &mut self,
         machines: &BTreeSet<MachineName>,
@@ -126,6 +129,7 @@
         );
     }
 
+    /// Handles the reply to the write of a page.
     pub fn write_reply(
         &mut self,
         key: String,
@@ -138,10 +142,10 @@
         match reply {
             Ok(KvReply::Committed { revision }) => {
                 self.apply_page(&KeyValue { key, value, mod_revision: revision }, effects);
-                // More may be left to write.
+                // More pages may have to be written.
                 self.next_check_at = now;
             }
-            // The page has changed since it was read, or may have.
+            // The page has changed since it was read, or may have: read the numbering again.
             _ => self.next_list_at = now,
         }
     }
--- a/crates/plankhead-core/src/reachability/probes.rs
+++ b/crates/plankhead-core/src/reachability/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of links to the state service that fail and that nothing else uses.
+//! Probes of links to the state service that are failing and carry no other calls.
 
 use crate::calls::{CallPurpose, ReachabilityCall};
 use crate::effects::EffectSink;
@@ -8,13 +8,14 @@
 use plankhead_reachability::monitor::Monitor;
 use std::time::Duration;
 
-/// How often a failing link without traffic is tried: while writes fail, users' jobs are
-/// refused, so that nothing else would show that they work again.
+/// The interval at which failing links without other calls are probed. While writes fail, jobs of users
+/// are refused, so that no other write would show that the link has recovered.
 pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// No key ever has this revision: a write under that condition is refused, and shows that
-/// writes work.
+/// A mod revision that no key ever has. A transaction on the condition of this revision is refused, which
+/// shows that the link for writes works.
 const IMPOSSIBLE_REVISION: u64 = u64::MAX / 2;
 
+/// Probes the links for reads and writes that need it.
 pub(super) fn send_probes(monitor: &Monitor, now: Duration, effects: &mut EffectSink) {
     let probe = CallPurpose::Reachability(ReachabilityCall::Probe);
     if monitor.wants_probe(LinkId::KvReads, now) {
--- a/crates/plankhead-core/src/reachability/view.rs
+++ b/crates/plankhead-core/src/reachability/view.rs
@@ -1,5 +1,5 @@
-//! Reachability in the operators' view of a node. Subcommands of other versions read these
-//! keys too, so that their names stay.
+//! The reachability section of the operators' view of a node. Subcommands of other versions read it too,
+//! so its keys must not be renamed.
 
 use super::Reachability;
 use plankhead_reachability::coverage::Coverage;
@@ -12,7 +12,7 @@
 }
 
 impl Reachability {
-    /// The JSON object under `reachability`.
+    /// Returns the JSON object under the key `reachability`.
     pub fn view(&self, now: Duration) -> serde_json::Value {
         let links: Vec<_> = self.monitor.links().into_iter().map(|link| self.link_view(link, now)).collect();
         let peers: Vec<_> = self.coverage_table.fresh(now).map(coverage_view).collect();
