--- a/crates/plankhead-core/src/shards/messages.rs
+++ b/crates/plankhead-core/src/shards/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the leader and the holders of shards.
+//! Messages between the leader and the holders of shards.
 
 use crate::protocol::{Heartbeat, MachineName, WorkerCommand};
 use plankhead_sharding::sequence::MessageStamp;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Machines in one message; the others go into the next one.
+/// The maximum number of machines in a message; further machines are sent in the next one.
 pub const MAX_MACHINES: usize = 400;
-/// Tasks, or commands about them, after which no further machine goes into a message.
+/// The number of tasks or commands above which no further machine is added to a message.
 pub const MAX_TASKS: usize = 8_000;
-/// Shards that one message names.
+/// The maximum number of shards in a message.
 pub const MAX_SHARDS: usize = 4_096;
 
 /// A message about shards between two nodes.
@@ -23,117 +23,122 @@
     LeaderCommands(Box<LeaderCommands>),
 }
 
-/// A node's status as a holder, for the leader; one without shards shows that it could hold
-/// some.
+/// The status of a node as a holder of shards, sent to the leader. A node without shards sends it too, to
+/// show that it is available as a holder.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HolderStatus {
-    /// The sender.
+    /// The sender's host name.
     pub host: String,
-    /// Orders the sender's messages.
+    /// The position of the message among those of the sender.
     pub stamp: MessageStamp,
-    /// Where the sender is.
+    /// The sender's zone.
     pub zone: String,
-    /// The fencing token of the leader that it is meant for.
+    /// The fencing token of the leader to which the message is addressed.
     pub term: u64,
-    /// Whether it reads the records, so that it notices when a shard is taken from it.
+    /// Whether the sender has read the shards' records recently, so that it notices when a shard is
+    /// assigned to another node.
     pub sees_records: bool,
-    /// The shards that the sender acts for.
+    /// The shards for which the sender currently acts as holder.
     pub shards: Vec<ShardHolding>,
-    /// Tells one numbering of machines from another.
+    /// The id of the stream of messages; the numbers of machines are only valid within one stream.
     pub stream: u64,
-    /// The first message of its stream.
+    /// Whether the leader has not accepted a message of this stream yet.
     pub first: bool,
-    /// Machines whose heartbeats brought something new.
+    /// Machines whose heartbeats have changed since the leader was last told of them.
     pub updates: Vec<MachineUpdate>,
-    /// Numbers of machines whose heartbeats brought nothing new.
+    /// The numbers of machines that have sent heartbeats without changes since the previous message.
     pub alive: RoaringBitmap,
-    /// How long ago the first of these was heard.
+    /// The time since the first of the heartbeats that `alive` stands for.
     pub alive_age: Duration,
 }
 
-/// A shard as its holder sees it.
+/// The state of a shard at its holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardHolding {
     pub shard: ShardId,
-    /// The epoch under which it is held.
+    /// The epoch under which the holder holds the shard.
     pub epoch: u64,
-    /// Nothing is started there any more, and the leader has been told of all its machines.
+    /// Whether the holder has released the shard: it starts no more tasks there and, including this
+    /// message, has reported all of the shard's machines.
     pub released: bool,
 }
 
-/// A machine's latest heartbeat, and what its holder knows beside that.
+/// The latest heartbeat of a machine, and the holder's state of the machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineUpdate {
     /// The machine's number in the stream.
     pub number: u32,
-    /// Its latest heartbeat.
+    /// The machine's latest heartbeat.
     pub heartbeat: Heartbeat,
-    /// It is a confirmed machine: it has shown an epoch of this holder.
+    /// Whether the machine's presence is confirmed: a heartbeat of it carried the shard's epoch, or it has
+    /// answered a command of the holder.
     pub confirmed: bool,
-    /// It does not act on the commands that it is sent.
+    /// Whether the holder has found that the machine's worker ignores commands.
     pub ignores_commands: bool,
-    /// Commands in a row that it did not answer.
+    /// The number of consecutive commands that the worker did not answer.
     pub unanswered_commands: u32,
-    /// How long ago it was heard.
+    /// The time since the machine was last heard.
     pub age: Duration,
 }
 
-/// The leader's commands for the machines of a holder.
+/// The leader's commands for machines in the shards of a holder.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderCommands {
-    /// The leader.
+    /// The leader's host name.
     pub host: String,
-    /// Orders the leader's messages.
+    /// The position of the message among those of the leader.
     pub stamp: MessageStamp,
-    /// The sequence of the receiver's latest status that the leader has accepted.
+    /// The sequence number of the receiver's latest status that the leader has accepted.
     pub acknowledged: u64,
     /// The leader's fencing token.
     pub token: u64,
-    /// The shards that the leader takes the receiver to hold, with their epochs.
+    /// The shards that the receiver holds according to the leader, with their epochs.
     pub shards: Vec<(ShardId, u64)>,
-    /// The highest epoch that the leader has given so far.
+    /// The highest epoch that the leader has assigned so far. The receiver must stop acting for a shard
+    /// with a lower epoch that is missing from `shards`.
     pub latest_epoch: u64,
-    /// All commands for each of these machines; replaces those of earlier messages.
+    /// Machines with all their commands, which replace those from earlier messages.
     pub machines: Vec<MachineCommands>,
-    /// Machines that the cloud has taken back.
+    /// Machines that are gone, as confirmed by the cloud.
     pub removed: Vec<MachineName>,
-    /// What is known of machines of shards that the receiver holds only now.
+    /// The leader's latest heartbeats of machines in shards that were newly assigned to the receiver.
     pub snapshot: Vec<Heartbeat>,
 }
 
-/// All commands for a machine in one incarnation of its worker.
+/// All commands for a machine, addressed to one incarnation of its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineCommands {
     pub machine: MachineName,
-    /// The index of the machine's shard among those that the message names.
+    /// The index of the machine's shard in the message's list of shards.
     pub shard: usize,
     pub incarnation: u64,
     pub commands: Vec<WorkerCommand>,
 }
 
-/// What became of a message.
+/// The outcome of sending a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// Accepted by its receiver.
+    /// The receiver has accepted the message.
     Accepted,
-    /// Accepted by a leader that does not know the stream: it must be told of all machines
-    /// anew.
+    /// The leader has accepted the message, but does not know its stream: the sender must report all
+    /// machines again.
     FullSyncNeeded,
-    /// Refused: it is not meant for its receiver, or out of date.
+    /// The receiver has refused the message or a part of it: it could not be decoded, is outdated, or does
+    /// not agree with the receiver's role, shards or leader.
     Rejected,
-    /// Its receiver does not shard machines.
+    /// The receiver does not use sharding.
     Unsupported,
-    /// No answer came; the message may still arrive.
+    /// The receiver did not answer; the message may still arrive.
     NoResponse,
 }
 
-/// Why a message was refused before it reached the core.
+/// The reason why a received message could not be decoded.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum ShardMessageError {
-    #[error("it is too large")]
+    #[error("message is too large")]
     TooLarge,
-    #[error("it can't be read: {0}")]
+    #[error("message is malformed: {0}")]
     Malformed(String),
-    #[error("a field is out of range: {0}")]
+    #[error("field is out of range: {0}")]
     Range(&'static str),
 }
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -1,4 +1,4 @@
-//! The records of shards as this node has read them.
+//! The shards' records, as this node has read them from the state service.
 
 use crate::calls::{CallPurpose, KeyWatchCall};
 use crate::effects::EffectSink;
@@ -8,16 +8,17 @@
 use plankhead_sharding::table::ShardTable;
 use std::time::Duration;
 
-/// How long a watch waits: what is known of the records is up to twice as old.
+/// The time for which one watch waits for changes. A watch that returns shows that all changes from before
+/// its start have been seen, so the known records are up to twice this old.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Reads the records, and keeps what they say.
+/// Reads the shards' records and keeps them up to date.
 #[derive(Debug)]
 pub struct RecordWatch {
-    /// The records as they were last read.
+    /// The records as last read.
     pub table: ShardTable,
     watch: KeyWatch,
-    /// Keys of a list that has more pages.
+    /// The keys in the pages of the current list that have been read so far.
     listed_keys: Vec<String>,
 }
 
@@ -32,24 +33,25 @@
 }
 
 impl RecordWatch {
-    /// When the latest complete read was asked for.
+    /// Returns the time as of which the records are known: when the latest successful read of all records
+    /// or watch for changes was started.
     pub fn synced_at(&self) -> Option<Duration> {
         self.watch.synced_at
     }
 
-    /// When [`RecordWatch::tick`] has a call next, unless a reply comes before.
+    /// Returns when [`RecordWatch::tick`] is next due to make a call, or `None` if a call is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         self.watch.next_due()
     }
 
-    /// Makes the next call, if one is due.
+    /// Makes the next call if one is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if let Some((call, request)) = self.watch.tick(now) {
             effects.call_kv(CallPurpose::ShardRecords(call), request);
         }
     }
 
-    /// Handles a reply; true if the records may have changed.
+    /// Handles a reply. Returns whether the records may have changed.
     pub fn reply(
         &mut self,
         now: Duration,
@@ -86,8 +88,8 @@
     }
 
     fn apply_record(&mut self, row: &KeyValue, effects: &mut EffectSink) {
-        if let Err(fault) = self.table.write(&row.key, &row.value, row.mod_revision) {
-            effects.log(LogLevel::Error, format!("shard record ignored: key={} reason=\"{fault}\"", row.key));
+        if let Err(error) = self.table.write(&row.key, &row.value, row.mod_revision) {
+            effects.log(LogLevel::Error, format!("shard record ignored: key={} reason=\"{error}\"", row.key));
         }
     }
 }
