--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -15,9 +15,9 @@
 const HEARD_MARGIN: Duration = Duration::from_secs(1);
 
 impl Reachability {
-    /// Records a peer's coverage, and returns whether it was accepted. If it refers to a later numbering
-    /// than this node has read, a read of the numbering is scheduled. Other reasons for rejecting it are
-    /// logged, but not more often than every `REJECTION_LOG_INTERVAL`.
+    /// Records a peer's coverage, and returns whether it was accepted. Coverage that refers to a later
+    /// numbering than this node has read is rejected, and a read of the numbering is scheduled. Other
+    /// rejections are logged, but at most once per `REJECTION_LOG_INTERVAL`.
     pub fn coverage_received(
         &mut self,
         coverage: Result<Coverage, CoverageError>,
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -155,7 +155,8 @@
         self.next_coverage_at
     }
 
-    /// Returns when the next action is due, unless an event occurs earlier.
+    /// Returns when coverage, the numbering or an evaluation of the links is next due, unless an event
+    /// occurs earlier.
     pub fn next_due(&self, now: Duration) -> Duration {
         let dues = [self.numbering.next_due(), self.monitor.next_due(now)];
         dues.into_iter().flatten().fold(self.next_coverage_at, Duration::min)
@@ -164,8 +165,10 @@
     /// Evaluates the links, and logs and returns a change of mode.
     pub fn judge(&mut self, machines: usize, now: Duration, effects: &mut EffectSink) -> Option<ModeChange> {
         let change = self.monitor.judge(now, machines)?;
-        let causes =
-            if change.causes.is_empty() { "no link is down".into() } else { change.causes.join(", ") };
+        let causes = match change.causes.is_empty() {
+            true => "no link that determines the mode is down".into(),
+            false => change.causes.join(", "),
+        };
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
         let text = format!(
             "reachability mode changed: from=\"{from}\" to=\"{to}\" after_s={lasted:.1} reason=\"{causes}\""
--- a/crates/plankhead-core/src/requests/ended_jobs.rs
+++ b/crates/plankhead-core/src/requests/ended_jobs.rs
@@ -7,7 +7,7 @@
 /// The maximum number of cached jobs; the status of other jobs is read from the state service.
 const MAX_ENDED_JOBS: usize = 50_000;
 
-/// How a job ended.
+/// The final state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct EndedJob {
     pub status: JobStatus,
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -22,7 +22,7 @@
 
 /// The maximum number of requests in flight; further ones are refused at once.
 const MAX_REQUESTS_IN_FLIGHT: usize = 250;
-/// The interval at which a request is passed on to the state service while its calls fail.
+/// The minimum interval between requests that are passed on to the state service while it is failing.
 const KV_PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// The time after which a user whose request can't be handled now should retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Remembers that a job has ended, with the number of its completed tasks. This never changes again.
+    /// Records that a job has ended, with its final status and the number of its completed tasks.
     pub fn record_ended(&mut self, id: &JobId, status: JobStatus, done: u32) {
         self.leader_progress.remove(id);
         self.ended_jobs.record(id, EndedJob { status, done });
