--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -3,7 +3,8 @@
 //! A task has at most one attempt that is not proven over. There are three kinds of evidence that an
 //! attempt is over: the worker listed it as exited, the worker reported a later incarnation, or the
 //! cloud confirmed the release of the machine. A heartbeat that does not list an attempt proves
-//! nothing by itself, and neither does the passing of time.
+//! nothing by itself, and neither does the passing of time. For cancelled jobs and ending gangs,
+//! [`JobTable::observe_heartbeat`] also accepts that the worker would refuse every start.
 //!
 //! The tasks of a gang share one attempt: they are placed together, start together and end together.
 //! If one of them is lost or exits without having completed, the rest of the attempt is stopped too.
--- a/crates/plankhead-core/src/jobs/reconcile.rs
+++ b/crates/plankhead-core/src/jobs/reconcile.rs
@@ -38,7 +38,7 @@
     /// `carries_own_token` says whether the heartbeat carries this leader's token. If it does, the worker
     /// refuses commands of earlier leaders, so that an attempt of theirs that is not listed does not
     /// exist and can't start any more. This suffices to end attempts of cancelled jobs and of ending
-    /// gangs.
+    /// gangs, for which no new attempts are made.
     pub fn observe_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
