--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -165,9 +165,10 @@
     /// Evaluates the links, and logs and returns a change of mode.
     pub fn judge(&mut self, machines: usize, now: Duration, effects: &mut EffectSink) -> Option<ModeChange> {
         let change = self.monitor.judge(now, machines)?;
-        let causes = match change.causes.is_empty() {
-            true => "no link that determines the mode is down".into(),
-            false => change.causes.join(", "),
+        let causes = if change.causes.is_empty() {
+            "no link that determines the mode is down".into()
+        } else {
+            change.causes.join(", ")
         };
         let (from, to, lasted) = (change.from.name(), change.to.name(), change.lasted.as_secs_f64());
         let text = format!(
