--- a/crates/plankhead-core/src/fleet/command_tracking.rs
+++ b/crates/plankhead-core/src/fleet/command_tracking.rs
@@ -1,33 +1,33 @@
-//! Commands sent straight to a worker, and what is known of them.
+//! Commands sent directly to a worker, outside the responses to its heartbeats, and their state.
 
 use crate::protocol::{CommandReply, TaskId};
 
-/// A start in a direct command that may still be carried out.
+/// A task start sent in a direct command that may still be carried out.
 #[derive(Debug, Clone, PartialEq)]
 struct UnconfirmedStart {
     task: TaskId,
     attempt: u64,
-    /// The worker's incarnation that the command was for; later ones refuse it.
+    /// The worker's incarnation that the command was sent to; later incarnations refuse it.
     incarnation: u64,
 }
 
 /// The direct commands to one worker.
 #[derive(Debug, Clone, Default)]
 pub struct CommandTracking {
-    /// A direct command is on its way.
+    /// Whether a direct command is waiting for its reply.
     pub in_flight: bool,
-    /// Direct commands in a row that got no answer.
+    /// The number of consecutive direct commands without an answer.
     pub unanswered: u32,
     unconfirmed_starts: Vec<UnconfirmedStart>,
 }
 
 impl CommandTracking {
-    /// Whether a direct start of the attempt may still be carried out.
+    /// Returns whether a direct start of the attempt may still be carried out.
     pub(super) fn has_unconfirmed_start(&self, task: &TaskId, attempt: u64) -> bool {
         self.unconfirmed_starts.iter().any(|start| start.task == *task && start.attempt == attempt)
     }
 
-    /// A direct command with these starts is sent.
+    /// Records that a direct command with these starts is being sent.
     pub(super) fn begin(&mut self, starts: &[(TaskId, u64)], incarnation: u64) {
         self.in_flight = true;
         self.unconfirmed_starts.extend(starts.iter().map(|(task, attempt)| UnconfirmedStart {
@@ -37,7 +37,7 @@
         }));
     }
 
-    /// What came of a direct command with these starts.
+    /// Handles the outcome of a direct command with these starts.
     pub(super) fn end(&mut self, starts: &[(TaskId, u64)], incarnation: u64, reply: &CommandReply) {
         self.in_flight = false;
         if !matches!(reply, CommandReply::Answered(_)) {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The worker is in this incarnation: it refuses commands for earlier ones from now on.
+    /// Drops unconfirmed starts for incarnations before this one, the worker's current incarnation:
+    /// the worker refuses them from now on.
     pub(super) fn drop_earlier_incarnations(&mut self, incarnation: u64) {
         self.unconfirmed_starts.retain(|start| start.incarnation >= incarnation);
     }
--- a/crates/plankhead-core/src/fleet/heartbeat_times.rs
+++ b/crates/plankhead-core/src/fleet/heartbeat_times.rs
@@ -1,24 +1,27 @@
-//! When a machine was last heard, in which way.
+//! The times at which a machine was last heard, by kind of evidence.
 
 use std::time::Duration;
 
-/// When a machine was last heard. All times begin when this node begins to wait for it.
+/// The times at which a machine was last heard. The first three start at the time when this node
+/// began to expect the machine.
 #[derive(Debug, Clone)]
 pub struct HeartbeatTimes {
-    /// When it last showed that it is alive.
+    /// When the machine was last known to be alive. Events that excuse its silence also advance
+    /// this time.
     pub last_heard_at: Duration,
-    /// When a heartbeat came that was newer than all before, whatever its token.
+    /// When the latest heartbeat arrived that was newer than all earlier ones, whatever its token.
     pub last_new_at: Duration,
-    /// When it last reached this node itself.
+    /// When the machine last reached this node, or its shard's holder, without a relay. Events that
+    /// excuse its silence also advance this time.
     pub last_direct_at: Duration,
-    /// When a peer last said that it hears this machine, whose heartbeats are late here.
+    /// When a peer last reported that it hears this machine while the heartbeats were late here.
     pub heard_by_peer_at: Option<Duration>,
-    /// When it was last given time to find another node.
+    /// When the machine was last granted time to find another node.
     rerouted_at: Duration,
 }
 
 impl HeartbeatTimes {
-    /// The times of a machine that is waited for from `now` on.
+    /// Creates the times of a machine that is expected from `now` on.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             last_heard_at: now,
@@ -29,13 +32,14 @@
         }
     }
 
-    /// Its silence up to now was not the machine's fault.
+    /// Restarts the silence at `now`, because the silence so far was not the machine's fault.
     pub(super) fn reset_silence(&mut self, now: Duration) {
         self.last_heard_at = now;
         self.last_direct_at = now;
     }
 
-    /// Gives it time to find another node, once for every time that it is heard.
+    /// Restarts the silence at `now` to give the machine time to find another node. Has no effect
+    /// until the machine has sent a new heartbeat since the previous extension.
     pub(super) fn extend_for_reroute(&mut self, now: Duration) {
         if self.last_new_at >= self.rerouted_at {
             self.rerouted_at = now;
@@ -44,7 +48,7 @@
         }
     }
 
-    /// Another node that answers its worker heard it at that time.
+    /// Records that the holder of the machine's shard heard the machine at `at`.
     pub(super) fn observe_alive(&mut self, at: Duration) {
         self.last_heard_at = self.last_heard_at.max(at);
         self.last_new_at = self.last_new_at.max(at);
--- a/crates/plankhead-core/src/fleet/images.rs
+++ b/crates/plankhead-core/src/fleet/images.rs
@@ -1,11 +1,11 @@
-//! The images that a machine is taken to hold.
+//! The images assumed to be in a machine's cache.
 
 use crate::fleet::machine::Machine;
 use crate::placement::index::PlacementIndex;
 
 impl Machine {
-    /// Remembers that the machine has the image or fetches it, and drops those least recently
-    /// used that no longer fit into its cache of `cache_gb`.
+    /// Records that the machine has or is fetching the image, and drops the least recently used
+    /// images that no longer fit into its cache of `cache_gb`.
     pub(super) fn record_image(&mut self, image: u32, cache_gb: f64, index: &PlacementIndex) {
         if self.cached_images.front() == Some(&image) {
             return;
--- a/crates/plankhead-core/src/fleet/inventory.rs
+++ b/crates/plankhead-core/src/fleet/inventory.rs
@@ -1,4 +1,4 @@
-//! The cloud's inventory, compared with the machines that are known.
+//! Compares the cloud's inventory with the known machines.
 
 use crate::fleet::machine::RemovalReason;
 use crate::fleet::Fleet;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Fleet {
-    /// Takes in a whole inventory; it may be old, so absence only makes
-    /// suspicious.
+    /// Applies a complete inventory. The inventory may be out of date, so a missing machine is only
+    /// counted as missed here.
     pub fn observe_inventory(&mut self, instances: &[Instance], now: Duration) {
         let mut listed: BTreeSet<&MachineName> = BTreeSet::new();
         for instance in instances {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes in a machine that the inventory lists.
+    /// Applies one instance of the inventory.
     fn observe_instance(&mut self, instance: &Instance, now: Duration) {
         let pool = Pool {
             machine_type: instance.machine_type.clone(),
@@ -36,7 +36,7 @@
         machine.rented_at = rented_at;
         machine.pool = pool;
         machine.inventory.is_expected = true;
-        // From now on its silence counts.
+        // The machine is known to be up from now on, so its silence is measured from now.
         if instance.status == InstanceStatus::Running
             && !std::mem::replace(&mut machine.inventory.known_up, true)
         {
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A rented machine and its worker, as a node knows them.
+//! A rented machine and its worker, as known to a node.
 
 use crate::fleet::command_tracking::CommandTracking;
 use crate::fleet::heartbeat_times::HeartbeatTimes;
@@ -10,33 +10,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The share of a lease between two redirects of a worker to another node.
+/// The minimum time between two redirects of a worker to another node, as a fraction of the worker
+/// lease.
 const REDIRECT_INTERVAL_LEASES: f64 = 0.6;
-/// Inventories in a row that lack a machine after which it counts as unlisted.
+/// The number of consecutive inventories without a machine after which it counts as unlisted.
 const MAX_MISSED_INVENTORIES: u32 = 2;
 
-/// Why a machine goes back to the cloud.
+/// The reason for returning a machine to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemovalReason {
     /// The fleet is larger than its target.
     Surplus,
-    /// No heartbeat of it came in time.
+    /// No heartbeat of the machine arrived in time.
     HeartbeatTimeout,
-    /// It never came up.
+    /// The machine did not come up in time.
     BootTimeout,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     InstanceFailed,
-    /// Tasks fail on it again and again.
+    /// Too many consecutive tasks failed on the machine.
     Faulty,
-    /// It holds tasks of a cancelled job that should be gone by now.
+    /// The machine has tasks of a cancelled job that must have stopped by now.
     CancellationDue,
-    /// The cloud no longer lists it.
+    /// The cloud no longer lists the machine.
     NotInInventory,
-    /// Its heartbeats arrive, but the responses and commands have no effect.
+    /// The machine's heartbeats arrive, but responses and commands to it have no effect.
     IgnoresCommands,
-    /// It lost attempts that it had listed.
+    /// The machine no longer lists attempts that it listed before.
     LostAttempts,
-    /// A former leader had begun to give it back.
+    /// A previous leader had begun to return the machine.
     ReturnInherited,
 }
 
@@ -57,93 +58,95 @@
     }
 }
 
-/// What a heartbeat is to this node.
+/// How a heartbeat differs from the previous heartbeat of the same machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatNews {
-    /// A late copy, or of a machine that is gone.
+    /// The heartbeat is a late copy, or its machine has been removed.
     Stale,
-    /// Of the same tasks in the same states as the one before.
+    /// The incarnation, the token, the tasks and their states are the same.
     Unchanged,
-    /// Of other tasks, states, incarnation or token than the one before.
+    /// The tasks, their states, the incarnation or the token differ.
     Changed,
 }
 
-/// The order of a worker's heartbeats.
+/// Identifies a heartbeat of a worker; ordered by age, the oldest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatId {
     /// The worker's session.
     pub incarnation: u64,
-    /// Counts the heartbeats of the incarnation.
+    /// The heartbeat's sequence number within the incarnation.
     pub sequence: u64,
 }
 
 impl HeartbeatId {
-    /// The place of this heartbeat.
+    /// Returns the identifier of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
     }
 }
 
-/// What the cloud's inventories have shown of a machine.
+/// The state of a machine according to the cloud's inventories.
 #[derive(Debug, Clone, Default)]
 pub struct InventoryTracking {
-    /// It was listed, or has attempts, so that its absence counts.
+    /// Whether the machine should be listed, because it was listed before or has attempts.
     pub is_expected: bool,
-    /// It was up once, by the inventory or by the attempts placed on it, even if
+    /// Whether the inventory, or attempts placed on the machine, show that it has been up, even if
     /// this node has not heard from it.
     pub known_up: bool,
-    /// Inventories in a row that lacked it after it had been listed.
+    /// The number of consecutive inventories without the machine, once it is expected in them.
     pub missed_in_a_row: u32,
 }
 
 /// A rented machine and its worker.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name in the cloud.
+    /// The machine's name in the cloud.
     pub name: MachineName,
-    /// Where its worker takes direct commands; empty if unknown.
+    /// The address at which the worker accepts direct commands; empty if unknown.
     pub address: Arc<str>,
-    /// Its machine type, zone and whether it is a spot instance.
+    /// The machine type, the zone and whether the machine is a spot instance.
     pub pool: Pool,
-    /// When it was rented, as far as known.
+    /// When the machine was rented, as far as known.
     pub rented_at: Duration,
-    /// The place of the newest heartbeat.
+    /// The identifier of the newest heartbeat.
     pub last_heartbeat_id: Option<HeartbeatId>,
     /// The newest heartbeat.
     pub last_heartbeat: Option<Heartbeat>,
-    /// When it was last heard.
+    /// The times at which the machine was last heard.
     pub heartbeat_times: HeartbeatTimes,
-    /// Its last heartbeat came through a peer.
+    /// Whether the last heartbeat was relayed by a peer.
     pub is_relayed: bool,
-    /// The cloud is about to take it back.
+    /// Whether the cloud has announced that it will take the machine back.
     pub has_preemption_notice: bool,
-    /// What the cloud's inventories have shown of it.
+    /// The machine's state according to the cloud's inventories.
     pub inventory: InventoryTracking,
-    /// Images that it holds, the latest used first, by number in the placement index.
+    /// The images in the machine's cache, the most recently used first, by number in the placement
+    /// index.
     pub cached_images: VecDeque<u32>,
-    /// How passes see it; None: to be computed anew.
+    /// The machine as seen by placement passes; `None` if it must be recomputed.
     pub cached_slot: Option<Slot>,
-    /// It is there for certain: a heartbeat carried this leader's own token, or it
-    /// answered a command. A heartbeat without the token may be a late copy.
+    /// Whether the machine is known to be up: a heartbeat carried this node's token or a later one,
+    /// the worker answered a direct command, or the holder of its shard confirmed it. A heartbeat
+    /// with an earlier token may be a late copy.
     pub confirmed: bool,
-    /// Errors of tasks on it in a row.
+    /// The number of consecutive task failures on the machine.
     pub consecutive_errors: u32,
-    /// Why it is on its way back to the cloud, if it is.
+    /// The reason for the machine's removal, if it is being returned to the cloud.
     pub removal: Option<RemovalReason>,
-    /// No starts before this time, since the worker refused one for lack of room.
+    /// No task is started before this time, because the worker refused one for lack of resources.
     pub no_starts_until: Duration,
-    /// The responses to its heartbeats.
+    /// The responses to the worker's heartbeats.
     pub responses: ResponseTracking,
-    /// The direct commands to its worker.
+    /// The direct commands to the worker.
     pub commands: CommandTracking,
-    /// When its worker was last redirected to another node.
+    /// When the worker was last redirected to another node.
     pub redirected_at: Option<Duration>,
-    /// Since when it has been without any task.
+    /// The time since which the machine has had no tasks.
     pub idle_since: Option<Duration>,
 }
 
 impl Machine {
-    /// A machine of which nothing was heard yet.
+    /// Creates a machine from which no heartbeat has arrived.
     pub(super) fn new(
         name: MachineName,
         address: Arc<str>,
@@ -175,63 +178,65 @@
         }
     }
 
-    /// The worker's session, by the newest heartbeat.
+    /// Returns the worker's session according to the newest heartbeat.
     pub fn incarnation(&self) -> Option<u64> {
         self.last_heartbeat_id.map(|id| id.incarnation)
     }
 
-    /// Whether it is there for certain and stays.
+    /// Returns whether the machine is confirmed and not being removed.
     pub fn is_up(&self) -> bool {
         self.confirmed && self.removal.is_none()
     }
 
-    /// Whether the cloud has left it out of its inventory long enough to be gone.
+    /// Returns whether enough consecutive inventories lacked the machine to consider it gone.
     pub fn is_unlisted(&self) -> bool {
         self.inventory.missed_in_a_row >= MAX_MISSED_INVENTORIES
     }
 
-    /// Whether a task placed there now might wait: its heartbeat is later than
-    /// `heartbeat_timeout`, or the latest command or response had no effect.
+    /// Returns whether the start of a task placed on the machine now might be delayed: the last
+    /// heartbeat is older than `heartbeat_timeout`, or the latest direct command was not answered,
+    /// or the latest response had no effect.
     pub fn is_start_doubtful(&self, now: Duration, heartbeat_timeout: Duration) -> bool {
         now.saturating_sub(self.heartbeat_times.last_heard_at) > heartbeat_timeout
             || self.commands.unanswered > 0
             || self.responses.is_ignored()
     }
 
-    /// Whether the newest heartbeat lists an attempt.
+    /// Returns whether the newest heartbeat lists the attempt.
     pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
         let is_listed =
             |heartbeat: &Heartbeat| heartbeat.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
         self.last_heartbeat.as_ref().is_some_and(is_listed)
     }
 
-    /// Whether a direct start of the attempt may still be carried out.
+    /// Returns whether a direct start of the attempt may still be carried out.
     pub fn has_unconfirmed_start(&self, task: &TaskId, attempt: u64) -> bool {
         self.commands.has_unconfirmed_start(task, attempt)
     }
 
-    /// Whether a command may be sent straight to the worker. One that reaches this node only
-    /// through a peer is not reached by it either: a command might be held and carried out long
-    /// after.
+    /// Returns whether a direct command may be sent to the worker. A worker whose heartbeats are
+    /// relayed by a peer receives none: the path from this node to the worker is assumed to be cut
+    /// too, and the network might hold the command and deliver it much later.
     pub fn takes_commands(&self) -> bool {
         !self.commands.in_flight && !self.address.is_empty() && self.removal.is_none() && !self.is_relayed
     }
 
-    /// A direct command with these starts is sent; returns the address that it goes to.
+    /// Records that a direct command with these starts is being sent, and returns the address to
+    /// send it to.
     pub fn begin_command(&mut self, starts: &[(TaskId, u64)]) -> Arc<str> {
         let incarnation = self.incarnation().unwrap_or_default();
         self.commands.begin(starts, incarnation);
         self.address.clone()
     }
 
-    /// What came of a direct command.
+    /// Handles the outcome of a direct command with these starts.
     pub fn end_command(&mut self, incarnation: u64, starts: &[(TaskId, u64)], reply: &CommandReply) {
         self.commands.end(starts, incarnation, reply);
     }
 
-    /// Whether the worker is to look for another node, once in a while: where this node
-    /// `is_cut_off`, another one may be entitled by now. A worker that finds none comes back
-    /// before its lease expires.
+    /// Returns whether to redirect the worker to another node, and records the redirect. If this
+    /// node `is_cut_off`, another one may lead by now. Redirects are spaced so that a worker that
+    /// finds no other leader returns before its lease expires.
     pub fn take_redirect(&mut self, is_cut_off: bool, lease: Duration, now: Duration) -> bool {
         let interval = lease.mul_f64(REDIRECT_INTERVAL_LEASES);
         let is_due = is_cut_off && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > interval);
@@ -241,16 +246,17 @@
         is_due
     }
 
-    /// Notes what a response to a heartbeat asked for. The first that a node hears of a machine
-    /// may be an old copy, of an earlier incarnation: its response reaches no worker, and one that
-    /// then reports a later incarnation or nothing of what was asked does not ignore commands.
+    /// Records the commands of a response to a heartbeat, if the machine is confirmed. The first
+    /// heartbeat of a machine may be an old copy from an earlier incarnation. The response to such
+    /// a copy reaches no worker, so a later heartbeat without the effects of these commands does
+    /// not show that the worker ignores commands.
     pub fn record_response(&mut self, commands: &[WorkerCommand], now: Duration) {
         if self.confirmed {
             self.responses.record(commands, now);
         }
     }
 
-    /// Takes in a heartbeat that came at `now` to a node whose fencing token, or shard's epoch, is
+    /// Applies a heartbeat received at `now` by a node whose fencing token, or shard epoch, is
     /// `own_token`.
     pub(super) fn observe_heartbeat(
         &mut self,
@@ -274,9 +280,10 @@
             self.removal.get_or_insert(RemovalReason::IgnoresCommands);
         }
         self.commands.unanswered = 0;
-        // A later token is of the same term, or of one whose leader has taken this one's place.
+        // A token that is not earlier comes from this term or from a term that has replaced it.
         self.confirmed |= heartbeat.token >= own_token;
-        // What carries an earlier token may be a late copy: no sign of life.
+        // A heartbeat with an earlier token may be a late copy, so it does not show that an
+        // unconfirmed machine is alive. The first heartbeat counts all the same.
         if self.confirmed || is_first {
             self.heartbeat_times.last_heard_at = now;
         }
@@ -296,9 +303,10 @@
         }
     }
 
-    /// The worker has begun a new incarnation: it holds nothing of the one before.
+    /// Resets the state of the previous incarnation, of which the worker has kept nothing.
     fn begin_incarnation(&mut self, incarnation: u64, is_first: bool, now: Duration) {
-        // Its lease expired although it was answered: the responses don't reach it.
+        // The lease expired although the heartbeats were answered: the responses do not reach the
+        // worker.
         if !is_first && self.responses.should_have_renewed_lease(now) {
             self.removal.get_or_insert(RemovalReason::IgnoresCommands);
         }
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet: which machines are rented, what is known of them, and what the cloud refused.
+//! The fleet: the rented machines, their state, and recent refusals of the cloud.
 
 mod capacity_backoff;
 mod command_tracking;
@@ -24,27 +24,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Every machine that may be rented, as a node knows them.
+/// Every machine that is or may be rented, as known to a node.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     /// The machine types that the cloud offers, by name.
     pub machine_types: BTreeMap<String, MachineType>,
-    /// The machines by name; those on their way back to the cloud until that is confirmed.
+    /// The machines by name, including those being returned until the cloud confirms the release.
     pub machines: BTreeMap<MachineName, Machine>,
     removed: RemovedMachines,
-    /// Machines whose return a former leader had begun, known or not.
+    /// Machines whose return a previous leader had begun, including machines not in `machines`.
     returns_inherited: BTreeSet<MachineName>,
     capacity_backoffs: CapacityBackoffs,
 }
 
 impl Fleet {
-    /// What a machine of this type has; None if the type is unknown.
+    /// Returns the resources of a machine of this type, or `None` if the type is unknown.
     pub fn resources(&self, machine_type: &str) -> Option<Resources> {
         let machine_type = self.machine_types.get(machine_type)?;
         Some(Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram })
     }
 
-    /// The machine of this name, new with these properties if it was unknown.
+    /// Returns the machine of this name, after adding it with these properties if it is unknown.
     fn insert(
         &mut self,
         name: &MachineName,
@@ -60,7 +60,8 @@
         })
     }
 
-    /// A machine that attempts are on, although no heartbeat or inventory has shown it yet.
+    /// Adds a machine that has attempts, unless it has been removed. The machine is expected to be
+    /// up even if no heartbeat or inventory has shown it.
     pub fn expect_machine(&mut self, name: &MachineName, now: Duration) {
         let pool = Pool { machine_type: String::new(), zone: String::new(), spot: false };
         if !self.removed.contains(name) {
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Machines whose return may be carried out at any time: nothing is placed there.
+    /// Marks machines whose return a previous leader had begun. The cloud may carry the return out
+    /// at any time, so nothing is placed on them.
     pub fn returns_inherited(&mut self, names: &[MachineName]) {
         for name in names.iter().filter(|name| !self.removed.contains(name)) {
             self.returns_inherited.insert(name.clone());
@@ -80,12 +82,12 @@
         }
     }
 
-    /// Whether the cloud has confirmed the machine's release.
+    /// Returns whether the cloud has confirmed the machine's release.
     pub fn is_removed(&self, name: &MachineName) -> bool {
         self.removed.contains(name)
     }
 
-    /// Takes in a heartbeat that came at `now` to a node whose fencing token, or shard's epoch, is
+    /// Applies a heartbeat received at `now` by a node whose fencing token, or shard epoch, is
     /// `own_token`.
     pub fn observe_heartbeat(
         &mut self,
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Takes in a heartbeat that answers a direct command of this node, so that it is no copy.
+    /// Applies a heartbeat that answers a direct command of this node. Unlike other heartbeats, it
+    /// cannot be a late copy, so it confirms the machine.
     pub fn observe_command_reply(
         &mut self,
         heartbeat: &Heartbeat,
@@ -115,13 +118,14 @@
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.confirmed = true;
             machine.commands.unanswered = 0;
-            // The response to its last heartbeat may still be under way.
+            // The response to the worker's last heartbeat may not have arrived yet.
             machine.responses.expect_nothing();
         }
         self.observe_heartbeat(heartbeat, own_token, now)
     }
 
-    /// The cloud rented these machines out of `asked` that it was asked for.
+    /// Adds the machines that the cloud rented when `asked` were requested. Fewer machines than
+    /// requested count as a refusal of the pool.
     pub fn rented(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
         for name in names {
             if !self.removed.contains(name) {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// The pool had fewer machines left than it was asked for.
+    /// Records that the pool had fewer machines left than were requested.
     pub fn capacity_refused(&mut self, pool: &Pool, now: Duration) {
         let held = self.machines_held(pool);
         self.capacity_backoffs.refused(pool, held, now);
@@ -143,13 +147,13 @@
         self.machines.values().filter(|machine| machine.pool == *pool).count() as u32
     }
 
-    /// Whether the pool may be asked for machines: it has not refused lately.
+    /// Returns whether machines may be requested from the pool: it has not refused recently.
     pub fn may_rent_from(&self, pool: &Pool, now: Duration) -> bool {
         self.capacity_backoffs.may_rent_from(pool, now)
     }
 
-    /// The machines of this type that the cloud is known to have at most, if
-    /// every pool of the type has refused lately.
+    /// Returns the largest number of machines of this type that the cloud is known to provide, or
+    /// `None` unless every pool of the type has refused recently.
     pub fn known_capacity(&self, machine_type: &str, now: Duration) -> Option<u32> {
         let mut sum = 0;
         for pool in self.pools(machine_type) {
@@ -159,7 +163,7 @@
         Some(sum)
     }
 
-    /// The pools of this machine type: each of its zones, spot and not.
+    /// Returns the pools of this machine type: a spot and a regular one for each of its zones.
     pub fn pools(&self, machine_type: &str) -> Vec<Pool> {
         let Some(found) = self.machine_types.get(machine_type) else { return Vec::new() };
         let spot_and_regular = |zone: &String| {
@@ -172,7 +176,8 @@
         found.zones.iter().flat_map(spot_and_regular).collect()
     }
 
-    /// Machines of the type that are not on their way out.
+    /// Returns the number of machines of the type, without those being removed or with a preemption
+    /// notice.
     pub fn machines_of_type(&self, machine_type: &str) -> u32 {
         let stays = |machine: &&Machine| {
             machine.pool.machine_type == machine_type
@@ -182,13 +187,13 @@
         self.machines.values().filter(stays).count() as u32
     }
 
-    /// Machines of the pool that are not on their way out.
+    /// Returns the number of machines of the pool, without those being removed.
     pub fn machines_staying(&self, pool: &Pool) -> u32 {
         let stays = |machine: &&Machine| machine.pool == *pool && machine.removal.is_none();
         self.machines.values().filter(stays).count() as u32
     }
 
-    /// Silence up to now was not the machines' fault.
+    /// Restarts the silence of all machines at `now`, because it was not their fault so far.
     pub fn reset_silence(&mut self, now: Duration) {
         for machine in self.machines.values_mut() {
             machine.heartbeat_times.reset_silence(now);
@@ -196,15 +201,17 @@
         }
     }
 
-    /// The machine's worker has to find another node through no fault of its own: it is given
-    /// the time, once for every time that it is heard.
+    /// Restarts the silence of a machine at `now`, because its worker has to find another node
+    /// through no fault of its own. Has no effect until the machine has sent a new heartbeat since
+    /// the previous extension.
     pub fn extend_for_reroute(&mut self, name: &str, now: Duration) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.heartbeat_times.extend_for_reroute(now);
         }
     }
 
-    /// The holder of a machine's shard heard it at that time, with nothing new.
+    /// Records that the holder of the machine's shard heard an unchanged heartbeat at `at`. Has no
+    /// effect on a machine that is not confirmed.
     pub fn observe_alive(&mut self, name: &str, at: Duration) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.confirmed {
@@ -214,14 +221,14 @@
         }
     }
 
-    /// The cloud confirmed the release.
+    /// Removes a machine whose release the cloud has confirmed.
     pub fn instance_released(&mut self, name: &MachineName) {
         self.machines.remove(name);
         self.returns_inherited.remove(name);
         self.removed.insert(name);
     }
 
-    /// Remembers that the machine has the image or fetches it.
+    /// Records that the machine has or is fetching the image.
     pub fn record_image(&mut self, name: &str, image: u32, index: &PlacementIndex) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let machine_type = self.machine_types.get(&machine.pool.machine_type);
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -1,5 +1,5 @@
-//! Which machines must go back to the cloud: silent ones, ones that never came up, ones that fail
-//! every task.
+//! Decides which machines to return to the cloud: silent machines, machines that did not come up,
+//! and machines on which tasks fail repeatedly.
 
 use crate::fleet::machine::{Machine, RemovalReason};
 use crate::fleet::Fleet;
@@ -8,36 +8,36 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A machine may take this many times its usual boot time to come up.
+/// The longest boot time allowed, as a multiple of the usual boot time of the machine type.
 const MAX_BOOT_TIME_FACTOR: f64 = 2.6;
-/// The boot time of a machine type that is not known.
+/// The boot time assumed for an unknown machine type.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(60);
-/// Commands in a row without an answer after which a machine whose heartbeat is late
-/// is lost.
+/// The number of consecutive unanswered commands after which a machine with a late heartbeat is
+/// unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
-/// Machines probed at a time.
+/// Machines are probed only up to this number of direct commands in flight.
 const MAX_PROBES_IN_FLIGHT: usize = 64;
-/// Machines that answer nothing are lost only if there is at most one in so many: more may be out
-/// of this node's reach only, and come through a peer.
+/// Unresponsive machines count as lost only if there is at most one per this many machines. If more
+/// are unresponsive, they may be unreachable from this node only and return through a peer.
 const MIN_MACHINES_PER_UNRESPONSIVE: usize = 50;
-/// How long a peer is believed that hears a machine.
+/// The time for which a peer's report that it hears a machine is trusted.
 const PEER_COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Errors of tasks in a row after which a machine is removed.
+/// The number of consecutive task failures after which a machine is removed.
 const MAX_CONSECUTIVE_ERRORS: u32 = 3;
-/// Silent machines at the most in a zone that is not cut off.
+/// A zone with at most this many silent machines is never considered cut off.
 const MAX_SILENT_IN_REACHABLE_ZONE: u32 = 2;
 
-/// What one round of removals goes by.
+/// The criteria for one round of removals.
 struct RemovalRules {
     now: Duration,
-    /// How long after the last one a heartbeat is late.
+    /// The time since the last heartbeat after which the next one is late.
     heartbeat_timeout: Duration,
-    /// How long a worker may take to be heard again after a response was lost.
+    /// The longest time until a worker is heard again after one lost response.
     failover_heartbeat_timeout: Duration,
     worker_lease: Duration,
-    /// Zones that fell silent as a whole.
+    /// The zones considered cut off from this node.
     cut_off_zones: BTreeSet<String>,
-    /// Few enough machines answer nothing that each counts as lost.
+    /// Whether unresponsive machines count as lost, because there are few of them.
     removes_unresponsive: bool,
 }
 
@@ -62,7 +62,7 @@
         rules
     }
 
-    /// Zones in which more than half of the machines don't reach this node.
+    /// Returns the zones in which more than half of the machines do not reach this node.
     fn find_cut_off_zones<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> BTreeSet<String> {
         #[derive(Default)]
         struct ZoneCount {
@@ -86,13 +86,13 @@
         self.now.saturating_sub(at)
     }
 
-    /// Whether the machine's heartbeat is late and it does not answer commands either.
+    /// Returns whether the machine's heartbeat is late and it has not answered commands either.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         machine.commands.unanswered >= MAX_UNANSWERED_COMMANDS
             && self.since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
     }
 
-    /// Why the machine must go, if it must.
+    /// Returns the reason to remove the machine, if there is one.
     fn removal_reason(&self, machine: &Machine, boot_time: Duration) -> Option<RemovalReason> {
         let is_cut_off = self.cut_off_zones.contains(&machine.pool.zone);
         let max_silence = if is_cut_off {
@@ -101,15 +101,16 @@
             self.failover_heartbeat_timeout
         };
         let silence = self.since(machine.heartbeat_times.last_heard_at);
-        // A machine that was rented before a new leader came never reports to
-        // it: only silence tells, not the time for a boot.
+        // The boot time applies only to machines that have never been up. One that failed before
+        // this leader's term never reports to it, and is judged by its silence alone.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
             let max_boot_time = boot_time.mul_f64(MAX_BOOT_TIME_FACTOR);
             let is_late = self.since(machine.rented_at) > max_boot_time && silence > max_silence;
             return is_late.then_some(RemovalReason::BootTimeout);
         }
         let is_lost = !is_cut_off && self.removes_unresponsive && self.is_unresponsive(machine);
-        // Its silence is this node's link's and not its own, for as long as its lease may last.
+        // If a peer hears the machine, the link to this node has failed and not the machine. This
+        // excuses the silence for one more worker lease.
         let is_heard_by_peer =
             machine.heartbeat_times.heard_by_peer_at.is_some_and(|at| self.since(at) < PEER_COVERAGE_TIMEOUT);
         let is_spared = is_heard_by_peer && silence < max_silence + self.worker_lease;
@@ -126,15 +127,15 @@
 }
 
 impl Fleet {
-    /// Marks machines that must go, and returns how many: silent ones, ones that never came up,
-    /// ones that fail everything.
+    /// Marks the machines to be removed, and returns how many were marked: silent machines,
+    /// machines that did not come up, and machines on which tasks fail repeatedly.
     ///
-    /// A zone that falls silent at once is cut off rather than broken: its
-    /// machines may be heard through a peer soon. They are given until their
-    /// leases have expired and half of what others would need to boot.
+    /// If most machines of a zone fall silent, the zone is probably cut off and its machines may
+    /// soon be heard through a peer. They are kept until their leases have expired and half the
+    /// boot time of a replacement has passed.
     ///
-    /// A machine whose heartbeat is late was probed: without an answer to
-    /// that it is lost, long before a lost response to a heartbeat would excuse it.
+    /// Machines with late heartbeats are probed with direct commands. A machine that does not
+    /// answer them is lost long before the time allowed for recovery from a lost response is over.
     pub fn mark_for_removal(&mut self, now: Duration, settings: &Settings) -> usize {
         let rules = RemovalRules::new(self.machines.values(), now, settings);
         let mut marked = 0;
@@ -149,8 +150,8 @@
         marked
     }
 
-    /// Marks machines that have been silent for longer than `max_silence`, in which their leases
-    /// have expired; `only_minority`: none if they are more than half.
+    /// Marks machines that have been silent for longer than `max_silence`, a time within which
+    /// their leases expire. If `only_minority` is set, marks none when more than half are silent.
     pub fn mark_silent_beyond_lease(&mut self, now: Duration, max_silence: Duration, only_minority: bool) {
         let is_there = |machine: &Machine| {
             machine.removal.is_none() && (machine.last_heartbeat_id.is_some() || machine.inventory.known_up)
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Machines whose heartbeat is later than `heartbeat_timeout` and that are to be probed: not
-    /// too many at a time, and only those for which `is_own` holds.
+    /// Returns the machines to probe: those whose last heartbeat is older than `heartbeat_timeout`
+    /// and for which `is_own` holds, limited by the number of commands in flight.
     pub fn machines_to_probe(
         &self,
         now: Duration,
--- a/crates/plankhead-core/src/fleet/removed_machines.rs
+++ b/crates/plankhead-core/src/fleet/removed_machines.rs
@@ -1,17 +1,17 @@
-//! Machines whose release the cloud confirmed, so that late messages of theirs are known as such.
+//! Machines whose release the cloud has confirmed, kept to recognize their late messages.
 
 use crate::protocol::MachineName;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Names of machines that are gone are remembered up to this number: a fleet of
-/// two thousand that loses some to the spot market for hours.
+/// The number of removed machines remembered: enough for a fleet of 2,000 machines that loses spot
+/// instances for hours.
 const MAX_REMOVED: usize = 16_384;
 
-/// The names of removed machines, the latest ones up to a limit.
+/// The names of the most recently removed machines, up to [`MAX_REMOVED`].
 #[derive(Debug, Clone, Default)]
 pub(super) struct RemovedMachines {
     names: BTreeSet<MachineName>,
-    /// The same names, the oldest first.
+    /// The same names in the order of removal, the oldest first.
     order: VecDeque<MachineName>,
 }
 
--- a/crates/plankhead-core/src/fleet/response_tracking.rs
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -1,34 +1,34 @@
-//! Responses to a worker's heartbeats, and whether the worker acts on them.
+//! Tracks the responses to a worker's heartbeats and whether the worker acts on them.
 
 use crate::protocol::{EffectKind, ExpectedEffect, Heartbeat, ReportedTask, TaskStatus, WorkerCommand};
 use std::time::Duration;
 
-/// A lease that expires this soon after a response was not renewed by it: the response did not
-/// arrive.
+/// A worker lease that expires within this time after a response was not renewed by that response:
+/// the response did not arrive.
 const MIN_RENEWED_LEASE: Duration = Duration::from_millis(4500);
-/// Responses in a row without effect after which a worker counts as one that ignores commands.
+/// The number of consecutive responses without effect after which a worker ignores commands.
 const MAX_IGNORED_RESPONSES: u32 = 3;
 
 /// The responses to one worker's heartbeats.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseTracking {
-    /// When a heartbeat was last answered after the machine was confirmed.
+    /// When a heartbeat of the confirmed machine was last answered.
     pub answered_at: Option<Duration>,
-    /// What the next heartbeat must show: the effects of the starts and kills in the latest
-    /// response.
+    /// The effects of the starts and kills in the latest response. The next heartbeat must show at
+    /// least one of them.
     pub expected_effects: Vec<ExpectedEffect>,
     ignored_in_a_row: u32,
 }
 
 impl ResponseTracking {
-    /// Notes what a response asked for.
+    /// Records the commands of a response sent at `now`.
     pub(super) fn record(&mut self, commands: &[WorkerCommand], now: Duration) {
         self.answered_at = Some(now);
         self.expected_effects = commands.iter().filter_map(WorkerCommand::expected_effect).collect();
     }
 
-    /// Compares a heartbeat with the response before it; true if by now the worker counts as one
-    /// that ignores commands.
+    /// Compares a heartbeat with the response before it. Returns whether enough consecutive
+    /// responses had no effect to conclude that the worker ignores commands.
     pub(super) fn check_effects(&mut self, heartbeat: &Heartbeat) -> bool {
         let is_effective = self.shows_expected_effect(heartbeat);
         self.expected_effects.clear();
@@ -40,23 +40,23 @@
         self.ignored_in_a_row >= MAX_IGNORED_RESPONSES
     }
 
-    /// The next heartbeat need not show anything.
+    /// Drops the expected effects, so that the next heartbeat counts as effective.
     pub(super) fn expect_nothing(&mut self) {
         self.expected_effects.clear();
     }
 
-    /// Whether the latest response had no effect.
+    /// Returns whether the latest checked response had no effect.
     pub(super) fn is_ignored(&self) -> bool {
         self.ignored_in_a_row > 0
     }
 
-    /// Whether a lease that expires now should have been renewed by the latest response.
+    /// Returns whether the latest response is so recent that, had it arrived, the worker lease would
+    /// not have expired by `now`.
     pub(super) fn should_have_renewed_lease(&self, now: Duration) -> bool {
         self.answered_at.is_some_and(|at| now.saturating_sub(at) < MIN_RENEWED_LEASE)
     }
 
-    /// Whether the heartbeat shows at least one of the commands in the latest response,
-    /// if there were any.
+    /// Returns whether the heartbeat shows at least one of the expected effects, or there are none.
     fn shows_expected_effect(&self, heartbeat: &Heartbeat) -> bool {
         let is_shown = |effect: &ExpectedEffect| {
             let is_attempt =
