--- a/crates/plankhead-core/src/placement/backfill.rs
+++ b/crates/plankhead-core/src/placement/backfill.rs
@@ -1,9 +1,9 @@
-//! EASY backfilling on machines: the first task that finds no room gets a
-//! reservation, and later ones may start only where they do not delay it.
+//! EASY backfilling on machines: the first task that finds no room gets a reservation, and later
+//! tasks may start only where they do not delay it.
 //!
-//! With hundreds of machines and thousands of tasks, a pass must not look at
-//! every machine for every job: it keeps the machines with room apart, and asks
-//! when a busy one opens only for a task that would have to fetch its image.
+//! With hundreds of machines and thousands of tasks, a pass must not examine every machine for
+//! every job. It keeps a list of the machines with room, and computes when busy machines will have
+//! room only for tasks that would have to fetch their image and for reservations.
 
 pub use crate::placement::slot::{Running, Slot};
 
@@ -13,28 +13,30 @@
 use crate::placement::reservation::Reservation;
 use std::time::Duration;
 
-/// A task that waits for a machine does so for this long at least.
+/// The minimum delay of a task that waits for a machine.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Tasks that one job may start before the next team's turn.
+/// The number of tasks that one job may start before the next team's turn.
 const MAX_TASKS_PER_TURN: u32 = 4;
 
-/// A decision: one task of the work on the slot.
+/// A placement decision for one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Start {
-    /// The place of the work in the pass's list.
+    /// The index of the task's work in the pass's list.
     pub work_index: usize,
-    /// The place of the slot in the pass's list.
+    /// The index of the slot in the pass's list.
     pub slot_index: usize,
-    /// Later than the pass: the task waits for the machine, which has its image.
+    /// When the task starts. If later than the pass, the task waits for the machine, which already
+    /// has its image.
     pub at: Duration,
 }
 
-/// One pass over the queue: what may start now, and what waits for a machine.
+/// Runs one pass over the queue, and returns the tasks that start now or wait for a machine.
 pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     pass_up_to(now, slots, work, teams, usize::MAX)
 }
 
-/// A pass that ends after `max_starts` starts now, those whose turn it was first.
+/// Runs a pass that ends after `max_starts` tasks that start now, in the order of their turns. Only
+/// a gang that is the first to start may exceed the limit.
 pub fn pass_up_to(
     now: Duration,
     slots: &mut [Slot],
@@ -60,15 +62,15 @@
     pass.starts
 }
 
-/// What became of one step of a work's turn.
+/// The result of trying to place a task or a gang.
 enum Served {
-    /// A task was placed; the turn goes on.
+    /// A task was placed, and the turn continues.
     Placed,
-    /// Nothing more is to be placed in this turn.
+    /// The turn is over, because a gang was placed or nothing is pending.
     TurnOver,
-    /// Nothing more of the work can be placed in this pass.
+    /// No further task of the work can be placed in this pass.
     Blocked,
-    /// The pass has started as much as it may.
+    /// The pass is over, because it has reached its limit on starts.
     PassOver,
 }
 
@@ -79,14 +81,14 @@
     work: &'a mut [Work],
     teams: &'a mut [TeamUsage],
     max_starts: usize,
-    /// Starts now, without those that wait.
+    /// The number of tasks that start now, without those that wait for a machine.
     started: usize,
     starts: Vec<Start>,
-    /// The least that any pending task takes of each resource.
+    /// The smallest amount of each resource that any pending task takes.
     smallest_demand: Resources,
-    /// The machines that have room for some task.
+    /// The indices of the slots that have room for the smallest demand.
     room: Vec<usize>,
-    /// The most that was free of each resource on any of them.
+    /// The largest amount of each resource that was free on one of these slots at the start.
     widest_room: Resources,
     reservation: Option<Reservation>,
 }
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Places one task of the work, or its gang.
+    /// Tries to place one task of the work, or all of its tasks if it is a gang.
     fn serve(&mut self, index: usize) -> Served {
         if self.started >= self.max_starts {
             return Served::PassOver;
@@ -192,9 +194,9 @@
         Served::TurnOver
     }
 
-    /// The machines that may have room for the work. What does not fit into the widest room fits
-    /// nowhere, and machines only fill up in a pass: a queue of wide tasks is not compared with
-    /// every small gap.
+    /// Returns the slots that may have room for the work. A demand that exceeds `widest_room` fits
+    /// nowhere, because machines only fill up during a pass. This saves comparing a queue of large
+    /// tasks with every slot.
     fn room_for(&self, work: &Work) -> &[usize] {
         if work.demand.fits(&self.widest_room) {
             &self.room
@@ -203,20 +205,20 @@
         }
     }
 
-    /// The machines as this work may use them.
+    /// Returns a chooser for this work, which must not delay a reservation for other work.
     fn chooser(&self, index: usize) -> Chooser<'_> {
         let reservation = self.reservation.as_ref().filter(|reservation| reservation.binds(index));
         Chooser { slots: self.slots, now: self.now, reservation }
     }
 
-    /// The machines without regard to the reservation, if this work may break it.
+    /// Returns a chooser that ignores the reservation, if this work may break it.
     fn breaking_chooser(&self, index: usize) -> Option<Chooser<'_>> {
         let chooser = self.chooser(index);
         let may_break = chooser.reservation?.yields_to(self.work[index].priority);
         may_break.then_some(Chooser { reservation: None, ..chooser })
     }
 
-    /// Nothing more of the work finds room: it gets the reservation if there is none yet.
+    /// Handles work without room: reserves room for it if the pass has no reservation yet.
     fn block(&mut self, index: usize) -> Served {
         if self.reservation.is_none() {
             self.reservation = Reservation::first_possible(self.slots, &self.work[index], self.now);
@@ -224,7 +226,7 @@
         Served::Blocked
     }
 
-    /// Starts a task of the work on the slot now.
+    /// Starts a task of the work on the slot at once.
     fn start_now(&mut self, index: usize, slot: usize) {
         let work = &mut self.work[index];
         self.slots[slot].start_task(self.now, work);
@@ -235,7 +237,7 @@
         self.started += 1;
     }
 
-    /// Holds room for a task of the work that waits until `at` for the slot, which has its image.
+    /// Reserves room for a task of the work that waits until `at` for the slot, which has its image.
     fn start_later(&mut self, index: usize, slot: usize, at: Duration) {
         let at = at.max(self.now + MIN_WAIT);
         self.slots[slot].reserve_task(at, &self.work[index]);
@@ -243,12 +245,12 @@
     }
 }
 
-/// Whether the machine takes tasks now and has room for the smallest.
+/// Returns whether the machine accepts tasks now and has room for the smallest demand.
 fn has_room(slot: &Slot, now: Duration, smallest_demand: &Resources) -> bool {
     slot.ready_at <= now && smallest_demand.fits(&slot.free)
 }
 
-/// The least that any pending task takes of each resource.
+/// Returns the smallest amount of each resource that any pending task takes.
 fn smallest_demand(work: &[Work]) -> Resources {
     let none = Resources { cpus: f64::MAX, gpus: f64::MAX, ram_gb: f64::MAX };
     work.iter().filter(|work| work.pending > 0).fold(none, |least, work| Resources {
@@ -258,7 +260,7 @@
     })
 }
 
-/// The most that is free of each resource on any of these machines.
+/// Returns the largest amount of each resource that is free on one of these slots.
 fn widest_room(slots: &[Slot], room: &[usize]) -> Resources {
     room.iter().map(|index| &slots[*index].free).fold(Resources::default(), |widest, free| Resources {
         cpus: widest.cpus.max(free.cpus),
--- a/crates/plankhead-core/src/placement/choose.rs
+++ b/crates/plankhead-core/src/placement/choose.rs
@@ -1,4 +1,4 @@
-//! Which machine a task, or which machines a gang, should take.
+//! Chooses the machine for a task, or the machines for a gang.
 
 use crate::placement::fair_share::Work;
 use crate::placement::gang::{self, GangOpening};
@@ -7,27 +7,28 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// How well a machine serves a task; the least is the best.
+/// The rank of a machine for a task; the smallest score is the best.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Score {
-    /// How long the task would wait for its image.
+    /// The time for which the task would wait for its image.
     fetch_time: Duration,
-    /// The machine's price as the work sees it.
+    /// The machine's effective price for the work.
     price: f64,
-    /// The fullest machine first, so that others can go back.
+    /// The machine's free CPUs. The fullest machine is preferred, so that others become empty and
+    /// can be returned to the cloud.
     free_cpus: f64,
 }
 
-/// A machine that could take tasks of a gang now.
+/// A machine on which tasks of a gang could start now.
 struct GangCandidate {
     slot: usize,
-    /// How many of the gang's tasks it could take.
+    /// The number of the gang's tasks that could start on it.
     max_tasks: u32,
     score: Score,
 }
 
 impl GangCandidate {
-    /// As for one task, but the machine that takes the most tasks before the fullest.
+    /// Orders candidates by score, but prefers machines that take more tasks to fuller ones.
     fn compare(&self, other: &Self) -> Ordering {
         let (a, b) = (&self.score, &other.score);
         a.fetch_time
@@ -41,20 +42,20 @@
 
 /// Machines for all tasks of a gang.
 struct GangChoice {
-    /// When the last image would be there.
+    /// The longest image fetch time among the machines.
     last_fetch: Duration,
     machines: usize,
-    /// One entry a task.
+    /// The slot of each task.
     slots: Vec<usize>,
 }
 
-/// When a busy machine has room for a task.
+/// The first time at which a busy machine has room for a task.
 pub(super) struct Opening {
     pub(super) at: Duration,
     pub(super) slot: usize,
 }
 
-/// The machines at one moment of a pass, with the reservation that binds the work.
+/// The slots in the current state of a pass, with the reservation that the work must not delay.
 #[derive(Clone, Copy)]
 pub(super) struct Chooser<'a> {
     pub(super) slots: &'a [Slot],
@@ -63,16 +64,15 @@
 }
 
 impl Chooser<'_> {
-    /// The best machine for one task now: the image is there, or comes soonest; then
-    /// the cheapest, or the dearest for a task that must not be lost; then the
-    /// fullest, so that others can go back. `room` names the machines that
-    /// may have some.
+    /// Returns the best machine on which one task can start now: the one with the shortest image
+    /// fetch time, then the lowest effective price, then the fewest free CPUs, so that other
+    /// machines become empty and can be returned. `room` lists the slots that may have room.
     pub(super) fn best_slot(&self, room: &[usize], work: &Work) -> Option<usize> {
         let mut best: Option<(usize, Score)> = None;
         let mut fetch_times = FetchTimes::default();
         for index in room {
             let slot = &self.slots[*index];
-            // Most slots have nothing kept on them: arrays don't pay for what gangs need.
+            // Few slots have reserved room, so the reservation is checked last and only for them.
             let delays_reservation = || self.is_kept(*index) && self.max_starts(*index, work, 1) == 0;
             if !work.demand.fits(&slot.free) || !slot.suits(work) || delays_reservation() {
                 continue;
@@ -89,9 +89,10 @@
         best.map(|(index, _)| index)
     }
 
-    /// Machines for all tasks of a gang now, one entry a task: in one zone where asked,
-    /// and of the zones the one where the last image comes soonest. Within a zone as
-    /// [`Self::best_slot`], and as many as possible on a machine: the loss of any one breaks all.
+    /// Returns the slot of each task of a gang that can start now. A gang that must be in a single
+    /// zone gets the zone with the shortest wait for its last image, then the one that needs the
+    /// fewest machines. Machines are ranked as in [`Self::best_slot`], but ones that take more tasks
+    /// come before fuller ones: the loss of any machine stops the whole gang, so fewer are better.
     pub(super) fn gang_slots(&self, room: &[usize], work: &Work) -> Option<Vec<usize>> {
         let candidates = self.gang_candidates(room, work);
         let mut best: Option<GangChoice> = None;
@@ -106,7 +107,7 @@
         best.map(|choice| choice.slots)
     }
 
-    /// The machines that could take tasks of the gang now, the best first.
+    /// Returns the machines on which tasks of the gang could start now, the best first.
     fn gang_candidates(&self, room: &[usize], work: &Work) -> Vec<GangCandidate> {
         let mut candidates = Vec::new();
         for index in room {
@@ -128,7 +129,8 @@
         candidates
     }
 
-    /// The first candidates in the zone, or in all, that take the whole gang.
+    /// Assigns the gang's tasks to the first candidates in the zone, or in all zones if `None`.
+    /// Returns `None` if they do not have room for the whole gang.
     fn choose_in_zone(
         &self,
         candidates: &[GangCandidate],
@@ -158,7 +160,7 @@
         (left.pending == 0).then_some(choice)
     }
 
-    /// How many tasks of the work, `max_tasks` at the most, may start on the slot without delaying
+    /// Returns how many tasks of the work, up to `max_tasks`, may start on the slot without delaying
     /// the reservation.
     fn max_starts(&self, index: usize, work: &Work, max_tasks: u32) -> u32 {
         let slot = &self.slots[index];
@@ -173,10 +175,11 @@
         fitting.min(count_fitting(&work.demand, left, max_tasks))
     }
 
-    /// A busy machine with the image that opens before the fetch on `chosen` would
-    /// end, and when. Not one on which room is kept for others: a task that had been kept off
-    /// an idle machine waited for just that one, pass after pass, so that neither it nor the
-    /// gang that the machine was kept for began for a minute.
+    /// Returns the busy machine with the image that first has room for a task, and when, if that is
+    /// before the image fetch on `chosen` would end. Machines with room reserved for other work are
+    /// excluded: a task that such a reservation kept off an idle machine used to wait for that same
+    /// machine in every pass, so that neither the task nor the gang with the reservation started
+    /// for a minute.
     pub(super) fn opening_before_fetch(&self, work: &Work, chosen: usize) -> Option<Opening> {
         let fetch_time = self.slots[chosen].fetch_time(work);
         if fetch_time.is_zero() {
@@ -195,10 +198,11 @@
         best
     }
 
-    /// Busy machines with the image that open for a whole gang in time, and when, where
-    /// the fetches on `chosen` would make it late. Tasks overrun their estimates, and a gang needs
-    /// several of them to end: one that waited for the sake of a fetch alone, pass after
-    /// pass, began after 27 s instead of 7.
+    /// Returns the busy machines with the image that first have room for the whole gang, and when,
+    /// if that is by the gang's latest start and the image fetches on `chosen` would end after it.
+    /// Otherwise the gang does not wait: tasks overrun their estimates, and a gang needs several of
+    /// them to end. A gang that waited in every pass only to avoid a fetch started after 27 s
+    /// instead of 7 s.
     pub(super) fn gang_opening_before_fetch(&self, work: &Work, chosen: &[usize]) -> Option<GangOpening> {
         let fetch_time = chosen.iter().map(|index| self.slots[*index].fetch_time(work)).max()?;
         if self.now + fetch_time <= work.latest_start {
@@ -210,14 +214,14 @@
             .filter(|opening| opening.at <= work.latest_start)
     }
 
-    /// Whether room on the machine is kept for others.
+    /// Returns whether room on the slot is reserved for other work.
     fn is_kept(&self, slot: usize) -> bool {
         self.reservation.is_some_and(|reservation| reservation.kept_on(slot).is_some())
     }
 }
 
-/// The fetch time of one image on machines that are mostly alike, computed once for
-/// neighbours that are.
+/// Caches the latest computed fetch time of one image. Consecutive slots are often alike, so their
+/// fetch time is computed only once.
 #[derive(Debug, Default)]
 struct FetchTimes {
     last: Option<FetchTime>,
@@ -231,7 +235,8 @@
 }
 
 impl FetchTimes {
-    /// How long a task of the work, always the same, would wait for its image on the slot.
+    /// Returns the time for which a task of the work would wait for its image on the slot. All calls
+    /// on one instance must be for the same work.
     fn on(&mut self, slot: &Slot, work: &Work) -> Duration {
         if slot.has_image(work) {
             return Duration::ZERO;
--- a/crates/plankhead-core/src/placement/fair_share.rs
+++ b/crates/plankhead-core/src/placement/fair_share.rs
@@ -1,32 +1,32 @@
-//! Fair share: whose turn it is in a placement pass. Urgent work comes before standard, what is
-//! within a team's guaranteed quota before what exceeds it, then the team that holds the least
-//! of its quota.
+//! Fair share: the order in which a placement pass serves the teams. Work of a higher priority
+//! comes first, then work within its team's guaranteed quota, then the team that uses the smallest
+//! share of its guaranteed quota.
 
 use crate::jobs::job::{Priority, Resources};
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Room for the rounding errors of sums of decimal amounts.
+/// The tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
-/// The least guaranteed amount that a share is computed with, so that a team without a
-/// guarantee comes after others.
+/// The smallest guaranteed amount used to compute a share, so that a team without a guarantee comes
+/// after other teams.
 const MIN_GUARANTEED: f64 = 1e-3;
 
-/// A team as the queue sees it during one pass.
+/// A team's quota and usage during one pass.
 #[derive(Debug, Clone, Default)]
 pub struct TeamUsage {
-    /// What the team gets before others; memory is not counted.
+    /// The team's guaranteed resources, which it gets before other teams; memory is not counted.
     pub guaranteed: Resources,
-    /// The most that it may use; memory is not counted.
+    /// The most resources that the team may use; memory is not counted.
     pub limit: Resources,
-    /// What its attempts take.
+    /// The resources taken by the team's attempts.
     pub used: Resources,
 }
 
 impl TeamUsage {
-    /// How much of its guarantee a team uses, of the resource of which that is more; the least
-    /// comes next.
+    /// Returns the used fraction of the team's guaranteed CPUs or GPUs, whichever is larger. The
+    /// team with the smallest fraction is served next.
     fn share_ratio(&self) -> f64 {
         let ratio = |used: f64, guaranteed: f64| {
             if used <= 0.0 {
@@ -39,12 +39,12 @@
         cpus.max(ratio(self.used.gpus, self.guaranteed.gpus))
     }
 
-    /// Whether one more such task stays within the limit.
+    /// Returns whether the team stays within its limit with one more task of this demand.
     pub fn admits(&self, demand: &Resources) -> bool {
         self.admits_all(demand, 1)
     }
 
-    /// Whether so many more such tasks stay within the limit.
+    /// Returns whether the team stays within its limit with `tasks` more tasks of this demand.
     pub fn admits_all(&self, demand: &Resources, tasks: u32) -> bool {
         let mut used = self.used;
         used.add(&demand.times(tasks));
@@ -52,53 +52,53 @@
     }
 }
 
-/// One job's pending tasks, as a pass sees them. Names are numbers here, by
-/// [`crate::placement::index::PlacementIndex`].
+/// The pending tasks of one job, as seen by a placement pass. Pools, zones and images are given by
+/// their numbers in the [`crate::placement::index::PlacementIndex`].
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// The team, by its place in the pass's list.
+    /// The index of the team in the pass's list.
     pub team: usize,
     /// The job's priority.
     pub priority: Priority,
-    /// It is within its team's guarantee.
+    /// Whether the job is within its team's guaranteed quota.
     pub guaranteed: bool,
     /// When the job was accepted.
     pub accepted_at: Duration,
-    /// By when a task must start to keep the job's objective.
+    /// The latest time at which a task must start to meet the job's objective.
     pub latest_start: Duration,
-    /// A task that starts by then may be lost and run again in time.
+    /// The latest start time of a task that can still be lost, run again and finish in time.
     pub latest_restart: Duration,
-    /// What each task takes of its machine.
+    /// The resources that each task takes.
     pub demand: Resources,
-    /// The image that a machine must have before a task can start.
+    /// The image that a machine must have before a task can run.
     pub image: u32,
-    /// The image's size.
+    /// The size of the image in gigabytes.
     pub image_gb: f64,
-    /// By pool: whether its machines may run the tasks.
+    /// For each pool, whether its machines may run the tasks.
     pub allowed_pools: Vec<bool>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     pub single_zone: bool,
-    /// Tasks of the job allowed in one zone at a time.
+    /// The largest number of the job's tasks allowed in one zone at a time.
     pub max_per_zone: u32,
-    /// How long a task should run once it has its image.
+    /// The estimated run time of a task once it has its image.
     pub estimated_runtime: Duration,
-    /// Tasks that could be placed.
+    /// The number of tasks that can be placed.
     pub pending: u32,
-    /// All pending tasks start at once, or none.
+    /// Whether the pending tasks must all start at once.
     pub gang: bool,
-    /// Some task of the job was placed already.
+    /// Whether a task of the job has already been placed.
     pub has_started: bool,
-    /// Attempts not proven over, by zone.
+    /// The number of attempts in each zone that are not known to have ended.
     pub attempts_by_zone: Vec<(usize, u32)>,
 }
 
 impl Work {
-    /// Whether machines of the pool may run the tasks.
+    /// Returns whether machines of the pool may run the tasks.
     pub fn allows(&self, pool: usize) -> bool {
         self.allowed_pools.get(pool).copied().unwrap_or(false)
     }
 
-    /// Whether one more task may join the job's tasks in this zone.
+    /// Returns whether one more task of the job may be placed in the zone.
     pub fn admits_zone(&self, zone: usize) -> bool {
         if self.single_zone && self.attempts_by_zone.iter().any(|(other, count)| *count > 0 && *other != zone)
         {
@@ -108,7 +108,7 @@
         in_zone.map_or(0, |(_, count)| *count) < self.max_per_zone
     }
 
-    /// How many of the pending tasks must start together.
+    /// Returns the number of pending tasks that must start together.
     pub fn min_simultaneous(&self) -> u32 {
         if self.gang {
             self.pending
@@ -117,8 +117,9 @@
         }
     }
 
-    /// A machine's price as this work sees it: spot instances are the cheap ones and may be taken
-    /// away, so that a task without time for a second run takes the dearest.
+    /// Returns the price by which this work ranks a machine; the lowest is the best. Spot instances
+    /// are cheap but may be preempted, so once there is no time for a second run the price is
+    /// negated and the most expensive machine is the best.
     pub fn effective_price(&self, price: f64, now: Duration) -> f64 {
         if now > self.latest_restart {
             -price
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Counts one more attempt in this zone.
+    /// Adds one attempt to the count of the zone.
     pub fn add_to_zone(&mut self, zone: usize) {
         match self.attempts_by_zone.iter_mut().find(|(other, _)| *other == zone) {
             Some((_, count)) => *count += 1,
@@ -135,32 +136,33 @@
         }
     }
 
-    /// What comes before the order by shares; the least is served first.
+    /// Returns the work's tier, which takes precedence over team shares; the smallest is served
+    /// first.
     fn tier(&self) -> Tier {
         Tier { priority: Reverse(self.priority), exceeds_guarantee: !self.guaranteed }
     }
 }
 
-/// The order of work whatever its team.
+/// The rank of work regardless of its team's share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Tier {
     priority: Reverse<Priority>,
     exceeds_guarantee: bool,
 }
 
-/// What an unfinished job still takes of its team's guarantee.
+/// The part of a team's guaranteed quota that an unfinished job takes.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaDemand {
-    /// The team, by its place in the pass's list.
+    /// The index of the team in the pass's list.
     pub team: usize,
-    /// When the job was accepted: earlier jobs come first.
+    /// When the job was accepted; earlier jobs take precedence.
     pub accepted_at: Duration,
-    /// What all its unfinished tasks take together.
+    /// The total resources of the job's unfinished tasks.
     pub resources: Resources,
 }
 
-/// Which jobs fit into their team's guarantee together with the team's earlier
-/// unfinished ones.
+/// Returns for each job whether it fits into its team's guaranteed quota together with the team's
+/// earlier unfinished jobs.
 pub fn guaranteed(demands: &[QuotaDemand], teams: &[TeamUsage]) -> Vec<bool> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| demands[*index].accepted_at);
@@ -175,14 +177,14 @@
     is_guaranteed
 }
 
-/// A queue per team, in the order in which its jobs come.
+/// One queue of work per team, each in the order of service.
 #[derive(Debug)]
 pub struct FairShareQueue {
     queues: Vec<VecDeque<usize>>,
 }
 
 impl FairShareQueue {
-    /// The queues of all work with pending tasks, for so many teams.
+    /// Creates the queues of all work with pending tasks, for the given number of teams.
     pub fn new(work: &[Work], teams: usize) -> Self {
         let mut queues = vec![VecDeque::new(); teams];
         let mut order: Vec<usize> = (0..work.len()).filter(|index| work[*index].pending > 0).collect();
@@ -196,9 +198,9 @@
         Self { queues }
     }
 
-    /// The index of the work to serve next: the first of a queue, and of these the most
-    /// urgent, then the guaranteed, then that of the team that holds the least
-    /// of its quota.
+    /// Returns the index of the work to serve next. Of the first entries of all queues this is the
+    /// one with the highest priority, then the one within its guaranteed quota, then the one whose
+    /// team uses the smallest share of its guaranteed quota.
     pub fn next(&mut self, work: &[Work], teams: &[TeamUsage]) -> Option<usize> {
         let mut best: Option<(usize, f64)> = None;
         for (team, queue) in self.queues.iter_mut().enumerate() {
@@ -224,7 +226,8 @@
         best.map(|(index, _)| index)
     }
 
-    /// Nothing more of this work, which was next, can start in the pass.
+    /// Removes the work last returned by [`FairShareQueue::next`], because no further task of it
+    /// can start in this pass.
     pub fn skip(&mut self, work: &[Work], index: usize) {
         self.queues[work[index].team].pop_front();
     }
--- a/crates/plankhead-core/src/placement/gang.rs
+++ b/crates/plankhead-core/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! When and where machines open for a whole gang.
+//! Finds when and where there will be room for a whole gang.
 
 use crate::placement::fair_share::Work;
 use crate::placement::slot::Slot;
@@ -6,20 +6,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Some of a gang's tasks on one machine.
+/// A number of tasks of a gang on one machine.
 pub(super) struct SlotTasks {
     pub(super) slot: usize,
     pub(super) count: u32,
 }
 
-/// The first moment at which there is room for a whole gang.
+/// The first time at which there is room for a whole gang.
 pub(super) struct GangOpening {
     pub(super) at: Duration,
-    /// How many of its tasks each machine takes.
+    /// The tasks that each machine takes at that time.
     pub(super) tasks: Vec<SlotTasks>,
 }
 
-/// The zones to try a gang in, one by one; None: all at once.
+/// Returns the zones in which to try the gang, one after the other; a `None` entry stands for all
+/// zones together.
 pub(super) fn zones_to_try(
     slots: &[Slot],
     candidates: impl Iterator<Item = usize>,
@@ -32,8 +33,8 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// The first moment at which there is room for a whole gang on machines for which `is_candidate`
-/// holds.
+/// Returns the first time at which there is room for a whole gang on machines for which
+/// `is_candidate` holds, if nothing else starts until then.
 pub(super) fn first_opening(
     slots: &[Slot],
     work: &Work,
@@ -56,7 +57,7 @@
     best
 }
 
-/// When one of these machines becomes ready or a task on it ends, in order.
+/// Returns the times at which one of these machines becomes ready or a task on it ends, in order.
 fn moments_of_change(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
     let ends = candidates.iter().flat_map(|index| slots[*index].running.iter().map(|task| task.ends_at));
     let ready = candidates.iter().map(|index| slots[*index].ready_at);
@@ -66,8 +67,8 @@
     moments
 }
 
-/// How many tasks of the gang each of these machines would take at that time, those with the most
-/// room first; None if there is not room for all.
+/// Assigns all tasks of the gang to these machines as they will be at `at`, the machines with the
+/// most room first. Returns `None` if there is not enough room.
 fn allot(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
     let mut left = work.clone();
     let max_tasks = left.pending;
--- a/crates/plankhead-core/src/placement/index.rs
+++ b/crates/plankhead-core/src/placement/index.rs
@@ -1,25 +1,26 @@
-//! The placement index: numbers in place of the names that a pass compares over and over.
+//! The placement index: numbers for pools, zones and images, which are cheaper to compare than
+//! their names.
 
 use crate::jobs::job::JobSpec;
 use crate::protocol::Pool;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Images numbered at most; past that, all are numbered anew.
+/// The largest number of images in the index. Once it is reached, all images are numbered again.
 const MAX_IMAGES: usize = 10_000;
 
-/// Pools, zones and images by number.
+/// Maps pools, zones and images to numbers.
 #[derive(Debug, Default)]
 pub struct PlacementIndex {
     pools: Vec<Pool>,
     zones: Vec<Arc<str>>,
     images: HashMap<Arc<str>, u32>,
-    /// The size of each image, by number.
+    /// The size of each image, by its number.
     image_sizes_gb: Vec<f64>,
 }
 
 impl PlacementIndex {
-    /// The pool's number, a new one if it has none.
+    /// Returns the pool's number, after assigning one if necessary.
     pub fn pool_index(&mut self, pool: &Pool) -> usize {
         self.pools.iter().position(|known| known == pool).unwrap_or_else(|| {
             self.pools.push(pool.clone());
@@ -27,7 +28,7 @@
         })
     }
 
-    /// The zone's number, a new one if it has none.
+    /// Returns the zone's number, after assigning one if necessary.
     pub fn zone_index(&mut self, zone: &str) -> usize {
         self.zones.iter().position(|known| **known == *zone).unwrap_or_else(|| {
             self.zones.push(zone.into());
@@ -35,12 +36,13 @@
         })
     }
 
-    /// The name of a zone; empty if no zone has this number.
+    /// Returns the zone's name, or an empty string if no zone has this number.
     pub fn zone_name(&self, zone: usize) -> Arc<str> {
         self.zones.get(zone).cloned().unwrap_or_else(|| "".into())
     }
 
-    /// The image's number, or None if it is new and there is no room.
+    /// Returns the image's number, after assigning one if necessary. Returns `None` if the image is
+    /// new and the index is full.
     pub fn image_index(&mut self, name: &str, size_gb: f64) -> Option<u32> {
         if let Some(number) = self.images.get(name) {
             return Some(*number);
@@ -54,18 +56,18 @@
         Some(number)
     }
 
-    /// Takes all images' numbers back: whatever holds one must be computed anew.
+    /// Removes all images. Image numbers assigned before become invalid.
     pub fn forget_images(&mut self) {
         self.images.clear();
         self.image_sizes_gb.clear();
     }
 
-    /// The image's size; 0 if no image has this number.
+    /// Returns the image's size in gigabytes, or 0 if no image has this number.
     pub fn image_size_gb(&self, image: u32) -> f64 {
         self.image_sizes_gb.get(image as usize).copied().unwrap_or(0.0)
     }
 
-    /// By pool: whether the job may use it.
+    /// Returns for each pool whether the job may use it.
     pub fn allowed_pools(&self, spec: &JobSpec) -> Vec<bool> {
         let is_allowed = |pool: &Pool| {
             let types = spec.machine_types.as_ref();
--- a/crates/plankhead-core/src/placement/mod.rs
+++ b/crates/plankhead-core/src/placement/mod.rs
@@ -1,6 +1,6 @@
 //! Placement: which pending task starts on which machine.
 //!
-//! [`fair_share`] says whose turn it is, [`backfill`] what starts where in a pass.
+//! [`fair_share`] decides the order in which work is served, [`backfill`] runs a placement pass.
 
 pub mod backfill;
 mod choose;
--- a/crates/plankhead-core/src/placement/reservation.rs
+++ b/crates/plankhead-core/src/placement/reservation.rs
@@ -1,4 +1,4 @@
-//! Reservations: room kept for work that waits, which later work must not delay.
+//! Reservations: room kept for waiting work, which other work must not delay.
 
 use crate::jobs::job::{Priority, Resources};
 use crate::placement::fair_share::{TeamUsage, Work};
@@ -6,48 +6,51 @@
 use crate::placement::slot::Slot;
 use std::time::Duration;
 
-/// How long a task waits before a machine is kept for it.
+/// The time since a job's acceptance after which room is reserved for its tasks before others
+/// are placed.
 const RESERVE_AFTER: Duration = Duration::from_secs(60);
-/// How long a task waits before more urgent ones must leave the machine kept for it alone, too.
+/// The time since a job's acceptance after which work of a higher priority may not break its
+/// reservation either.
 const UNBREAKABLE_AFTER: Duration = Duration::from_secs(150);
 
-/// Room kept on one machine.
+/// Room reserved on one machine.
 #[derive(Debug, Clone)]
 struct KeptRoom {
     slot: usize,
     resources: Resources,
 }
 
-/// Room kept for work that waits: for one task on one machine, or for all tasks of
-/// a gang on several.
+/// A reservation for waiting work: for one task on one machine, or for all tasks of a gang on
+/// several machines.
 #[derive(Debug, Clone)]
 pub(super) struct Reservation {
     kept: Vec<KeptRoom>,
-    /// When the work can start.
+    /// The time at which the reserved room is free for the work.
     pub(super) at: Duration,
-    /// More urgent work than this may break it if it finds no room elsewhere.
+    /// Work of a higher priority than this may break the reservation if it finds no room elsewhere.
+    /// `None` if no work may.
     breakable_above: Option<Priority>,
-    /// The work that it is for, if that may still start in this pass.
+    /// The index of the work that owns the reservation, if that work may still start in this pass.
     for_work: Option<usize>,
 }
 
 impl Reservation {
-    /// What is kept on the machine.
+    /// Returns the resources reserved on the slot.
     pub(super) fn kept_on(&self, slot: usize) -> Option<&Resources> {
         self.kept.iter().find(|kept| kept.slot == slot).map(|kept| &kept.resources)
     }
 
-    /// Whether this work must leave the room alone: it is for other work.
+    /// Returns whether this work must not delay the reservation, because it is for other work.
     pub(super) fn binds(&self, work_index: usize) -> bool {
         self.for_work != Some(work_index)
     }
 
-    /// Whether work of this priority may take the room if it finds none elsewhere.
+    /// Returns whether work of this priority may break the reservation if it finds no other room.
     pub(super) fn yields_to(&self, priority: Priority) -> bool {
         self.breakable_above.is_some_and(|kept_for| priority > kept_for)
     }
 
-    /// Room for the work from the first moment at which there is enough.
+    /// Reserves room for the work from the first time at which there is enough.
     pub(super) fn first_possible(slots: &[Slot], work: &Work, now: Duration) -> Option<Self> {
         if work.gang {
             Self::for_gang(slots, work, now)
@@ -72,8 +75,8 @@
         })
     }
 
-    /// Room for a whole gang, in one zone where asked: neither small tasks nor other gangs keep
-    /// it out for ever.
+    /// Reserves room for a whole gang, in a single zone if required, so that small tasks and other
+    /// gangs cannot starve it.
     fn for_gang(slots: &[Slot], work: &Work, now: Duration) -> Option<Self> {
         let opening = gang::first_opening(slots, work, now, |_| true)?;
         let keep =
@@ -82,10 +85,11 @@
         Some(Self { kept, at: opening.at, breakable_above: None, for_work: None })
     }
 
-    /// A reservation for the task that has waited longest for room, of jobs that have
-    /// not begun after the longer time if there are such (one began after 302 s in a
-    /// burst), before anything else starts: small tasks that keep coming would fill every gap
-    /// before it is wide enough, the more urgent ones for ever.
+    /// Reserves room for the work that has waited longest, if any has waited long enough, before the
+    /// pass places anything. Otherwise a stream of small tasks would fill every gap before it is
+    /// large enough, and a stream of higher-priority ones would do so without end. Jobs that have
+    /// not started any task after [`UNBREAKABLE_AFTER`] come first: in a burst, such a job started
+    /// after 302 s.
     pub(super) fn for_starved(
         slots: &[Slot],
         work: &[Work],
--- a/crates/plankhead-core/src/placement/slot.rs
+++ b/crates/plankhead-core/src/placement/slot.rs
@@ -1,62 +1,62 @@
-//! A machine as a placement pass sees it, and what runs on it.
+//! A machine as seen by a placement pass, with the tasks that run on it.
 
 use crate::jobs::job::Resources;
 use crate::placement::fair_share::Work;
 use std::time::Duration;
 
-/// The longest time that an image fetch is taken to need, in seconds.
+/// The upper limit of an estimated image fetch time, in seconds.
 const MAX_FETCH_S: f64 = 3600.0;
-/// An overdue task is taken to need one part in so many of its estimated run time more.
+/// The divisor of a task's estimated run time that gives its remaining run time once overdue.
 const OVERDUE_PARTS: u32 = 5;
 
-/// A machine as a pass sees it.
+/// A machine as seen by a pass.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Slot {
-    /// Its pool, by number in the placement index.
+    /// The machine's pool, by number in the placement index.
     pub pool: usize,
-    /// Its zone, by number in the placement index.
+    /// The machine's zone, by number in the placement index.
     pub zone: usize,
-    /// What the machine costs, by the last price list.
+    /// The machine's price according to the latest price list.
     pub price: f64,
-    /// What no task takes.
+    /// The resources that no task takes.
     pub free: Resources,
-    /// From when on it takes tasks.
+    /// The time from which the machine accepts tasks.
     pub ready_at: Duration,
-    /// In the order of their ends.
+    /// The tasks on the machine, in the order of their estimated ends.
     pub running: Vec<Running>,
-    /// The images that it holds or fetches, by number in the placement index.
+    /// The images that the machine has or is fetching, by number in the placement index.
     pub images: Vec<u32>,
-    /// The number of images being fetched at present.
+    /// The number of images being fetched.
     pub fetches_in_progress: u32,
-    /// How fast it fetches images; 0 or less: without delay.
+    /// The rate at which the machine fetches images. At 0 or less, images are fetched instantly.
     pub image_fetch_gb_per_s: f64,
 }
 
 /// A task on a machine, with its estimated end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Running {
-    /// When it should end.
+    /// The estimated end of the task.
     pub ends_at: Duration,
-    /// Once it is overdue, it is taken to need this much more.
+    /// The remaining run time assumed for the task once it is overdue.
     pub grace: Duration,
-    /// What it takes of the machine.
+    /// The resources that the task takes.
     pub demand: Resources,
-    /// Its team, by number.
+    /// The task's team, by number.
     pub team: usize,
-    /// Only room held for a task that waits for the machine's image.
+    /// Whether this is only room reserved for a task that waits for the machine.
     pub is_reservation: bool,
 }
 
 impl Slot {
-    /// Adds a task in the order of ends.
+    /// Adds a task, keeping the order of ends.
     pub fn add_running(&mut self, task: Running) {
         let position = self.running.partition_point(|other| other.ends_at <= task.ends_at);
         self.running.insert(position, task);
         self.free.sub(&task.demand);
     }
 
-    /// Puts off the ends of overdue tasks: the machine at a later time, if nothing has ended
-    /// since.
+    /// Extends the estimated ends of overdue tasks, so that a slot computed earlier is valid at
+    /// `now` if no task has ended since.
     pub fn extend_overdue(&mut self, now: Duration) {
         if self.running.first().is_some_and(|task| task.ends_at < now + task.grace) {
             for task in &mut self.running {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What is free at a later time if nothing more starts.
+    /// Returns the free resources at a later time, if no further task starts.
     pub(super) fn free_at(&self, at: Duration) -> Resources {
         let mut free = self.free;
         for task in self.running.iter().take_while(|task| task.ends_at <= at) {
@@ -75,7 +75,7 @@
         free
     }
 
-    /// The earliest time, before `until`, at which the task would find room.
+    /// Returns the earliest time before `until` at which a task of this demand would fit.
     pub(super) fn earliest_fit(
         &self,
         demand: &Resources,
@@ -97,7 +97,7 @@
         Some(at).filter(|at| *at < until)
     }
 
-    /// How many such tasks, `max_tasks` at the most, will find room by `deadline`.
+    /// Returns how many tasks of this demand, up to `max_tasks`, will fit by `deadline`.
     pub fn fits_by(&self, demand: &Resources, deadline: Duration, max_tasks: u32) -> u32 {
         if self.ready_at > deadline {
             return 0;
@@ -105,17 +105,17 @@
         count_fitting(demand, self.free_at(deadline), max_tasks)
     }
 
-    /// Whether the machine may run the work's tasks, however full it is.
+    /// Returns whether the machine may run the work's tasks, regardless of its free resources.
     pub(super) fn suits(&self, work: &Work) -> bool {
         work.allows(self.pool) && work.admits_zone(self.zone)
     }
 
-    /// Whether a task of the work would not wait for its image.
+    /// Returns whether a task of the work would start without waiting for its image.
     pub(super) fn has_image(&self, work: &Work) -> bool {
         self.image_fetch_gb_per_s <= 0.0 || self.images.contains(&work.image)
     }
 
-    /// How long a task of the work would wait for its image.
+    /// Returns the time for which a task of the work would wait for its image.
     pub(super) fn fetch_time(&self, work: &Work) -> Duration {
         if self.has_image(work) {
             return Duration::ZERO;
@@ -123,13 +123,14 @@
         self.uncached_fetch_time(work)
     }
 
-    /// How long the work's image takes to fetch besides the fetches in progress.
+    /// Returns the fetch time of the work's image, which shares the bandwidth with the fetches in
+    /// progress.
     pub(super) fn uncached_fetch_time(&self, work: &Work) -> Duration {
         let fetches = f64::from(self.fetches_in_progress + 1);
         Duration::from_secs_f64((work.image_gb * fetches / self.image_fetch_gb_per_s).min(MAX_FETCH_S))
     }
 
-    /// Starts a task of the work, which fetches its image first if it has to.
+    /// Starts a task of the work, which first fetches its image if necessary.
     pub(super) fn start_task(&mut self, now: Duration, work: &Work) {
         let ends_at = now + self.fetch_time(work) + work.estimated_runtime;
         if !self.images.contains(&work.image) {
@@ -139,8 +140,8 @@
         self.add_running(Running::of(work, ends_at, false));
     }
 
-    /// Holds room for a task of the work that waits for this machine's image, from `at` on:
-    /// nothing smaller slips in meanwhile.
+    /// Reserves room for a task of the work that waits until `at` for this machine, which has its
+    /// image. The room is taken at once, so that smaller tasks cannot use it in the meantime.
     pub(super) fn reserve_task(&mut self, at: Duration, work: &Work) {
         self.add_running(Running::of(work, at + work.estimated_runtime, true));
     }
@@ -158,7 +159,7 @@
     }
 }
 
-/// How many tasks of this demand, `max_tasks` at the most, fit into what is free.
+/// Returns how many tasks of this demand, up to `max_tasks`, fit into the free resources.
 pub(super) fn count_fitting(demand: &Resources, mut free: Resources, max_tasks: u32) -> u32 {
     let mut count = 0;
     while count < max_tasks && demand.fits(&free) {
