--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -1,7 +1,7 @@
-//! What each call to the outside is for, kept until its reply comes.
+//! The purposes of calls to other services and nodes, kept until the replies arrive.
 //!
-//! All of it stands here, below the parts that make the calls, so that no part has to know
-//! another one's module to tell replies apart.
+//! The types for all callers are defined in this one module, so that no caller depends on another
+//! caller's module to tell replies apart.
 
 use crate::jobs::job::{JobId, JobRecord};
 use crate::protocol::{MachineName, Pool, RequestId, Response, TaskId};
@@ -12,79 +12,79 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a call is for, kept until its reply.
+/// The purpose of a call, kept until its reply arrives.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallPurpose {
-    /// The leader election.
+    /// A call of the leader election.
     Election(ElectionCall),
-    /// The version barrier.
+    /// A call of the version barrier.
     VersionBarrier(VersionBarrierCall),
-    /// A user's request.
+    /// A call on behalf of users' requests.
     UserRequest(PendingRequest),
-    /// The leader, with the fencing token of its term: replies to calls of an earlier term are
-    /// ignored.
+    /// A call of the leader, with the fencing token of its term. Replies to calls of an earlier term
+    /// are ignored.
     Leader(u64, LeaderCall),
-    /// The reachability subsystem.
+    /// A call of the reachability subsystem.
     Reachability(ReachabilityCall),
-    /// The records of shards.
+    /// A read or a watch of the shard records.
     ShardRecords(KeyWatchCall),
-    /// A holder of shards.
+    /// A call of a holder of shards.
     Holder(HolderCall),
-    /// The list of machine types.
+    /// A read of the list of machine types.
     MachineTypes,
 }
 
-/// A key in the state service that nobody needs any more.
+/// A key in the state service that is no longer needed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredKey {
     pub key: String,
-    /// Its revision, where that is known.
+    /// The revision of the key's latest change, if known.
     pub revision: Option<u64>,
 }
 
-/// What a call of the leader election is for.
+/// The purpose of a call of the leader election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionCall {
     /// Reads the leader's key.
     Read,
     /// Waits for the leader's key to change.
     Watch,
-    /// Asks for the lease under which the key is to be claimed.
+    /// Requests the lease under which to claim the key.
     GrantLease,
-    /// Writes the leader's key under the lease, if no node holds it.
+    /// Writes the leader's key under the lease if the key does not exist.
     Claim { lease: u64 },
-    /// Renews the lease of the leader's key, at the time of sending.
+    /// Renews the lease of the leader's key. `sent` is when the renewal was sent.
     RenewLease { lease: u64, sent: Duration },
-    /// Gives a lease up, so that the key becomes vacant.
+    /// Revokes a lease, so that the key becomes vacant.
     RevokeLease,
 }
 
-/// What a call of the version barrier is for.
+/// The purpose of a call of the version barrier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionBarrierCall {
-    /// Writes the key that shows this node's version.
+    /// Writes the key with this node's version.
     WriteVersion,
-    /// Reads the keys of all nodes.
+    /// Reads the version keys of all nodes.
     ListVersions,
 }
 
-/// What a call of a key watch is for; `sent`: when it was sent.
+/// The purpose of a call of a [`crate::key_watch::KeyWatch`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyWatchCall {
-    /// Reads a page of the keys; `sent`: when the first page was asked for.
+    /// Reads a page of the keys. `sent` is when the first page was requested.
     List { sent: Duration },
-    /// Waits for changes.
+    /// Waits for changes. `sent` is when the watch was sent.
     Watch { sent: Duration },
 }
 
-/// What a call on behalf of users' requests is for.
+/// The purpose of a call on behalf of users' requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingRequest {
     /// Writes the records of new jobs.
     Create(Vec<JobCreation>),
     /// Reads a job's record.
     Lookup(Lookup),
-    /// Writes a job's record as cancelled.
+    /// Writes a job's record with the job cancelled.
     Cancel(Box<Cancellation>),
 }
 
@@ -94,63 +94,63 @@
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
     pub(crate) reason: LookupReason,
-    /// Under the key of archived jobs, since there was none under that of live ones.
+    /// Whether the archive key is read, because there was no record under the key of live jobs.
     pub(crate) archived: bool,
 }
 
-/// A write of a job's record as cancelled.
+/// A write of a job's record with the job cancelled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cancellation {
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
     pub(crate) record: JobRecord,
-    /// Attempts before this one, which failed since the record had changed.
+    /// The number of earlier attempts that failed because the record had changed.
     pub(crate) attempts: u32,
 }
 
-/// Why a job's record is read for a user.
+/// The reason for reading a job's record for a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LookupReason {
-    /// To tell the job's state.
+    /// To return the job's state.
     Status,
-    /// A repeated submission, or one whose outcome is unknown.
+    /// To answer a repeated submission, or one whose outcome is unknown.
     RepeatedSubmission,
-    /// The request is refused with this answer, unless the job is known.
+    /// To reject the request with this response, unless the job exists.
     RejectUnlessKnown(Response),
-    /// To cancel the job, after so many attempts that failed.
+    /// To cancel the job. `attempts` is the number of earlier attempts that failed.
     Cancel { attempts: u32 },
 }
 
-/// A job that is being created, with all requests that wait for it.
+/// A job whose record is being written, with all requests that wait for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobCreation {
     pub(crate) requests: Vec<RequestId>,
     pub(crate) id: JobId,
-    /// The record, as it is to be stored.
+    /// The record's serialized value.
     pub(crate) value: String,
-    /// When it was accepted into the queue.
+    /// When the job was added to the queue of jobs to be written.
     pub(crate) queued_at: Duration,
 }
 
-/// What a call of the reachability subsystem is for.
+/// The purpose of a call of the reachability subsystem.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReachabilityCall {
-    /// Reads a page of the numbering of machines.
+    /// Reads a page of the machine numbering.
     ListPages,
-    /// Writes a page of the numbering.
+    /// Writes a page of the machine numbering.
     WritePage { key: String, value: String },
-    /// Tries a link; the reply's content does not matter.
+    /// Tests a link. The content of the reply does not matter.
     Probe,
 }
 
-/// What a holder's call is for.
+/// The purpose of a holder's call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderCall {
-    /// Reads the jobs.
+    /// Reads or watches the job records.
     WatchJobs(KeyWatchCall),
     /// Sends commands directly to a worker.
     SendCommands(SentCommands),
-    /// Tells the leader with this fencing token what is new of these machines.
+    /// Sends the leader with this fencing token a status with updates of these machines.
     ReportStatus { leader: u64, machines: Vec<MachineName> },
 }
 
@@ -159,32 +159,32 @@
 pub struct SentCommands {
     pub machine: MachineName,
     pub incarnation: u64,
-    /// The tasks that they start, each with its attempt.
+    /// The tasks that the commands start, each with its attempt.
     pub starts: Vec<(TaskId, u64)>,
 }
 
-/// What a leader's call is for.
+/// The purpose of a leader's call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaderCall {
-    /// Reads a page of the jobs' records.
+    /// Reads a page of the job records.
     ListJobs,
-    /// Reads a page of the jobs' chunks.
+    /// Reads a page of the job chunks.
     ListChunks,
     /// Reads the target of the last sizing round.
     ReadTarget,
-    /// Waits for changes of the jobs' records.
+    /// Waits for changes of the job records.
     WatchJobs { sent: Duration },
-    /// Makes chunks and ended jobs durable.
+    /// Writes chunks and the final records of ended jobs.
     Commit(WriteBatch),
-    /// Reads a chunk again, whose write failed or is in doubt.
+    /// Reads a chunk again after its write failed or had an unknown outcome.
     ReadChunk(JobId, u32),
-    /// Reads a job's record again, whose write failed or is in doubt.
+    /// Reads a job's record again after its write failed or had an unknown outcome.
     ReadJob(JobId),
-    /// Deletes keys that nobody needs any more.
+    /// Deletes keys that are no longer needed.
     DeleteGarbage(Vec<StoredKey>),
     /// Reads the revision of a key that is to be deleted.
     ReadGarbageRevision(String),
-    /// Moves records of ended jobs under their archive keys.
+    /// Moves records of ended jobs to their archive keys.
     ArchiveJobs(Vec<FinishedJob>),
     /// Writes the target of a sizing round.
     WriteTarget,
@@ -194,52 +194,56 @@
     Rent(PendingRental),
     /// Returns machines to the cloud.
     Release { machines: Vec<MachineName>, intent: IdempotencyKey },
-    /// Reads a page of the intents of former leaders.
+    /// Reads a page of the intents of previous leaders.
     ListIntents,
     /// Writes this leader's intents.
     WriteIntents { sent: Duration },
-    /// Reads a page of intents again, whose write is in doubt.
+    /// Reads a page of intents again after its write had an unknown outcome.
     ReadIntents { page: PageId, sent: Duration },
     /// Sends commands directly to a worker.
     SendCommands { machine: MachineName, incarnation: u64, starts: Vec<(TaskId, u64)> },
-    /// Writes records of shards.
+    /// Writes shard records.
     WriteShards { writes: Vec<RecordWrite>, sent: Duration },
-    /// Sends the holder of shards the commands for their machines.
+    /// Sends a holder the commands for the machines of its shards.
     SendShardCommands { to: String, sent: SentShardCommands },
 }
 
-/// What one transaction makes durable.
+/// The content of one transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WriteBatch {
+    /// The chunks that are written, each as its job, its number in the job and its version.
     pub(crate) chunks: Vec<(JobId, u32, u64)>,
-    /// Jobs whose end it stores.
+    /// The jobs whose final records are written.
     pub(crate) finals: Vec<JobId>,
 }
 
-/// A job that has ended, to be moved under its archive key.
+/// An ended job whose record is to be moved to its archive key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedJob {
     pub id: JobId,
-    /// The revision of its record under the key of live jobs.
+    /// The revision of the job's record under the key of live jobs.
     pub mod_revision: u64,
-    /// What stays of it.
+    /// The record to be stored under the archive key.
     pub record: JobRecord,
 }
 
-/// A rental that waits for its reply.
+/// A rental that waits for its final reply.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingRental {
-    /// The idempotency key: the cloud carries each name out once at most.
+    /// The idempotency key: the cloud carries out at most one rental of each name.
     pub name: String,
     pub pool: Pool,
     pub count: u32,
 }
 
-/// What a message to a holder contained, to be sent again if it did not arrive.
+/// The content of a message to a holder, kept to be sent again if the message did not arrive.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SentShardCommands {
     pub(crate) machines: Vec<MachineName>,
+    /// The shards new to the holder, for which the message contained a snapshot of the machines.
     pub(crate) newly_held: BTreeSet<ShardId>,
+    /// The machines whose release the message reported.
     pub(crate) removed: Vec<MachineName>,
+    /// Whether a shard was taken from the holder since the previous message.
     pub(crate) shard_taken: bool,
 }
--- a/crates/plankhead-core/src/effects.rs
+++ b/crates/plankhead-core/src/effects.rs
@@ -1,5 +1,5 @@
-//! What one step of a node decides to do: effects, and the purposes of the calls among them;
-//! and the time of the step.
+//! The effects that one step of a node collects, the purposes of its calls, and the time of the
+//! step.
 
 use crate::calls::CallPurpose;
 use crate::protocol::{
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Collects the effects of a step, in the order in which they were decided on, and remembers
-/// what the replies to calls are for.
+/// Collects the effects of a step in the order of the decisions, and keeps the purposes of the
+/// calls in flight.
 #[derive(Debug, Default)]
 pub struct EffectSink {
-    /// The effects of the present step so far.
+    /// The effects of the current step so far.
     pub queued: Vec<Effect>,
     pub(crate) calls_in_flight: HashMap<CallId, CallPurpose>,
     last_call: CallId,
@@ -39,8 +39,8 @@
         self.queued.push(Effect::CallCloud { call, request });
     }
 
-    /// Sends commands directly to a worker, for this incarnation of it, under a fencing token
-    /// or a shard's epoch.
+    /// Sends commands directly to this incarnation of a worker. `token` is a fencing token or a
+    /// shard's epoch.
     pub fn send_commands(
         &mut self,
         purpose: CallPurpose,
@@ -53,7 +53,7 @@
         self.queued.push(Effect::SendCommands { call, address, token, incarnation, commands });
     }
 
-    /// Sends a peer a message about shards.
+    /// Sends a message about shards to a peer.
     pub fn send_shard_message(&mut self, purpose: CallPurpose, to: String, message: ShardMessage) {
         let call = self.call(purpose);
         self.queued.push(Effect::SendShardMessage { call, to, message });
@@ -70,24 +70,24 @@
     }
 }
 
-/// The time of a step, on the steady clock and on the wall clock.
+/// The time of a step on the monotonic clock and on the wall clock.
 #[derive(Debug, Clone, Copy)]
 pub struct StepTime {
-    /// On the steady clock, which starts well above zero.
+    /// The time on the monotonic clock, which starts well above zero.
     pub now: Duration,
-    /// On the wall clock, which may be set to any time.
+    /// The time on the wall clock, which may be set to any time.
     pub wall: SystemTime,
 }
 
 impl StepTime {
-    /// Milliseconds since 1970 on the wall clock.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
         let since = self.wall.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         since.as_millis() as u64
     }
 
-    /// The time on the steady clock of a time on the wall clock, in milliseconds since 1970;
-    /// now if that is still to come.
+    /// Converts a wall-clock time, in milliseconds since the Unix epoch, to the monotonic clock. A
+    /// time in the future gives `now`.
     pub fn monotonic_of(&self, ms: u64) -> Duration {
         let wall = self.wall_ms();
         if ms >= wall {
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -1,20 +1,20 @@
-//! Reading all keys with a prefix: a list once, and a watch from then on.
+//! Reads all keys with a prefix: lists them once, and then watches them for changes.
 
 use crate::calls::KeyWatchCall;
 use crate::protocol::{CallError, KeyValue, KvReply, KvRequest, WatchEvent};
 use std::time::Duration;
 
-/// The pause after a failure.
+/// The time until the next call after a failed one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a reply brought.
+/// The content of a reply.
 #[derive(Debug, PartialEq)]
 pub enum KeyUpdate {
-    /// A page of the list; `complete`: the last one.
+    /// A page of the list. `complete` is set on the last page.
     Page { rows: Vec<KeyValue>, complete: bool },
-    /// Changes since the list, or since the watch before.
+    /// The changes since the list or the previous watch.
     Events(Vec<WatchEvent>),
-    /// Nothing: a list that was begun begins anew.
+    /// Nothing, because the read failed. A list in progress starts over.
     Failed,
 }
 
@@ -22,33 +22,33 @@
 #[derive(Debug)]
 pub struct KeyWatch {
     prefix: &'static str,
-    /// How long a watch waits before it is opened anew. Its return shows that nothing up to
-    /// its start is unseen.
+    /// The time for which one watch waits. When a watch returns, all changes made before it was sent
+    /// have been seen.
     watch_timeout: Duration,
-    /// When the latest complete read was asked for.
+    /// When the latest successful list or watch was sent; for a list, its first page.
     pub synced_at: Option<Duration>,
-    /// The revision up to which the keys are known; until it is, they are listed.
+    /// The revision up to which the keys are known. Without one, the keys are listed.
     revision: Option<u64>,
     list: ListProgress,
-    /// Reading failed since it last succeeded.
+    /// Whether a read has failed since the last success.
     last_read_failed: bool,
     call_in_flight: bool,
     next_call_at: Duration,
 }
 
-/// How far the list has come.
+/// The progress of a list.
 #[derive(Debug, Default)]
 struct ListProgress {
-    /// The last key of the page before.
+    /// The last key of the previous page.
     after_key: Option<String>,
-    /// When its first page was asked for.
+    /// When the first page was requested.
     started_at: Option<Duration>,
-    /// The store's revision at its first page: what changed since is for the watch.
+    /// The store's revision at the first page. The watch returns the changes made after it.
     revision: Option<u64>,
 }
 
 impl KeyWatch {
-    /// A reader that has read nothing yet; `watch_timeout`: how long each watch waits.
+    /// Creates a reader that has not read anything yet. Each watch waits for `watch_timeout`.
     pub fn new(prefix: &'static str, watch_timeout: Duration) -> Self {
         Self {
             prefix,
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Whether the keys are being read for the first time, and no read has failed so far.
+    /// Returns whether the keys are being read for the first time and no read has failed so far.
     pub fn is_loading(&self) -> bool {
         self.synced_at.is_none() && !self.last_read_failed
     }
 
-    /// When [`KeyWatch::tick`] has a call next, unless a reply comes before.
+    /// Returns when [`KeyWatch::tick`] has its next call, or `None` while a call is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.call_in_flight).then_some(self.next_call_at)
     }
 
-    /// The next call, if one is due.
+    /// Returns the next call, if one is due.
     pub fn tick(&mut self, now: Duration) -> Option<(KeyWatchCall, KvRequest)> {
         if self.call_in_flight || now < self.next_call_at {
             return None;
@@ -88,7 +88,7 @@
         Some((KeyWatchCall::List { sent }, KvRequest::List { prefix, after }))
     }
 
-    /// Handles a reply, and returns what it brought.
+    /// Handles a reply, and returns its content.
     pub fn reply(
         &mut self,
         now: Duration,
--- a/crates/plankhead-core/src/lib.rs
+++ b/crates/plankhead-core/src/lib.rs
@@ -1,18 +1,20 @@
-//! The scheduling core of plankhead: every decision, and no input or output.
+//! The scheduling core of plankhead. It makes every decision and performs no input or output.
 //!
-//! [`node::Node::step`] takes a batch of events and the time, and returns the effects that the
-//! adapters carry out. The same events at the same times give the same effects.
+//! [`node::Node::step`] takes a batch of events and the time, and returns the effects for the
+//! adapters to carry out. It is deterministic: the same events at the same times give the same
+//! effects.
 //!
-//! From the bottom up:
+//! The modules, from the lowest layer to the highest:
 //!
-//! - [`protocol`], [`calls`], [`effects`], [`settings`]: messages with the outside, what replies
-//!   are for, what a step collects, and what the deployment is like;
+//! - [`protocol`], [`calls`], [`effects`], [`settings`]: the messages to and from other processes,
+//!   the purposes of calls, the effects of a step, and the settings of the deployment;
+//! - [`key_watch`], [`token_bucket`]: helpers to watch stored keys and to limit rates;
 //! - [`jobs`], [`fleet`], [`shards`]: the state of jobs, machines and shards;
-//! - [`placement`], [`sizing`]: which task starts where, and how many machines there should be;
-//! - [`leadership`], [`reachability`], [`requests`]: which node leads, which links of it work,
-//!   and what its users ask for;
-//! - [`leader`], [`holder`]: the two roles in which a node answers workers;
-//! - [`node`]: all of these as one node.
+//! - [`placement`], [`sizing`]: which task starts on which machine, and how many machines to rent;
+//! - [`leadership`], [`reachability`], [`requests`]: the leader election, the state of a node's
+//!   links, and the requests of users;
+//! - [`leader`], [`holder`]: the two roles in which a node responds to workers;
+//! - [`node`]: a node, composed of all these modules.
 
 pub mod calls;
 pub mod effects;
--- a/crates/plankhead-core/src/settings.rs
+++ b/crates/plankhead-core/src/settings.rs
@@ -1,40 +1,41 @@
-//! What the core must know of its deployment, read from the settings file by the service.
+//! The settings of the core. The service reads them from its settings files.
 
 use plankhead_reachability::settings::Settings as Reachability;
 use plankhead_sharding::settings::Settings as Sharding;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A team's quota; a limit of zero allows nothing.
+/// A team's quota. A limit of zero does not allow the team any use of the resource.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Team {
-    /// CPUs that the team gets before others.
+    /// The CPUs that the team gets before other teams.
     pub guaranteed_cpus: f64,
-    /// CPUs that it may use at the most.
+    /// The most CPUs that the team may use.
     pub max_cpus: f64,
-    /// GPUs that the team gets before others.
+    /// The GPUs that the team gets before other teams.
     pub guaranteed_gpus: f64,
-    /// GPUs that it may use at the most.
+    /// The most GPUs that the team may use.
     pub max_gpus: f64,
 }
 
-/// The service-level objective of a class of jobs: what its users expect.
+/// The service-level objective of a class of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceLevelObjective {
-    /// A task should start within this time.
+    /// The time within which a task should start.
     pub start_within: Option<Duration>,
-    /// A job should be done within this time.
+    /// The time within which a job should be done.
     pub finish_within: Option<Duration>,
 }
 
-/// How the fleet's size is decided, as the operators have set it.
+/// The operators' settings for the sizing of the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sizing {
-    /// The largest acceptable average bounded slowdown (S in the paper); 1 is none.
+    /// The largest acceptable average bounded slowdown (S in the sizing paper); 1 means no slowdown.
     pub max_slowdown: f64,
-    /// Time between sizing rounds; without it, machines' boot times decide.
+    /// The time between sizing rounds. Without it, the time follows from the machines' boot times.
     pub interval: Option<Duration>,
-    /// Machines of one type at most (U in the paper); without it, the guarantees decide.
+    /// The largest number of machines of one type (U in the sizing paper). Without it, the limit
+    /// follows from the teams' guaranteed CPUs.
     pub max_machines: Option<u32>,
 }
 
@@ -44,18 +45,19 @@
     }
 }
 
-/// Whether and how the leader's intents are fenced.
+/// The settings for fencing the leader's intents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fencing {
-    /// Intents are recorded before they are issued, and issued through the fencing gate only.
+    /// Whether intents are recorded before they are issued, and issued only through the fencing
+    /// gate.
     pub enabled: bool,
-    /// The time between two writes of intents, unless a deadline is near.
+    /// The time between two writes of intents, unless a deadline requires an earlier write.
     pub write_interval: Duration,
-    /// The time between two writes that only remove records of what is confirmed.
+    /// The time between two writes that only remove records of confirmed intents.
     pub compaction_interval: Duration,
-    /// The time until a refused rental that may still be carried out is asked for again.
+    /// The time after which a refused rental that may still be carried out is requested again.
     pub refused_rental_retry: Duration,
-    /// How long after a failover such a rental is given up.
+    /// The time from the start of a leader's term after which it abandons such a rental.
     pub abandon_rental_after: Duration,
 }
 
@@ -76,86 +78,88 @@
 pub struct Settings {
     /// This node's name.
     pub host: String,
-    /// Where this node is.
+    /// The zone in which this node runs.
     pub zone: String,
-    /// Tells one start of this process from another.
+    /// Identifies one start of this process.
     pub boot_id: u64,
-    /// How many nodes there are, with this one.
+    /// The number of nodes, including this one.
     pub nodes: usize,
     /// The names of the other nodes.
     pub peers: Vec<String>,
     /// The teams that may submit jobs, by name.
     pub teams: BTreeMap<String, Team>,
-    /// The objectives of job classes, by name of the class.
+    /// The objectives of job classes, by class name.
     pub objectives: BTreeMap<String, ServiceLevelObjective>,
-    /// How often a worker sends a heartbeat, give or take a quarter.
+    /// The time between two heartbeats of a worker, which may vary by a quarter.
     pub heartbeat_interval: Duration,
-    /// How long a worker keeps its tasks without an accepted response.
+    /// The time for which a worker keeps its tasks without an accepted response.
     pub worker_lease: Duration,
-    /// Within this time after a cancellation, all tasks of the job must be gone.
+    /// The time within which all tasks of a cancelled job must have ended.
     pub cancel_within: Duration,
-    /// Requests a second to the state service, of all nodes together.
+    /// The limit on requests per second to the state service, for all nodes together.
     pub kv_requests_per_s: f64,
-    /// Puts and deletes a second in the state service, of all nodes together.
+    /// The limit on puts and deletes per second in the state service, for all nodes together.
     pub kv_changes_per_s: f64,
-    /// The changes a second that will be allowed some time after every node has
-    /// this version; at most `kv_changes_per_s`.
+    /// The limit that may replace `kv_changes_per_s` at any time once every node runs this version;
+    /// not larger than `kv_changes_per_s`.
     pub next_kv_changes_per_s: f64,
-    /// The largest value that may be written: the smaller of what is allowed now and what will
-    /// be.
+    /// The largest size of a written value: the smaller of the current and the upcoming limit.
     pub max_value_bytes: usize,
-    /// Puts and deletes in one transaction at the most.
+    /// The largest number of puts and deletes in one transaction: the smaller of the current and the
+    /// upcoming limit.
     pub max_txn_changes: usize,
-    /// Requests a second to the cloud, of all nodes together.
+    /// The limit on requests per second to the cloud, for all nodes together.
     pub cloud_requests_per_s: f64,
-    /// The share of a core that the process has; 1 is a whole one.
+    /// The number of CPU cores that the process may use; below 1, a part of one core.
     pub cpu_share: f64,
-    /// How far the cloud's inventory usually lags, sometimes by up to twice as much.
+    /// The usual lag of the cloud's inventory. The actual lag is sometimes up to twice as long.
     pub inventory_lag: Duration,
-    /// How far the wall clocks of two nodes may differ.
+    /// The largest difference between the wall clocks of two nodes.
     pub clock_error: Duration,
-    /// How the fleet's size is decided.
+    /// The sizing of the fleet.
     pub sizing: Sizing,
-    /// How the leader's intents are fenced.
+    /// The fencing of the leader's intents.
     pub fencing: Fencing,
-    /// How links are watched, and what a node may do by its reachability.
+    /// The monitoring of links, and what a node may do depending on its reachability.
     pub reachability: Reachability,
-    /// Whether and how zones are divided into shards.
+    /// The division of zones into shards.
     pub sharding: Sharding,
 }
 
-/// What a worker that got no response needs until it is heard again: 4 s to notice,
-/// a second to ask another node, and half a second to come where that sends it.
+/// The time until a worker that got no response is heard again: 4 s to detect this, 1 s to ask
+/// another node and 0.5 s to reach the node that it is redirected to.
 const MAX_REROUTE_TIME: Duration = Duration::from_millis(5500);
-/// How late a heartbeat may be because of the way that it takes.
+/// The largest network delay of a heartbeat.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
-/// What a message between the leader and a holder may take of a whole core's time, with all that
-/// it brings.
+/// The CPU time on a whole core allowed for one message between the leader and a holder, with all
+/// processing that follows from it.
 const MESSAGE_COST: Duration = Duration::from_millis(2);
-/// The bounds of the interval between such messages, which follows from their cost.
+/// The bounds of the interval between such messages, which is computed from their cost.
 const MIN_MESSAGE_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_MESSAGE_INTERVAL: Duration = Duration::from_millis(150);
-/// The share of a core that the interval is computed with at least.
+/// The smallest share of a core used to compute the interval.
 const MIN_CPU_SHARE: f64 = 0.001;
 
 impl Settings {
-    /// The longest time between two heartbeats that are answered: one may be a
-    /// quarter late, and a while under way.
+    /// Returns the longest time between the arrivals of two heartbeats of a worker whose heartbeats
+    /// are answered: the second may be sent a quarter of the interval late and be delayed on the
+    /// network.
     pub fn heartbeat_timeout(&self) -> Duration {
         self.heartbeat_interval.mul_f64(1.25) + MAX_HEARTBEAT_DELAY
     }
 
-    /// The time between two messages with news between the leader and a holder: each costs both
-    /// some hundred microseconds, so that a small share of a core sends fewer.
+    /// Returns the time between two messages with updates between the leader and a holder. A message
+    /// costs each of them several hundred microseconds, so a node with a small share of a core sends
+    /// fewer.
     pub fn shard_message_interval(&self) -> Duration {
         MESSAGE_COST
             .div_f64(self.cpu_share.max(MIN_CPU_SHARE))
             .clamp(MIN_MESSAGE_INTERVAL, MAX_MESSAGE_INTERVAL)
     }
 
-    /// A worker that is there is heard within this time, also if one heartbeat of
-    /// its got no response.
+    /// Returns the time within which a running worker is heard again even if one of its heartbeats
+    /// got no response.
     pub fn failover_heartbeat_timeout(&self) -> Duration {
         self.heartbeat_timeout() + MAX_REROUTE_TIME
     }
--- a/crates/plankhead-core/src/token_bucket.rs
+++ b/crates/plankhead-core/src/token_bucket.rs
@@ -1,22 +1,23 @@
-//! A token bucket on the caller's clock, for limits on requests per second.
+//! A token bucket for rate limits, driven by the caller's clock.
 
 use std::time::Duration;
 
-/// Room for the rounding errors of refills.
+/// The tolerance for rounding errors of refills.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Grants `rate` tokens a second and saves at most `burst` of them.
+/// A token bucket that gains `rate` tokens per second and holds at most `burst` tokens.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
-    /// When the level was last brought up to date.
+    /// When the level was last updated.
     refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `rate` tokens a second and holds at most `burst`, at least 1.
+    /// Creates a full bucket that gains `rate` tokens per second and holds at most `burst` tokens.
+    /// A `burst` below 1 is raised to 1.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
         Self { rate, burst, level: burst, refilled_at: Duration::ZERO }
@@ -28,18 +29,18 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whole tokens that can be saved at the most.
+    /// Returns the number of whole tokens that the bucket can hold.
     pub fn burst(&self) -> usize {
         self.burst as usize
     }
 
-    /// Whole tokens that could be taken now.
+    /// Returns the number of whole tokens that can be taken now.
     pub fn available(&mut self, now: Duration) -> usize {
         self.refill(now);
         self.level.max(0.0) as usize
     }
 
-    /// Takes `count` tokens, or none if there are not that many.
+    /// Takes `count` tokens and returns `true`, or takes none and returns `false` if there are fewer.
     pub fn take(&mut self, now: Duration, count: usize) -> bool {
         self.refill(now);
         if self.level + ROUNDING_TOLERANCE < count as f64 {
