--- a/crates/plankhead-core/src/fleet/inventory.rs
+++ b/crates/plankhead-core/src/fleet/inventory.rs
@@ -32,7 +32,8 @@
             spot: instance.spot,
         };
         let rented_at = now.saturating_sub(instance.age);
-        let machine = self.insert(&instance.name, instance.address.clone(), pool.clone(), rented_at, now);
+        let machine =
+            self.get_or_insert(&instance.name, instance.address.clone(), pool.clone(), rented_at, now);
         machine.rented_at = rented_at;
         machine.pool = pool;
         machine.inventory.is_expected = true;
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -311,7 +311,7 @@
             self.removal.get_or_insert(RemovalReason::IgnoresCommands);
         }
         self.commands.drop_earlier_incarnations(incarnation);
-        self.responses.expect_nothing();
+        self.responses.clear_expected_effects();
         self.cached_images.clear();
         self.cached_slot = None;
     }
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the machine of this name, after adding it with these properties if it is unknown.
-    fn insert(
+    fn get_or_insert(
         &mut self,
         name: &MachineName,
         address: Arc<str>,
@@ -65,7 +65,7 @@
     pub fn expect_machine(&mut self, name: &MachineName, now: Duration) {
         let pool = Pool { machine_type: String::new(), zone: String::new(), spot: false };
         if !self.removed.contains(name) {
-            let machine = self.insert(name, "".into(), pool, now, now);
+            let machine = self.get_or_insert(name, "".into(), pool, now, now);
             machine.inventory.is_expected = true;
             machine.inventory.known_up = true;
         }
@@ -99,7 +99,7 @@
             return HeartbeatNews::Stale;
         }
         if !self.machines.contains_key(&heartbeat.machine) {
-            self.insert(&heartbeat.machine, heartbeat.address.clone(), Pool::of(heartbeat), now, now);
+            self.get_or_insert(&heartbeat.machine, heartbeat.address.clone(), Pool::of(heartbeat), now, now);
         }
         match self.machines.get_mut(&heartbeat.machine) {
             Some(machine) => machine.observe_heartbeat(heartbeat, own_token, now),
@@ -119,7 +119,7 @@
             machine.confirmed = true;
             machine.commands.unanswered = 0;
             // The response to the worker's last heartbeat may not have arrived yet.
-            machine.responses.expect_nothing();
+            machine.responses.clear_expected_effects();
         }
         self.observe_heartbeat(heartbeat, own_token, now)
     }
@@ -129,7 +129,7 @@
     pub fn rented(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
         for name in names {
             if !self.removed.contains(name) {
-                self.insert(name, "".into(), pool.clone(), now, now);
+                self.get_or_insert(name, "".into(), pool.clone(), now, now);
             }
         }
         if (names.len() as u32) < asked {
@@ -140,7 +140,7 @@
     /// Records that the pool had fewer machines left than were requested.
     pub fn capacity_refused(&mut self, pool: &Pool, now: Duration) {
         let held = self.machines_held(pool);
-        self.capacity_backoffs.refused(pool, held, now);
+        self.capacity_backoffs.record_refusal(pool, held, now);
     }
 
     fn machines_held(&self, pool: &Pool) -> u32 {
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -28,7 +28,7 @@
 const MAX_SILENT_IN_REACHABLE_ZONE: u32 = 2;
 
 /// The criteria for one round of removals.
-struct RemovalRules {
+struct RemovalCriteria {
     now: Duration,
     /// The time since the last heartbeat after which the next one is late.
     heartbeat_timeout: Duration,
@@ -41,13 +41,13 @@
     removes_unresponsive: bool,
 }
 
-impl RemovalRules {
+impl RemovalCriteria {
     fn new<'a>(
         machines: impl Iterator<Item = &'a Machine> + Clone,
         now: Duration,
         settings: &Settings,
     ) -> Self {
-        let mut rules = Self {
+        let mut criteria = Self {
             now,
             heartbeat_timeout: settings.heartbeat_timeout(),
             failover_heartbeat_timeout: settings.failover_heartbeat_timeout(),
@@ -56,10 +56,10 @@
             removes_unresponsive: false,
         };
         let was_up = machines.filter(|m| m.removal.is_none() && (m.confirmed || m.inventory.known_up));
-        rules.cut_off_zones = rules.find_cut_off_zones(was_up.clone());
-        let unresponsive = was_up.clone().filter(|machine| rules.is_unresponsive(machine)).count();
-        rules.removes_unresponsive = unresponsive * MIN_MACHINES_PER_UNRESPONSIVE <= was_up.count();
-        rules
+        criteria.cut_off_zones = criteria.find_cut_off_zones(was_up.clone());
+        let unresponsive = was_up.clone().filter(|machine| criteria.is_unresponsive(machine)).count();
+        criteria.removes_unresponsive = unresponsive * MIN_MACHINES_PER_UNRESPONSIVE <= was_up.count();
+        criteria
     }
 
     /// Returns the zones in which more than half of the machines do not reach this node.
@@ -67,29 +67,30 @@
         #[derive(Default)]
         struct ZoneCount {
             silent: u32,
-            all: u32,
+            total: u32,
         }
         let mut zones: HashMap<&str, ZoneCount> = HashMap::new();
         for machine in machines {
             let count = zones.entry(&machine.pool.zone).or_default();
-            count.silent +=
-                u32::from(self.since(machine.heartbeat_times.last_direct_at) > self.heartbeat_timeout);
-            count.all += 1;
+            count.silent += u32::from(
+                self.elapsed_since(machine.heartbeat_times.last_direct_at) > self.heartbeat_timeout,
+            );
+            count.total += 1;
         }
         let is_cut_off =
-            |count: &ZoneCount| count.silent > MAX_SILENT_IN_REACHABLE_ZONE && count.silent * 2 > count.all;
+            |count: &ZoneCount| count.silent > MAX_SILENT_IN_REACHABLE_ZONE && count.silent * 2 > count.total;
         let cut_off = zones.into_iter().filter(|(_, count)| is_cut_off(count));
         cut_off.map(|(zone, _)| zone.to_string()).collect()
     }
 
-    fn since(&self, at: Duration) -> Duration {
+    fn elapsed_since(&self, at: Duration) -> Duration {
         self.now.saturating_sub(at)
     }
 
     /// Returns whether the machine's heartbeat is late and it has not answered commands either.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         machine.commands.unanswered >= MAX_UNANSWERED_COMMANDS
-            && self.since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
+            && self.elapsed_since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
     }
 
     /// Returns the reason to remove the machine, if there is one.
@@ -100,21 +101,23 @@
         } else {
             self.failover_heartbeat_timeout
         };
-        let silence = self.since(machine.heartbeat_times.last_heard_at);
+        let silence = self.elapsed_since(machine.heartbeat_times.last_heard_at);
         // The boot time applies only to machines that have never been up. One that failed before
         // this leader's term never reports to it, and is judged by its silence alone.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
             let max_boot_time = boot_time.mul_f64(MAX_BOOT_TIME_FACTOR);
-            let is_late = self.since(machine.rented_at) > max_boot_time && silence > max_silence;
+            let is_late = self.elapsed_since(machine.rented_at) > max_boot_time && silence > max_silence;
             return is_late.then_some(RemovalReason::BootTimeout);
         }
         let is_lost = !is_cut_off && self.removes_unresponsive && self.is_unresponsive(machine);
         // If a peer hears the machine, the link to this node has failed and not the machine. This
         // excuses the silence for one more worker lease.
-        let is_heard_by_peer =
-            machine.heartbeat_times.heard_by_peer_at.is_some_and(|at| self.since(at) < PEER_COVERAGE_TIMEOUT);
-        let is_spared = is_heard_by_peer && silence < max_silence + self.worker_lease;
-        if (silence > max_silence || is_lost) && !is_spared {
+        let is_heard_by_peer = machine
+            .heartbeat_times
+            .heard_by_peer_at
+            .is_some_and(|at| self.elapsed_since(at) < PEER_COVERAGE_TIMEOUT);
+        let is_excused = is_heard_by_peer && silence < max_silence + self.worker_lease;
+        if (silence > max_silence || is_lost) && !is_excused {
             Some(RemovalReason::HeartbeatTimeout)
         } else if machine.is_unlisted() && silence > self.heartbeat_timeout.max(max_silence / 2) {
             Some(RemovalReason::NotInInventory)
@@ -137,12 +140,12 @@
     /// Machines with late heartbeats are probed with direct commands. A machine that does not
     /// answer them is lost long before the time allowed for recovery from a lost response is over.
     pub fn mark_for_removal(&mut self, now: Duration, settings: &Settings) -> usize {
-        let rules = RemovalRules::new(self.machines.values(), now, settings);
+        let criteria = RemovalCriteria::new(self.machines.values(), now, settings);
         let mut marked = 0;
         for machine in self.machines.values_mut().filter(|machine| machine.removal.is_none()) {
             let machine_type = self.machine_types.get(&machine.pool.machine_type);
             let boot_time = machine_type.map_or(DEFAULT_BOOT_TIME, |found| found.boot_time);
-            if let Some(reason) = rules.removal_reason(machine, boot_time) {
+            if let Some(reason) = criteria.removal_reason(machine, boot_time) {
                 machine.removal = Some(reason);
                 marked += 1;
             }
@@ -153,17 +156,17 @@
     /// Marks machines that have been silent for longer than `max_silence`, a time within which
     /// their leases expire. If `only_minority` is set, marks none when more than half are silent.
     pub fn mark_silent_beyond_lease(&mut self, now: Duration, max_silence: Duration, only_minority: bool) {
-        let is_there = |machine: &Machine| {
+        let was_up = |machine: &Machine| {
             machine.removal.is_none() && (machine.last_heartbeat_id.is_some() || machine.inventory.known_up)
         };
         let is_silent = |machine: &Machine| {
-            let last_sign_at = machine.heartbeat_times.last_heard_at.max(machine.heartbeat_times.last_new_at);
-            is_there(machine) && now.saturating_sub(last_sign_at) > max_silence
+            let last_seen_at = machine.heartbeat_times.last_heard_at.max(machine.heartbeat_times.last_new_at);
+            was_up(machine) && now.saturating_sub(last_seen_at) > max_silence
         };
         let count = |matches: &dyn Fn(&Machine) -> bool| {
             self.machines.values().filter(|machine| matches(machine)).count()
         };
-        if only_minority && count(&is_silent) * 2 > count(&is_there) {
+        if only_minority && count(&is_silent) * 2 > count(&was_up) {
             return;
         }
         for machine in self.machines.values_mut().filter(|machine| is_silent(machine)) {
--- a/crates/plankhead-core/src/fleet/response_tracking.rs
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -41,7 +41,7 @@
     }
 
     /// Drops the expected effects, so that the next heartbeat counts as effective.
-    pub(super) fn expect_nothing(&mut self) {
+    pub(super) fn clear_expected_effects(&mut self) {
         self.expected_effects.clear();
     }
 
