--- a/crates/plankhead-core/src/placement/backfill.rs
+++ b/crates/plankhead-core/src/placement/backfill.rs
@@ -49,13 +49,13 @@
     while let Some(index) = queue.next(pass.work, pass.teams) {
         for _ in 0..MAX_TASKS_PER_TURN {
             match pass.serve(index) {
-                Served::Placed => {}
-                Served::TurnOver => break,
-                Served::Blocked => {
+                ServeOutcome::Placed => {}
+                ServeOutcome::TurnEnded => break,
+                ServeOutcome::Blocked => {
                     queue.skip(pass.work, index);
                     break;
                 }
-                Served::PassOver => return pass.starts,
+                ServeOutcome::PassEnded => return pass.starts,
             }
         }
     }
@@ -63,15 +63,15 @@
 }
 
 /// The result of trying to place a task or a gang.
-enum Served {
+enum ServeOutcome {
     /// A task was placed, and the turn continues.
     Placed,
     /// The turn is over, because a gang was placed or nothing is pending.
-    TurnOver,
+    TurnEnded,
     /// No further task of the work can be placed in this pass.
     Blocked,
     /// The pass is over, because it has reached its limit on starts.
-    PassOver,
+    PassEnded,
 }
 
 /// The state of a pass.
@@ -87,9 +87,9 @@
     /// The smallest amount of each resource that any pending task takes.
     smallest_demand: Resources,
     /// The indices of the slots that have room for the smallest demand.
-    room: Vec<usize>,
+    open_slots: Vec<usize>,
     /// The largest amount of each resource that was free on one of these slots at the start.
-    widest_room: Resources,
+    max_free: Resources,
     reservation: Option<Reservation>,
 }
 
@@ -102,10 +102,10 @@
         max_starts: usize,
     ) -> Self {
         let smallest_demand = smallest_demand(work);
-        let room: Vec<usize> =
+        let open_slots: Vec<usize> =
             (0..slots.len()).filter(|index| has_room(&slots[*index], now, &smallest_demand)).collect();
-        let widest_room = widest_room(slots, &room);
-        let reservation = Reservation::for_starved(slots, work, teams, now);
+        let max_free = max_free(slots, &open_slots);
+        let reservation = Reservation::for_starving_work(slots, work, teams, now);
         Self {
             now,
             slots,
@@ -115,23 +115,23 @@
             started: 0,
             starts: Vec::new(),
             smallest_demand,
-            room,
-            widest_room,
+            open_slots,
+            max_free,
             reservation,
         }
     }
 
     /// Tries to place one task of the work, or all of its tasks if it is a gang.
-    fn serve(&mut self, index: usize) -> Served {
+    fn serve(&mut self, index: usize) -> ServeOutcome {
         if self.started >= self.max_starts {
-            return Served::PassOver;
+            return ServeOutcome::PassEnded;
         }
         let work = &self.work[index];
         if work.pending == 0 {
-            return Served::TurnOver;
+            return ServeOutcome::TurnEnded;
         }
         if !self.teams[work.team].admits_all(&work.demand, work.min_simultaneous()) {
-            return Served::Blocked;
+            return ServeOutcome::Blocked;
         }
         if work.gang {
             self.place_gang(index)
@@ -140,12 +140,13 @@
         }
     }
 
-    fn place_task(&mut self, index: usize) -> Served {
+    fn place_task(&mut self, index: usize) -> ServeOutcome {
         let work = &self.work[index];
-        let room = self.room_for(work);
+        let candidates = self.candidate_slots(work);
         let chooser = self.chooser(index);
-        let elsewhere = chooser.best_slot(room, work);
-        let found = elsewhere.or_else(|| self.breaking_chooser(index)?.best_slot(room, work));
+        let without_delay = chooser.best_slot(candidates, work);
+        let found =
+            without_delay.or_else(|| self.chooser_ignoring_reservation(index)?.best_slot(candidates, work));
         let Some(chosen) = found else { return self.block(index) };
         let used = match chooser.opening_before_fetch(work, chosen) {
             Some(opening) => {
@@ -159,20 +160,21 @@
             }
         };
         if !has_room(&self.slots[used], self.now, &self.smallest_demand) {
-            self.room.retain(|slot| *slot != used);
+            self.open_slots.retain(|slot| *slot != used);
         }
-        Served::Placed
+        ServeOutcome::Placed
     }
 
-    fn place_gang(&mut self, index: usize) -> Served {
+    fn place_gang(&mut self, index: usize) -> ServeOutcome {
         let work = &self.work[index];
-        let room = self.room_for(work);
+        let candidates = self.candidate_slots(work);
         let chooser = self.chooser(index);
-        let elsewhere = chooser.gang_slots(room, work);
-        let found = elsewhere.or_else(|| self.breaking_chooser(index)?.gang_slots(room, work));
+        let without_delay = chooser.gang_slots(candidates, work);
+        let found =
+            without_delay.or_else(|| self.chooser_ignoring_reservation(index)?.gang_slots(candidates, work));
         let Some(chosen) = found else { return self.block(index) };
         if self.started > 0 && self.started + chosen.len() > self.max_starts {
-            return Served::PassOver;
+            return ServeOutcome::PassEnded;
         }
         match chooser.gang_opening_before_fetch(work, &chosen) {
             Some(opening) => {
@@ -190,16 +192,16 @@
             }
         }
         let (slots, now, smallest_demand) = (&*self.slots, self.now, &self.smallest_demand);
-        self.room.retain(|slot| has_room(&slots[*slot], now, smallest_demand));
-        Served::TurnOver
+        self.open_slots.retain(|slot| has_room(&slots[*slot], now, smallest_demand));
+        ServeOutcome::TurnEnded
     }
 
-    /// Returns the slots that may have room for the work. A demand that exceeds `widest_room` fits
+    /// Returns the slots that may have room for the work. A demand that exceeds `max_free` fits
     /// nowhere, because machines only fill up during a pass. This saves comparing a queue of large
-    /// tasks with every slot.
-    fn room_for(&self, work: &Work) -> &[usize] {
-        if work.demand.fits(&self.widest_room) {
-            &self.room
+    /// tasks with every small gap.
+    fn candidate_slots(&self, work: &Work) -> &[usize] {
+        if work.demand.fits(&self.max_free) {
+            &self.open_slots
         } else {
             &[]
         }
@@ -207,23 +209,23 @@
 
     /// Returns a chooser for this work, which must not delay a reservation for other work.
     fn chooser(&self, index: usize) -> Chooser<'_> {
-        let reservation = self.reservation.as_ref().filter(|reservation| reservation.binds(index));
+        let reservation = self.reservation.as_ref().filter(|reservation| reservation.applies_to(index));
         Chooser { slots: self.slots, now: self.now, reservation }
     }
 
     /// Returns a chooser that ignores the reservation, if this work may break it.
-    fn breaking_chooser(&self, index: usize) -> Option<Chooser<'_>> {
+    fn chooser_ignoring_reservation(&self, index: usize) -> Option<Chooser<'_>> {
         let chooser = self.chooser(index);
-        let may_break = chooser.reservation?.yields_to(self.work[index].priority);
+        let may_break = chooser.reservation?.may_be_broken_by(self.work[index].priority);
         may_break.then_some(Chooser { reservation: None, ..chooser })
     }
 
     /// Handles work without room: reserves room for it if the pass has no reservation yet.
-    fn block(&mut self, index: usize) -> Served {
+    fn block(&mut self, index: usize) -> ServeOutcome {
         if self.reservation.is_none() {
             self.reservation = Reservation::first_possible(self.slots, &self.work[index], self.now);
         }
-        Served::Blocked
+        ServeOutcome::Blocked
     }
 
     /// Starts a task of the work on the slot at once.
@@ -253,18 +255,18 @@
 /// Returns the smallest amount of each resource that any pending task takes.
 fn smallest_demand(work: &[Work]) -> Resources {
     let none = Resources { cpus: f64::MAX, gpus: f64::MAX, ram_gb: f64::MAX };
-    work.iter().filter(|work| work.pending > 0).fold(none, |least, work| Resources {
-        cpus: least.cpus.min(work.demand.cpus),
-        gpus: least.gpus.min(work.demand.gpus),
-        ram_gb: least.ram_gb.min(work.demand.ram_gb),
+    work.iter().filter(|work| work.pending > 0).fold(none, |smallest, work| Resources {
+        cpus: smallest.cpus.min(work.demand.cpus),
+        gpus: smallest.gpus.min(work.demand.gpus),
+        ram_gb: smallest.ram_gb.min(work.demand.ram_gb),
     })
 }
 
 /// Returns the largest amount of each resource that is free on one of these slots.
-fn widest_room(slots: &[Slot], room: &[usize]) -> Resources {
-    room.iter().map(|index| &slots[*index].free).fold(Resources::default(), |widest, free| Resources {
-        cpus: widest.cpus.max(free.cpus),
-        gpus: widest.gpus.max(free.gpus),
-        ram_gb: widest.ram_gb.max(free.ram_gb),
+fn max_free(slots: &[Slot], open_slots: &[usize]) -> Resources {
+    open_slots.iter().map(|index| &slots[*index].free).fold(Resources::default(), |largest, free| Resources {
+        cpus: largest.cpus.max(free.cpus),
+        gpus: largest.gpus.max(free.gpus),
+        ram_gb: largest.ram_gb.max(free.ram_gb),
     })
 }
--- a/crates/plankhead-core/src/placement/choose.rs
+++ b/crates/plankhead-core/src/placement/choose.rs
@@ -43,7 +43,7 @@
 /// Machines for all tasks of a gang.
 struct GangChoice {
     /// The longest image fetch time among the machines.
-    last_fetch: Duration,
+    max_fetch_time: Duration,
     machines: usize,
     /// The slot of each task.
     slots: Vec<usize>,
@@ -66,23 +66,23 @@
 impl Chooser<'_> {
     /// Returns the best machine on which one task can start now: the one with the shortest image
     /// fetch time, then the lowest effective price, then the fewest free CPUs, so that other
-    /// machines become empty and can be returned. `room` lists the slots that may have room.
-    pub(super) fn best_slot(&self, room: &[usize], work: &Work) -> Option<usize> {
+    /// machines become empty and can be returned. `open_slots` lists the slots that may have room.
+    pub(super) fn best_slot(&self, open_slots: &[usize], work: &Work) -> Option<usize> {
         let mut best: Option<(usize, Score)> = None;
-        let mut fetch_times = FetchTimes::default();
-        for index in room {
+        let mut fetch_times = FetchTimeCache::default();
+        for index in open_slots {
             let slot = &self.slots[*index];
-            // Few slots have reserved room, so the reservation is checked last and only for them.
-            let delays_reservation = || self.is_kept(*index) && self.max_starts(*index, work, 1) == 0;
+            // Few slots have reserved room. Counting tasks, which gangs need, is skipped for the others.
+            let delays_reservation = || self.is_reserved(*index) && self.max_starts(*index, work, 1) == 0;
             if !work.demand.fits(&slot.free) || !slot.suits(work) || delays_reservation() {
                 continue;
             }
             let score = Score {
-                fetch_time: fetch_times.on(slot, work),
+                fetch_time: fetch_times.get(slot, work),
                 price: work.effective_price(slot.price, self.now),
                 free_cpus: slot.free.cpus,
             };
-            if best.as_ref().is_none_or(|(_, least)| score < *least) {
+            if best.as_ref().is_none_or(|(_, lowest)| score < *lowest) {
                 best = Some((*index, score));
             }
         }
@@ -93,14 +93,14 @@
     /// zone gets the zone with the shortest wait for its last image, then the one that needs the
     /// fewest machines. Machines are ranked as in [`Self::best_slot`], but ones that take more tasks
     /// come before fuller ones: the loss of any machine stops the whole gang, so fewer are better.
-    pub(super) fn gang_slots(&self, room: &[usize], work: &Work) -> Option<Vec<usize>> {
-        let candidates = self.gang_candidates(room, work);
+    pub(super) fn gang_slots(&self, open_slots: &[usize], work: &Work) -> Option<Vec<usize>> {
+        let candidates = self.gang_candidates(open_slots, work);
         let mut best: Option<GangChoice> = None;
         let zones = gang::zones_to_try(self.slots, candidates.iter().map(|c| c.slot), work);
         for zone in zones {
             let Some(choice) = self.choose_in_zone(&candidates, work, zone) else { continue };
-            let rank = |choice: &GangChoice| (choice.last_fetch, choice.machines);
-            if best.as_ref().is_none_or(|least| rank(&choice) < rank(least)) {
+            let rank = |choice: &GangChoice| (choice.max_fetch_time, choice.machines);
+            if best.as_ref().is_none_or(|lowest| rank(&choice) < rank(lowest)) {
                 best = Some(choice);
             }
         }
@@ -108,9 +108,9 @@
     }
 
     /// Returns the machines on which tasks of the gang could start now, the best first.
-    fn gang_candidates(&self, room: &[usize], work: &Work) -> Vec<GangCandidate> {
+    fn gang_candidates(&self, open_slots: &[usize], work: &Work) -> Vec<GangCandidate> {
         let mut candidates = Vec::new();
-        for index in room {
+        for index in open_slots {
             let slot = &self.slots[*index];
             if !slot.suits(work) {
                 continue;
@@ -137,27 +137,27 @@
         work: &Work,
         zone: Option<usize>,
     ) -> Option<GangChoice> {
-        let mut left = work.clone();
-        let mut choice = GangChoice { last_fetch: Duration::ZERO, machines: 0, slots: Vec::new() };
+        let mut remaining = work.clone();
+        let mut choice = GangChoice { max_fetch_time: Duration::ZERO, machines: 0, slots: Vec::new() };
         for candidate in candidates {
             let slot = &self.slots[candidate.slot];
-            if zone.is_some_and(|zone| zone != slot.zone) || left.pending == 0 {
+            if zone.is_some_and(|zone| zone != slot.zone) || remaining.pending == 0 {
                 continue;
             }
-            let pending_before = left.pending;
+            let pending_before = remaining.pending;
             for _ in 0..candidate.max_tasks {
-                if left.pending > 0 && left.admits_zone(slot.zone) {
-                    left.pending -= 1;
-                    left.add_to_zone(slot.zone);
+                if remaining.pending > 0 && remaining.admits_zone(slot.zone) {
+                    remaining.pending -= 1;
+                    remaining.add_to_zone(slot.zone);
                     choice.slots.push(candidate.slot);
                 }
             }
-            if left.pending < pending_before {
+            if remaining.pending < pending_before {
                 choice.machines += 1;
-                choice.last_fetch = choice.last_fetch.max(candidate.score.fetch_time);
+                choice.max_fetch_time = choice.max_fetch_time.max(candidate.score.fetch_time);
             }
         }
-        (left.pending == 0).then_some(choice)
+        (remaining.pending == 0).then_some(choice)
     }
 
     /// Returns how many tasks of the work, up to `max_tasks`, may start on the slot without delaying
@@ -166,13 +166,13 @@
         let slot = &self.slots[index];
         let fitting = count_fitting(&work.demand, slot.free, max_tasks);
         let Some(reservation) = self.reservation else { return fitting };
-        let Some(kept) = reservation.kept_on(index) else { return fitting };
+        let Some(reserved) = reservation.reserved_on(index) else { return fitting };
         if fitting == 0 || self.now + slot.fetch_time(work) + work.estimated_runtime <= reservation.at {
             return fitting;
         }
-        let mut left = slot.free_at(reservation.at);
-        left.sub(kept);
-        fitting.min(count_fitting(&work.demand, left, max_tasks))
+        let mut remaining = slot.free_at(reservation.at);
+        remaining.sub(reserved);
+        fitting.min(count_fitting(&work.demand, remaining, max_tasks))
     }
 
     /// Returns the busy machine with the image that first has room for a task, and when, if that is
@@ -187,7 +187,7 @@
         }
         let mut best: Option<Opening> = None;
         for (index, slot) in self.slots.iter().enumerate() {
-            if !slot.images.contains(&work.image) || !slot.suits(work) || self.is_kept(index) {
+            if !slot.images.contains(&work.image) || !slot.suits(work) || self.is_reserved(index) {
                 continue;
             }
             let until = best.as_ref().map_or(self.now + fetch_time, |opening| opening.at);
@@ -209,39 +209,39 @@
             return None;
         }
         let is_candidate =
-            |index: usize| self.slots[index].images.contains(&work.image) && !self.is_kept(index);
+            |index: usize| self.slots[index].images.contains(&work.image) && !self.is_reserved(index);
         gang::first_opening(self.slots, work, self.now, is_candidate)
             .filter(|opening| opening.at <= work.latest_start)
     }
 
     /// Returns whether room on the slot is reserved for other work.
-    fn is_kept(&self, slot: usize) -> bool {
-        self.reservation.is_some_and(|reservation| reservation.kept_on(slot).is_some())
+    fn is_reserved(&self, slot: usize) -> bool {
+        self.reservation.is_some_and(|reservation| reservation.reserved_on(slot).is_some())
     }
 }
 
 /// Caches the latest computed fetch time of one image. Consecutive slots are often alike, so their
 /// fetch time is computed only once.
 #[derive(Debug, Default)]
-struct FetchTimes {
-    last: Option<FetchTime>,
+struct FetchTimeCache {
+    last: Option<CachedFetchTime>,
 }
 
 #[derive(Debug)]
-struct FetchTime {
+struct CachedFetchTime {
     fetches_in_progress: u32,
     image_fetch_gb_per_s: f64,
     time: Duration,
 }
 
-impl FetchTimes {
+impl FetchTimeCache {
     /// Returns the time for which a task of the work would wait for its image on the slot. All calls
     /// on one instance must be for the same work.
-    fn on(&mut self, slot: &Slot, work: &Work) -> Duration {
+    fn get(&mut self, slot: &Slot, work: &Work) -> Duration {
         if slot.has_image(work) {
             return Duration::ZERO;
         }
-        let is_alike = |last: &&FetchTime| {
+        let is_alike = |last: &&CachedFetchTime| {
             last.fetches_in_progress == slot.fetches_in_progress
                 && last.image_fetch_gb_per_s == slot.image_fetch_gb_per_s
         };
@@ -249,7 +249,7 @@
             return last.time;
         }
         let time = slot.uncached_fetch_time(work);
-        self.last = Some(FetchTime {
+        self.last = Some(CachedFetchTime {
             fetches_in_progress: slot.fetches_in_progress,
             image_fetch_gb_per_s: slot.image_fetch_gb_per_s,
             time,
--- a/crates/plankhead-core/src/placement/fair_share.rs
+++ b/crates/plankhead-core/src/placement/fair_share.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The tolerance for rounding errors in sums of decimal amounts.
-const EPSILON: f64 = 1e-6;
+const QUOTA_TOLERANCE: f64 = 1e-6;
 /// The smallest guaranteed amount used to compute a share, so that a team without a guarantee comes
 /// after other teams.
 const MIN_GUARANTEED: f64 = 1e-3;
@@ -48,7 +48,7 @@
     pub fn admits_all(&self, demand: &Resources, tasks: u32) -> bool {
         let mut used = self.used;
         used.add(&demand.times(tasks));
-        used.cpus <= self.limit.cpus + EPSILON && used.gpus <= self.limit.gpus + EPSILON
+        used.cpus <= self.limit.cpus + QUOTA_TOLERANCE && used.gpus <= self.limit.gpus + QUOTA_TOLERANCE
     }
 }
 
--- a/crates/plankhead-core/src/placement/gang.rs
+++ b/crates/plankhead-core/src/placement/gang.rs
@@ -46,50 +46,50 @@
     for zone in zones_to_try(slots, (0..slots.len()).filter(may_serve), work) {
         let in_zone = |index: &usize| zone.is_none_or(|zone| slots[*index].zone == zone);
         let candidates: Vec<usize> = (0..slots.len()).filter(may_serve).filter(in_zone).collect();
-        let moments = moments_of_change(slots, &candidates, now);
-        let is_enough = |at: Duration| allot(slots, &candidates, work, at).is_some();
-        let first = moments.partition_point(|at| !is_enough(*at));
-        let Some(at) = moments.get(first).copied() else { continue };
+        let times = capacity_change_times(slots, &candidates, now);
+        let is_enough = |at: Duration| assign_tasks(slots, &candidates, work, at).is_some();
+        let first = times.partition_point(|at| !is_enough(*at));
+        let Some(at) = times.get(first).copied() else { continue };
         if best.as_ref().is_none_or(|opening| at < opening.at) {
-            best = allot(slots, &candidates, work, at).map(|tasks| GangOpening { at, tasks });
+            best = assign_tasks(slots, &candidates, work, at).map(|tasks| GangOpening { at, tasks });
         }
     }
     best
 }
 
 /// Returns the times at which one of these machines becomes ready or a task on it ends, in order.
-fn moments_of_change(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
+fn capacity_change_times(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
     let ends = candidates.iter().flat_map(|index| slots[*index].running.iter().map(|task| task.ends_at));
     let ready = candidates.iter().map(|index| slots[*index].ready_at);
-    let mut moments: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
-    moments.sort();
-    moments.dedup();
-    moments
+    let mut times: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
+    times.sort();
+    times.dedup();
+    times
 }
 
 /// Assigns all tasks of the gang to these machines as they will be at `at`, the machines with the
 /// most room first. Returns `None` if there is not enough room.
-fn allot(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
-    let mut left = work.clone();
-    let max_tasks = left.pending;
+fn assign_tasks(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
+    let mut remaining = work.clone();
+    let max_tasks = remaining.pending;
     let mut order: Vec<SlotTasks> = candidates
         .iter()
         .map(|slot| SlotTasks { slot: *slot, count: slots[*slot].fits_by(&work.demand, at, max_tasks) })
         .filter(|fitting| fitting.count > 0)
         .collect();
     order.sort_by_key(|fitting| (Reverse(fitting.count), fitting.slot));
-    let mut allotted = Vec::new();
+    let mut assigned = Vec::new();
     for fitting in order {
         let zone = slots[fitting.slot].zone;
         let mut count = 0;
-        while count < fitting.count && left.pending > 0 && left.admits_zone(zone) {
-            left.pending -= 1;
-            left.add_to_zone(zone);
+        while count < fitting.count && remaining.pending > 0 && remaining.admits_zone(zone) {
+            remaining.pending -= 1;
+            remaining.add_to_zone(zone);
             count += 1;
         }
         if count > 0 {
-            allotted.push(SlotTasks { slot: fitting.slot, count });
+            assigned.push(SlotTasks { slot: fitting.slot, count });
         }
     }
-    (left.pending == 0).then_some(allotted)
+    (remaining.pending == 0).then_some(assigned)
 }
--- a/crates/plankhead-core/src/placement/reservation.rs
+++ b/crates/plankhead-core/src/placement/reservation.rs
@@ -1,4 +1,4 @@
-//! Reservations: room kept for waiting work, which other work must not delay.
+//! Reservations: room reserved for waiting work, which other work must not delay.
 
 use crate::jobs::job::{Priority, Resources};
 use crate::placement::fair_share::{TeamUsage, Work};
@@ -9,13 +9,13 @@
 /// The time since a job's acceptance after which room is reserved for its tasks before others
 /// are placed.
 const RESERVE_AFTER: Duration = Duration::from_secs(60);
-/// The time since a job's acceptance after which work of a higher priority may not break its
-/// reservation either.
+/// The time since a job's acceptance after which no work may break its reservation, whatever its
+/// priority.
 const UNBREAKABLE_AFTER: Duration = Duration::from_secs(150);
 
 /// Room reserved on one machine.
 #[derive(Debug, Clone)]
-struct KeptRoom {
+struct ReservedRoom {
     slot: usize,
     resources: Resources,
 }
@@ -24,30 +24,30 @@
 /// several machines.
 #[derive(Debug, Clone)]
 pub(super) struct Reservation {
-    kept: Vec<KeptRoom>,
+    rooms: Vec<ReservedRoom>,
     /// The time at which the reserved room is free for the work.
     pub(super) at: Duration,
     /// Work of a higher priority than this may break the reservation if it finds no room elsewhere.
     /// `None` if no work may.
     breakable_above: Option<Priority>,
     /// The index of the work that owns the reservation, if that work may still start in this pass.
-    for_work: Option<usize>,
+    owner: Option<usize>,
 }
 
 impl Reservation {
     /// Returns the resources reserved on the slot.
-    pub(super) fn kept_on(&self, slot: usize) -> Option<&Resources> {
-        self.kept.iter().find(|kept| kept.slot == slot).map(|kept| &kept.resources)
+    pub(super) fn reserved_on(&self, slot: usize) -> Option<&Resources> {
+        self.rooms.iter().find(|room| room.slot == slot).map(|room| &room.resources)
     }
 
     /// Returns whether this work must not delay the reservation, because it is for other work.
-    pub(super) fn binds(&self, work_index: usize) -> bool {
-        self.for_work != Some(work_index)
+    pub(super) fn applies_to(&self, work_index: usize) -> bool {
+        self.owner != Some(work_index)
     }
 
     /// Returns whether work of this priority may break the reservation if it finds no other room.
-    pub(super) fn yields_to(&self, priority: Priority) -> bool {
-        self.breakable_above.is_some_and(|kept_for| priority > kept_for)
+    pub(super) fn may_be_broken_by(&self, priority: Priority) -> bool {
+        self.breakable_above.is_some_and(|limit| priority > limit)
     }
 
     /// Reserves room for the work from the first time at which there is enough.
@@ -68,10 +68,10 @@
             }
         }
         best.map(|(at, slot)| Self {
-            kept: vec![KeptRoom { slot, resources: work.demand }],
+            rooms: vec![ReservedRoom { slot, resources: work.demand }],
             at,
             breakable_above: None,
-            for_work: None,
+            owner: None,
         })
     }
 
@@ -79,18 +79,20 @@
     /// gangs cannot starve it.
     fn for_gang(slots: &[Slot], work: &Work, now: Duration) -> Option<Self> {
         let opening = gang::first_opening(slots, work, now, |_| true)?;
-        let keep =
-            |tasks: gang::SlotTasks| KeptRoom { slot: tasks.slot, resources: work.demand.times(tasks.count) };
-        let kept = opening.tasks.into_iter().map(keep).collect();
-        Some(Self { kept, at: opening.at, breakable_above: None, for_work: None })
+        let reserve = |tasks: gang::SlotTasks| ReservedRoom {
+            slot: tasks.slot,
+            resources: work.demand.times(tasks.count),
+        };
+        let rooms = opening.tasks.into_iter().map(reserve).collect();
+        Some(Self { rooms, at: opening.at, breakable_above: None, owner: None })
     }
 
     /// Reserves room for the work that has waited longest, if any has waited long enough, before the
     /// pass places anything. Otherwise a stream of small tasks would fill every gap before it is
-    /// large enough, and a stream of higher-priority ones would do so without end. Jobs that have
-    /// not started any task after [`UNBREAKABLE_AFTER`] come first: in a burst, such a job started
-    /// after 302 s.
-    pub(super) fn for_starved(
+    /// large enough, and if these tasks had a higher priority, the work would never start. Jobs that
+    /// have not started any task after [`UNBREAKABLE_AFTER`] come first: in a burst, such a job
+    /// started after 302 s.
+    pub(super) fn for_starving_work(
         slots: &[Slot],
         work: &[Work],
         teams: &[TeamUsage],
@@ -108,6 +110,6 @@
         let (index, first) = starved.min_by_key(|(_, work)| order(work))?;
         let breakable_above = (!has_waited(first, UNBREAKABLE_AFTER)).then_some(first.priority);
         let reservation = Self::first_possible(slots, first, now)?;
-        Some(Self { breakable_above, for_work: Some(index), ..reservation })
+        Some(Self { breakable_above, owner: Some(index), ..reservation })
     }
 }
--- a/crates/plankhead-core/src/placement/slot.rs
+++ b/crates/plankhead-core/src/placement/slot.rs
@@ -7,7 +7,7 @@
 /// The upper limit of an estimated image fetch time, in seconds.
 const MAX_FETCH_S: f64 = 3600.0;
 /// The divisor of a task's estimated run time that gives its remaining run time once overdue.
-const OVERDUE_PARTS: u32 = 5;
+const OVERDUE_DIVISOR: u32 = 5;
 
 /// A machine as seen by a pass.
 #[derive(Debug, Clone, PartialEq)]
@@ -151,7 +151,7 @@
     fn of(work: &Work, ends_at: Duration, is_reservation: bool) -> Self {
         Self {
             ends_at,
-            grace: work.estimated_runtime / OVERDUE_PARTS,
+            grace: work.estimated_runtime / OVERDUE_DIVISOR,
             demand: work.demand,
             team: work.team,
             is_reservation,
