--- a/crates/plankhead-core/src/settings.rs
+++ b/crates/plankhead-core/src/settings.rs
@@ -57,7 +57,7 @@
     pub compaction_interval: Duration,
     /// The time after which a refused rental that may still be carried out is requested again.
     pub refused_rental_retry: Duration,
-    /// The time from the start of a leader's term after which it abandons such a rental.
+    /// The time from the start of a leader's term after which it abandons a refused rental.
     pub abandon_rental_after: Duration,
 }
 
--- a/crates/plankhead-core/src/token_bucket.rs
+++ b/crates/plankhead-core/src/token_bucket.rs
@@ -10,8 +10,8 @@
 pub struct TokenBucket {
     rate: f64,
     burst: f64,
-    level: f64,
-    /// When the level was last updated.
+    tokens: f64,
+    /// When `tokens` was last updated.
     refilled_at: Duration,
 }
 
@@ -20,12 +20,12 @@
     /// A `burst` below 1 is raised to 1.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
-        Self { rate, burst, level: burst, refilled_at: Duration::ZERO }
+        Self { rate, burst, tokens: burst, refilled_at: Duration::ZERO }
     }
 
     fn refill(&mut self, now: Duration) {
         let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
-        self.level = (self.level + elapsed_s * self.rate).min(self.burst);
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.burst);
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -37,16 +37,16 @@
     /// Returns the number of whole tokens that can be taken now.
     pub fn available(&mut self, now: Duration) -> usize {
         self.refill(now);
-        self.level.max(0.0) as usize
+        self.tokens.max(0.0) as usize
     }
 
     /// Takes `count` tokens and returns `true`, or takes none and returns `false` if there are fewer.
     pub fn take(&mut self, now: Duration, count: usize) -> bool {
         self.refill(now);
-        if self.level + ROUNDING_TOLERANCE < count as f64 {
+        if self.tokens + ROUNDING_TOLERANCE < count as f64 {
             return false;
         }
-        self.level -= count as f64;
+        self.tokens -= count as f64;
         true
     }
 }
