--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -1,5 +1,5 @@
-//! Which machines must go back to the cloud: silent ones, ones that never came up, ones that fail
-//! every task.
+//! Decides which machines to return to the cloud: silent machines, machines that did not come up,
+//! and machines on which tasks fail repeatedly.
 
 use crate::fleet::machine::{Machine, RemovalReason};
 use crate::fleet::Fleet;
@@ -8,46 +8,46 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A machine may take this many times its usual boot time to come up.
+/// The longest boot time allowed, as a multiple of the usual boot time of the machine type.
 const MAX_BOOT_TIME_FACTOR: f64 = 2.6;
-/// The boot time of a machine type that is not known.
+/// The boot time assumed for an unknown machine type.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(60);
-/// Commands in a row without an answer after which a machine whose heartbeat is late
-/// is lost.
+/// The number of consecutive unanswered commands after which a machine with a late heartbeat is
+/// unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
-/// Machines probed at a time.
+/// Machines are probed only up to this number of direct commands in flight.
 const MAX_PROBES_IN_FLIGHT: usize = 64;
-/// Machines that answer nothing are lost only if there is at most one in so many: more may be out
-/// of this node's reach only, and come through a peer.
+/// Unresponsive machines count as lost only if there is at most one per this many machines. If more
+/// are unresponsive, they may be unreachable from this node only and return through a peer.
 const MIN_MACHINES_PER_UNRESPONSIVE: usize = 50;
-/// How long a peer is believed that hears a machine.
+/// The time for which a peer's report that it hears a machine is trusted.
 const PEER_COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Errors of tasks in a row after which a machine is removed.
+/// The number of consecutive task failures after which a machine is removed.
 const MAX_CONSECUTIVE_ERRORS: u32 = 3;
-/// Silent machines at the most in a zone that is not cut off.
+/// A zone with at most this many silent machines is never considered cut off.
 const MAX_SILENT_IN_REACHABLE_ZONE: u32 = 2;
 
-/// What one round of removals goes by.
-struct RemovalRules {
+/// The criteria for one round of removals.
+struct RemovalCriteria {
     now: Duration,
-    /// How long after the last one a heartbeat is late.
+    /// The time since the last heartbeat after which the next one is late.
     heartbeat_timeout: Duration,
-    /// How long a worker may take to be heard again after a response was lost.
+    /// The longest time until a worker is heard again after one lost response.
     failover_heartbeat_timeout: Duration,
     worker_lease: Duration,
-    /// Zones that fell silent as a whole.
+    /// The zones considered cut off from this node.
     cut_off_zones: BTreeSet<String>,
-    /// Few enough machines answer nothing that each counts as lost.
+    /// Whether unresponsive machines count as lost, because there are few of them.
     removes_unresponsive: bool,
 }
 
-impl RemovalRules {
+impl RemovalCriteria {
     fn new<'a>(
         machines: impl Iterator<Item = &'a Machine> + Clone,
         now: Duration,
         settings: &Settings,
     ) -> Self {
-        let mut rules = Self {
+        let mut criteria = Self {
             now,
             heartbeat_timeout: settings.heartbeat_timeout(),
             failover_heartbeat_timeout: settings.failover_heartbeat_timeout(),
@@ -56,43 +56,44 @@
             removes_unresponsive: false,
         };
         let was_up = machines.filter(|m| m.removal.is_none() && (m.confirmed || m.inventory.known_up));
-        rules.cut_off_zones = rules.find_cut_off_zones(was_up.clone());
-        let unresponsive = was_up.clone().filter(|machine| rules.is_unresponsive(machine)).count();
-        rules.removes_unresponsive = unresponsive * MIN_MACHINES_PER_UNRESPONSIVE <= was_up.count();
-        rules
+        criteria.cut_off_zones = criteria.find_cut_off_zones(was_up.clone());
+        let unresponsive = was_up.clone().filter(|machine| criteria.is_unresponsive(machine)).count();
+        criteria.removes_unresponsive = unresponsive * MIN_MACHINES_PER_UNRESPONSIVE <= was_up.count();
+        criteria
     }
 
-    /// Zones in which more than half of the machines don't reach this node.
+    /// Returns the zones in which more than half of the machines do not reach this node.
     fn find_cut_off_zones<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> BTreeSet<String> {
         #[derive(Default)]
         struct ZoneCount {
             silent: u32,
-            all: u32,
+            total: u32,
         }
         let mut zones: HashMap<&str, ZoneCount> = HashMap::new();
         for machine in machines {
             let count = zones.entry(&machine.pool.zone).or_default();
-            count.silent +=
-                u32::from(self.since(machine.heartbeat_times.last_direct_at) > self.heartbeat_timeout);
-            count.all += 1;
+            count.silent += u32::from(
+                self.elapsed_since(machine.heartbeat_times.last_direct_at) > self.heartbeat_timeout,
+            );
+            count.total += 1;
         }
         let is_cut_off =
-            |count: &ZoneCount| count.silent > MAX_SILENT_IN_REACHABLE_ZONE && count.silent * 2 > count.all;
+            |count: &ZoneCount| count.silent > MAX_SILENT_IN_REACHABLE_ZONE && count.silent * 2 > count.total;
         let cut_off = zones.into_iter().filter(|(_, count)| is_cut_off(count));
         cut_off.map(|(zone, _)| zone.to_string()).collect()
     }
 
-    fn since(&self, at: Duration) -> Duration {
+    fn elapsed_since(&self, at: Duration) -> Duration {
         self.now.saturating_sub(at)
     }
 
-    /// Whether the machine's heartbeat is late and it does not answer commands either.
+    /// Returns whether the machine's heartbeat is late and it has not answered commands either.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         machine.commands.unanswered >= MAX_UNANSWERED_COMMANDS
-            && self.since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
+            && self.elapsed_since(machine.heartbeat_times.last_heard_at) > self.heartbeat_timeout
     }
 
-    /// Why the machine must go, if it must.
+    /// Returns the reason to remove the machine, if there is one.
     fn removal_reason(&self, machine: &Machine, boot_time: Duration) -> Option<RemovalReason> {
         let is_cut_off = self.cut_off_zones.contains(&machine.pool.zone);
         let max_silence = if is_cut_off {
@@ -100,20 +101,23 @@
         } else {
             self.failover_heartbeat_timeout
         };
-        let silence = self.since(machine.heartbeat_times.last_heard_at);
-        // A machine that was rented before a new leader came never reports to
-        // it: only silence tells, not the time for a boot.
+        let silence = self.elapsed_since(machine.heartbeat_times.last_heard_at);
+        // The boot time applies only to machines that have never been up. One that failed before
+        // this leader's term never reports to it, and is judged by its silence alone.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
             let max_boot_time = boot_time.mul_f64(MAX_BOOT_TIME_FACTOR);
-            let is_late = self.since(machine.rented_at) > max_boot_time && silence > max_silence;
+            let is_late = self.elapsed_since(machine.rented_at) > max_boot_time && silence > max_silence;
             return is_late.then_some(RemovalReason::BootTimeout);
         }
         let is_lost = !is_cut_off && self.removes_unresponsive && self.is_unresponsive(machine);
-        // Its silence is this node's link's and not its own, for as long as its lease may last.
-        let is_heard_by_peer =
-            machine.heartbeat_times.heard_by_peer_at.is_some_and(|at| self.since(at) < PEER_COVERAGE_TIMEOUT);
-        let is_spared = is_heard_by_peer && silence < max_silence + self.worker_lease;
-        if (silence > max_silence || is_lost) && !is_spared {
+        // If a peer hears the machine, the link to this node has failed and not the machine. This
+        // excuses the silence for one more worker lease.
+        let is_heard_by_peer = machine
+            .heartbeat_times
+            .heard_by_peer_at
+            .is_some_and(|at| self.elapsed_since(at) < PEER_COVERAGE_TIMEOUT);
+        let is_excused = is_heard_by_peer && silence < max_silence + self.worker_lease;
+        if (silence > max_silence || is_lost) && !is_excused {
             Some(RemovalReason::HeartbeatTimeout)
         } else if machine.is_unlisted() && silence > self.heartbeat_timeout.max(max_silence / 2) {
             Some(RemovalReason::NotInInventory)
@@ -126,22 +130,22 @@
 }
 
 impl Fleet {
-    /// Marks machines that must go, and returns how many: silent ones, ones that never came up,
-    /// ones that fail everything.
+    /// Marks the machines to be removed, and returns how many were marked: silent machines,
+    /// machines that did not come up, and machines on which tasks fail repeatedly.
     ///
-    /// A zone that falls silent at once is cut off rather than broken: its
-    /// machines may be heard through a peer soon. They are given until their
-    /// leases have expired and half of what others would need to boot.
+    /// If most machines of a zone fall silent, the zone is probably cut off and its machines may
+    /// soon be heard through a peer. They are kept until their leases have expired and half the
+    /// boot time of a replacement has passed.
     ///
-    /// A machine whose heartbeat is late was probed: without an answer to
-    /// that it is lost, long before a lost response to a heartbeat would excuse it.
+    /// Machines with late heartbeats are probed with direct commands. A machine that does not
+    /// answer them is lost long before the time allowed for recovery from a lost response is over.
     pub fn mark_for_removal(&mut self, now: Duration, settings: &Settings) -> usize {
-        let rules = RemovalRules::new(self.machines.values(), now, settings);
+        let criteria = RemovalCriteria::new(self.machines.values(), now, settings);
         let mut marked = 0;
         for machine in self.machines.values_mut().filter(|machine| machine.removal.is_none()) {
             let machine_type = self.machine_types.get(&machine.pool.machine_type);
             let boot_time = machine_type.map_or(DEFAULT_BOOT_TIME, |found| found.boot_time);
-            if let Some(reason) = rules.removal_reason(machine, boot_time) {
+            if let Some(reason) = criteria.removal_reason(machine, boot_time) {
                 machine.removal = Some(reason);
                 marked += 1;
             }
@@ -149,20 +153,20 @@
         marked
     }
 
-    /// Marks machines that have been silent for longer than `max_silence`, in which their leases
-    /// have expired; `only_minority`: none if they are more than half.
+    /// Marks machines that have been silent for longer than `max_silence`, a time within which
+    /// their leases expire. If `only_minority` is set, marks none when more than half are silent.
     pub fn mark_silent_beyond_lease(&mut self, now: Duration, max_silence: Duration, only_minority: bool) {
-        let is_there = |machine: &Machine| {
+        let was_up = |machine: &Machine| {
             machine.removal.is_none() && (machine.last_heartbeat_id.is_some() || machine.inventory.known_up)
         };
         let is_silent = |machine: &Machine| {
-            let last_sign_at = machine.heartbeat_times.last_heard_at.max(machine.heartbeat_times.last_new_at);
-            is_there(machine) && now.saturating_sub(last_sign_at) > max_silence
+            let last_seen_at = machine.heartbeat_times.last_heard_at.max(machine.heartbeat_times.last_new_at);
+            was_up(machine) && now.saturating_sub(last_seen_at) > max_silence
         };
         let count = |matches: &dyn Fn(&Machine) -> bool| {
             self.machines.values().filter(|machine| matches(machine)).count()
         };
-        if only_minority && count(&is_silent) * 2 > count(&is_there) {
+        if only_minority && count(&is_silent) * 2 > count(&was_up) {
             return;
         }
         for machine in self.machines.values_mut().filter(|machine| is_silent(machine)) {
@@ -170,8 +174,8 @@
         }
     }
 
-    /// Machines whose heartbeat is later than `heartbeat_timeout` and that are to be probed: not
-    /// too many at a time, and only those for which `is_own` holds.
+    /// Returns the machines to probe: those whose last heartbeat is older than `heartbeat_timeout`
+    /// and for which `is_own` holds, limited by the number of commands in flight.
     pub fn machines_to_probe(
         &self,
         now: Duration,
--- a/crates/plankhead-core/src/placement/backfill.rs
+++ b/crates/plankhead-core/src/placement/backfill.rs
@@ -1,9 +1,9 @@
-//! EASY backfilling on machines: the first task that finds no room gets a
-//! reservation, and later ones may start only where they do not delay it.
+//! EASY backfilling on machines: the first task that finds no room gets a reservation, and later
+//! tasks may start only where they do not delay it.
 //!
-//! With hundreds of machines and thousands of tasks, a pass must not look at
-//! every machine for every job: it keeps the machines with room apart, and asks
-//! when a busy one opens only for a task that would have to fetch its image.
+//! With hundreds of machines and thousands of tasks, a pass must not examine every machine for
+//! every job. It keeps a list of the machines with room, and computes when busy machines will have
+//! room only for tasks that would have to fetch their image and for reservations.
 
 pub use crate::placement::slot::{Running, Slot};
 
@@ -13,28 +13,30 @@
 use crate::placement::reservation::Reservation;
 use std::time::Duration;
 
-/// A task that waits for a machine does so for this long at least.
+/// The minimum delay of a task that waits for a machine.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Tasks that one job may start before the next team's turn.
+/// The number of tasks that one job may start before the next team's turn.
 const MAX_TASKS_PER_TURN: u32 = 4;
 
-/// A decision: one task of the work on the slot.
+/// A placement decision for one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Start {
-    /// The place of the work in the pass's list.
+    /// The index of the task's work in the pass's list.
     pub work_index: usize,
-    /// The place of the slot in the pass's list.
+    /// The index of the slot in the pass's list.
     pub slot_index: usize,
-    /// Later than the pass: the task waits for the machine, which has its image.
+    /// When the task starts. If later than the pass, the task waits for the machine, which already
+    /// has its image.
     pub at: Duration,
 }
 
-/// One pass over the queue: what may start now, and what waits for a machine.
+/// Runs one pass over the queue, and returns the tasks that start now or wait for a machine.
 pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     pass_up_to(now, slots, work, teams, usize::MAX)
 }
 
-/// A pass that ends after `max_starts` starts now, those whose turn it was first.
+/// Runs a pass that ends after `max_starts` tasks that start now, in the order of their turns. Only
+/// a gang that is the first to start may exceed the limit.
 pub fn pass_up_to(
     now: Duration,
     slots: &mut [Slot],
@@ -47,29 +49,29 @@
     while let Some(index) = queue.next(pass.work, pass.teams) {
         for _ in 0..MAX_TASKS_PER_TURN {
             match pass.serve(index) {
-                Served::Placed => {}
-                Served::TurnOver => break,
-                Served::Blocked => {
+                ServeOutcome::Placed => {}
+                ServeOutcome::TurnEnded => break,
+                ServeOutcome::Blocked => {
                     queue.skip(pass.work, index);
                     break;
                 }
-                Served::PassOver => return pass.starts,
+                ServeOutcome::PassEnded => return pass.starts,
             }
         }
     }
     pass.starts
 }
 
-/// What became of one step of a work's turn.
-enum Served {
-    /// A task was placed; the turn goes on.
+/// The result of trying to place a task or a gang.
+enum ServeOutcome {
+    /// A task was placed, and the turn continues.
     Placed,
-    /// Nothing more is to be placed in this turn.
-    TurnOver,
-    /// Nothing more of the work can be placed in this pass.
+    /// The turn is over, because a gang was placed or nothing is pending.
+    TurnEnded,
+    /// No further task of the work can be placed in this pass.
     Blocked,
-    /// The pass has started as much as it may.
-    PassOver,
+    /// The pass is over, because it has reached its limit on starts.
+    PassEnded,
 }
 
 /// The state of a pass.
@@ -79,15 +81,15 @@
     work: &'a mut [Work],
     teams: &'a mut [TeamUsage],
     max_starts: usize,
-    /// Starts now, without those that wait.
+    /// The number of tasks that start now, without those that wait for a machine.
     started: usize,
     starts: Vec<Start>,
-    /// The least that any pending task takes of each resource.
+    /// The smallest amount of each resource that any pending task takes.
     smallest_demand: Resources,
-    /// The machines that have room for some task.
-    room: Vec<usize>,
-    /// The most that was free of each resource on any of them.
-    widest_room: Resources,
+    /// The indices of the slots that have room for the smallest demand.
+    open_slots: Vec<usize>,
+    /// The largest amount of each resource that was free on one of these slots at the start.
+    max_free: Resources,
     reservation: Option<Reservation>,
 }
 
@@ -100,10 +102,10 @@
         max_starts: usize,
     ) -> Self {
         let smallest_demand = smallest_demand(work);
-        let room: Vec<usize> =
+        let open_slots: Vec<usize> =
             (0..slots.len()).filter(|index| has_room(&slots[*index], now, &smallest_demand)).collect();
-        let widest_room = widest_room(slots, &room);
-        let reservation = Reservation::for_starved(slots, work, teams, now);
+        let max_free = max_free(slots, &open_slots);
+        let reservation = Reservation::for_starving_work(slots, work, teams, now);
         Self {
             now,
             slots,
@@ -113,23 +115,23 @@
             started: 0,
             starts: Vec::new(),
             smallest_demand,
-            room,
-            widest_room,
+            open_slots,
+            max_free,
             reservation,
         }
     }
 
-    /// Places one task of the work, or its gang.
-    fn serve(&mut self, index: usize) -> Served {
+    /// Tries to place one task of the work, or all of its tasks if it is a gang.
+    fn serve(&mut self, index: usize) -> ServeOutcome {
         if self.started >= self.max_starts {
-            return Served::PassOver;
+            return ServeOutcome::PassEnded;
         }
         let work = &self.work[index];
         if work.pending == 0 {
-            return Served::TurnOver;
+            return ServeOutcome::TurnEnded;
         }
         if !self.teams[work.team].admits_all(&work.demand, work.min_simultaneous()) {
-            return Served::Blocked;
+            return ServeOutcome::Blocked;
         }
         if work.gang {
             self.place_gang(index)
@@ -138,12 +140,13 @@
         }
     }
 
-    fn place_task(&mut self, index: usize) -> Served {
+    fn place_task(&mut self, index: usize) -> ServeOutcome {
         let work = &self.work[index];
-        let room = self.room_for(work);
+        let candidates = self.candidate_slots(work);
         let chooser = self.chooser(index);
-        let elsewhere = chooser.best_slot(room, work);
-        let found = elsewhere.or_else(|| self.breaking_chooser(index)?.best_slot(room, work));
+        let without_delay = chooser.best_slot(candidates, work);
+        let found =
+            without_delay.or_else(|| self.chooser_ignoring_reservation(index)?.best_slot(candidates, work));
         let Some(chosen) = found else { return self.block(index) };
         let used = match chooser.opening_before_fetch(work, chosen) {
             Some(opening) => {
@@ -157,20 +160,21 @@
             }
         };
         if !has_room(&self.slots[used], self.now, &self.smallest_demand) {
-            self.room.retain(|slot| *slot != used);
+            self.open_slots.retain(|slot| *slot != used);
         }
-        Served::Placed
+        ServeOutcome::Placed
     }
 
-    fn place_gang(&mut self, index: usize) -> Served {
+    fn place_gang(&mut self, index: usize) -> ServeOutcome {
         let work = &self.work[index];
-        let room = self.room_for(work);
+        let candidates = self.candidate_slots(work);
         let chooser = self.chooser(index);
-        let elsewhere = chooser.gang_slots(room, work);
-        let found = elsewhere.or_else(|| self.breaking_chooser(index)?.gang_slots(room, work));
+        let without_delay = chooser.gang_slots(candidates, work);
+        let found =
+            without_delay.or_else(|| self.chooser_ignoring_reservation(index)?.gang_slots(candidates, work));
         let Some(chosen) = found else { return self.block(index) };
         if self.started > 0 && self.started + chosen.len() > self.max_starts {
-            return Served::PassOver;
+            return ServeOutcome::PassEnded;
         }
         match chooser.gang_opening_before_fetch(work, &chosen) {
             Some(opening) => {
@@ -188,43 +192,43 @@
             }
         }
         let (slots, now, smallest_demand) = (&*self.slots, self.now, &self.smallest_demand);
-        self.room.retain(|slot| has_room(&slots[*slot], now, smallest_demand));
-        Served::TurnOver
+        self.open_slots.retain(|slot| has_room(&slots[*slot], now, smallest_demand));
+        ServeOutcome::TurnEnded
     }
 
-    /// The machines that may have room for the work. What does not fit into the widest room fits
-    /// nowhere, and machines only fill up in a pass: a queue of wide tasks is not compared with
-    /// every small gap.
-    fn room_for(&self, work: &Work) -> &[usize] {
-        if work.demand.fits(&self.widest_room) {
-            &self.room
+    /// Returns the slots that may have room for the work. A demand that exceeds `max_free` fits
+    /// nowhere, because machines only fill up during a pass. This saves comparing a queue of large
+    /// tasks with every small gap.
+    fn candidate_slots(&self, work: &Work) -> &[usize] {
+        if work.demand.fits(&self.max_free) {
+            &self.open_slots
         } else {
             &[]
         }
     }
 
-    /// The machines as this work may use them.
+    /// Returns a chooser for this work, which must not delay a reservation for other work.
     fn chooser(&self, index: usize) -> Chooser<'_> {
-        let reservation = self.reservation.as_ref().filter(|reservation| reservation.binds(index));
+        let reservation = self.reservation.as_ref().filter(|reservation| reservation.applies_to(index));
         Chooser { slots: self.slots, now: self.now, reservation }
     }
 
-    /// The machines without regard to the reservation, if this work may break it.
-    fn breaking_chooser(&self, index: usize) -> Option<Chooser<'_>> {
+    /// Returns a chooser that ignores the reservation, if this work may break it.
+    fn chooser_ignoring_reservation(&self, index: usize) -> Option<Chooser<'_>> {
         let chooser = self.chooser(index);
-        let may_break = chooser.reservation?.yields_to(self.work[index].priority);
+        let may_break = chooser.reservation?.may_be_broken_by(self.work[index].priority);
         may_break.then_some(Chooser { reservation: None, ..chooser })
     }
 
-    /// Nothing more of the work finds room: it gets the reservation if there is none yet.
-    fn block(&mut self, index: usize) -> Served {
+    /// Handles work without room: reserves room for it if the pass has no reservation yet.
+    fn block(&mut self, index: usize) -> ServeOutcome {
         if self.reservation.is_none() {
             self.reservation = Reservation::first_possible(self.slots, &self.work[index], self.now);
         }
-        Served::Blocked
+        ServeOutcome::Blocked
     }
 
-    /// Starts a task of the work on the slot now.
+    /// Starts a task of the work on the slot at once.
     fn start_now(&mut self, index: usize, slot: usize) {
         let work = &mut self.work[index];
         self.slots[slot].start_task(self.now, work);
@@ -235,7 +239,7 @@
         self.started += 1;
     }
 
-    /// Holds room for a task of the work that waits until `at` for the slot, which has its image.
+    /// Reserves room for a task of the work that waits until `at` for the slot, which has its image.
     fn start_later(&mut self, index: usize, slot: usize, at: Duration) {
         let at = at.max(self.now + MIN_WAIT);
         self.slots[slot].reserve_task(at, &self.work[index]);
@@ -243,26 +247,26 @@
     }
 }
 
-/// Whether the machine takes tasks now and has room for the smallest.
+/// Returns whether the machine accepts tasks now and has room for the smallest demand.
 fn has_room(slot: &Slot, now: Duration, smallest_demand: &Resources) -> bool {
     slot.ready_at <= now && smallest_demand.fits(&slot.free)
 }
 
-/// The least that any pending task takes of each resource.
+/// Returns the smallest amount of each resource that any pending task takes.
 fn smallest_demand(work: &[Work]) -> Resources {
     let none = Resources { cpus: f64::MAX, gpus: f64::MAX, ram_gb: f64::MAX };
-    work.iter().filter(|work| work.pending > 0).fold(none, |least, work| Resources {
-        cpus: least.cpus.min(work.demand.cpus),
-        gpus: least.gpus.min(work.demand.gpus),
-        ram_gb: least.ram_gb.min(work.demand.ram_gb),
+    work.iter().filter(|work| work.pending > 0).fold(none, |smallest, work| Resources {
+        cpus: smallest.cpus.min(work.demand.cpus),
+        gpus: smallest.gpus.min(work.demand.gpus),
+        ram_gb: smallest.ram_gb.min(work.demand.ram_gb),
     })
 }
 
-/// The most that is free of each resource on any of these machines.
-fn widest_room(slots: &[Slot], room: &[usize]) -> Resources {
-    room.iter().map(|index| &slots[*index].free).fold(Resources::default(), |widest, free| Resources {
-        cpus: widest.cpus.max(free.cpus),
-        gpus: widest.gpus.max(free.gpus),
-        ram_gb: widest.ram_gb.max(free.ram_gb),
+/// Returns the largest amount of each resource that is free on one of these slots.
+fn max_free(slots: &[Slot], open_slots: &[usize]) -> Resources {
+    open_slots.iter().map(|index| &slots[*index].free).fold(Resources::default(), |largest, free| Resources {
+        cpus: largest.cpus.max(free.cpus),
+        gpus: largest.gpus.max(free.gpus),
+        ram_gb: largest.ram_gb.max(free.ram_gb),
     })
 }
--- a/crates/plankhead-core/src/placement/choose.rs
+++ b/crates/plankhead-core/src/placement/choose.rs
@@ -1,4 +1,4 @@
-//! Which machine a task, or which machines a gang, should take.
+//! Chooses the machine for a task, or the machines for a gang.
 
 use crate::placement::fair_share::Work;
 use crate::placement::gang::{self, GangOpening};
@@ -7,27 +7,28 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// How well a machine serves a task; the least is the best.
+/// The rank of a machine for a task; the smallest score is the best.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Score {
-    /// How long the task would wait for its image.
+    /// The time for which the task would wait for its image.
     fetch_time: Duration,
-    /// The machine's price as the work sees it.
+    /// The machine's effective price for the work.
     price: f64,
-    /// The fullest machine first, so that others can go back.
+    /// The machine's free CPUs. The fullest machine is preferred, so that others become empty and
+    /// can be returned to the cloud.
     free_cpus: f64,
 }
 
-/// A machine that could take tasks of a gang now.
+/// A machine on which tasks of a gang could start now.
 struct GangCandidate {
     slot: usize,
-    /// How many of the gang's tasks it could take.
+    /// The number of the gang's tasks that could start on it.
     max_tasks: u32,
     score: Score,
 }
 
 impl GangCandidate {
-    /// As for one task, but the machine that takes the most tasks before the fullest.
+    /// Orders candidates by score, but prefers machines that take more tasks to fuller ones.
     fn compare(&self, other: &Self) -> Ordering {
         let (a, b) = (&self.score, &other.score);
         a.fetch_time
@@ -41,20 +42,20 @@
 
 /// Machines for all tasks of a gang.
 struct GangChoice {
-    /// When the last image would be there.
-    last_fetch: Duration,
+    /// The longest image fetch time among the machines.
+    max_fetch_time: Duration,
     machines: usize,
-    /// One entry a task.
+    /// The slot of each task.
     slots: Vec<usize>,
 }
 
-/// When a busy machine has room for a task.
+/// The first time at which a busy machine has room for a task.
 pub(super) struct Opening {
     pub(super) at: Duration,
     pub(super) slot: usize,
 }
 
-/// The machines at one moment of a pass, with the reservation that binds the work.
+/// The slots in the current state of a pass, with the reservation that the work must not delay.
 #[derive(Clone, Copy)]
 pub(super) struct Chooser<'a> {
     pub(super) slots: &'a [Slot],
@@ -63,53 +64,53 @@
 }
 
 impl Chooser<'_> {
-    /// The best machine for one task now: the image is there, or comes soonest; then
-    /// the cheapest, or the dearest for a task that must not be lost; then the
-    /// fullest, so that others can go back. `room` names the machines that
-    /// may have some.
-    pub(super) fn best_slot(&self, room: &[usize], work: &Work) -> Option<usize> {
+    /// Returns the best machine on which one task can start now: the one with the shortest image
+    /// fetch time, then the lowest effective price, then the fewest free CPUs, so that other
+    /// machines become empty and can be returned. `open_slots` lists the slots that may have room.
+    pub(super) fn best_slot(&self, open_slots: &[usize], work: &Work) -> Option<usize> {
         let mut best: Option<(usize, Score)> = None;
-        let mut fetch_times = FetchTimes::default();
-        for index in room {
+        let mut fetch_times = FetchTimeCache::default();
+        for index in open_slots {
             let slot = &self.slots[*index];
-            // Most slots have nothing kept on them: arrays don't pay for what gangs need.
-            let delays_reservation = || self.is_kept(*index) && self.max_starts(*index, work, 1) == 0;
+            // Few slots have reserved room. Counting tasks, which gangs need, is skipped for the others.
+            let delays_reservation = || self.is_reserved(*index) && self.max_starts(*index, work, 1) == 0;
             if !work.demand.fits(&slot.free) || !slot.suits(work) || delays_reservation() {
                 continue;
             }
             let score = Score {
-                fetch_time: fetch_times.on(slot, work),
+                fetch_time: fetch_times.get(slot, work),
                 price: work.effective_price(slot.price, self.now),
                 free_cpus: slot.free.cpus,
             };
-            if best.as_ref().is_none_or(|(_, least)| score < *least) {
+            if best.as_ref().is_none_or(|(_, lowest)| score < *lowest) {
                 best = Some((*index, score));
             }
         }
         best.map(|(index, _)| index)
     }
 
-    /// Machines for all tasks of a gang now, one entry a task: in one zone where asked,
-    /// and of the zones the one where the last image comes soonest. Within a zone as
-    /// [`Self::best_slot`], and as many as possible on a machine: the loss of any one breaks all.
-    pub(super) fn gang_slots(&self, room: &[usize], work: &Work) -> Option<Vec<usize>> {
-        let candidates = self.gang_candidates(room, work);
+    /// Returns the slot of each task of a gang that can start now. A gang that must be in a single
+    /// zone gets the zone with the shortest wait for its last image, then the one that needs the
+    /// fewest machines. Machines are ranked as in [`Self::best_slot`], but ones that take more tasks
+    /// come before fuller ones: the loss of any machine stops the whole gang, so fewer are better.
+    pub(super) fn gang_slots(&self, open_slots: &[usize], work: &Work) -> Option<Vec<usize>> {
+        let candidates = self.gang_candidates(open_slots, work);
         let mut best: Option<GangChoice> = None;
         let zones = gang::zones_to_try(self.slots, candidates.iter().map(|c| c.slot), work);
         for zone in zones {
             let Some(choice) = self.choose_in_zone(&candidates, work, zone) else { continue };
-            let rank = |choice: &GangChoice| (choice.last_fetch, choice.machines);
-            if best.as_ref().is_none_or(|least| rank(&choice) < rank(least)) {
+            let rank = |choice: &GangChoice| (choice.max_fetch_time, choice.machines);
+            if best.as_ref().is_none_or(|lowest| rank(&choice) < rank(lowest)) {
                 best = Some(choice);
             }
         }
         best.map(|choice| choice.slots)
     }
 
-    /// The machines that could take tasks of the gang now, the best first.
-    fn gang_candidates(&self, room: &[usize], work: &Work) -> Vec<GangCandidate> {
+    /// Returns the machines on which tasks of the gang could start now, the best first.
+    fn gang_candidates(&self, open_slots: &[usize], work: &Work) -> Vec<GangCandidate> {
         let mut candidates = Vec::new();
-        for index in room {
+        for index in open_slots {
             let slot = &self.slots[*index];
             if !slot.suits(work) {
                 continue;
@@ -128,55 +129,57 @@
         candidates
     }
 
-    /// The first candidates in the zone, or in all, that take the whole gang.
+    /// Assigns the gang's tasks to the first candidates in the zone, or in all zones if `None`.
+    /// Returns `None` if they do not have room for the whole gang.
     fn choose_in_zone(
         &self,
         candidates: &[GangCandidate],
         work: &Work,
         zone: Option<usize>,
     ) -> Option<GangChoice> {
-        let mut left = work.clone();
-        let mut choice = GangChoice { last_fetch: Duration::ZERO, machines: 0, slots: Vec::new() };
+        let mut remaining = work.clone();
+        let mut choice = GangChoice { max_fetch_time: Duration::ZERO, machines: 0, slots: Vec::new() };
         for candidate in candidates {
             let slot = &self.slots[candidate.slot];
-            if zone.is_some_and(|zone| zone != slot.zone) || left.pending == 0 {
+            if zone.is_some_and(|zone| zone != slot.zone) || remaining.pending == 0 {
                 continue;
             }
-            let pending_before = left.pending;
+            let pending_before = remaining.pending;
             for _ in 0..candidate.max_tasks {
-                if left.pending > 0 && left.admits_zone(slot.zone) {
-                    left.pending -= 1;
-                    left.add_to_zone(slot.zone);
+                if remaining.pending > 0 && remaining.admits_zone(slot.zone) {
+                    remaining.pending -= 1;
+                    remaining.add_to_zone(slot.zone);
                     choice.slots.push(candidate.slot);
                 }
             }
-            if left.pending < pending_before {
+            if remaining.pending < pending_before {
                 choice.machines += 1;
-                choice.last_fetch = choice.last_fetch.max(candidate.score.fetch_time);
+                choice.max_fetch_time = choice.max_fetch_time.max(candidate.score.fetch_time);
             }
         }
-        (left.pending == 0).then_some(choice)
+        (remaining.pending == 0).then_some(choice)
     }
 
-    /// How many tasks of the work, `max_tasks` at the most, may start on the slot without delaying
+    /// Returns how many tasks of the work, up to `max_tasks`, may start on the slot without delaying
     /// the reservation.
     fn max_starts(&self, index: usize, work: &Work, max_tasks: u32) -> u32 {
         let slot = &self.slots[index];
         let fitting = count_fitting(&work.demand, slot.free, max_tasks);
         let Some(reservation) = self.reservation else { return fitting };
-        let Some(kept) = reservation.kept_on(index) else { return fitting };
+        let Some(reserved) = reservation.reserved_on(index) else { return fitting };
         if fitting == 0 || self.now + slot.fetch_time(work) + work.estimated_runtime <= reservation.at {
             return fitting;
         }
-        let mut left = slot.free_at(reservation.at);
-        left.sub(kept);
-        fitting.min(count_fitting(&work.demand, left, max_tasks))
+        let mut remaining = slot.free_at(reservation.at);
+        remaining.sub(reserved);
+        fitting.min(count_fitting(&work.demand, remaining, max_tasks))
     }
 
-    /// A busy machine with the image that opens before the fetch on `chosen` would
-    /// end, and when. Not one on which room is kept for others: a task that had been kept off
-    /// an idle machine waited for just that one, pass after pass, so that neither it nor the
-    /// gang that the machine was kept for began for a minute.
+    /// Returns the busy machine with the image that first has room for a task, and when, if that is
+    /// before the image fetch on `chosen` would end. Machines with room reserved for other work are
+    /// excluded: a task that such a reservation kept off an idle machine used to wait for that same
+    /// machine in every pass, so that neither the task nor the gang with the reservation started
+    /// for a minute.
     pub(super) fn opening_before_fetch(&self, work: &Work, chosen: usize) -> Option<Opening> {
         let fetch_time = self.slots[chosen].fetch_time(work);
         if fetch_time.is_zero() {
@@ -184,7 +187,7 @@
         }
         let mut best: Option<Opening> = None;
         for (index, slot) in self.slots.iter().enumerate() {
-            if !slot.images.contains(&work.image) || !slot.suits(work) || self.is_kept(index) {
+            if !slot.images.contains(&work.image) || !slot.suits(work) || self.is_reserved(index) {
                 continue;
             }
             let until = best.as_ref().map_or(self.now + fetch_time, |opening| opening.at);
@@ -195,48 +198,50 @@
         best
     }
 
-    /// Busy machines with the image that open for a whole gang in time, and when, where
-    /// the fetches on `chosen` would make it late. Tasks overrun their estimates, and a gang needs
-    /// several of them to end: one that waited for the sake of a fetch alone, pass after
-    /// pass, began after 27 s instead of 7.
+    /// Returns the busy machines with the image that first have room for the whole gang, and when,
+    /// if that is by the gang's latest start and the image fetches on `chosen` would end after it.
+    /// Otherwise the gang does not wait: tasks overrun their estimates, and a gang needs several of
+    /// them to end. A gang that waited in every pass only to avoid a fetch started after 27 s
+    /// instead of 7 s.
     pub(super) fn gang_opening_before_fetch(&self, work: &Work, chosen: &[usize]) -> Option<GangOpening> {
         let fetch_time = chosen.iter().map(|index| self.slots[*index].fetch_time(work)).max()?;
         if self.now + fetch_time <= work.latest_start {
             return None;
         }
         let is_candidate =
-            |index: usize| self.slots[index].images.contains(&work.image) && !self.is_kept(index);
+            |index: usize| self.slots[index].images.contains(&work.image) && !self.is_reserved(index);
         gang::first_opening(self.slots, work, self.now, is_candidate)
             .filter(|opening| opening.at <= work.latest_start)
     }
 
-    /// Whether room on the machine is kept for others.
-    fn is_kept(&self, slot: usize) -> bool {
-        self.reservation.is_some_and(|reservation| reservation.kept_on(slot).is_some())
+    /// Returns whether room on the slot is reserved for other work.
+    fn is_reserved(&self, slot: usize) -> bool {
+        self.reservation.is_some_and(|reservation| reservation.reserved_on(slot).is_some())
     }
 }
 
-/// The fetch time of one image on machines that are mostly alike, computed once for
-/// neighbours that are.
+/// Caches the latest computed fetch time of one image. Consecutive slots are often alike, so their
+/// fetch time is computed only once.
 #[derive(Debug, Default)]
-struct FetchTimes {
-    last: Option<FetchTime>,
+struct FetchTimeCache {
+    last: Option<CachedFetchTime>,
 }
 
 #[derive(Debug)]
-struct FetchTime {
+struct CachedFetchTime {
     fetches_in_progress: u32,
     image_fetch_gb_per_s: f64,
     time: Duration,
 }
 
-impl FetchTimes {
-    /// How long a task of the work, always the same, would wait for its image on the slot.
-    fn on(&mut self, slot: &Slot, work: &Work) -> Duration {
+impl FetchTimeCache {
+    /// Returns the time for which a task of the work would wait for its image on the slot. All calls
+    /// on one instance must be for the same work.
+    fn get(&mut self, slot: &Slot, work: &Work) -> Duration {
         if slot.has_image(work) {
             return Duration::ZERO;
         }
-        let is_alike = |last: &&FetchTime| {
+        let is_alike = |last: &&CachedFetchTime| {
             last.fetches_in_progress == slot.fetches_in_progress
                 && last.image_fetch_gb_per_s == slot.image_fetch_gb_per_s
         };
@@ -244,7 +249,7 @@
             return last.time;
         }
         let time = slot.uncached_fetch_time(work);
-        self.last = Some(FetchTime {
+        self.last = Some(CachedFetchTime {
             fetches_in_progress: slot.fetches_in_progress,
             image_fetch_gb_per_s: slot.image_fetch_gb_per_s,
             time,
--- a/crates/plankhead-core/src/placement/gang.rs
+++ b/crates/plankhead-core/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! When and where machines open for a whole gang.
+//! Finds when and where there will be room for a whole gang.
 
 use crate::placement::fair_share::Work;
 use crate::placement::slot::Slot;
@@ -6,20 +6,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Some of a gang's tasks on one machine.
+/// A number of tasks of a gang on one machine.
 pub(super) struct SlotTasks {
     pub(super) slot: usize,
     pub(super) count: u32,
 }
 
-/// The first moment at which there is room for a whole gang.
+/// The first time at which there is room for a whole gang.
 pub(super) struct GangOpening {
     pub(super) at: Duration,
-    /// How many of its tasks each machine takes.
+    /// The tasks that each machine takes at that time.
     pub(super) tasks: Vec<SlotTasks>,
 }
 
-/// The zones to try a gang in, one by one; None: all at once.
+/// Returns the zones in which to try the gang, one after the other; a `None` entry stands for all
+/// zones together.
 pub(super) fn zones_to_try(
     slots: &[Slot],
     candidates: impl Iterator<Item = usize>,
@@ -32,8 +33,8 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// The first moment at which there is room for a whole gang on machines for which `is_candidate`
-/// holds.
+/// Returns the first time at which there is room for a whole gang on machines for which
+/// `is_candidate` holds, if nothing else starts until then.
 pub(super) fn first_opening(
     slots: &[Slot],
     work: &Work,
@@ -45,50 +46,50 @@
     for zone in zones_to_try(slots, (0..slots.len()).filter(may_serve), work) {
         let in_zone = |index: &usize| zone.is_none_or(|zone| slots[*index].zone == zone);
         let candidates: Vec<usize> = (0..slots.len()).filter(may_serve).filter(in_zone).collect();
-        let moments = moments_of_change(slots, &candidates, now);
-        let is_enough = |at: Duration| allot(slots, &candidates, work, at).is_some();
-        let first = moments.partition_point(|at| !is_enough(*at));
-        let Some(at) = moments.get(first).copied() else { continue };
+        let times = capacity_change_times(slots, &candidates, now);
+        let is_enough = |at: Duration| assign_tasks(slots, &candidates, work, at).is_some();
+        let first = times.partition_point(|at| !is_enough(*at));
+        let Some(at) = times.get(first).copied() else { continue };
         if best.as_ref().is_none_or(|opening| at < opening.at) {
-            best = allot(slots, &candidates, work, at).map(|tasks| GangOpening { at, tasks });
+            best = assign_tasks(slots, &candidates, work, at).map(|tasks| GangOpening { at, tasks });
         }
     }
     best
 }
 
-/// When one of these machines becomes ready or a task on it ends, in order.
-fn moments_of_change(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
+/// Returns the times at which one of these machines becomes ready or a task on it ends, in order.
+fn capacity_change_times(slots: &[Slot], candidates: &[usize], now: Duration) -> Vec<Duration> {
     let ends = candidates.iter().flat_map(|index| slots[*index].running.iter().map(|task| task.ends_at));
     let ready = candidates.iter().map(|index| slots[*index].ready_at);
-    let mut moments: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
-    moments.sort();
-    moments.dedup();
-    moments
+    let mut times: Vec<Duration> = ends.chain(ready).map(|at| at.max(now)).collect();
+    times.sort();
+    times.dedup();
+    times
 }
 
-/// How many tasks of the gang each of these machines would take at that time, those with the most
-/// room first; None if there is not room for all.
-fn allot(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
-    let mut left = work.clone();
-    let max_tasks = left.pending;
+/// Assigns all tasks of the gang to these machines as they will be at `at`, the machines with the
+/// most room first. Returns `None` if there is not enough room.
+fn assign_tasks(slots: &[Slot], candidates: &[usize], work: &Work, at: Duration) -> Option<Vec<SlotTasks>> {
+    let mut remaining = work.clone();
+    let max_tasks = remaining.pending;
     let mut order: Vec<SlotTasks> = candidates
         .iter()
         .map(|slot| SlotTasks { slot: *slot, count: slots[*slot].fits_by(&work.demand, at, max_tasks) })
         .filter(|fitting| fitting.count > 0)
         .collect();
     order.sort_by_key(|fitting| (Reverse(fitting.count), fitting.slot));
-    let mut allotted = Vec::new();
+    let mut assigned = Vec::new();
     for fitting in order {
         let zone = slots[fitting.slot].zone;
         let mut count = 0;
-        while count < fitting.count && left.pending > 0 && left.admits_zone(zone) {
-            left.pending -= 1;
-            left.add_to_zone(zone);
+        while count < fitting.count && remaining.pending > 0 && remaining.admits_zone(zone) {
+            remaining.pending -= 1;
+            remaining.add_to_zone(zone);
             count += 1;
         }
         if count > 0 {
-            allotted.push(SlotTasks { slot: fitting.slot, count });
+            assigned.push(SlotTasks { slot: fitting.slot, count });
         }
     }
-    (left.pending == 0).then_some(allotted)
+    (remaining.pending == 0).then_some(assigned)
 }
