--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -1,6 +1,8 @@
-//! The leader's intents: what it asks of the cloud becomes durable first, and what a
-//! former leader left open is finished. `plankhead-fencing` decides; this carries its
-//! decisions to the state service and the cloud.
+//! The leader's intents: its rentals and returns of machines.
+//!
+//! An intent is recorded in the state service before its request is sent to the cloud, and intents that
+//! former leaders left open are completed. The decisions are made in `plankhead-fencing`; this module
+//! carries them out.
 
 mod records;
 mod state;
@@ -18,12 +20,13 @@
 use state::{RefusedRental, ReturnRetry};
 use std::time::Duration;
 
-/// The pause before a return that failed is asked for again.
+/// The pause before a failed return is requested again.
 const RETURN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leader {
-    /// The one way to the cloud for whatever can't be taken back there. A repeat under the
-    /// same key with the same action is sent again.
+    /// Requests an action that can't be undone in the cloud; there is no other way to do so. Without
+    /// fencing the action is sent at once, otherwise once its intent is durable. An action that was
+    /// requested before under the same key is sent again. Returns false if the intent was not accepted.
     pub(super) fn request_cloud_action(
         &mut self,
         key: IdempotencyKey,
@@ -47,6 +50,7 @@
         }
     }
 
+    /// Sends an action if the fencing gate permits it.
     fn pass_gate(
         &mut self,
         key: &IdempotencyKey,
@@ -72,7 +76,7 @@
         effects.call_cloud(CallPurpose::Leader(self.token, leader_call), CloudRequest::Execute(permitted));
     }
 
-    /// Sends the intents that may go now.
+    /// Sends the actions of all intents that are ready.
     fn send_ready(&mut self, effects: &mut EffectSink) {
         for _ in 0..self.intents.ready.len() {
             let Some(key) = self.intents.ready.pop_front() else { return };
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Makes intents durable, and sends those that are.
+    /// Writes intents to the state service, and sends the actions of those that may be issued.
     pub(super) fn advance_intents(
         &mut self,
         times: StepTime,
@@ -104,8 +108,8 @@
         self.write_intents(now, evidence, effects);
     }
 
-    /// A cancelled task must be gone in time, also while the state service fails: a forced
-    /// return that could not be recorded just now is issued without its record.
+    /// Issues forced returns without their records if the state service has just failed to record them.
+    /// A cancelled task must be gone in time even while the state service fails.
     fn force_unrecorded_returns(
         &mut self,
         now: Duration,
@@ -134,6 +138,8 @@
         self.intents.log.forget_failures();
     }
 
+    /// Makes failed and adopted returns ready to be sent again, once they are due and within the request
+    /// budget.
     fn retry_returns(&mut self, now: Duration, evidence: LeaderEvidence) {
         if !evidence.lease_valid && !self.is_cloud_reachable(now) {
             return;
@@ -147,8 +153,11 @@
         }
     }
 
-    /// A rental that was refused may still be carried out from an earlier copy of its
-    /// request: only its name's success makes sure that no more machines come of it.
+    /// Retries refused rentals that are due, or abandons them once this leader's term has lasted for
+    /// `abandon_rental_after`.
+    ///
+    /// An earlier copy of a refused request may still be carried out. The cloud carries out each name at
+    /// most once, so only the success of a rental rules out that its name rents more machines later.
     fn retry_refused_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
         for refused in std::mem::take(&mut self.intents.refused_rentals) {
             let key = IdempotencyKey::new(&refused.rental.name);
@@ -163,7 +172,7 @@
         }
     }
 
-    /// An intent is over.
+    /// Records that an intent is confirmed or abandoned.
     fn end_intent(&mut self, key: &IdempotencyKey, final_state: IntentState, effects: &mut EffectSink) {
         let ended = match final_state {
             IntentState::Abandoned => self.intents.log.abandon(key),
@@ -174,15 +183,15 @@
         }
     }
 
-    /// The cloud has carried an intent out, or said that it never will.
+    /// Confirms an intent that the cloud has carried out, or that it will certainly never carry out.
     pub(super) fn confirm_intent(&mut self, key: &IdempotencyKey, effects: &mut EffectSink) {
         if self.intents.is_fenced() {
             self.end_intent(key, IntentState::Confirmed, effects);
         }
     }
 
-    /// The cloud had no machines for a rental. Where another copy of the request may be
-    /// under way, it stays open.
+    /// Handles the cloud's reply that it has no machines for a rental. The intent stays open, and the
+    /// rental is retried, if another copy of the request may still be under way.
     pub(super) fn rental_refused(&mut self, now: Duration, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let Some(intent) = self.intents.log.intent(&key) else { return };
@@ -193,20 +202,21 @@
         self.intents.refused_rentals.push(RefusedRental { due, rental });
     }
 
-    /// A return got no answer: it is asked for again, under the same key.
+    /// Schedules a failed or unanswered return to be requested again under the same key.
     pub(super) fn return_failed(&mut self, now: Duration, key: IdempotencyKey) {
         self.intents.return_retries.push(ReturnRetry { due: now + RETURN_RETRY_INTERVAL, key });
     }
 
-    /// Has machines returned to the cloud, as many of them as one return may name.
+    /// Returns machines to the cloud, up to the maximum number in one return. `force` states why the
+    /// return may be issued without its record.
     pub(super) fn return_machines(
         &mut self,
         leaving: &[LeavingMachine],
         force: Option<ReturnForce>,
         effects: &mut EffectSink,
     ) {
-        let surplus = leaving.iter().all(|machine| machine.reason == RemovalReason::Surplus);
-        let reason = if surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
+        let is_surplus = leaving.iter().all(|machine| machine.reason == RemovalReason::Surplus);
+        let reason = if is_surplus { ReturnReason::Surplus } else { ReturnReason::Reclaim };
         let machines: Vec<MachineName> = leaving.iter().map(|machine| machine.name.clone()).collect();
         let request = self.intents.machines_per_return(&machines, reason);
         let named = leaving.iter().take(request.machines.len());
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -1,5 +1,5 @@
-//! The records of intents: writing them, reading them again, and adopting those of former
-//! leaders.
+//! The stored records of intents: writing them, reading uncertain revisions again, and loading and
+//! adopting the intents of former leaders.
 
 use super::state::ReturnRetry;
 use crate::calls::LeaderCall;
@@ -13,18 +13,19 @@
 use plankhead_fencing::record::{self, PageId};
 use std::time::Duration;
 
-/// A failure to record an intent forces it through only while it is so fresh: a process
-/// that was paused after it asks again. The clock can only forbid here, never allow.
+/// The age, counted from the sending of the call, up to which a failure to record an intent permits a
+/// forced return. After a longer pause of the process, the leader must try to record the intent again.
+/// The limit can only forbid a forced return; elapsed time never permits one.
 const MAX_FAILURE_AGE: Duration = Duration::from_secs(3);
 
 impl Leader {
-    /// Reads again the revisions of pages whose write is in doubt.
+    /// Reads the revisions of pages for which the outcome of a write is unknown.
     pub(super) fn read_uncertain_pages(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.persistence.is_paused(now) {
             return;
         }
         for page in self.intents.log.uncertain_pages() {
-            if self.intents.reading.insert(page) {
+            if self.intents.pages_being_read.insert(page) {
                 self.call_kv(
                     LeaderCall::ReadIntents { page, sent: now },
                     KvRequest::Get { key: page.key() },
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Writes the intents that are due, within the write budget.
+    /// Writes the pages of intents that are due, within the write budget.
     pub(super) fn write_intents(
         &mut self,
         now: Duration,
@@ -42,7 +43,8 @@
         effects: &mut EffectSink,
     ) {
         let urgent = !self.intents.forced.is_empty();
-        // Without the lease a write would only fail, which a forced return must know.
+        // Without a valid lease the write would only fail, so it is attempted only if a forced return
+        // depends on that failure.
         if !evidence.lease_valid && !urgent || self.persistence.is_paused(now) {
             return;
         }
@@ -66,6 +68,7 @@
         self.call_kv(LeaderCall::WriteIntents { sent: now }, KvRequest::Txn { conditions, changes }, effects);
     }
 
+    /// Returns the conditions and changes of a transaction that writes these pages.
     fn intent_transaction(&self, pages: Vec<IntentPageWrite>) -> (Vec<Condition>, Vec<KvChange>) {
         let mut conditions = vec![self.leader_condition()];
         let mut changes = Vec::new();
@@ -80,7 +83,7 @@
         (conditions, changes)
     }
 
-    /// Takes in the reply to a write of intents that was sent at `sent`.
+    /// Handles the reply to a write of intents that was sent at `sent`.
     pub(in crate::leader) fn intents_written(
         &mut self,
         now: Duration,
@@ -88,7 +91,7 @@
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> TermStatus {
-        let fresh = now.saturating_sub(sent) < MAX_FAILURE_AGE;
+        let is_recent = now.saturating_sub(sent) < MAX_FAILURE_AGE;
         let outcome = match reply {
             Ok(KvReply::Committed { revision }) => WriteOutcome::Committed { revision },
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|key| key == election::KEY) => {
@@ -103,7 +106,7 @@
             self.persistence.pause(now);
         }
         let durable = self.intents.log.end_write(outcome);
-        if !fresh {
+        if !is_recent {
             self.intents.log.forget_failures();
         }
         self.intents.ready.extend(durable);
@@ -111,7 +114,7 @@
         TermStatus::Continues
     }
 
-    /// Takes in the reply to a reading of a page's revision that was sent at `sent`.
+    /// Handles the reply to a read of a page's revision that was sent at `sent`.
     pub(in crate::leader) fn intents_reread(
         &mut self,
         now: Duration,
@@ -119,7 +122,7 @@
         sent: Duration,
         reply: Result<KvReply, CallError>,
     ) {
-        self.intents.reading.remove(&page);
+        self.intents.pages_being_read.remove(&page);
         match reply {
             Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
             Err(CallError::RateLimited) => self.persistence.pause(now),
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Asks for the next page of stored intents.
+    /// Requests the next page of the list of stored intents.
     pub(in crate::leader) fn list_intents(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         if after.is_none() {
@@ -145,7 +148,7 @@
         );
     }
 
-    /// Takes in a page of stored intents.
+    /// Handles a page of the list of stored intents.
     pub(in crate::leader) fn intents_page_loaded(
         &mut self,
         times: StepTime,
@@ -168,9 +171,9 @@
         self.read_target(effects);
     }
 
-    /// Takes up what former leaders left open, before anything is placed: their machines
-    /// are on their way out, and their rentals are asked for again under their names, which
-    /// rents nothing anew where they were carried out.
+    /// Adopts the intents that former leaders left open, before any task is placed. The machines of their
+    /// returns count as leaving the fleet. Their rentals are requested again under the same names, so
+    /// that a rental that was already carried out rents no further machines.
     pub(in crate::leader) fn adopt_intents(&mut self, now: Duration, effects: &mut EffectSink) {
         let adopted: Vec<(IdempotencyKey, CloudAction)> =
             self.intents.log.adopted().map(|intent| (intent.key.clone(), intent.action.clone())).collect();
--- a/crates/plankhead-core/src/leader/persistence/mod.rs
+++ b/crates/plankhead-core/src/leader/persistence/mod.rs
@@ -1,4 +1,8 @@
-//! Making decisions durable, within the write budget.
+//! Writes the leader's decisions to the state service, within a write budget.
+//!
+//! Placements and task ends are written in chunks of a job's tasks; the end of a whole job is written
+//! as its final record. Both are written in transactions that are conditional on the leader's key and on
+//! the revisions of the keys that they change.
 
 mod replies;
 
@@ -13,24 +17,27 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How long task ends that need no hurry are collected before they are written.
+/// How long ends of tasks are collected before they are written, unless a placement in the same chunk or
+/// the job's final record is written earlier.
 const END_FLUSH_DELAY: Duration = Duration::from_secs(4);
-/// How often chunks are searched for ends to write.
+/// The interval between searches for chunks with task ends to write.
 const END_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// Transactions under way at a time.
+/// The maximum number of concurrent transactions.
 const MAX_TXNS_IN_FLIGHT: usize = 4;
-/// Bytes of one transaction.
+/// The estimated size up to which a transaction is filled.
 pub(super) const MAX_TXN_BYTES: usize = 56 * 1024;
 
-/// The leader's writes to the state service: their budget, and what is in doubt.
+/// The state of the leader's writes: their budget, the transactions in flight and the keys whose
+/// revisions are uncertain.
 #[derive(Debug)]
 pub(super) struct Persistence {
     budget: TokenBucket,
+    /// No transaction is sent before this time, after a failed call.
     paused_until: Duration,
     txns_in_flight: usize,
-    /// Keys whose revisions are being read again.
+    /// The keys that are being read again because their revisions are uncertain.
     keys_being_read: HashSet<String>,
-    /// Some key's revision is in doubt.
+    /// Set if the revision of some key may be uncertain and must be read again.
     has_uncertain_revisions: bool,
     next_end_flush_at: Duration,
 }
@@ -47,49 +54,50 @@
         }
     }
 
-    /// Replaces the budget by that of a lower limit, in changes per second.
+    /// Replaces the budget by one for a lower limit, in changes per second.
     pub(super) fn limit_rate(&mut self, kv_changes_per_s: f64) {
         self.budget = write_budget(kv_changes_per_s);
     }
 
-    /// How many changes may be written now.
+    /// Returns the number of changes that the budget allows now.
     pub(super) fn available(&mut self, now: Duration) -> usize {
         self.budget.available(now)
     }
 
-    /// Takes so many changes from the budget; false: there are fewer.
+    /// Takes `changes` from the budget. Returns false, and takes nothing, if fewer are available.
     pub(super) fn take(&mut self, now: Duration, changes: usize) -> bool {
         self.budget.take(now, changes)
     }
 
-    /// Whether writes pause after a failure.
+    /// Returns whether writes are paused after a failed call.
     pub(super) fn is_paused(&self, now: Duration) -> bool {
         now < self.paused_until
     }
 
-    /// The state service refused or failed a call: writes pause.
+    /// Pauses writes for [`RETRY_INTERVAL`], after the state service refused or failed a call.
     pub(super) fn pause(&mut self, now: Duration) {
         self.paused_until = now + RETRY_INTERVAL;
     }
 }
 
-/// The leader's part of the changes that the state service takes.
+/// Returns the write budget of the leader: 80% of the state service's limit, with bursts of up to 60%
+/// of the changes that the limit allows per second.
 fn write_budget(kv_changes_per_s: f64) -> TokenBucket {
     TokenBucket::new(kv_changes_per_s * 0.8, kv_changes_per_s * 0.6)
 }
 
-/// A transaction in the making.
+/// A transaction that is being assembled.
 #[derive(Debug, Default)]
 struct Txn {
     conditions: Vec<Condition>,
     changes: Vec<KvChange>,
     batch: WriteBatch,
-    /// About how long the request will be.
+    /// The estimated size of the request.
     bytes: usize,
 }
 
 impl Txn {
-    /// Adds a condition unless it is there.
+    /// Adds a condition unless the transaction already has it.
     fn add_condition(&mut self, condition: Condition) {
         if !self.conditions.contains(&condition) {
             self.bytes += condition.key.len() + 40;
@@ -99,8 +107,8 @@
 }
 
 impl Leader {
-    /// Sends transactions: finished jobs first, then placements, the more urgent
-    /// ones before others, then ends.
+    /// Writes pending changes: final records of jobs first, then placements in the order of their jobs'
+    /// priorities, then task ends. The target of the fleet is written once no other change is left.
     pub(super) fn flush(&mut self, now: Duration, requests: &mut RequestHandler, effects: &mut EffectSink) {
         if self.persistence.is_paused(now) {
             return;
@@ -124,7 +132,7 @@
             let placements = self.placements_to_write();
             self.add_chunks(placements, max_changes, &mut txn);
             if flush_ends {
-                // Ends leave room for the placements that may come next.
+                // Task ends leave half of the burst to placements that may follow.
                 let spare = available.saturating_sub(self.persistence.budget.burst() / 2);
                 let ends = self.ends_to_write(now);
                 self.add_chunks(ends, max_changes.min(spare), &mut txn);
@@ -141,7 +149,7 @@
         }
     }
 
-    /// Chunks with placements to be written, the more urgent jobs' first.
+    /// Returns the chunks with unwritten placements, ordered by the priority and the age of their jobs.
     fn placements_to_write(&self) -> Vec<(JobId, u32)> {
         let order = |(id, number): &(JobId, u32)| {
             let entry = self.job_table.jobs.get(id)?;
@@ -152,7 +160,7 @@
         waiting.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Chunks with ends that have waited, the longest first.
+    /// Returns the chunks whose task ends have waited for [`END_FLUSH_DELAY`], the longest-waiting first.
     fn ends_to_write(&self, now: Duration) -> Vec<(JobId, u32)> {
         let since = |(id, number): &(JobId, u32)| {
             let chunk = self.job_table.jobs.get(id)?.chunks.get(number)?;
@@ -166,7 +174,8 @@
         waiting.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Adds chunks to a transaction as far as they may be written and have room.
+    /// Adds chunks to a transaction until it is full. Skips chunks that can't be written now: those with
+    /// a write in flight or an uncertain revision, and those of jobs that are over or about to be.
     fn add_chunks(&mut self, keys: Vec<(JobId, u32)>, max_changes: usize, txn: &mut Txn) {
         for (id, number) in keys {
             if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
@@ -203,7 +212,8 @@
         }
     }
 
-    /// Finished jobs: the final record makes all their ends durable at once.
+    /// Adds the final records of finished jobs. A final record makes all task ends of its job durable at
+    /// once.
     fn add_final_records(&mut self, max_changes: usize, txn: &mut Txn) {
         for id in self.job_table.ended_jobs.clone() {
             if txn.changes.len() >= max_changes || txn.bytes > MAX_TXN_BYTES {
@@ -229,13 +239,14 @@
         }
     }
 
-    /// The key that holds a chunk, as the job is chunked now.
+    /// Returns the key of a chunk, which depends on whether the job has been rechunked.
     pub(super) fn chunk_key(&self, id: &JobId, number: u32) -> String {
         id.chunk_key(number, self.job_table.jobs.get(id).is_some_and(|e| e.rechunked))
     }
 
-    /// Cancelled jobs with nothing left on any machine only leave garbage, and gangs
-    /// that were done before all their tasks had reported so need nothing.
+    /// Removes jobs whose end is already durable and that have no attempts left on any machine: cancelled
+    /// jobs, whose stored keys become garbage, and gangs that were done before all of their tasks had
+    /// reported their ends.
     fn close_ended_jobs(&mut self, requests: &mut RequestHandler) {
         for id in self.job_table.ended_jobs.clone() {
             let Some(entry) = self.job_table.jobs.get(&id) else { continue };
@@ -249,7 +260,7 @@
             }
             requests.record_ended(&id, JobStatus::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
-                // The next leader would wait for proof of all that is left here.
+                // A new leader would wait for proof that the attempts stored under these keys are over.
                 self.garbage.add_urgent(entry.stored_keys(&id));
                 let record = JobRecord::finished(JobPhase::Cancelled, 0);
                 self.garbage.archive(FinishedJob { id, mod_revision: entry.mod_revision, record });
@@ -257,20 +268,20 @@
         }
     }
 
-    /// Reads again the revisions that are in doubt.
+    /// Reads the keys of chunks and jobs whose revisions are uncertain.
     fn reread_uncertain(&mut self, effects: &mut EffectSink) {
         let mut calls = Vec::new();
         self.persistence.has_uncertain_revisions = false;
         for (id, number) in &self.job_table.dirty_chunks {
-            let stale = self
+            let is_uncertain = self
                 .job_table
                 .jobs
                 .get(id)
                 .and_then(|e| e.chunks.get(number))
                 .is_some_and(|c| c.revision_uncertain);
-            self.persistence.has_uncertain_revisions |= stale;
+            self.persistence.has_uncertain_revisions |= is_uncertain;
             let key = self.chunk_key(id, *number);
-            if stale && self.persistence.keys_being_read.insert(key.clone()) {
+            if is_uncertain && self.persistence.keys_being_read.insert(key.clone()) {
                 calls.push((LeaderCall::ReadChunk(id.clone(), *number), key));
             }
         }
--- a/crates/plankhead-core/src/leader/persistence/replies.rs
+++ b/crates/plankhead-core/src/leader/persistence/replies.rs
@@ -1,5 +1,5 @@
-//! Replies to the transactions that make decisions durable, and to readings of doubtful
-//! revisions.
+//! Replies to transactions that write the leader's decisions, and to reads of keys whose revisions are
+//! uncertain.
 
 use crate::calls::{FinishedJob, WriteBatch};
 use crate::effects::{EffectSink, StepTime};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Leader {
-    /// Takes in the reply to a transaction.
+    /// Handles the reply to a transaction.
     pub(in crate::leader) fn batch_written(
         &mut self,
         now: Duration,
@@ -55,8 +55,8 @@
         }
         for id in &batch.finals {
             let tasks = self.job_table.jobs.get(id).map_or(0, |e| e.spec.tasks);
-            // Only now: chunks that went before a final record that was lost
-            // would have the next leader begin the job anew.
+            // The chunks are deleted only after the final record is durable. If they were deleted first
+            // and the final record were lost, the next leader would start the job again.
             let stored = self.job_table.jobs.get(id).map(|e| e.stored_keys(id)).unwrap_or_default();
             if self.job_table.job_finished(id) {
                 self.garbage.add(stored);
@@ -70,9 +70,11 @@
         }
     }
 
-    /// A transaction was not committed, or its reply was lost. `failed`: the keys whose
-    /// revisions were others than expected. A transaction whose reply was lost may still be
-    /// applied: before the next write, the revisions are read again.
+    /// Handles a transaction that was not committed or whose reply was lost.
+    ///
+    /// `failed` lists the keys whose revisions differed from the expected ones. A transaction whose reply
+    /// was lost may still be applied, so the revisions of its keys are read before they are written
+    /// again.
     fn batch_failed(&mut self, batch: &WriteBatch, failed: &[String], lost: bool) {
         self.persistence.has_uncertain_revisions = true;
         for (id, number, _) in &batch.chunks {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Takes in the reply to a reading of a chunk whose revision was in doubt.
+    /// Handles the reply to a read of a chunk whose revision was uncertain.
     pub(in crate::leader) fn chunk_reread(
         &mut self,
         now: Duration,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Takes in the reply to a reading of a job record whose revision was in doubt.
+    /// Handles the reply to a read of a job record whose revision was uncertain.
     pub(in crate::leader) fn job_reread(
         &mut self,
         times: StepTime,
