--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that the leader sends to the holders of shards, for their machines.
+//! Commands for machines that the leader sends to the holders of their shards.
 
 use super::super::Leader;
 use super::{Peer, SentCommands, ShardHolder};
@@ -15,46 +15,50 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Until commands are repeated that did not arrive.
+/// The pause before commands that did not arrive are sent again.
 const SEND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How often machines are searched for commands that nothing else brings up, such as
-/// acknowledgements of ends that have become durable.
+/// The interval between scans for machines whose commands may have changed without an event that marks
+/// them as due, such as acknowledgements of ends that have become durable.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is due to a holder, gathered before it is sent.
+/// The content of the next message to a holder.
 struct DueCommands {
-    /// The shards that it holds, with their epochs.
+    /// The shards that the holder holds, with their epochs.
     shards: Vec<(ShardId, u64)>,
-    /// Machines looked at, whether or not their commands have changed.
+    /// The machines that were checked, whether or not their commands have changed.
     examined: Vec<MachineName>,
-    /// The machines whose commands have changed.
+    /// The commands for machines whose commands have changed.
     machines: Vec<MachineCommands>,
+    /// The shards whose machines the snapshot describes.
     newly_held: BTreeSet<ShardId>,
+    /// The latest heartbeats of machines of the newly held shards.
     snapshot: Vec<Heartbeat>,
+    /// The highest epoch that the leader has assigned.
     latest_epoch: u64,
 }
 
 impl Peer {
-    /// Whether something is due to this holder, and may be sent now.
+    /// Returns whether there is something to send to this holder and it may be sent now.
     fn may_send(&self, now: Duration) -> bool {
-        let has_due = !self.due.is_empty()
+        let has_due = !self.commands_due.is_empty()
             || !self.newly_held.is_empty()
             || !self.removed.is_empty()
             || self.shard_taken;
         has_due && !self.send_in_flight && now >= self.retry_at
     }
 
-    /// Whether this holder has other commands for the machine.
-    fn lacks(&self, entry: &MachineCommands) -> bool {
+    /// Returns whether these commands differ from those last sent to this holder for the machine.
+    fn needs_commands(&self, entry: &MachineCommands) -> bool {
         match self.sent.get(&entry.machine) {
             None => !entry.commands.is_empty(),
             Some(sent) => sent.incarnation != entry.incarnation || sent.commands != entry.commands,
         }
     }
 
-    /// Takes what was gathered off what is due.
+    /// Removes the content of a message from what is due, and returns it so that it can become due again if
+    /// the message does not arrive.
     fn take_due(&mut self, due: &DueCommands) -> SentShardCommands {
-        self.due.retain(|name| !due.examined.contains(name));
+        self.commands_due.retain(|name| !due.examined.contains(name));
         self.newly_held.retain(|shard| !due.newly_held.contains(shard));
         SentShardCommands {
             machines: due.machines.iter().map(|entry| entry.machine.clone()).collect(),
@@ -64,8 +68,8 @@
         }
     }
 
-    /// A message with these commands is sent.
-    fn sending(&mut self, machines: &[MachineCommands]) {
+    /// Records that a message with these commands is being sent.
+    fn record_sent(&mut self, machines: &[MachineCommands]) {
         self.send_in_flight = true;
         for MachineCommands { machine, incarnation, commands, .. } in machines {
             let sent = SentCommands { incarnation: *incarnation, commands: commands.clone() };
@@ -74,23 +78,24 @@
     }
 }
 
+/// Returns whether the commands for a machine start any task.
 fn has_starts(machine: &MachineCommands) -> bool {
     machine.commands.iter().any(|command| matches!(command, WorkerCommand::Run { .. }))
 }
 
 impl Leader {
-    /// The commands for a machine may have changed: its holder is to have them.
+    /// Marks the commands for a machine as due to its holder, since they may have changed.
     pub(in crate::leader) fn mark_commands_due(&mut self, name: &MachineName) {
         let machine = self.fleet.machines.get(name);
         let holder = machine.and_then(|machine| self.holder_of(machine));
         let Some(ShardHolder { node, .. }) = holder else { return };
         if let Some(peer) = self.shards.as_mut().and_then(|shards| shards.peers.get_mut(&node)) {
-            peer.due.insert(name.clone());
+            peer.commands_due.insert(name.clone());
         }
     }
 
-    /// Machines that report ended attempts, or were placed on and do not report it, have
-    /// commands that nothing else may bring up.
+    /// Periodically marks commands as due for machines that report ended attempts or have placed tasks,
+    /// since their commands may change without any other event that marks them.
     pub(super) fn refresh_due_commands(&mut self, now: Duration) {
         let Some(shards) = self.shards.as_mut().filter(|shards| now >= shards.next_refresh_at) else {
             return;
@@ -98,9 +103,10 @@
         shards.next_refresh_at = now + REFRESH_INTERVAL;
         let may_have_commands = |machine: &&Machine| {
             let heartbeat = machine.last_heartbeat.as_ref();
-            let ended =
-                heartbeat.is_some_and(|r| r.tasks.iter().any(|l| matches!(l.status, TaskStatus::Exited(_))));
-            ended || self.job_table.by_machine(&machine.name).next().is_some()
+            let has_exited = heartbeat.is_some_and(|heartbeat| {
+                heartbeat.tasks.iter().any(|task| matches!(task.status, TaskStatus::Exited(_)))
+            });
+            has_exited || self.job_table.by_machine(&machine.name).next().is_some()
         };
         let machines: Vec<MachineName> = self
             .fleet
@@ -112,7 +118,7 @@
         machines.iter().for_each(|name| self.mark_commands_due(name));
     }
 
-    /// Sends each holder what has changed for its machines.
+    /// Sends each holder the commands that have changed for its machines.
     pub(super) fn flush_shard_commands(
         &mut self,
         now: Duration,
@@ -127,6 +133,7 @@
         }
     }
 
+    /// Sends a holder its next message, unless there is nothing to send.
     fn send_shard_commands(
         &mut self,
         now: Duration,
@@ -150,7 +157,7 @@
         {
             return;
         }
-        peer.sending(&due.machines);
+        peer.record_sent(&due.machines);
         let message = LeaderCommands {
             host: self.settings.host.clone(),
             stamp: MessageStamp { boot: self.settings.boot_id, sequence },
@@ -167,7 +174,7 @@
         effects.send_shard_message(CallPurpose::Leader(self.token, call), to.to_owned(), message);
     }
 
-    /// What is due to a holder, as much as one message takes.
+    /// Collects what is due to a holder, up to the limits of one message.
     fn gather_due_commands(&self, now: Duration, to: &str, requests: &RequestHandler) -> Option<DueCommands> {
         let shards = self.shards.as_ref()?;
         let held: Vec<(ShardId, u64)> = shards
@@ -180,26 +187,26 @@
         let mut examined = Vec::new();
         let mut machines: Vec<MachineCommands> = Vec::new();
         let mut command_count = 0;
-        for name in peer.due.iter().take(MAX_MACHINES) {
+        for name in peer.commands_due.iter().take(MAX_MACHINES) {
             if command_count > MAX_TASKS {
                 break;
             }
             examined.push(name.clone());
             let Some(entry) = self.machine_commands(now, name, &held, requests) else { continue };
             command_count += entry.commands.len();
-            if peer.lacks(&entry) {
+            if peer.needs_commands(&entry) {
                 machines.push(entry);
             }
         }
-        let is_held = |shard: &&ShardId| held.iter().any(|(of, _)| of == *shard);
+        let is_held = |shard: &&ShardId| held.iter().any(|(held_shard, _)| held_shard == *shard);
         let newly_held: BTreeSet<ShardId> = peer.newly_held.iter().filter(is_held).cloned().collect();
         let snapshot = self.snapshot(&newly_held);
         let latest_epoch = shards.registry.highest_epoch();
         Some(DueCommands { shards: held, examined, machines, newly_held, snapshot, latest_epoch })
     }
 
-    /// The commands for a machine of one of these shards. Those of a shard that is not
-    /// renewed yet wait for its record.
+    /// Returns the commands for a machine in one of the `held` shards, or `None` if it is in another one.
+    /// Commands for a shard whose holder is not named yet in this term wait until it is.
     fn machine_commands(
         &self,
         now: Duration,
@@ -208,21 +215,21 @@
         requests: &RequestHandler,
     ) -> Option<MachineCommands> {
         let machine = self.fleet.machines.get(name)?;
-        let of_machine = self.shard_of(machine)?;
-        let shard = held.iter().position(|(shard, _)| *shard == of_machine)?;
+        let machine_shard = self.shard_of(machine)?;
+        let shard = held.iter().position(|(shard, _)| *shard == machine_shard)?;
         let incarnation = machine.incarnation()?;
         let commands = self.commands_for(now, name, requests);
         Some(MachineCommands { machine: name.clone(), shard, incarnation, commands })
     }
 
-    /// The newest heartbeats of the machines of these shards, as many as one message takes.
+    /// Returns the latest heartbeats of the machines in these shards, up to the limits of one message.
     fn snapshot(&self, shards: &BTreeSet<ShardId>) -> Vec<Heartbeat> {
         if shards.is_empty() {
             return Vec::new();
         }
-        let is_of_shards =
+        let is_in_shards =
             |machine: &&Machine| self.shard_of(machine).is_some_and(|shard| shards.contains(&shard));
-        let machines = self.fleet.machines.values().filter(is_of_shards);
+        let machines = self.fleet.machines.values().filter(is_in_shards);
         let mut tasks = 0;
         let fits = |heartbeat: &Heartbeat| {
             tasks += heartbeat.tasks.len();
@@ -232,7 +239,7 @@
         heartbeats.take(MAX_MACHINES).take_while(fits).collect()
     }
 
-    /// What became of a message to a holder.
+    /// Handles the outcome of a message to a holder. What was not accepted becomes due again.
     pub fn shard_commands_delivered(
         &mut self,
         now: Duration,
@@ -247,7 +254,7 @@
             peer.retry_at = now + SEND_RETRY_INTERVAL;
             for name in sent.machines {
                 peer.sent.remove(&name);
-                peer.due.insert(name);
+                peer.commands_due.insert(name);
             }
             peer.newly_held.extend(sent.newly_held);
             peer.removed.extend(sent.removed);
@@ -255,10 +262,10 @@
         }
     }
 
-    /// The cloud has released a machine: its holder is to forget it.
+    /// Handles the cloud's release of a machine: the holders that know it are to forget it.
     pub(in crate::leader) fn machine_gone(&mut self, name: &MachineName) {
         for peer in self.shards.iter_mut().flat_map(|shards| shards.peers.values_mut()) {
-            peer.due.remove(name);
+            peer.commands_due.remove(name);
             if peer.sent.remove(name).is_some() {
                 peer.removed.insert(name.clone());
             }
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's side of sharding: it names the holders of shards, takes in what they
-//! report, and has them pass its commands on.
+//! The leader's side of sharding. The leader names the holders of shards, processes their status
+//! messages, and sends its commands for machines through them.
 
 mod commands;
 mod records;
@@ -18,74 +18,84 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The pause after a write that was not carried out.
+/// The pause before shard records are written again after a write that failed or got no answer.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which node answers a machine's heartbeat.
+/// Which node answers a heartbeat that reached the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaderRoute {
-    /// The leader itself.
+    /// The leader answers it.
     Own,
-    /// The holder of the machine's shard.
+    /// Another node answers it, as the holder of the machine's shard.
     Holder {
-        /// The node.
+        /// The holder's name.
         host: String,
         /// The shard's epoch.
         epoch: u64,
     },
-    /// Perhaps a holder whose record this leader has not seen yet.
+    /// The worker knows a token that may be the epoch of a holder whose record this leader has not seen
+    /// yet.
     HolderUnknown,
-    /// The worker knows a later leader's token.
+    /// The worker knows the token of a later leader.
     Superseded,
 }
 
-/// The node that holds a shard, under its epoch.
+/// A node that holds a shard, and the epoch under which it does.
 struct ShardHolder {
     node: String,
     epoch: u64,
 }
 
-/// The commands for a machine that its holder has.
+/// The commands for a machine that were last sent to its holder.
 #[derive(Debug)]
 struct SentCommands {
-    /// The worker's incarnation that they are meant for.
+    /// The worker incarnation that the commands are meant for.
     incarnation: u64,
     commands: Vec<WorkerCommand>,
 }
 
-/// A controller that may hold shards, as its messages show.
+/// Another node that may hold shards, as known from its status messages.
 #[derive(Debug, Default)]
 struct Peer {
     last_heard_at: Duration,
-    /// Tells one start of its process from another.
+    /// Identifies the run of the node's process.
     boot_id: u64,
     zone: String,
+    /// Whether the node reads the shard records.
     sees_records: bool,
+    /// Identifies the numbering of machines that the node uses.
     stream: u64,
-    names: NumberedMachines,
-    /// Machines whose commands may have changed.
-    due: BTreeSet<MachineName>,
-    /// The commands for each machine that were sent to it last.
+    /// The machines by their numbers in that stream.
+    numbered_machines: NumberedMachines,
+    /// Machines whose commands may have changed since they were last sent.
+    commands_due: BTreeSet<MachineName>,
+    /// The commands that were last sent for each machine.
     sent: HashMap<MachineName, SentCommands>,
-    /// Shards that it holds only now: it is sent what is known of their machines.
+    /// Shards that the node has only just been named for. It is still to receive the latest heartbeats of
+    /// their machines.
     newly_held: BTreeSet<ShardId>,
-    /// A shard was taken from it, and it may not have read so.
+    /// A shard was given to another node, and this one may not have read the new record yet.
     shard_taken: bool,
-    /// Machines that were released since.
+    /// Machines that the cloud has released, of which the node is still to be told.
     removed: BTreeSet<MachineName>,
-    /// The number of its latest message.
+    /// The sequence number of the node's latest message.
     latest_sequence: u64,
     send_in_flight: bool,
+    /// No message is sent to the node before this time.
     retry_at: Duration,
 }
 
-/// The state of a leader whose machines are divided into shards.
+/// The leader's state where machines are divided into shards.
 #[derive(Debug)]
 pub struct LeaderShards {
     registry: ShardRegistry,
+    /// The other nodes that have sent a status in this term, by name.
     peers: BTreeMap<String, Peer>,
+    /// Rejects repeated and reordered status messages.
     sequence_guard: SequenceGuard,
+    /// The sequence number of the latest message to a holder.
     sequence: u64,
+    /// The number of status messages and machine updates that were refused.
     refused: u64,
     next_write_at: Duration,
     next_refresh_at: Duration,
@@ -97,7 +107,7 @@
             registry: ShardRegistry::new(token, &settings.host, settings.sharding.clone()),
             peers: BTreeMap::new(),
             sequence_guard: SequenceGuard::default(),
-            // Above what this process has sent in a former term.
+            // Above every sequence number that this process used in an earlier term.
             sequence: now.as_micros() as u64,
             refused: 0,
             next_write_at: now,
@@ -107,23 +117,24 @@
 }
 
 impl Leader {
+    /// Returns the shard of a machine, or `None` if machines are not sharded or its zone is not known.
     fn shard_of(&self, machine: &Machine) -> Option<ShardId> {
         let shards = self.shards.as_ref().filter(|_| !machine.pool.zone.is_empty())?;
         Some(shards.registry.shard_of(&machine.pool.zone, &machine.name))
     }
 
-    /// Whether this leader commands the machine's worker itself.
+    /// Returns whether the leader sends commands to the machine's worker itself.
     pub(in crate::leader) fn is_own_machine(&self, machine: &Machine) -> bool {
         self.holder_of(machine).is_none()
     }
 
-    /// The controller that answers the machine's worker, if it is not the leader.
+    /// Returns the node that answers the machine's worker, if it is not the leader.
     fn holder_of(&self, machine: &Machine) -> Option<ShardHolder> {
         self.other_holder(&self.shard_of(machine)?)
     }
 
-    /// The holder of a shard, if it is not the leader: the one named in this term, else the
-    /// one of a former term while it is heard.
+    /// Returns the holder of a shard, if it is not the leader. This is the holder named in this term or,
+    /// if there is none, the holder of a former term if it has sent a status to this leader.
     fn other_holder(&self, shard: &ShardId) -> Option<ShardHolder> {
         let shards = self.shards.as_ref()?;
         let own = self.settings.host.as_str();
@@ -135,7 +146,8 @@
             .then(|| ShardHolder { node: holder.to_owned(), epoch })
     }
 
-    /// The fencing token of this leader's own commands for a machine.
+    /// Returns the token under which this leader sends commands for a machine: the epoch of the machine's
+    /// shard if the leader holds it, otherwise the leader's fencing token.
     pub(in crate::leader) fn token_for(&self, name: &MachineName) -> u64 {
         let machine = self.fleet.machines.get(name);
         let shard = machine.and_then(|machine| self.shard_of(machine));
@@ -143,14 +155,14 @@
         held.filter(|(holder, _)| *holder == self.settings.host).map_or(self.token, |(_, epoch)| epoch)
     }
 
-    /// Which node answers a heartbeat.
+    /// Returns which node answers a heartbeat.
     pub fn route(&self, heartbeat: &Heartbeat) -> LeaderRoute {
         let Some(shards) = &self.shards else {
             return if heartbeat.token <= self.token { LeaderRoute::Own } else { LeaderRoute::Superseded };
         };
         if heartbeat.token > shards.registry.highest_epoch() {
-            let doubt = shards.registry.has_uncertain_writes();
-            return if doubt { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
+            let is_uncertain = shards.registry.has_uncertain_writes();
+            return if is_uncertain { LeaderRoute::HolderUnknown } else { LeaderRoute::Superseded };
         }
         let shard = shards.registry.shard_of(&heartbeat.zone, &heartbeat.machine);
         match self.other_holder(&shard) {
@@ -159,25 +171,26 @@
         }
     }
 
-    /// Takes in the records as this node has read them; `seen`: as of when.
-    pub fn apply_shard_records(&mut self, table: &ShardTable, seen: Option<Duration>, now: Duration) {
+    /// Applies the shard records that this node has read; `read_at` is when the read was sent.
+    pub fn apply_shard_records(&mut self, table: &ShardTable, read_at: Option<Duration>, now: Duration) {
         if let Some(shards) = &mut self.shards {
-            shards.registry.apply_records(table, seen, now);
+            shards.registry.apply_records(table, read_at, now);
         }
     }
 
-    /// What this node knew of a machine as its shard's holder, before it led.
+    /// Takes over what this node knew of a machine when it held the machine's shard, before it became the
+    /// leader.
     pub fn take_over_machine(&mut self, times: StepTime, machine: &Machine, effects: &mut EffectSink) {
         let Some(heartbeat) = &machine.last_heartbeat else { return };
         self.observe_machine(times, heartbeat, false, effects);
-        self.confirm_by_holder(&heartbeat.machine, machine.confirmed, machine.heartbeat_times.last_heard_at);
+        self.apply_confirmation(&heartbeat.machine, machine.confirmed, machine.heartbeat_times.last_heard_at);
         if let Some(own) = self.fleet.machines.get_mut(&heartbeat.machine) {
             own.is_relayed = machine.is_relayed;
         }
     }
 
-    /// The holder of the machine's shard has found whether it is there, and when it was heard.
-    fn confirm_by_holder(&mut self, name: &MachineName, confirmed: bool, heard_at: Duration) {
+    /// Marks a machine as confirmed and heard at `heard_at`, if the holder of its shard has confirmed it.
+    fn apply_confirmation(&mut self, name: &MachineName, confirmed: bool, heard_at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(name).filter(|_| confirmed) else { return };
         if !std::mem::replace(&mut machine.confirmed, true) {
             self.placement.request_pass();
@@ -187,7 +200,7 @@
         machine.is_relayed = false;
     }
 
-    /// What operators see: shards, holders, epochs, and why a move waits.
+    /// Returns the shards as shown in the operators' view: holders, epochs, and what a move waits for.
     pub(in crate::leader) fn shards_view(&self, now: Duration) -> serde_json::Value {
         let Some(shards) = &self.shards else { return serde_json::Value::Null };
         let input = self.registry_input(now);
@@ -206,7 +219,8 @@
             .iter()
             .map(|(host, peer)| {
                 serde_json::json!({"host": host, "zone": peer.zone, "seesRecords": peer.sees_records,
-                    "heardS": now.saturating_sub(peer.last_heard_at).as_secs_f64(), "commandsDue": peer.due.len()})
+                    "heardS": now.saturating_sub(peer.last_heard_at).as_secs_f64(),
+                    "commandsDue": peer.commands_due.len()})
             })
             .collect();
         serde_json::json!({"shards": rows, "controllers": peers, "moves": shards.registry.moves(),
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -1,4 +1,5 @@
-//! Naming the holders of shards: the input of the decision, the records, and what follows.
+//! Naming the holders of shards: the input to the registry, the writes of shard records, and the effects
+//! of a change of holder.
 
 use super::super::{Leader, TermStatus};
 use super::{Peer, WRITE_RETRY_INTERVAL};
@@ -13,7 +14,7 @@
 use std::time::Duration;
 
 impl Leader {
-    /// What the registry decides by.
+    /// Collects the live nodes, machine counts and zones from which the registry chooses holders.
     pub(super) fn registry_input(&self, now: Duration) -> RegistryInput {
         let settings = &self.settings.sharding;
         let mut input = RegistryInput::default();
@@ -45,7 +46,7 @@
         input
     }
 
-    /// Names holders where that is due, and sends them the commands that have changed.
+    /// Names holders where that is due, and sends holders the commands that have changed.
     pub(in crate::leader) fn tick_shards(
         &mut self,
         now: Duration,
@@ -61,7 +62,7 @@
         self.flush_shard_commands(now, requests, effects);
     }
 
-    /// Writes the records that are due, within the write budget.
+    /// Writes the shard records that are due, within the write budget.
     fn write_records(&mut self, now: Duration, effects: &mut EffectSink) {
         let max_changes = self.settings.max_txn_changes.min(self.persistence.available(now));
         let input = self.registry_input(now);
@@ -91,7 +92,7 @@
         self.call_kv(call, KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a write of records that was sent at `sent`.
+    /// Handles the reply to a write of shard records that was sent at `sent`.
     pub(in crate::leader) fn shards_written(
         &mut self,
         now: Duration,
@@ -123,7 +124,8 @@
         TermStatus::Continues
     }
 
-    /// A shard has a holder from now on.
+    /// Handles the naming of a shard's holder: logs a change, marks the commands for the shard's machines
+    /// as due, and gives workers that must find another node time to do so.
     fn holder_named(&mut self, now: Duration, named: HolderNamed, effects: &mut EffectSink) {
         let HolderNamed { shard, from, to, epoch, reason } = named;
         let moved = from.as_ref() != Some(&to);
@@ -134,23 +136,23 @@
             );
             effects.log(LogLevel::Info, text);
         }
-        let is_of_shard = |machine: &&Machine| self.shard_of(machine).is_some_and(|of| of == shard);
+        let is_of_shard = |machine: &&Machine| self.shard_of(machine).as_ref() == Some(&shard);
         let machines: Vec<MachineName> =
             self.fleet.machines.values().filter(is_of_shard).map(|machine| machine.name.clone()).collect();
-        let own = to == self.settings.host;
+        let is_own = to == self.settings.host;
         let Some(shards) = &mut self.shards else { return };
         for peer in shards.peers.values_mut() {
             for name in &machines {
                 peer.sent.remove(name);
-                peer.due.remove(name);
+                peer.commands_due.remove(name);
             }
             peer.newly_held.remove(&shard);
         }
         if let Some(peer) = from.as_ref().filter(|_| moved).and_then(|from| shards.peers.get_mut(from)) {
             peer.shard_taken = true;
         }
-        if let Some(peer) = shards.peers.get_mut(&to).filter(|_| !own) {
-            peer.due.extend(machines.iter().cloned());
+        if let Some(peer) = shards.peers.get_mut(&to).filter(|_| !is_own) {
+            peer.commands_due.extend(machines.iter().cloned());
             if reason != NamingReason::Renewed {
                 peer.newly_held.insert(shard);
             }
@@ -159,7 +161,7 @@
             if moved {
                 self.fleet.extend_for_reroute(&name, now);
             }
-            if own {
+            if is_own {
                 self.send_commands(now, &name, effects);
             }
         }
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 impl Peer {
-    /// Takes in what a status says of its sender; true: it belongs to another stream than
-    /// the status before.
-    fn status_arrived(&mut self, status: &HolderStatus, admission: Admission, now: Duration) -> bool {
+    /// Updates the sender's state from a status. Returns true if the status belongs to another stream than
+    /// the previous one.
+    fn apply_status(&mut self, status: &HolderStatus, admission: Admission, now: Duration) -> bool {
         self.last_heard_at = now;
         self.boot_id = status.stamp.boot;
         self.latest_sequence = status.stamp.sequence;
@@ -23,21 +23,22 @@
         let is_other_stream = restarted || self.stream != status.stream;
         if is_other_stream {
             self.stream = status.stream;
-            self.names = NumberedMachines::default();
+            self.numbered_machines = NumberedMachines::default();
         }
         if restarted {
-            // A process that has begun anew has none of the commands that were sent to it.
-            self.due.extend(std::mem::take(&mut self.sent).into_keys());
+            // A restarted process has lost the commands that were sent to it.
+            self.commands_due.extend(std::mem::take(&mut self.sent).into_keys());
         }
         for update in &status.updates {
-            self.names.assign(update.number, update.heartbeat.machine.clone());
+            self.numbered_machines.assign(update.number, update.heartbeat.machine.clone());
         }
         is_other_stream
     }
 }
 
 impl Leader {
-    /// Takes in a holder's message, or refuses it.
+    /// Handles a status message from a holder. Rejects it unless it comes from a known peer, is meant for
+    /// this term and is newer than the sender's previous one.
     pub fn handle_holder_status(
         &mut self,
         times: StepTime,
@@ -58,17 +59,17 @@
             return Delivery::Rejected;
         };
         let peer = shards.peers.entry(message.host.clone()).or_default();
-        let is_other_stream = peer.status_arrived(&message, admission, now);
-        let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
+        let is_other_stream = peer.apply_status(&message, admission, now);
+        let alive: Vec<MachineName> = peer.numbered_machines.of(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
         if !message.updates.is_empty() || !alive.is_empty() {
             self.evidence.direct_heartbeat_arrived();
         }
-        let mut all_taken = true;
+        let mut all_applied = true;
         for update in message.updates {
-            all_taken &= self.apply_machine_update(times, &message.host, update, effects);
+            all_applied &= self.apply_machine_update(times, &message.host, update, effects);
         }
         let heard_at = now.saturating_sub(message.alive_age);
         for name in alive {
@@ -76,21 +77,23 @@
                 self.fleet.observe_alive(&name, heard_at);
             }
         }
-        match (all_taken, is_other_stream && !message.first) {
+        match (all_applied, is_other_stream && !message.first) {
             (false, _) => Delivery::Rejected,
             (true, true) => Delivery::FullSyncNeeded,
             (true, false) => Delivery::Accepted,
         }
     }
 
+    /// Returns whether `holder`, which is not the leader, holds the machine's shard.
     fn is_held_by(&self, name: &MachineName, holder: &str) -> bool {
         let machine = self.fleet.machines.get(name);
-        machine.and_then(|machine| self.holder_of(machine)).is_some_and(|of| of.node == holder)
+        let shard_holder = machine.and_then(|machine| self.holder_of(machine));
+        shard_holder.is_some_and(|shard_holder| shard_holder.node == holder)
     }
 
-    /// Takes in a holder's update of one of its machines. False: another node holds the
-    /// machine by now, or this leader does not know yet that the record was written, in
-    /// which case the holder has to repeat the update.
+    /// Applies a holder's update for one of its machines. Returns false if another node holds the machine
+    /// by now, or if this leader does not know yet that the holder's record was written; in the latter
+    /// case the holder has to repeat the update.
     fn apply_machine_update(
         &mut self,
         times: StepTime,
@@ -104,14 +107,14 @@
         else {
             return false;
         };
-        if self.other_holder(&shard).is_none_or(|of| of.node != holder) {
+        if self.other_holder(&shard).is_none_or(|shard_holder| shard_holder.node != holder) {
             if let Some(shards) = &mut self.shards {
                 shards.refused += 1;
             }
             return false;
         }
         self.observe_machine(times, heartbeat, false, effects);
-        self.confirm_by_holder(&heartbeat.machine, update.confirmed, times.now.saturating_sub(update.age));
+        self.apply_confirmation(&heartbeat.machine, update.confirmed, times.now.saturating_sub(update.age));
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.commands.unanswered = update.unanswered_commands;
             if update.ignores_commands {
