--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -1,4 +1,4 @@
-//! Stored keys that nobody needs any more, and the archive of ended jobs.
+//! Deletion of obsolete keys from the state service, and archiving of ended jobs.
 
 use super::{Leader, TermStatus};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
@@ -9,23 +9,26 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What is to be deleted or archived once there is room to write.
+/// The obsolete keys and ended jobs that wait for write budget.
 #[derive(Debug, Default)]
 pub(super) struct Garbage {
+    /// The keys to be deleted.
     keys: Vec<StoredKey>,
-    /// How many of the keys, at the front, should go soon.
+    /// The number of urgent keys, which are at the front.
     urgent: usize,
-    /// Records of jobs that are over, to be moved out of the next leader's way.
+    /// Records of ended jobs to be moved to the archive, so that later leaders do not load them.
     to_archive: VecDeque<FinishedJob>,
     write_in_flight: bool,
 }
 
 impl Garbage {
+    /// Adds keys that may be deleted at any time.
     pub(super) fn add(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
         self.keys.extend(keys);
     }
 
-    /// Adds keys that a next leader would wait for.
+    /// Adds keys that are deleted before others, since a new leader would wait for proof that the attempts
+    /// stored under them are over.
     pub(super) fn add_urgent(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
         let before = self.keys.len();
         self.keys.extend(keys);
@@ -34,12 +37,12 @@
         self.urgent += added;
     }
 
-    /// Has the record of an ended job moved to the archive.
+    /// Queues the record of an ended job to be moved to the archive.
     pub(super) fn archive(&mut self, job: FinishedJob) {
         self.to_archive.push_back(job);
     }
 
-    /// Forgets everything, since loading starts over.
+    /// Discards all queued keys and jobs, because loading starts over.
     pub(super) fn clear(&mut self) {
         self.keys.clear();
         self.to_archive.clear();
@@ -48,7 +51,8 @@
 }
 
 impl Leader {
-    /// Deletes keys that nobody needs, when there is room to write.
+    /// Deletes obsolete keys or, if there are none, archives ended jobs. Unless urgent keys are queued, this
+    /// waits until the write budget has saved 40% of the changes that the state service allows per second.
     pub(super) fn delete_garbage(&mut self, now: Duration, effects: &mut EffectSink) {
         let has_spare = self.persistence.available(now) as f64 >= self.settings.kv_changes_per_s * 0.4;
         let due = has_spare || self.garbage.urgent > 0;
@@ -84,8 +88,8 @@
         self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Where intents are fenced, a key goes only at the revision that is known to be over:
-    /// where that is in doubt it is read first.
+    /// Returns the keys whose revisions are known, and requests the revisions of the others. With fencing, a
+    /// key is deleted only at the revision that is known to be obsolete.
     fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
         for StoredKey { key, .. } in unknown {
@@ -94,8 +98,9 @@
         known
     }
 
-    /// Some keys had other revisions than were known: nothing went.
-    fn doubt_garbage(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
+    /// Queues keys again after a deletion that was not carried out because the `failed` ones had other
+    /// revisions than expected.
+    fn requeue_after_conflict(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
         let revised = |mut stored: StoredKey| {
             if failed.contains(&stored.key) {
                 stored.revision = None;
@@ -105,14 +110,14 @@
         self.garbage.keys.extend(keys.into_iter().map(revised));
     }
 
-    /// Takes in the reply to a reading of a key that is to go. A job of that name may be there
-    /// again: then its records are its own.
-    pub(super) fn garbage_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
+    /// Handles the reply to a read of a key that is to be deleted. The key is kept if a job with the same id
+    /// has been submitted again, as it may belong to that job.
+    pub(super) fn garbage_revision_read(&mut self, key: String, reply: Result<KvReply, CallError>) {
         let job = key.split('/').nth(1).and_then(|id| JobId::parse(id).ok());
-        let needed =
+        let is_in_use =
             job.is_some_and(|id| self.job_table.jobs.get(&id).is_some_and(|e| e.phase == JobPhase::Active));
         match reply {
-            _ if needed => {}
+            _ if is_in_use => {}
             Ok(KvReply::Value(None)) => {}
             Ok(KvReply::Value(Some(row))) => {
                 self.garbage.keys.push(StoredKey { key, revision: Some(row.mod_revision) });
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Moves records of jobs that are over to where no new leader reads them.
+    /// Moves records of ended jobs to their archive keys, which new leaders do not load.
     fn archive_finished_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         let count = (self.settings.max_txn_changes / 2).min(self.garbage.to_archive.len());
         if count == 0 || !self.persistence.take(now, count * 2) {
@@ -140,7 +145,7 @@
         self.call_kv(LeaderCall::ArchiveJobs(jobs), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Takes in the reply to a deletion.
+    /// Handles the reply to a deletion of obsolete keys.
     pub(super) fn garbage_deleted(
         &mut self,
         keys: Vec<StoredKey>,
@@ -152,13 +157,13 @@
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
                 return TermStatus::Over
             }
-            Ok(KvReply::Conflict { failed }) => self.doubt_garbage(keys, &failed),
+            Ok(KvReply::Conflict { failed }) => self.requeue_after_conflict(keys, &failed),
             _ => self.garbage.keys.extend(keys),
         }
         TermStatus::Continues
     }
 
-    /// Takes in the reply to a move into the archive.
+    /// Handles the reply to a transaction that archives jobs.
     pub(super) fn jobs_archived(
         &mut self,
         jobs: Vec<FinishedJob>,
@@ -170,7 +175,7 @@
             Ok(KvReply::Conflict { failed }) if failed.iter().any(|k| k == election::KEY) => {
                 return TermStatus::Over
             }
-            // Moved already, by a transaction whose reply was lost.
+            // The jobs in conflict were already archived by a transaction whose reply was lost.
             Ok(KvReply::Conflict { failed }) => {
                 let left = jobs.into_iter().filter(|job| !failed.contains(&job.id.key()));
                 self.garbage.to_archive.extend(left);
--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on job records: how the leader learns of new and cancelled jobs.
+//! The watch on job records, by which the leader learns of new and cancelled jobs.
 
 use super::{Leader, TermStatus, RETRY_INTERVAL};
 use crate::calls::LeaderCall;
@@ -7,18 +7,21 @@
 use crate::requests::RequestHandler;
 use std::time::Duration;
 
-/// How long one watch waits for an event; its return proves that no cancellation up to
-/// its start is unseen.
+/// How long one watch waits for an event. Its reply proves that every cancellation made before the watch
+/// was sent has been seen.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 
-/// Up to where the job records are known.
+/// How far the changes of the job records are known to the leader.
 #[derive(Debug)]
 pub(super) struct JobWatch {
-    /// The store's revision up to which they are known, from the first page on.
+    /// The store's revision up to which all changes are known; `None` until the first page of the list of
+    /// jobs is read.
     revision: Option<u64>,
-    /// As of when they are known.
+    /// The time up to which all changes are known.
     synced_at: Duration,
+    /// Whether a watch is in flight.
     in_flight: bool,
+    /// When the next watch is sent.
     next_at: Duration,
 }
 
@@ -27,28 +30,29 @@
         Self { revision: None, synced_at: now, in_flight: false, next_at: now }
     }
 
-    /// As of when every job record is known.
+    /// Returns the time up to which all changes of the job records are known.
     pub(super) fn synced_at(&self) -> Duration {
         self.synced_at
     }
 
-    /// When the next watch is to be sent, unless one is under way.
+    /// Returns when the next watch is to be sent; `None` while one is in flight or no list has been read.
     pub(super) fn next_due(&self) -> Option<Duration> {
         (!self.in_flight && self.revision.is_some()).then_some(self.next_at)
     }
 
-    /// The list of jobs is asked for: what it will show holds at least as of now.
+    /// Records that the list of jobs is being requested, which will contain all changes made before `now`.
     pub(super) fn loading_began(&mut self, now: Duration) {
         if self.revision.is_none() {
             self.synced_at = now;
         }
     }
 
-    /// The watch goes on from the revision of the list's first page.
+    /// Sets the revision from which the watch continues: that of the first page of the list of jobs.
     pub(super) fn first_page_loaded(&mut self, revision: u64) {
         self.revision.get_or_insert(revision);
     }
 
+    /// Records that all changes up to `revision` are known, from a watch that was sent at `sent`.
     fn advance(&mut self, revision: u64, sent: Duration) {
         self.revision = self.revision.max(Some(revision));
         self.synced_at = self.synced_at.max(sent);
@@ -56,7 +60,7 @@
 }
 
 impl Leader {
-    /// Sends the next watch once it is due.
+    /// Sends the next watch if it is due.
     pub(super) fn watch_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.job_watch.next_due().is_none_or(|due| now < due) {
             return;
@@ -67,8 +71,8 @@
         self.call_kv(LeaderCall::WatchJobs { sent: now }, op, effects);
     }
 
-    /// Takes in the reply to a watch that was sent at `sent`. Where events are missing, this leader
-    /// must resign.
+    /// Handles the reply to a watch that was sent at `sent`. Ends the term if the store has compacted events
+    /// that the leader has not seen.
     pub(super) fn jobs_watched(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,4 +1,4 @@
-//! Failover: a new leader loads all state before it decides anything.
+//! Loading at failover: a new leader loads all stored state before it makes any decision.
 
 use super::{Leader, Target, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
@@ -10,7 +10,7 @@
 use crate::requests::RequestHandler;
 use std::time::Duration;
 
-/// Whether a new leader knows yet what is stored.
+/// Whether the leader has loaded the stored state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Stage {
     #[default]
@@ -18,43 +18,45 @@
     Ready,
 }
 
-/// A chunk as it is stored, until every chunk is loaded.
+/// A stored chunk that has been read, kept until all chunks are.
 #[derive(Debug)]
 struct StoredChunk {
     job: JobId,
-    /// It is one of the smaller chunks that replace those of the former limits.
+    /// Whether it is one of the smaller chunks that replace chunks laid out for a larger value limit.
     rechunked: bool,
     number: u32,
     value: String,
     mod_revision: u64,
 }
 
-/// How far the leader is with loading all state. The lists of jobs, chunks and intents
-/// are read one after the other, each page by page.
+/// The progress of loading the stored state. The lists of jobs, chunks and intents are read one after the
+/// other, each page by page.
 #[derive(Debug, Default)]
 pub(super) struct JobLoading {
     stage: Stage,
-    /// The last key of the page before, within the present list.
+    /// The last key of the previous page of the list that is being read.
     after_key: Option<String>,
-    /// When loading starts over, after a call that failed.
+    /// When loading starts over, if a call has failed.
     retry_at: Option<Duration>,
-    /// A call has failed in this term.
+    /// Whether a call has failed in this term.
     failed: bool,
+    /// The chunks read so far.
     chunks: Vec<StoredChunk>,
 }
 
 impl JobLoading {
+    /// Returns whether all stored state is loaded.
     pub(super) fn is_ready(&self) -> bool {
         self.stage == Stage::Ready
     }
 
-    /// When loading starts over, if a call has failed.
+    /// Returns when loading starts over, if a call has failed.
     pub(super) fn retry_due(&self) -> Option<Duration> {
         self.retry_at
     }
 
-    /// Whether loading is to start over now. It starts with an empty state, whatever
-    /// call failed: rows are idempotent.
+    /// Returns whether loading must start over now and, if so, resets the progress. Loading always starts
+    /// over with the first list, whichever call failed, since it is harmless to load a row twice.
     pub(super) fn take_due_retry(&mut self, now: Duration) -> bool {
         let due = self.retry_at.is_some_and(|due| now >= due);
         if due {
@@ -65,47 +67,48 @@
         due
     }
 
-    /// Where the next page of the present list begins.
+    /// Returns the key after which the next page of the current list begins.
     pub(super) fn after_key(&self) -> Option<String> {
         self.after_key.clone()
     }
 
-    /// Notes how far the present list is read.
+    /// Records that a page with these rows of the current list was read.
     pub(super) fn page_loaded(&mut self, rows: &[KeyValue]) {
         self.after_key = rows.last().map(|row| row.key.clone());
     }
 
-    /// The present list is read; the next one starts from its first key.
+    /// Records that the current list was read completely: the next list starts from its first key.
     pub(super) fn list_completed(&mut self) {
         self.after_key = None;
     }
 }
 
 impl Leader {
-    /// Asks for the next page of the jobs, with which loading begins.
+    /// Requests the next page of the list of jobs, which is the first list to be loaded.
     pub fn begin_loading(&mut self, now: Duration, effects: &mut EffectSink) {
         self.job_watch.loading_began(now);
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListJobs, KvRequest::List { prefix: "job/".into(), after }, effects);
     }
 
-    /// Whether it still loads, and no call has failed.
+    /// Returns whether the leader is still loading and no call has failed so far.
     pub fn is_loading(&self) -> bool {
         !self.loading.is_ready() && !self.loading.failed
     }
 
-    /// A call has failed: loading starts over soon.
+    /// Schedules loading to start over, after a call has failed.
     pub(super) fn retry_loading(&mut self, now: Duration) {
         self.loading.retry_at = Some(now + RETRY_INTERVAL);
         self.loading.failed = true;
     }
 
+    /// Requests the next page of the list of chunks.
     fn list_chunks(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         self.call_kv(LeaderCall::ListChunks, KvRequest::List { prefix: "run/".into(), after }, effects);
     }
 
-    /// Takes in a page of the jobs.
+    /// Handles a page of the list of jobs.
     pub(super) fn jobs_page_loaded(
         &mut self,
         times: StepTime,
@@ -128,7 +131,7 @@
         self.list_chunks(effects);
     }
 
-    /// Takes in a page of the chunks.
+    /// Handles a page of the list of chunks.
     pub(super) fn chunks_page_loaded(
         &mut self,
         times: StepTime,
@@ -167,7 +170,7 @@
         self.read_target(effects);
     }
 
-    /// Takes in the target, the last that is loaded: this leader is ready from now on.
+    /// Handles the stored target, which is loaded last, and completes loading.
     pub(super) fn target_loaded(
         &mut self,
         times: StepTime,
@@ -179,7 +182,8 @@
         };
         let now = times.now;
         self.load_all_chunks(now, effects);
-        // Not a new service: the jobs that are there came one after the other.
+        // A stored target shows that the service is not new: the existing jobs arrived over time and are
+        // not an initial backlog.
         if row.is_some() {
             self.arrivals.service_is_running();
         }
@@ -210,10 +214,10 @@
         self.placement.request_pass();
     }
 
-    /// Fills the job table with the chunks, now that every one is read.
+    /// Loads all chunks into the job table, once every chunk has been read.
     fn load_all_chunks(&mut self, now: Duration, effects: &mut EffectSink) {
         let chunks = std::mem::take(&mut self.loading.chunks);
-        // Smaller chunks exist only where no version is left that doesn't know them.
+        // Smaller chunks are written only once every node runs a version that can read them.
         let (rechunked, original): (Vec<_>, Vec<_>) = chunks.into_iter().partition(|chunk| chunk.rechunked);
         self.all_nodes_upgraded |= !rechunked.is_empty();
         self.load_chunks(original, now, effects);
@@ -225,7 +229,8 @@
         self.stop_broken_gangs(now, effects);
     }
 
-    /// Waits for the machines that tasks are placed on, as if they had just been heard.
+    /// Treats all known machines as heard from just now, and adds the unknown machines that tasks are
+    /// placed on as expected ones.
     fn expect_placed_machines(&mut self, now: Duration) {
         for machine in self.fleet.machines.values_mut() {
             machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(now);
@@ -233,8 +238,8 @@
         }
         let placed: Vec<MachineName> = self.job_table.machines().cloned().collect();
         for name in placed {
-            // Released while this leader could not load: nobody would ever prove it
-            // gone again.
+            // The machine was released while this leader was loading. No later event would prove that
+            // its attempts are over.
             if self.fleet.is_removed(&name) {
                 self.job_table.machine_gone(&name, now);
             } else {
@@ -243,6 +248,7 @@
         }
     }
 
+    /// Loads chunks into the job table. A job with an unreadable chunk is removed from it.
     fn load_chunks(&mut self, chunks: Vec<StoredChunk>, now: Duration, effects: &mut EffectSink) {
         for StoredChunk { job, number, value, mod_revision, .. } in chunks {
             if let Err(error) = self.job_table.load_chunk(&job, number, &value, mod_revision, now) {
@@ -253,7 +259,7 @@
         }
     }
 
-    /// Takes in a job's row from the state service.
+    /// Handles a job's record as read from the state service.
     pub fn job_record_changed(&mut self, times: StepTime, row: &KeyValue, requests: &mut RequestHandler) {
         let Some(id) = row.key.strip_prefix("job/").and_then(|id| JobId::parse(id).ok()) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
@@ -272,11 +278,10 @@
                 return;
             }
             JobPhase::Cancelled => requests.record_ended(&id, JobStatus::Cancelled, 0),
-            // An old event of a job that is over by now. While loading, it is taken in
-            // all the same: a row that is older than a cancellation which this node
-            // has confirmed would leave the job's placements without an owner, so
-            // that neither its tasks were ended nor their room counted. Its end
-            // comes with the first events.
+            // An outdated event of a job that is already over. While loading, such a row is accepted:
+            // it may be older than a cancellation that this node has confirmed. Without the job, its
+            // placements would have no owner, so that its tasks would not be stopped and their
+            // resources not counted. The first events of the watch then report its end.
             JobPhase::Active if self.loading.is_ready() && requests.is_ended(&id) => return,
             JobPhase::Active => {}
         }
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the state service, the cloud and workers, handed to the modules that asked.
+//! Dispatches replies of the state service, the cloud and workers to the modules that made the calls.
 
 use super::Leader;
 use crate::calls::LeaderCall;
@@ -6,13 +6,13 @@
 use crate::protocol::{CallError, CloudReply, CommandReply, KvReply};
 use crate::requests::RequestHandler;
 
-/// Whether this leader's term goes on after a reply.
+/// Whether the leader's term continues after a reply.
 #[must_use]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermStatus {
-    /// Nothing says otherwise.
+    /// The leader continues to lead.
     Continues,
-    /// Another node leads, or this leader can't go on from what it knows.
+    /// The leader must resign: another node leads, or its own knowledge of the stored state has gaps.
     Over,
 }
 
@@ -44,7 +44,7 @@
             LeaderCall::ReadChunk(id, number) => self.chunk_reread(now, &id, number, reply),
             LeaderCall::ReadJob(id) => self.job_reread(times, &id, reply, requests, effects),
             LeaderCall::DeleteGarbage(keys) => return self.garbage_deleted(keys, reply),
-            LeaderCall::ReadGarbageRevision(key) => self.garbage_read(key, reply),
+            LeaderCall::ReadGarbageRevision(key) => self.garbage_revision_read(key, reply),
             LeaderCall::ArchiveJobs(jobs) => return self.jobs_archived(jobs, reply),
             LeaderCall::WriteTarget => return self.target_written(reply),
             _ => {}
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Handles a worker's reply to a direct command.
+    /// Handles a worker's reply to commands that were sent to it directly.
     pub fn command_reply(
         &mut self,
         times: StepTime,
