--- a/crates/plankhead-core/src/sizing/fleet_size_search.rs
+++ b/crates/plankhead-core/src/sizing/fleet_size_search.rs
@@ -1,14 +1,16 @@
-//! The fleet size search: the halving climb over trial sizes (the paper, section 3.3).
+//! The fleet size search (section 3.3 of the paper): trial sizes rise from a minimum, each going half of the
+//! remaining way to a limit, until the replayed slowdown is acceptable.
 
-/// A slowdown above this at the limit is overload: on average jobs wait for two
-/// fifths of their time to run.
+/// The average bounded slowdown above which a fleet at its limit counts as overloaded: jobs then wait on
+/// average for two fifths of their run time.
 const OVERLOAD_SLOWDOWN: f64 = 1.4;
-/// A trial larger by this factor than the one before must bring a gain.
-const MIN_GROWTH: f64 = 1.1;
-/// The share of the slowdown before that such a trial may leave at the most.
-const MAX_SLOWDOWN_LEFT: f64 = 0.98;
+/// The factor by which a trial must be larger than the previous one for a lack of improvement to end the
+/// search.
+const MIN_GROWTH_FACTOR: f64 = 1.1;
+/// The largest ratio of a trial's slowdown to the previous one's that counts as an improvement.
+const MAX_SLOWDOWN_RATIO: f64 = 0.98;
 
-/// A trial size that was replayed.
+/// A fleet size that was replayed.
 #[derive(Debug, Clone, Copy)]
 struct Trial {
     size: u32,
@@ -16,22 +18,25 @@
     slowdown: f64,
 }
 
-/// A climb from the least size towards the limit, in machines of one type: the first trial whose
-/// slowdown is at most `threshold` decides.
+/// A search from a minimum size towards a limit, in machines of one type. It ends at the first trial whose
+/// slowdown is acceptable, at the limit, or when a larger fleet brings no improvement.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSizeSearch {
+    /// The size of the current trial or, once the search has ended, its result.
     trial_size: u32,
     limit: u32,
-    /// How far the limit moves if it leaves an overload.
+    /// The limit that takes effect if a fleet of the size `limit` is overloaded.
     overload_limit: u32,
+    /// The largest acceptable average bounded slowdown.
     threshold: f64,
     decided: bool,
+    /// The previous trial.
     previous: Option<Trial>,
 }
 
 impl FleetSizeSearch {
-    /// A climb from `min_size` to `limit`, or to `overload_limit` if the former leaves an overload.
-    /// `threshold`: the largest acceptable average bounded slowdown.
+    /// Creates a search from `min_size` to `limit`, or to `overload_limit` if a fleet of the size `limit` is
+    /// overloaded. `threshold` is the largest acceptable average bounded slowdown.
     pub fn new(min_size: u32, limit: u32, overload_limit: u32, threshold: f64) -> Self {
         let overload_limit = overload_limit.max(limit);
         Self {
@@ -44,25 +49,25 @@
         }
     }
 
-    /// The size, once it is decided.
+    /// Returns the size that was found, once the search has ended.
     pub fn size(&self) -> Option<u32> {
         self.decided.then_some(self.trial_size)
     }
 
-    /// The size to replay on next.
+    /// Returns the size of the trial to be replayed.
     pub fn trial(&self) -> u32 {
         self.trial_size
     }
 
-    /// Takes in the average bounded slowdown on the trial size; the next trial lies halfway to
-    /// the limit.
+    /// Records the average bounded slowdown of the current trial. This ends the search or sets the next
+    /// trial size, halfway to the limit.
     pub fn record_slowdown(&mut self, slowdown: f64) {
-        // Jobs that wait for their team's limit gain nothing from more machines.
-        let is_no_gain = |previous: &Trial| {
-            f64::from(self.trial_size) >= f64::from(previous.size) * MIN_GROWTH
-                && slowdown > previous.slowdown * MAX_SLOWDOWN_LEFT
+        // More machines bring no improvement for jobs that wait because of their team's limit.
+        let lacks_improvement = |previous: &Trial| {
+            f64::from(self.trial_size) >= f64::from(previous.size) * MIN_GROWTH_FACTOR
+                && slowdown > previous.slowdown * MAX_SLOWDOWN_RATIO
         };
-        if let Some(previous) = self.previous.filter(is_no_gain) {
+        if let Some(previous) = self.previous.filter(lacks_improvement) {
             self.trial_size = previous.size;
             self.decided = true;
             return;
--- a/crates/plankhead-core/src/sizing/mod.rs
+++ b/crates/plankhead-core/src/sizing/mod.rs
@@ -1,4 +1,4 @@
-//! Sizing: how many machines the fleet should have, by online simulation.
+//! Sizing: determines by online simulation how many machines the fleet should have.
 
 pub mod cpu_budget;
 pub mod fleet_size_search;
--- a/crates/plankhead-core/src/sizing/replay.rs
+++ b/crates/plankhead-core/src/sizing/replay.rs
@@ -1,50 +1,51 @@
-//! Replay: the backlog simulated on a trial fleet (the paper, section 3.3), in
-//! time slices, since the node has other things to do meanwhile.
+//! Replay: a simulation of the backlog on a trial fleet (section 3.3 of the paper). It runs in slices, so
+//! that the node can do other work in between.
 
 use crate::placement::backfill::{pass, Slot};
 use crate::placement::fair_share::{TeamUsage, Work};
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Run times below this count as this in a bounded slowdown.
+/// The lower bound of run times in the computation of a bounded slowdown.
 const MIN_SLOWDOWN_RUNTIME: Duration = Duration::from_secs(10);
-/// Passes of one replay; a longer backlog than this is overload for sure.
+/// The maximum number of passes in one replay; a backlog that takes more is certainly an overload.
 const MAX_PASSES: usize = 2_000;
-/// Ends of tasks within this time are replayed together.
+/// The simulated time within which ends of tasks are handled together.
 const TIME_RESOLUTION: Duration = Duration::from_millis(200);
 
-/// A job that is still to arrive in the replay.
+/// A job that arrives during a replay.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it arrives, on the node's clock.
+    /// When the job arrives, on the node's clock.
     pub arrives_at: Duration,
-    /// Its tasks.
+    /// The job's tasks.
     pub work: Work,
 }
 
-/// Jobs on trial machines, up to some simulated moment.
+/// A simulation of jobs on the machines of a trial fleet, and its state at the current simulated time.
 #[derive(Debug)]
 pub struct Replay {
     simulated_now: Duration,
     slots: Vec<Slot>,
     work: Vec<Work>,
-    /// The next one last.
+    /// The jobs that are still to arrive, the next one last.
     arrivals: Vec<Arrival>,
     teams: Vec<TeamUsage>,
-    /// Of each work: when it arrived.
+    /// For each entry of `work`: when it arrived.
     arrived_at: Vec<Duration>,
-    /// Of each work: how many tasks it had then.
+    /// For each entry of `work`: the number of its pending tasks on arrival.
     task_counts: Vec<u32>,
-    /// Of each work: how long its started tasks waited, summed up in seconds.
+    /// For each entry of `work`: the sum of the delays of its started tasks, in seconds.
     total_delays_s: Vec<f64>,
-    /// Jobs that run and wait for nothing.
+    /// The number of jobs that run without pending tasks; each counts with a slowdown of 1.
     running: usize,
+    /// The number of passes so far.
     passes: usize,
 }
 
 impl Replay {
-    /// A replay that begins at `now` with this work pending on these machines. `running` is the
-    /// number of jobs that run and wait for nothing.
+    /// Creates a replay that begins at `now` with this pending work on these machines. `running` is the
+    /// number of jobs that run without pending tasks.
     pub fn new(
         now: Duration,
         slots: Vec<Slot>,
@@ -68,13 +69,13 @@
         }
     }
 
-    /// The size of the trial fleet.
+    /// Returns the number of machines in the trial fleet.
     pub fn machines(&self) -> usize {
         self.slots.len()
     }
 
-    /// Goes on for some passes; returns the average bounded slowdown at the end of the replay,
-    /// None before.
+    /// Advances the replay by up to `passes` passes. Returns the average bounded slowdown if the replay has
+    /// ended, otherwise `None`.
     pub fn advance(&mut self, passes: usize) -> Option<f64> {
         for _ in 0..passes {
             if !self.step() {
@@ -84,11 +85,11 @@
         None
     }
 
-    /// One pass, and on to the next moment at which something changes; false at the end of the
-    /// replay.
+    /// Runs one pass and advances to the next time at which something changes. Returns false at the end of
+    /// the replay.
     fn step(&mut self) -> bool {
         let now = self.simulated_now;
-        self.take_arrivals(now);
+        self.add_arrivals(now);
         for start in pass(now, &mut self.slots, &mut self.work, &mut self.teams) {
             self.total_delays_s[start.work_index] +=
                 start.at.saturating_sub(self.arrived_at[start.work_index]).as_secs_f64();
@@ -104,8 +105,8 @@
         true
     }
 
-    /// Takes in the jobs that have arrived.
-    fn take_arrivals(&mut self, now: Duration) {
+    /// Adds the jobs that have arrived by `now` to the pending work.
+    fn add_arrivals(&mut self, now: Duration) {
         while let Some(arrival) = self.arrivals.pop_if(|arrival| arrival.arrives_at <= now) {
             self.arrived_at.push(arrival.arrives_at);
             self.task_counts.push(arrival.work.pending);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The next moment at which a task ends, a machine is ready or a job arrives.
+    /// Returns the next time at which a task ends, a machine becomes ready or a job arrives.
     fn next_change(&self, now: Duration) -> Option<Duration> {
         let first_ends = self.slots.iter().filter_map(|slot| slot.running.first());
         let ends = first_ends.map(|task| task.ends_at.max(now + TIME_RESOLUTION));
@@ -123,7 +124,7 @@
         ends.chain(ready).chain(arrival).min()
     }
 
-    /// Takes the tasks that have ended off their machines.
+    /// Removes the tasks that have ended by `now` from their machines.
     fn end_tasks(&mut self, now: Duration) {
         for slot in &mut self.slots {
             let ended = slot.running.partition_point(|task| task.ends_at <= now);
@@ -136,8 +137,8 @@
         }
     }
 
-    /// The average over all jobs of 1 + mean delay / run time, with a lower bound for the latter.
-    /// Tasks that never started count as delayed up to now.
+    /// Returns the average over all jobs of 1 + mean delay / run time, where the run time is at least
+    /// [`MIN_SLOWDOWN_RUNTIME`]. Tasks that have not started count as delayed until the simulated time.
     fn average_bounded_slowdown(&self) -> f64 {
         let mut sum = self.running as f64;
         let mut jobs = self.running;
