--- a/crates/plankhead-core/src/protocol/cloud.rs
+++ b/crates/plankhead-core/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud, which rents machines: requests, replies, and what machines there are.
+//! Requests to the cloud, which rents out machines, its replies, and its machine types and inventory.
 
 use super::{Heartbeat, MachineName};
 use plankhead_fencing::gate::PermittedAction;
@@ -9,26 +9,26 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// Reads all machine types, with their present prices.
+    /// Reads all machine types, with their current prices.
     ListMachineTypes,
-    /// Reads a page of the inventory, the instances after the given one.
+    /// Reads a page of the inventory: the instances that follow `after`, or the first ones.
     ListInstances { after: Option<MachineName> },
-    /// An action that can't be taken back, once the fencing gate has let it through.
+    /// Executes an action that can't be undone and that the fencing gate has permitted.
     Execute(PermittedAction),
 }
 
-/// The cloud's reply.
+/// A reply of the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    /// To a read of the machine types.
+    /// Answers [`CloudRequest::ListMachineTypes`].
     MachineTypes(Vec<MachineType>),
-    /// A page of the inventory; `truncated`: there are more instances after these.
+    /// Answers [`CloudRequest::ListInstances`]. If `truncated` is set, more instances follow these.
     Instances { instances: Vec<Instance>, truncated: bool },
-    /// To a rental: the new machines.
+    /// Answers a rental that was carried out, with the names of the new machines.
     Rented(Vec<MachineName>),
-    /// To a rental: the pool has no machines left.
+    /// Answers a rental from a pool that has no machines left.
     NoCapacity,
-    /// To a release.
+    /// Answers a return that was carried out.
     Released,
 }
 
@@ -38,22 +38,22 @@
     pub name: String,
     pub cpus: f64,
     pub gpus: f64,
-    /// In gigabytes.
+    /// The memory, in gigabytes.
     pub ram: f64,
-    /// How much of images a machine keeps, in gigabytes.
+    /// The capacity of a machine's image cache, in gigabytes.
     pub image_cache_gb: f64,
     pub image_fetch_gb_per_s: f64,
-    /// Of an ordinary machine, per hour.
+    /// The hourly price of an ordinary machine.
     pub price: f64,
-    /// Of a spot machine, per hour, at present.
+    /// The current hourly price of a spot machine.
     pub spot_price: f64,
-    /// From the rental until the worker starts to report, usually.
+    /// The usual time from the rental until the worker sends its first heartbeat.
     pub boot_time: Duration,
-    /// Where the type is to be had.
+    /// The zones in which the type is available.
     pub zones: Vec<String>,
 }
 
-/// Machines that the cloud treats alike: of one type, in one zone, spot or ordinary.
+/// A pool of machines that are equivalent to the cloud: of one type, in one zone, either spot or ordinary.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Pool {
     pub machine_type: String,
@@ -62,7 +62,7 @@
 }
 
 impl Pool {
-    /// The pool of the machine that a heartbeat comes from.
+    /// Returns the pool of the machine that sent a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             machine_type: heartbeat.machine_type.to_string(),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether the machine that a heartbeat comes from is of this pool.
+    /// Returns whether the machine that sent a heartbeat belongs to this pool.
     pub fn matches(&self, heartbeat: &Heartbeat) -> bool {
         *self.machine_type == *heartbeat.machine_type
             && *self.zone == *heartbeat.zone
@@ -83,23 +83,23 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Instance {
     pub name: MachineName,
-    /// Where commands can be sent to its worker.
+    /// The address at which the machine's worker accepts direct commands.
     pub address: Arc<str>,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub status: InstanceStatus,
-    /// Since its rental.
+    /// The time since the machine was rented.
     pub age: Duration,
 }
 
 /// A machine's state in the cloud's inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceStatus {
-    /// Or up for a short while: the list lags.
+    /// The machine is booting, or came up only recently, since the inventory lags behind.
     Booting,
     /// The machine is up.
     Running,
-    /// It will not come up, or is broken.
+    /// The machine will not come up, or is broken.
     Failed,
 }
--- a/crates/plankhead-core/src/protocol/events.rs
+++ b/crates/plankhead-core/src/protocol/events.rs
@@ -1,5 +1,4 @@
-//! What the core takes and what it asks for: events, effects, and the ids that tie a reply to
-//! its request.
+//! The core's input and output: events, effects, and the ids that match replies to requests.
 
 use super::{
     CallError, CloudReply, CloudRequest, CommandReply, Heartbeat, KvReply, KvRequest, PeerHeartbeat,
@@ -10,19 +9,19 @@
 use plankhead_reachability::coverage::{Coverage, CoverageError};
 use std::sync::Arc;
 
-/// A request from outside that waits for its [`Response`].
+/// Identifies a request to this node that waits for its [`Response`].
 pub type RequestId = u64;
-/// A call to the outside that waits for its reply.
+/// Identifies a call by this node that waits for its reply.
 pub type CallId = u64;
 
-/// What has happened since the step before.
+/// An event for the core to handle in its next step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A user submits a job.
     Submit {
         request: RequestId,
         id: JobId,
-        /// Or why the submitted document can't be read.
+        /// The submitted specification, or why it can't be used.
         job: Result<JobSpec, SpecRejection>,
     },
     /// A user asks for a job's state.
@@ -33,65 +32,65 @@
     Heartbeat {
         request: RequestId,
         heartbeat: Heartbeat,
-        /// It came through a peer, since the worker can't reach this node.
+        /// Whether a peer relayed it, since the worker can't reach this node.
         relayed: bool,
     },
-    /// The state service's reply to a call, or why there is none.
+    /// The reply of the state service to a call, or the error with which the call failed.
     KvReply { call: CallId, reply: Result<KvReply, CallError> },
-    /// The cloud's reply to a call, or why there is none.
+    /// The reply of the cloud to a call, or the error with which the call failed.
     CloudReply { call: CallId, reply: Result<CloudReply, CallError> },
-    /// What came of commands sent directly to a worker.
+    /// The outcome of commands that were sent directly to a worker.
     CommandReply { call: CallId, reply: CommandReply },
     /// A peer's heartbeat.
     PeerHeartbeat(PeerHeartbeat),
-    /// A peer's coverage, or why its message was refused.
+    /// A peer's coverage, which tells which machines it hears from, or why its message was refused.
     Coverage(Result<Box<Coverage>, CoverageError>),
     /// A peer's message about shards, or why it was refused.
     ShardMessage { request: RequestId, message: Result<ShardMessage, ShardMessageError> },
-    /// What became of this node's message about shards.
+    /// The outcome of a message about shards that this node sent.
     ShardMessageDelivery { call: CallId, delivery: Delivery },
-    /// What came of a message to a peer; `confirmed`: the peer answered it.
+    /// The outcome of a message to a peer: `confirmed` is set if the peer answered it.
     PeerDelivery { host: String, confirmed: bool },
     /// An operator asks for this node's view.
     View { request: RequestId },
 }
 
-/// What the adapters are to do.
+/// An action for the adapters to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Answer a request.
+    /// Answers a request.
     Respond { request: RequestId, response: Response },
-    /// Call the state service.
+    /// Calls the state service.
     CallKv { call: CallId, request: KvRequest },
-    /// Call the cloud.
+    /// Calls the cloud.
     CallCloud { call: CallId, request: CloudRequest },
-    /// Send commands directly to a worker; without any, only to learn whether it answers.
+    /// Sends commands directly to a worker. An empty list only checks whether the worker answers.
     SendCommands {
         call: CallId,
         address: Arc<str>,
         /// The leader's fencing token, or the epoch of the machine's shard.
         token: u64,
-        /// The worker's, for which the commands are meant.
+        /// The worker incarnation that the commands are meant for.
         incarnation: u64,
         commands: Vec<WorkerCommand>,
     },
-    /// Send every peer this node's heartbeat.
+    /// Sends this node's heartbeat to every peer.
     SendPeerHeartbeat(PeerHeartbeat),
-    /// Send every peer this node's coverage.
+    /// Sends this node's coverage to every peer.
     SendCoverage(Box<Coverage>),
-    /// Send one peer a message about shards; what becomes of it comes back.
+    /// Sends a message about shards to one peer. [`Event::ShardMessageDelivery`] reports the outcome.
     SendShardMessage { call: CallId, to: String, message: ShardMessage },
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log(LogLevel, String),
 }
 
-/// How much a log line matters.
+/// The severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Something is wrong that an operator should see to.
+    /// A problem that needs an operator's attention.
     Error,
-    /// An event in the life of the cluster.
+    /// A normal event in the operation of the cluster.
     Info,
-    /// For the developers.
+    /// Details for developers.
     Debug,
 }
--- a/crates/plankhead-core/src/protocol/kv.rs
+++ b/crates/plankhead-core/src/protocol/kv.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// Why a call to the state service or the cloud brought no reply.
+/// Why a call to the state service or the cloud failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// Certainly not carried out.
+    /// The request was refused and certainly not carried out.
     Refused,
-    /// Certainly not carried out: too many requests at the moment.
+    /// The request exceeded the rate limit and was certainly not carried out.
     RateLimited,
-    /// May have been carried out, or may be later.
+    /// The request may have been carried out, or may still be.
     OutcomeUnknown,
-    /// Certainly not carried out: larger than is allowed by now.
+    /// The request exceeded the size limit in force and was certainly not carried out.
     TooLarge,
 }
 
@@ -22,28 +22,28 @@
     Get {
         key: String,
     },
-    /// Reads a page of the keys with a prefix, those after the given one.
+    /// Reads a page of the keys with a prefix: those that follow `after`, or the first ones.
     List {
         prefix: String,
         after: Option<String>,
     },
-    /// Carries out all changes if all conditions hold, else none (compare-and-swap).
+    /// Applies all changes if all conditions hold, otherwise none (compare-and-swap).
     Txn {
         conditions: Vec<Condition>,
         changes: Vec<KvChange>,
     },
-    /// Asks for a lease that expires this long after its latest renewal.
+    /// Requests a lease that expires when it has not been renewed for `ttl`.
     GrantLease {
         ttl: Duration,
     },
     RenewLease {
         lease: u64,
     },
-    /// Ends a lease, with the keys written under it.
+    /// Ends a lease, which deletes the keys attached to it.
     RevokeLease {
         lease: u64,
     },
-    /// Waits up to this time for changes of keys with a prefix after a revision.
+    /// Waits for up to `wait` for changes of keys with a prefix after the revision `after`.
     Watch {
         prefix: String,
         after: u64,
@@ -51,8 +51,8 @@
     },
 }
 
-/// A condition of a transaction: the key's latest change was at this revision; 0: the key
-/// does not exist.
+/// A condition of a transaction: the key's latest change was at this revision or, if the revision is 0, the
+/// key does not exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     pub key: String,
@@ -67,10 +67,10 @@
         key: String,
         /// JSON text.
         value: String,
-        /// The lease with whose end the key goes.
+        /// The lease to which the key is attached: the key is deleted when the lease ends.
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete { key: String },
 }
 
@@ -84,40 +84,41 @@
     pub mod_revision: u64,
 }
 
-/// The state service's reply.
+/// A reply of the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvReply {
-    /// To a read: the key, if it exists.
+    /// Answers [`KvRequest::Get`] with the key, if it exists.
     Value(Option<KeyValue>),
-    /// To a list: some of the keys.
+    /// Answers [`KvRequest::List`] with some of the keys.
     Page {
         rows: Vec<KeyValue>,
-        /// There are more keys after these.
+        /// Whether more keys follow these.
         truncated: bool,
-        /// The store's revision as of which this is the state.
+        /// The store's revision at which the page was read.
         revision: u64,
     },
-    /// To a transaction: carried out, at this revision.
+    /// Answers a transaction that was applied at this revision.
     Committed { revision: u64 },
-    /// To a transaction: not carried out, since the conditions on these keys did not hold.
+    /// Answers a transaction that was not applied because the conditions on these keys did not hold.
     Conflict { failed: Vec<String> },
-    /// The lease that a write or a renewal names is over.
+    /// Answers a write or a renewal that names a lease which has ended.
     NoSuchLease,
-    /// To a grant: the new lease.
+    /// Answers [`KvRequest::GrantLease`] with the new lease.
     LeaseGranted { lease: u64 },
-    /// To a renewal.
+    /// Answers [`KvRequest::RenewLease`].
     LeaseRenewed,
-    /// To a watch: the changes up to a revision, none if its time ran out.
+    /// Answers [`KvRequest::Watch`] with the changes up to `revision`, or with none after a time-out.
     Events { revision: u64, events: Vec<WatchEvent> },
-    /// To a watch: the history that it asks for is gone, so that the keys must be listed anew.
+    /// Answers a watch whose starting revision is no longer in the store's history: the keys must be listed
+    /// again.
     Compacted,
 }
 
-/// A change that a watch saw.
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The key was written, and is this now.
+    /// The key was written and has this value.
     Put(KeyValue),
-    /// The key was removed, at this revision.
+    /// The key was deleted at this revision.
     Delete { key: String, revision: u64 },
 }
--- a/crates/plankhead-core/src/protocol/mod.rs
+++ b/crates/plankhead-core/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The core's messages, by the counterpart that they are exchanged with. The adapters map
-//! the published protocol to these types and back.
+//! The messages that the core exchanges, one module per counterpart. The adapters convert between these
+//! types and the published protocol.
 
 mod cloud;
 mod events;
--- a/crates/plankhead-core/src/protocol/peers.rs
+++ b/crates/plankhead-core/src/protocol/peers.rs
@@ -1,25 +1,25 @@
-//! What nodes tell each other.
+//! Heartbeats between nodes.
 
-/// What a node tells its peers every second.
+/// The heartbeat that a node sends to its peers every second.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PeerHeartbeat {
-    /// The sender.
+    /// The sender's name.
     pub host: String,
-    /// The state service answers the sender.
+    /// Whether the state service answers the sender.
     pub kv_available: bool,
-    /// The fencing token under which the sender leads, or 0.
+    /// The fencing token under which the sender leads, or 0 if it does not lead.
     pub token: u64,
-    /// The progress of jobs under way, if the sender leads.
+    /// The progress of active jobs, if the sender leads.
     pub progress: Vec<JobProgress>,
 }
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobProgress {
-    /// The job's id, not checked yet.
+    /// The job's id, which has not been validated.
     pub id: String,
-    /// Tasks that completed.
+    /// The number of completed tasks.
     pub done: u32,
-    /// Tasks that run now.
+    /// The number of running tasks.
     pub running: u32,
 }
--- a/crates/plankhead-core/src/protocol/users.rs
+++ b/crates/plankhead-core/src/protocol/users.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, first of all those of users.
+//! Responses to requests of users, workers, operators and peers.
 
 use super::WorkerCommand;
 use crate::jobs::job::{JobId, JobPhase};
@@ -6,90 +6,90 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The answer to a request.
+/// The response to a request. The number in the comments is the HTTP status code.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
-    /// To a user, 201 or 200: the job's state.
+    /// To a user, 201 or 200: the state of the job.
     Job {
-        /// The request has created the job.
+        /// Whether the request created the job.
         created: bool,
         id: JobId,
         status: JobStatus,
-        /// Tasks that completed.
+        /// The number of completed tasks.
         done: u32,
-        /// Tasks that run now.
+        /// The number of running tasks.
         running: u32,
     },
-    /// To a user, 400: the job can't be read or stored.
+    /// To a user, 400: the job's specification can't be decoded or stored.
     BadRequest(SpecRejection),
-    /// To a user, 422: no fleet that is allowed could run the job.
+    /// To a user, 422: no fleet within the settings could run the job.
     Unprocessable(UnsatisfiableSpec),
     /// To a user, 404: there is no such job.
     NotFound,
-    /// To a user or a worker, 503: try again after this time.
+    /// To a user or a worker, 503: the request can be repeated after this time.
     Unavailable { retry_after: Duration },
-    /// To a worker: its commands, and a renewal of its lease.
+    /// To a worker: its commands. The response also renews its lease.
     Commands {
         /// The leader's fencing token, or the epoch of the machine's shard.
         token: u64,
         commands: Vec<WorkerCommand>,
     },
-    /// To a worker, 421: the node to report to, where it is known.
+    /// To a worker, 421: the node that it should send heartbeats to, if that is known.
     Redirect { leader: Option<String> },
-    /// To the adapter: the worker knows this leader already, so that it can't reach it now.
-    /// Its heartbeat is to be relayed there, and the answer passed back.
+    /// To the adapter: relay the worker's heartbeat to this leader and pass the response back. The worker
+    /// already knows the leader, so it evidently can't reach it.
     Relay { leader: String },
     /// To an operator: the JSON document of `GET /view`.
     View(serde_json::Value),
-    /// To a peer: what became of its message about shards.
+    /// To a peer: the outcome of its message about shards.
     ShardMessageDelivery(Delivery),
 }
 
-/// Why a job's specification can't be used, in the text that its user gets.
+/// Why a job's specification can't be used. The messages are sent to the user.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum SpecRejection {
     /// The submitted document could not be decoded.
     #[error("{0}")]
     Malformed(String),
-    /// Its record would not fit under one key of the state service.
+    /// The job's record would exceed the size of a value in the state service.
     #[error("the job's description is too long")]
     TooLong,
 }
 
-/// Why no allowed fleet could run a job, in the text that its user gets.
+/// Why no fleet within the settings could run a job. The messages are sent to the user.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum UnsatisfiableSpec {
     /// The settings do not name the job's team.
     #[error("no such team")]
     UnknownTeam,
-    /// A single task's demand is over the team's limit.
+    /// The demand of a single task exceeds the team's limit.
     #[error("one task needs more than the team's limit")]
     TaskOverTeamLimit,
-    /// The demand of a gang, which runs as a whole, is over the team's limit.
+    /// The demand of all tasks of a gang, which run at the same time, exceeds the team's limit.
     #[error("all tasks together need more than the team's limit")]
     GangOverTeamLimit,
-    /// A gang is to be spread over zones, but only one zone can take it.
+    /// The tasks of a gang must be spread over zones, but only one zone can hold them.
     #[error("the tasks can't all be in one zone and at most half of them in each")]
     SpreadInOneZone,
-    /// No machine type that the job allows has room for a task.
+    /// No machine type that the job allows is large enough for a task.
     #[error("no allowed machine type can hold a task")]
     NoMachineTypeFits,
 }
 
-/// A job's state as its user sees it.
+/// The state of a job as shown to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobStatus {
-    /// None of its tasks runs now.
+    /// No task of the job is running.
     Queued,
-    /// At least one of its tasks runs now.
+    /// At least one task of the job is running.
     Running,
-    /// All of its tasks have completed.
+    /// All tasks of the job have completed.
     Done,
     Cancelled,
 }
 
 impl JobStatus {
-    /// The state of a job in this phase, of which `running` tasks run.
+    /// Returns the state of a job in this phase with `running` running tasks.
     pub fn of(phase: JobPhase, running: u32) -> Self {
         match phase {
             JobPhase::Active if running > 0 => Self::Running,
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -1,42 +1,42 @@
-//! Workers: what their heartbeats show, and the commands that they carry out.
+//! Heartbeats of workers, and the commands that workers carry out.
 
 use crate::jobs::job::JobId;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A machine's name, as the cloud gave it.
+/// The name of a machine, assigned by the cloud.
 pub type MachineName = Arc<str>;
 
-/// One task of one job.
+/// Identifies a task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     pub job: JobId,
-    /// Its place in the job, from 0.
+    /// The index of the task in the job, from 0.
     pub index: u32,
 }
 
-/// A worker's heartbeat. Cheap to clone: most bring nothing new, and are kept whole.
+/// A worker's heartbeat. It is cheap to clone, since the latest heartbeat of every machine is kept.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     pub machine: MachineName,
-    /// Where commands can be sent to the worker directly.
+    /// The address at which the worker accepts direct commands.
     pub address: Arc<str>,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
-    /// The worker's session, which begins anew when its lease expires.
+    /// The worker's session; a new one begins when the worker's lease expires.
     pub incarnation: u64,
-    /// Orders the heartbeats of one incarnation, and the answers to commands among them.
+    /// Orders the heartbeats of one incarnation, including those that answer commands.
     pub sequence: u64,
-    /// The highest fencing token, or epoch of its shard, that the worker has seen.
+    /// The highest fencing token or epoch of its shard that the worker has seen.
     pub token: u64,
-    /// The cloud takes the machine back after this time.
+    /// The time after which the cloud will take the machine back, if it has announced that.
     pub preemption_notice: Option<Duration>,
     pub tasks: Arc<[ReportedTask]>,
 }
 
-/// An attempt as a heartbeat lists it. `Eq`, so that comparing a list with itself does not
-/// look at the tasks.
+/// An attempt as listed in a heartbeat. It implements `Eq`, so that the comparison of two `Arc`s to the
+/// same list does not compare the tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedTask {
     pub task: TaskId,
@@ -47,55 +47,56 @@
 /// The status of an attempt on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// It waits for its image.
+    /// The machine is fetching the task's image.
     FetchingImage,
-    /// A task of a gang that waits for the others.
+    /// The task is waiting for the other tasks of its gang.
     WaitingForGang,
     Running,
-    /// It was told to stop and writes a checkpoint.
+    /// The attempt was asked to stop and is writing a checkpoint.
     Checkpointing,
-    /// A status that this version does not know: the attempt exists, and no more is known.
+    /// A status that this version does not know: the attempt exists, but nothing else is known of it.
     Unrecognized,
-    /// It is over, and listed until that is acknowledged.
+    /// The attempt has ended. It is listed until its end is acknowledged.
     Exited(ExitReason),
 }
 
-/// Why an attempt is over.
+/// Why an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// The task is done.
+    /// The task has completed.
     Completed,
-    /// Killed by a command.
+    /// The attempt was killed by a command.
     Stopped,
-    /// By a fault of its own or, mostly, of the machine.
+    /// The attempt failed, mostly due to a fault of the machine rather than of the task.
     Failed,
-    /// Refused: not enough free resources on the machine.
+    /// The start was refused: the machine has not enough free resources.
     InsufficientResources,
-    /// Refused: another attempt of the task is on the machine.
+    /// The start was refused: another attempt of the task is on the machine.
     AttemptConflict,
-    /// Refused: the worker finds no such job or task.
+    /// The start was refused: the worker finds no such job or task.
     UnknownJob,
-    /// Another task of the gang is gone.
+    /// Another task of the gang was lost.
     GangMemberLost,
-    /// The gang was not complete in time.
+    /// The tasks of the gang were not all present in time.
     GangIncomplete,
-    /// A reason that this version does not know: the attempt is over all the same.
+    /// A reason that this version does not know; the attempt has ended nevertheless.
     Unrecognized,
 }
 
-/// What a worker is to do.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerCommand {
-    /// Start an attempt.
+    /// Starts an attempt.
     Run { task: TaskId, attempt: u64 },
-    /// Stop an attempt, which has the grace to write a checkpoint.
+    /// Stops an attempt, which has the time `grace` to write a checkpoint.
     Kill { task: TaskId, attempt: u64, grace: Duration },
-    /// Forget an attempt that has exited.
+    /// Acknowledges the end of an attempt, which the worker then no longer lists.
     Acknowledge { task: TaskId, attempt: u64 },
 }
 
 impl WorkerCommand {
-    /// What the worker's next heartbeat must show if it carries the command out.
+    /// Returns the effect that the worker's next heartbeat must show if the worker carries out the command.
+    /// An acknowledgement has none.
     pub fn expected_effect(&self) -> Option<ExpectedEffect> {
         let (task, attempt, kind) = match self {
             WorkerCommand::Run { task, attempt } => (task, attempt, EffectKind::Started),
@@ -106,7 +107,7 @@
     }
 }
 
-/// What a command leads to on its worker.
+/// The effect that a command should have on its worker.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ExpectedEffect {
     pub task: TaskId,
@@ -114,32 +115,32 @@
     pub kind: EffectKind,
 }
 
-/// Whether a command starts an attempt or ends it, as the worker's next heartbeat shows it.
+/// The kind of effect that a command has, by the attempt's status in the worker's next heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EffectKind {
     /// The attempt is listed.
     Started,
-    /// The attempt is not listed, has exited, or writes its checkpoint.
+    /// The attempt is not listed, has exited, or is writing its checkpoint.
     Stopped,
 }
 
-/// What came of commands sent directly to a worker.
+/// The outcome of commands that were sent directly to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandReply {
-    /// Carried out, or refused as a whole (409): the worker's heartbeat.
+    /// The worker carried the commands out or refused all of them (409), and answered with its heartbeat.
     Answered(Heartbeat),
-    /// The commands never left this node.
+    /// The commands were not sent.
     NotSent,
-    /// They may be carried out at any later time.
+    /// No answer came: the commands may have been carried out, or may be at any later time.
     Unanswered,
 }
 
-/// How a heartbeat reached this node.
+/// How a heartbeat reached this node, and how well connected this node is.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatPath {
-    /// It came through a peer, since the worker can't reach this node.
+    /// Whether a peer relayed the heartbeat, since the worker can't reach this node.
     pub relayed: bool,
-    /// Neither the state service nor any peer is heard, so that another node may lead by
-    /// now.
+    /// Whether this node hears neither the state service nor any peer, so that another node may have
+    /// become the leader.
     pub is_cut_off: bool,
 }
