--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -55,16 +55,16 @@
             return;
         }
         let max_changes = self.persistence.available(now).min(self.settings.max_txn_changes);
-        let Some(changes) = (max_changes > 0)
+        let Some(pages) = (max_changes > 0)
             .then(|| self.intents.log.begin_write(max_changes, may_compact || !urgent && has_unrecorded))
             .flatten()
         else {
             return;
         };
-        self.persistence.take(now, changes.len());
+        self.persistence.take(now, pages.len());
         self.intents.next_write_at = now + self.intents.settings.write_interval;
         self.intents.next_compaction_at = now + self.intents.settings.compaction_interval;
-        let (conditions, changes) = self.intent_transaction(changes);
+        let (conditions, changes) = self.intent_transaction(pages);
         self.call_kv(LeaderCall::WriteIntents { sent: now }, KvRequest::Txn { conditions, changes }, effects);
     }
 
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     last_heard_at: Duration,
-    /// Identifies the run of the node's process.
+    /// Identifies one run of the node's process; it changes with every restart.
     boot_id: u64,
     zone: String,
     /// Whether the node reads the shard records.
@@ -71,10 +71,11 @@
     commands_due: BTreeSet<MachineName>,
     /// The commands that were last sent for each machine.
     sent: HashMap<MachineName, SentCommands>,
-    /// Shards that the node has only just been named for. It is still to receive the latest heartbeats of
-    /// their machines.
+    /// Shards that the node holds only now, and for whose machines it has not been sent the latest
+    /// heartbeats yet.
     newly_held: BTreeSet<ShardId>,
-    /// A shard was given to another node, and this one may not have read the new record yet.
+    /// Whether a shard was given to another node and this node, which may not have read the new record
+    /// yet, has not been told so.
     shard_taken: bool,
     /// Machines that the cloud has released, of which the node is still to be told.
     removed: BTreeSet<MachineName>,
