--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -101,13 +101,13 @@
     /// Queues keys again after a deletion that was not carried out because the `failed` ones had other
     /// revisions than expected.
     fn requeue_after_conflict(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
-        let revised = |mut stored: StoredKey| {
+        let without_failed_revision = |mut stored: StoredKey| {
             if failed.contains(&stored.key) {
                 stored.revision = None;
             }
             stored
         };
-        self.garbage.keys.extend(keys.into_iter().map(revised));
+        self.garbage.keys.extend(keys.into_iter().map(without_failed_revision));
     }
 
     /// Handles the reply to a read of a key that is to be deleted. The key is kept if a job with the same id
