--- a/crates/plankhead-core/src/leader/arrivals.rs
+++ b/crates/plankhead-core/src/leader/arrivals.rs
@@ -1,4 +1,4 @@
-//! The jobs that came lately, from which the replay expects those to come.
+//! The history of recent job arrivals, from which sizing replays predict future arrivals.
 
 use super::Leader;
 use crate::jobs::job::JobSpec;
@@ -7,39 +7,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Arrivals that are remembered.
+/// The maximum number of arrivals kept in the history.
 const MAX_ARRIVALS: usize = 1_000;
-/// The shortest time whose arrivals are taken to tell a rate.
+/// The shortest period over which arrivals are taken to represent a rate.
 const MIN_ARRIVAL_WINDOW: Duration = Duration::from_secs(20);
-/// Jobs that come within this time of a service's first are its backlog.
+/// Jobs accepted within this time of the service's first job count as its initial backlog.
 const INITIAL_BACKLOG_WINDOW: Duration = Duration::from_secs(5);
 
-/// A job that came lately.
+/// A job in the arrival history.
 #[derive(Debug, Clone)]
 struct RecentArrival {
     accepted_at: Duration,
     spec: Arc<JobSpec>,
 }
 
-/// The jobs of the last interval.
+/// The most recent job arrivals.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     recent: VecDeque<RecentArrival>,
-    /// When the service's first job came; zero if that was before this leader.
+    /// When the service's first job was accepted; zero if that was before this leader's term.
     first_job_at: Option<Duration>,
 }
 
 impl ArrivalHistory {
-    /// The service is not new: the jobs that are there came one after the other.
+    /// Records that the service is not new, so that no arrivals count as its initial backlog.
     pub(super) fn service_is_running(&mut self) {
         self.first_job_at = Some(Duration::ZERO);
     }
 
-    /// Takes in a job that is new to this leader. What waits when a service opens is a
-    /// backlog and tells no rate.
+    /// Records a job that is new to this leader. Jobs of the initial backlog are not recorded,
+    /// since they do not represent an arrival rate.
     pub(super) fn record(&mut self, accepted_at: Duration, spec: Option<&JobSpec>) {
-        let opened_at = *self.first_job_at.get_or_insert(accepted_at);
-        let is_backlog = accepted_at < opened_at + INITIAL_BACKLOG_WINDOW;
+        let first_job_at = *self.first_job_at.get_or_insert(accepted_at);
+        let is_backlog = accepted_at < first_job_at + INITIAL_BACKLOG_WINDOW;
         if let Some(spec) = spec.filter(|_| !is_backlog) {
             self.recent.push_back(RecentArrival { accepted_at, spec: Arc::new(spec.clone()) });
             if self.recent.len() > MAX_ARRIVALS {
@@ -48,20 +48,20 @@
         }
     }
 
-    fn forget_before(&mut self, from: Duration) {
-        self.recent.retain(|arrival| arrival.accepted_at >= from);
+    fn drop_before(&mut self, start: Duration) {
+        self.recent.retain(|arrival| arrival.accepted_at >= start);
     }
 }
 
 impl Leader {
-    /// The jobs of the last interval, as if they came again in the next and on.
+    /// Predicts the next arrivals by repeating those of the last interval.
     pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
         let interval = self.round_interval();
         let window = interval.min(now.saturating_sub(self.started_at).max(MIN_ARRIVAL_WINDOW));
-        self.arrivals.forget_before(now.saturating_sub(window));
+        self.arrivals.drop_before(now.saturating_sub(window));
         let recent: Vec<RecentArrival> = self.arrivals.recent.iter().cloned().collect();
-        // Half an interval more shows whether a backlog grows. A leader younger than
-        // the interval repeats what it saw.
+        // The extra half interval shows whether the backlog grows. A leader younger than the
+        // interval repeats its shorter history until the horizon is filled.
         let horizon = interval + interval / 2;
         let mut expected = Vec::new();
         let mut shift = window;
--- a/crates/plankhead-core/src/leader/commands.rs
+++ b/crates/plankhead-core/src/leader/commands.rs
@@ -1,5 +1,5 @@
-//! Commands for workers: which are due, and those that are sent without waiting for a
-//! heartbeat.
+//! Commands for workers: those returned with the response to a heartbeat, and those sent directly
+//! without waiting for a heartbeat.
 
 use super::Leader;
 use crate::calls::{CallPurpose, LeaderCall};
@@ -13,13 +13,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Commands in one answer to a worker: its lines must stay below 64 KiB.
-const MAX_COMMANDS_PER_ANSWER: usize = 300;
-/// The most grace that a task has to checkpoint.
+/// The maximum number of commands in one response to a worker, which keeps a response line below
+/// 64 KiB.
+const MAX_COMMANDS_PER_RESPONSE: usize = 300;
+/// The longest grace period that a stopped task gets to write a checkpoint.
 const MAX_CHECKPOINT_GRACE: Duration = Duration::from_secs(10);
 
 impl Leader {
-    /// The commands for a machine, by its newest heartbeat.
+    /// Returns the commands that a machine needs, given its latest heartbeat.
     pub(super) fn commands_for(
         &self,
         now: Duration,
@@ -34,10 +35,13 @@
         for ReportedTask { task, attempt, status } in heartbeat.tasks.iter() {
             let attempt = *attempt;
             if matches!(status, TaskStatus::Exited(_)) {
-                // A direct `run` under way would start a forgotten attempt anew.
+                // The worker forgets an acknowledged attempt, so a direct `run` that is still in
+                // flight would start the attempt again.
                 let unconfirmed = machine.has_unconfirmed_start(task, attempt);
-                let over = !self.job_table.jobs.contains_key(&task.job) && requests.is_ended(&task.job);
-                if may_acknowledge && !unconfirmed && (over || self.job_table.may_acknowledge(task, attempt))
+                let job_ended = !self.job_table.jobs.contains_key(&task.job) && requests.is_ended(&task.job);
+                if may_acknowledge
+                    && !unconfirmed
+                    && (job_ended || self.job_table.may_acknowledge(task, attempt))
                 {
                     commands.push(WorkerCommand::Acknowledge { task: task.clone(), attempt });
                 }
@@ -51,11 +55,12 @@
         commands.extend(
             self.due_starts(now, machine).map(|(task, attempt)| WorkerCommand::Run { task, attempt }),
         );
-        commands.truncate(MAX_COMMANDS_PER_ANSWER);
+        commands.truncate(MAX_COMMANDS_PER_RESPONSE);
         commands
     }
 
-    /// Whether a reported attempt must be stopped, and its grace to checkpoint.
+    /// Returns the grace period for a checkpoint if a reported attempt must be stopped, or `None`
+    /// if it may go on.
     fn kill_grace(
         &self,
         machine_name: &MachineName,
@@ -74,10 +79,11 @@
         }
     }
 
-    /// The grace that a stopped task has to checkpoint, if that is of use.
+    /// Returns the time that a stopped task gets to write a checkpoint; zero if a checkpoint would
+    /// not help or takes too long.
     fn checkpoint_grace(&self, task: &TaskId) -> Duration {
         let Some(entry) = self.job_table.jobs.get(&task.job) else { return Duration::ZERO };
-        // A gang that lost a task checkpoints nothing any more.
+        // A gang that has lost a task can no longer write a checkpoint.
         let checkpoints = entry.phase == JobPhase::Active
             && entry.spec.checkpoint_interval_s > 0.0
             && !entry.is_gang_broken();
@@ -89,9 +95,11 @@
         }
     }
 
-    /// Commands for tasks of an ending gang whose start was sent and that the worker has
-    /// not reported: the start may be lost, or come yet. Commanded to run and to stop at
-    /// once, the worker reports them as ended, and a late start has no effect.
+    /// Returns commands for the tasks of a stopping gang that this worker was told to start but has
+    /// not reported.
+    ///
+    /// The start command may be lost or still in flight. A start followed immediately by a kill
+    /// makes the worker report the attempt as exited, after which a late start has no effect.
     fn unreported_gang_tasks(
         &self,
         now: Duration,
@@ -101,8 +109,9 @@
         let mut commands = Vec::new();
         let may_start = self.may_start_tasks(now);
         for task in self.job_table.by_machine(&machine.name).filter(|_| may_start) {
-            let ending = |e: &&JobEntry| e.phase == JobPhase::Active && e.is_gang_ending();
-            let found = self.job_table.jobs.get(&task.job).filter(ending).and(self.job_table.attempt(task));
+            let is_ending = |e: &&JobEntry| e.phase == JobPhase::Active && e.is_gang_ending();
+            let found =
+                self.job_table.jobs.get(&task.job).filter(is_ending).and(self.job_table.attempt(task));
             let Some(attempt) = found else { continue };
             let was_offered = attempt.offered_under_token.is_some()
                 && attempt.reported_status.is_none()
@@ -118,7 +127,8 @@
         commands
     }
 
-    /// Durable placements that the worker has not reported yet.
+    /// Returns the attempts that the worker should start: their placements are durable, and no
+    /// heartbeat has reported them yet.
     fn due_starts<'a>(
         &'a self,
         now: Duration,
@@ -128,8 +138,8 @@
         let incarnation = machine.incarnation();
         self.job_table.by_machine(&machine.name).filter_map(move |task| {
             let attempt = self.job_table.attempt(task)?;
-            let live = self.job_table.jobs.get(&task.job)?.phase == JobPhase::Active;
-            let due = live
+            let is_active = self.job_table.jobs.get(&task.job)?.phase == JobPhase::Active;
+            let due = is_active
                 && may_start
                 && Some(attempt.incarnation) == incarnation
                 && attempt.reported_status.is_none()
@@ -139,8 +149,8 @@
         })
     }
 
-    /// Sends a machine what it should know at once: starts, each once, and
-    /// kills, each once. The answers to heartbeats repeat what got lost.
+    /// Sends a machine its due starts and kills directly, each of them once. Responses to later
+    /// heartbeats repeat any that were lost.
     pub(super) fn send_commands(
         &mut self,
         now: Duration,
@@ -156,8 +166,8 @@
             return;
         }
         let was_sent = |task: &TaskId| self.job_table.attempt(task).is_some_and(|a| a.start_sent);
-        // A command of its own costs several times an answer, and the answer to the next
-        // heartbeat carries the same: what can wait for that gives way first.
+        // A direct command costs several times as much as a heartbeat response. When CPU is short,
+        // starts wait for the response to the next heartbeat, which carries them as well.
         let starts: Vec<(TaskId, u64)> = match self.evidence.is_cpu_starved() {
             true => Vec::new(),
             false => self.due_starts(now, machine).filter(|(task, _)| !was_sent(task)).collect(),
@@ -184,7 +194,7 @@
         );
     }
 
-    /// Attempts on a machine that must be stopped and were not sent a kill yet.
+    /// Returns the attempts on a machine that must be stopped and have not been sent a kill yet.
     fn due_kills(&self, now: Duration, machine_name: &MachineName, incarnation: u64) -> Vec<(TaskId, u64)> {
         let may_kill = self.permits(Action::Kill, now);
         let due = |task: &TaskId| {
@@ -198,7 +208,7 @@
         self.job_table.by_machine(machine_name).filter(|_| may_kill).filter_map(due).collect()
     }
 
-    /// The commands for these kills, which count as sent from now on.
+    /// Builds the commands for these kills and marks them as sent.
     fn kill_commands(&mut self, kills: &[(TaskId, u64)]) -> Vec<WorkerCommand> {
         let mut commands = Vec::with_capacity(kills.len());
         for (task, attempt) in kills {
@@ -211,7 +221,7 @@
         commands
     }
 
-    /// The commands for these starts, which count as sent from now on.
+    /// Builds the commands for these starts and marks them as sent.
     fn run_commands(&mut self, starts: &[(TaskId, u64)], token: u64) -> Vec<WorkerCommand> {
         let mut commands = Vec::with_capacity(starts.len());
         for (task, attempt) in starts {
@@ -224,7 +234,7 @@
         commands
     }
 
-    /// Logs, once in a term, how long the first start took.
+    /// Logs, once per term, the time from the beginning of the term to the first start command.
     pub(super) fn log_first_start(&mut self, now: Duration, effects: &mut EffectSink) {
         if !std::mem::replace(&mut self.first_start_sent, true) {
             let after = now.saturating_sub(self.started_at).as_secs_f64();
@@ -233,7 +243,7 @@
         }
     }
 
-    /// Notes which attempts a worker may start from now on, and under which token.
+    /// Records which attempts the worker is told to start, and under which fencing token.
     pub(super) fn record_offered_starts(&mut self, commands: &[WorkerCommand], token: u64) {
         for command in commands {
             if let WorkerCommand::Run { task, .. } = command {
@@ -244,14 +254,14 @@
         }
     }
 
-    /// Sends commands to the machines of gangs that are to end, all at once.
+    /// Sends the due commands to all machines with tasks of gangs that must stop.
     pub(super) fn stop_broken_gangs(&mut self, now: Duration, effects: &mut EffectSink) {
         for machine in std::mem::take(&mut self.job_table.machines_to_stop) {
             self.send_commands(now, &machine, effects);
         }
     }
 
-    /// Kills what was cancelled, without waiting for the workers' heartbeats.
+    /// Sends kills for the tasks of cancelled jobs without waiting for the workers' heartbeats.
     pub(super) fn kill_cancelled(&mut self, now: Duration, effects: &mut EffectSink) {
         let machines: BTreeSet<MachineName> = self
             .job_table
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -1,39 +1,40 @@
-//! What the leader knows of its own links: which sides it reaches, and whether the
-//! silence of workers is theirs or its own.
+//! What the leader knows about its own links: which sides it reaches, and whether missing
+//! heartbeats are the fault of the workers or of its own links.
 
 use plankhead_reachability::mode::Mode;
 use std::time::Duration;
 
-/// What a node knows of its links and of its lease at one step.
+/// What a node knows about its links and its lease in one step.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderEvidence {
-    /// The leader's lease was renewed within its time, so that its writes make sense.
+    /// Whether the leader's lease has been renewed in time, so that its writes may still succeed.
     pub lease_valid: bool,
-    /// And no call to the state service has failed since.
+    /// Whether the lease is valid and its latest renewal has not failed.
     pub kv_undisputed: bool,
-    /// Every peer is heard, and none of them leads.
+    /// Whether heartbeats of every peer arrive and none of them claims to lead.
     pub no_peer_leads: bool,
-    /// The process has no processor time left.
+    /// Whether the process gets too little CPU time to keep up.
     pub cpu_starved: bool,
-    /// Which links of this node work.
+    /// The reachability mode: which links of this node work.
     pub mode: Mode,
-    /// Every other node hears no worker either.
+    /// Whether no other node hears any worker either.
     pub peers_agree: bool,
 }
 
-/// What the leader keeps of the evidence between steps.
+/// The evidence that the leader keeps between steps.
 #[derive(Debug)]
 pub(super) struct Evidence {
     mode: Mode,
     peers_agree: bool,
     cpu_starved: bool,
-    /// When the state service last failed this node, or was about to.
-    lease_doubted_at: Option<Duration>,
-    /// A worker has reached this node itself since the last step.
+    /// When the lease was last found invalid or its latest renewal failed.
+    lease_uncertain_at: Option<Duration>,
+    /// Whether a worker's heartbeat has arrived directly, not through a peer, since the last step.
     direct_heartbeat_arrived: bool,
-    /// When a worker was last found to have reached this node itself.
+    /// The time of the last step that found a direct heartbeat.
     last_direct_heartbeat_at: Duration,
-    /// Whether the silence of a machine could be blamed on the machine.
+    /// Whether missing heartbeats of a machine are evidence against the machine, and not against
+    /// this node's links.
     silence_is_reliable: bool,
 }
 
@@ -43,63 +44,66 @@
             mode: Mode::Whole,
             peers_agree: false,
             cpu_starved: false,
-            lease_doubted_at: None,
+            lease_uncertain_at: None,
             direct_heartbeat_arrived: false,
             last_direct_heartbeat_at: now,
             silence_is_reliable: true,
         }
     }
 
-    /// Takes in the evidence of a step. `is_loading`: workers are not answered yet, so
-    /// that their silence says nothing.
+    /// Records the evidence of a step. While `is_loading`, workers are not answered yet, so their
+    /// silence does not count.
     pub(super) fn update(&mut self, evidence: &LeaderEvidence, is_loading: bool, now: Duration) {
         self.cpu_starved = evidence.cpu_starved;
         self.mode = evidence.mode;
         self.peers_agree = evidence.peers_agree;
         if !evidence.kv_undisputed {
-            self.lease_doubted_at = Some(now);
+            self.lease_uncertain_at = Some(now);
         }
         if std::mem::take(&mut self.direct_heartbeat_arrived) || is_loading {
             self.last_direct_heartbeat_at = now;
         }
     }
 
-    /// Which links of this node work.
+    /// Returns the reachability mode of this node.
     pub(super) fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Whether every other node hears no worker either.
+    /// Returns whether no other node hears any worker either.
     pub(super) fn peers_agree(&self) -> bool {
         self.peers_agree
     }
 
-    /// The process is behind: starts go with the answers to heartbeats only.
+    /// Returns whether CPU time is short. Starts are then sent only in responses to heartbeats.
     pub(super) fn is_cpu_starved(&self) -> bool {
         self.cpu_starved
     }
 
-    /// Whether the state service has failed this node at or after a time.
-    pub(super) fn is_lease_doubted_since(&self, at: Duration) -> bool {
-        self.lease_doubted_at.is_some_and(|doubted| doubted >= at)
+    /// Returns whether the lease was uncertain at or after the time `at`: it was invalid, or its
+    /// latest renewal had failed.
+    pub(super) fn is_lease_uncertain_since(&self, at: Duration) -> bool {
+        self.lease_uncertain_at.is_some_and(|uncertain_at| uncertain_at >= at)
     }
 
-    /// A worker has reached this node itself.
+    /// Records that a heartbeat has arrived directly, not through a peer.
     pub(super) fn direct_heartbeat_arrived(&mut self) {
         self.direct_heartbeat_arrived = true;
     }
 
-    /// For how long no worker has reached this node itself.
+    /// Returns the time for which no heartbeat has arrived directly.
     pub(super) fn time_without_direct_heartbeat(&self, now: Duration) -> Duration {
         now.saturating_sub(self.last_direct_heartbeat_at)
     }
 
-    /// From now on silence may be blamed on a machine; false: so it was before.
+    /// Lets missing heartbeats count against machines again. Returns whether they did not count
+    /// before.
     pub(super) fn trust_silence(&mut self) -> bool {
         !std::mem::replace(&mut self.silence_is_reliable, true)
     }
 
-    /// Silence is this node's own fault until it is trusted again.
+    /// Attributes missing heartbeats to this node's own links until [`Evidence::trust_silence`] is
+    /// called.
     pub(super) fn distrust_silence(&mut self) {
         self.silence_is_reliable = false;
     }
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: what the leader learns from them, and how it answers.
+//! Handling of worker heartbeats: updating the leader's state and building the response.
 
 use super::Leader;
 use crate::effects::{EffectSink, StepTime};
@@ -11,28 +11,31 @@
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// A worker that refused a task for lack of room is sent none for this long.
+/// How long no task is placed on a machine after its worker refused one for lack of resources or
+/// because of another attempt of the same task.
 const INSUFFICIENT_RESOURCES_BACKOFF: Duration = Duration::from_secs(2);
 
 impl Leader {
-    /// Whether workers may still be answered: their leases must expire before
-    /// a cancellation that we could not see is due.
+    /// Returns whether responses may renew the workers' leases. Leases must expire before the
+    /// deadline of a cancellation that this leader has not seen.
     ///
-    /// A leader that still loads knows of no cancellation at all: the leader before may
-    /// have answered in the same state until just now, and so may others before that. A
-    /// few such failovers in a row, each of which renewed the leases for some seconds of
-    /// its own, would keep a cancelled task for longer than `cancel_s`.
+    /// A leader that is still loading knows of no cancellations. The previous leader may have renewed
+    /// leases until just before, also without having seen them, and so may leaders before it. If each
+    /// of them renewed the leases for some more seconds, a few failovers in a row would keep a
+    /// cancelled task running for longer than `cancel_s`.
     pub(super) fn may_renew_leases(&self, now: Duration) -> bool {
         self.loading.is_ready() && self.permits(Action::KeepLeases, now)
     }
 
-    /// Whether starts may be sent: no cancellation is likely to have been confirmed
-    /// unseen. Where the state service has just failed this node, another may have.
+    /// Returns whether starts may be sent, which requires that no cancellation is likely to have
+    /// been confirmed without this leader seeing it. If the lease was uncertain at any time since the
+    /// jobs were last synced, another node may have confirmed one.
     pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
-        self.permits(Action::Start, now) && !self.evidence.is_lease_doubted_since(self.job_watch.synced_at())
+        self.permits(Action::Start, now)
+            && !self.evidence.is_lease_uncertain_since(self.job_watch.synced_at())
     }
 
-    /// Answers a heartbeat.
+    /// Records a heartbeat and returns the response to it.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
@@ -49,7 +52,7 @@
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
         if !self.may_renew_leases(now) || self.fleet.is_removed(&heartbeat.machine) {
-            // Its statuses count all the same, and that it is there.
+            // The reported statuses, and the machine's presence, are recorded nevertheless.
             self.observe_machine(times, &heartbeat, false, effects);
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
@@ -59,7 +62,7 @@
         let commands = self.commands_for(now, &name, requests);
         let Some(machine) = self.fleet.machines.get_mut(&name).filter(|_| news != HeartbeatNews::Stale)
         else {
-            // A copy gets no commands, nor counts as heard.
+            // A late copy of a heartbeat gets no commands and is no sign of life.
             return Response::Commands { token, commands: Vec::new() };
         };
         machine.is_relayed = path.relayed;
@@ -74,7 +77,8 @@
         Response::Commands { token, commands }
     }
 
-    /// Takes in a heartbeat; `is_command_reply`: it answers a command of ours.
+    /// Records a heartbeat in the fleet and the job table. `is_command_reply` tells that the
+    /// heartbeat is the reply to a direct command of this leader.
     pub(super) fn observe_machine(
         &mut self,
         times: StepTime,
@@ -97,7 +101,7 @@
         news
     }
 
-    /// Reconciles the job table with a heartbeat, and draws the conclusions.
+    /// Reconciles the job table with a heartbeat and handles the attempts found ended or missing.
     pub(super) fn observe_tasks(
         &mut self,
         times: StepTime,
@@ -113,13 +117,14 @@
             _ => Default::default(),
         };
         if missing > 0 {
-            // Such an attempt is neither there nor proven gone.
+            // A missing attempt is no longer listed, but that does not prove that it has ended. The
+            // release of the machine does.
             if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
             }
         }
         for reported in heartbeat.tasks.iter().filter(|_| news == HeartbeatNews::Changed) {
-            // A task that waits for others of its gang has the image.
+            // A task that waits for the rest of its gang has already fetched its image.
             if !matches!(reported.status, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
             }
@@ -150,8 +155,8 @@
         }
     }
 
-    /// A machine has a preemption notice: what can't end before goes elsewhere at
-    /// once instead of being lost.
+    /// Stops the tasks that cannot finish before a preempted machine is taken back, so that they
+    /// restart elsewhere at once instead of being lost with the machine.
     fn evacuate(
         &mut self,
         now: Duration,
@@ -168,15 +173,15 @@
             };
             let started_at = attempt.running_since.unwrap_or(now);
             let ends_at = started_at + self.estimated_runtime(&entry.spec);
-            let lost = attempt.running_since.is_none() || ends_at > now + time_left;
-            if attempt.reported_status.is_some() && lost {
+            let would_be_lost = attempt.running_since.is_none() || ends_at > now + time_left;
+            if attempt.reported_status.is_some() && would_be_lost {
                 self.job_table.stop(&task);
             }
         }
         self.send_commands(now, machine, effects);
     }
 
-    /// Draws the conclusions from the end of an attempt.
+    /// Updates error counts, back-offs and run-time statistics after an attempt has ended.
     fn attempt_ended(
         &mut self,
         now: Duration,
@@ -199,7 +204,7 @@
             Some(ExitReason::Failed) => {
                 entry.consecutive_errors += 1;
                 entry.failed_machines.insert(machine_name.clone());
-                // A job that fails on every machine is the job's fault.
+                // A job that fails on several machines is itself at fault, not the machines.
                 if entry.failed_machines.len() < 3 {
                     machine.consecutive_errors += 1;
                 }
@@ -217,7 +222,7 @@
                 machine.no_starts_until = now + INSUFFICIENT_RESOURCES_BACKOFF
             }
             Some(ExitReason::UnknownJob) => entry.backoff_until = now + Duration::from_secs(1),
-            // Another task's fault, or nobody's.
+            // Neither this task nor its machine is at fault.
             Some(
                 ExitReason::Stopped
                 | ExitReason::GangMemberLost
--- a/crates/plankhead-core/src/leader/inventory.rs
+++ b/crates/plankhead-core/src/leader/inventory.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of instances, and whether the cloud answers at all.
+//! The cloud's inventory of instances, and whether the cloud is reachable.
 
 use super::Leader;
 use crate::calls::{CallPurpose, LeaderCall};
@@ -6,18 +6,18 @@
 use crate::protocol::{CallError, CloudReply, CloudRequest, Instance};
 use std::time::Duration;
 
-/// The shortest time between two readings of the list.
+/// The shortest time between two requests for the inventory.
 const MIN_INVENTORY_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How far the list of instances is read; it comes page by page.
+/// The progress of reading the list of instances, which arrives in pages.
 #[derive(Debug)]
 pub(super) struct Inventory {
     next_at: Duration,
     in_flight: bool,
     pages: Vec<Instance>,
-    /// The whole list was read once in this term: what is held is known.
+    /// Whether the whole list has been read in this term, so that all rented machines are known.
     complete: bool,
-    /// When the cloud last answered whatever it was asked.
+    /// When the cloud last answered any request.
     cloud_replied_at: Option<Duration>,
 }
 
@@ -26,12 +26,13 @@
         Self { next_at: now, in_flight: false, pages: Vec::new(), complete: false, cloud_replied_at: None }
     }
 
-    /// Whether the whole list was read in this term, so that what is held is known.
+    /// Returns whether the whole list has been read in this term, so that all rented machines are
+    /// known.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// The cloud has answered something.
+    /// Records that the cloud has answered a request.
     pub(super) fn cloud_replied(&mut self, now: Duration) {
         self.cloud_replied_at = Some(now);
     }
@@ -42,14 +43,14 @@
         self.settings.inventory_lag.max(MIN_INVENTORY_INTERVAL)
     }
 
-    /// Whether the cloud has answered lately, so that what it is asked takes effect now
-    /// and not when some cut ends.
+    /// Returns whether the cloud has answered recently, so that a request takes effect now and not
+    /// only when a network partition ends.
     pub(super) fn is_cloud_reachable(&self, now: Duration) -> bool {
         let timeout = self.inventory_interval() * 2 + Duration::from_secs(1);
         self.inventory.cloud_replied_at.is_some_and(|at| now.saturating_sub(at) < timeout)
     }
 
-    /// Asks for the next page of the list once it is due and the cloud's rate allows.
+    /// Requests the next page of the list if it is due and the cloud's rate limit allows it.
     pub(super) fn list_instances(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.inventory.in_flight || now < self.inventory.next_at || !self.scaling.take_request(now) {
             return;
@@ -63,7 +64,8 @@
         );
     }
 
-    /// Takes in a page of the list. Where one is missing, reading starts over.
+    /// Handles the reply to a request for a page. If the request failed, the list is read again from
+    /// the first page.
     pub(super) fn instances_listed(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
         self.inventory.in_flight = false;
         let Ok(CloudReply::Instances { instances, truncated }) = reply else {
--- a/crates/plankhead-core/src/leader/job_work.rs
+++ b/crates/plankhead-core/src/leader/job_work.rs
@@ -1,4 +1,4 @@
-//! Jobs as work for placement passes: estimates, objectives and the teams' quotas.
+//! Conversion of jobs to the work items of placement passes: estimates, objectives and team quotas.
 
 use super::Leader;
 use crate::jobs::job::{JobSpec, Resources};
@@ -6,44 +6,46 @@
 use crate::settings::Team;
 use std::time::Duration;
 
-/// When a job without any objective should start at the latest.
+/// The time within which a job without an objective or a deadline should start.
 const DEFAULT_START_WITHIN: Duration = Duration::from_secs(600);
 
 impl Leader {
-    /// A job's estimated run time, corrected by how long jobs of its class really ran.
+    /// Returns a job's estimated run time, corrected by the observed run times of its class.
     pub(super) fn estimated_runtime(&self, spec: &JobSpec) -> Duration {
         let ratio = self.placement.runtime_ratio(&spec.class);
         Duration::from_secs_f64((spec.estimated_runtime_s * ratio).clamp(0.1, 1e6))
     }
 
-    /// When a job should start at the latest, by its deadline and by what its
-    /// class expects.
+    /// Returns the latest time at which a job should start to meet its deadline and the objectives
+    /// of its class.
     pub(super) fn latest_start(&self, spec: &JobSpec, accepted: Duration) -> Duration {
         let objective = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
-        let done = self
+        let for_completion = self
             .completion_objective(spec)
             .map(|within| (accepted + within).saturating_sub(self.estimated_runtime(spec)));
-        let wait = objective.start_within.map(|within| accepted + within);
+        let for_start = objective.start_within.map(|within| accepted + within);
         let default = accepted + DEFAULT_START_WITHIN;
-        [done, wait].into_iter().flatten().min().unwrap_or(default)
+        [for_completion, for_start].into_iter().flatten().min().unwrap_or(default)
     }
 
-    /// Until when a task can start so that it may be lost with its machine, unseen,
-    /// and still be done in time.
+    /// Returns the latest time at which a task can start and still meet its objective if it is lost
+    /// with its machine and has to run again. The loss is noticed only after the failover heartbeat
+    /// timeout.
     fn latest_restart(&self, spec: &JobSpec, accepted: Duration) -> Duration {
         let needed = self.estimated_runtime(spec) * 2 + self.settings.failover_heartbeat_timeout();
         self.completion_objective(spec)
             .map_or(Duration::MAX, |within| (accepted + within).saturating_sub(needed))
     }
 
-    /// The time in which a job should be done, by its deadline and its class.
+    /// Returns the time within which a job should finish: the shorter of its deadline and the
+    /// objective of its class.
     pub(super) fn completion_objective(&self, spec: &JobSpec) -> Option<Duration> {
         let objective = self.settings.objectives.get(&spec.class).copied().unwrap_or_default();
         let deadline = spec.deadline_s.map(|d| Duration::from_secs_f64(d.min(1e7)));
         [deadline, objective.finish_within].into_iter().flatten().min()
     }
 
-    /// What each team may use and uses, in the order of the teams.
+    /// Returns each team's quota and current usage, in the order of the teams.
     pub(super) fn team_usage(&self) -> Vec<TeamUsage> {
         let usage = |team: &Team| TeamUsage {
             guaranteed: Resources { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus, ram_gb: 0.0 },
@@ -65,12 +67,12 @@
         usages
     }
 
-    /// The place of the job's team among the teams.
+    /// Returns the index of the job's team.
     pub(super) fn team_index(&self, spec: &JobSpec) -> Option<usize> {
         self.placement.team_index(&spec.team)
     }
 
-    /// A whole job as work for a pass.
+    /// Builds the work item for a whole job, as if none of its tasks had been placed.
     pub(super) fn whole_job_as_work(&mut self, spec: &JobSpec, team: usize, accepted: Duration) -> Work {
         Work {
             team,
@@ -93,8 +95,8 @@
         }
     }
 
-    /// The number of the job's image. When there are too many, what machines
-    /// hold is learned anew.
+    /// Returns the index of the job's image. If the placement index is full, all image indices and
+    /// the record of which machines hold which images are reset.
     pub(super) fn image_number(&mut self, spec: &JobSpec) -> u32 {
         if let Some(image) = self.placement.index.image_index(&spec.image, spec.image_gb) {
             return image;
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -1,5 +1,5 @@
-//! Whether machines are still there: silent workers, and cancelled tasks that must be
-//! gone in time.
+//! Checks for lost machines: workers that have fallen silent, and machines that may still run tasks
+//! past a cancellation deadline.
 
 use super::{Leader, LeaderEvidence};
 use crate::calls::{CallPurpose, LeaderCall};
@@ -10,14 +10,15 @@
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// How long the cloud takes for a release at the most, usually.
+/// The time in which the cloud usually completes a release, at most.
 const RELEASE_DURATION: Duration = Duration::from_secs(3);
-/// How long before a cancellation is due its machine is reclaimed.
+/// How long before a cancellation deadline the machine of a remaining task is reclaimed.
 const RECLAIM_DURATION: Duration = Duration::from_secs(7);
 
 impl Leader {
-    /// Whether some worker was heard lately, or none could be: those of machines that the
-    /// cloud lists no more are gone, whatever fails this node.
+    /// Returns whether any worker was heard recently, or none could be because no machine is up.
+    /// Machines that the cloud no longer lists do not count: they are gone, whatever the state of
+    /// this node's links.
     pub(super) fn hears_workers(&self, now: Duration) -> bool {
         let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let is_listed = |m: &&Machine| m.is_up() && !m.is_unlisted();
@@ -25,8 +26,8 @@
         up.peek().is_none() || up.any(|m| now.saturating_sub(m.heartbeat_times.last_heard_at) < recent)
     }
 
-    /// Whether no worker at all has reached this node for so long that another
-    /// should try to lead.
+    /// Returns whether no worker has reached this node directly for so long that another node should
+    /// try to lead.
     pub fn is_isolated(&self, now: Duration) -> bool {
         let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(3);
         self.loading.is_ready()
@@ -34,14 +35,17 @@
             && self.fleet.machines.values().filter(|m| m.is_up()).count() > 1
     }
 
-    /// Without the state service nobody knows what was cancelled last. A machine that
-    /// hangs keeps such a task beyond its lease, for as long as it hangs. It goes when
-    /// a cancellation that this leader did not see would be due, if its lease has
-    /// expired: where every peer is heard and none leads, nobody else has renewed it, so
-    /// that whatever was on it is lost anyway.
+    /// Marks machines for removal that have been silent for longer than their leases, while this
+    /// leader may be missing cancellations.
     ///
-    /// A leader that has not loaded yet does not know since when cancellations are unseen,
-    /// and doesn't wait; but it takes the silence of many for its own fault.
+    /// Without the state service, no node learns of the latest cancellations, and a hung machine
+    /// keeps a cancelled task past its lease for as long as it hangs. Such a machine is removed when
+    /// an unseen cancellation would be due and its lease has expired. If every peer is heard and none
+    /// leads, no other node has renewed the lease, so the tasks on the machine are lost anyway.
+    ///
+    /// A leader that has not finished loading does not know for how long it has missed cancellations,
+    /// so it does not wait; but if most machines are silent, it assumes that its own links are at
+    /// fault.
     pub(super) fn remove_silent_beyond_lease(&mut self, now: Duration, evidence: LeaderEvidence) {
         let is_loading = !self.loading.is_ready();
         let due = is_loading || now.saturating_sub(self.job_watch.synced_at()) >= self.cancel_grace();
@@ -51,23 +55,26 @@
         }
     }
 
-    /// How long after a cancellation a machine goes back that may still have a task.
+    /// Returns the time after a cancellation at which a machine that may still run a task of the job
+    /// is reclaimed.
     fn cancel_grace(&self) -> Duration {
         self.cancel_due().saturating_sub(RECLAIM_DURATION)
     }
 
-    /// When a cancellation is due, for certain, on whatever clock its time was taken.
+    /// Returns the time within which a cancellation must be complete, reduced by the clock error so
+    /// that it holds whichever node's clock recorded the cancellation.
     fn cancel_due(&self) -> Duration {
         self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
     }
 
+    /// Marks machines for removal that have fallen silent or may run cancelled tasks for too long.
     pub(super) fn check_machines(
         &mut self,
         now: Duration,
         evidence: LeaderEvidence,
         effects: &mut EffectSink,
     ) {
-        self.judge_silence(now, evidence, effects);
+        self.check_silent_machines(now, evidence, effects);
         let overdue = self.machines_with_overdue_tasks(now);
         if !self.permits(Action::ReclaimOverdue, now) {
             return;
@@ -80,12 +87,12 @@
         }
     }
 
-    /// Marks machines for removal whose workers are silent, where the silence is theirs.
-    fn judge_silence(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
+    /// Marks machines with silent workers for removal, unless this node's own links may be at fault.
+    fn check_silent_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let hears_workers = self.hears_workers(now);
-        // Where no node hears any worker, the silence is theirs.
-        let silence_tells = hears_workers || self.evidence.mode() == Mode::StateOnly;
-        if evidence.lease_valid && silence_tells && self.permits(Action::JudgeSilent, now) {
+        // If no node hears any worker, the links of this node are not at fault.
+        let silence_counts = hears_workers || self.evidence.mode() == Mode::StateOnly;
+        if evidence.lease_valid && silence_counts && self.permits(Action::JudgeSilent, now) {
             if self.evidence.trust_silence() {
                 self.fleet.reset_silence(now);
             }
@@ -96,11 +103,11 @@
                 self.probe_late_machines(now, effects);
             }
         } else {
-            // A leader that is cut off hears nobody, and its requests to the
-            // cloud may be carried out when the cut ends: it would release
-            // a whole healthy fleet. While it hears workers, the others' silence is
-            // theirs: forgiven after every lost renewal, machines that were gone kept
-            // their tasks for ever under a lossy state service.
+            // A partitioned leader hears no worker, and its requests to the cloud may be carried out
+            // when the partition ends, which would release a healthy fleet. While the leader still
+            // hears some workers, the silence of the others keeps counting: if it were reset after
+            // every lost lease renewal, lost machines would keep their tasks forever while the state
+            // service drops requests.
             if !hears_workers {
                 self.evidence.distrust_silence();
             }
@@ -108,8 +115,8 @@
         }
     }
 
-    /// Machines with a cancelled task that is not proven gone in time. They go, whoever
-    /// else is silent: in an outage, or where all machines hang, too.
+    /// Returns the machines with tasks of cancelled jobs that have not been proven ended in time.
+    /// They are reclaimed even in an outage or when all machines hang.
     fn machines_with_overdue_tasks(&self, now: Duration) -> Vec<MachineName> {
         let (due, grace) = (self.cancel_due(), self.cancel_grace());
         let workers_had_time =
@@ -119,10 +126,10 @@
             .values()
             .filter(|e| e.placed > 0 && e.cancelled_at.is_some_and(|at| now.saturating_sub(at) >= grace))
             .flat_map(|e| self.job_table.attempts_of(e).map(|a| (e.cancelled_at.unwrap_or_default(), a)))
-            // What an earlier leader placed may have ended under it, which the
-            // first heartbeats to us show, if the time left allows to wait for them.
-            // A leader that comes when hardly any is left does not wait: it waited for
-            // silence then, and a hung machine kept its task beyond the time.
+            // An attempt placed by an earlier leader may have ended during that leader's term. The
+            // first heartbeats to this leader show it, so wait for them if there is enough time. A
+            // leader that starts shortly before the deadline must not wait, or a hung machine would
+            // keep its task past the deadline until the heartbeat timeout.
             .filter(|(cancelled_at, attempt)| {
                 let latest_release = *cancelled_at + due.saturating_sub(RELEASE_DURATION);
                 attempt.reported_status.is_some()
@@ -134,7 +141,7 @@
             .collect()
     }
 
-    /// Asks machines whose heartbeats are late directly whether they are there.
+    /// Probes machines whose heartbeats are late with an empty direct command.
     fn probe_late_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         for name in self
             .fleet
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about.
+//! The leader's periodic work.
 
 use super::{Leader, LeaderEvidence};
 use crate::effects::{EffectSink, StepTime};
@@ -8,11 +8,11 @@
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// How often machines are judged, rented and released.
+/// How often machines are checked, rented and released.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Leader {
-    /// Does what is due by time alone. Every event brings such a step.
+    /// Does all periodic work that is due. Called in every step, after the step's events.
     pub fn tick(
         &mut self,
         times: StepTime,
@@ -28,15 +28,15 @@
         }
         self.watch_jobs(now, effects);
         let may_place = lease_valid && self.permits(Action::Place, now);
-        // A new leader that had not seen the machines yet took the fleet for none: it
-        // rented all again, and its round released what then turned up.
+        // Without the complete inventory, a new leader would take the fleet to be empty: it would rent
+        // all machines again, and its sizing round would then release those that turn up.
         let may_rent = lease_valid && self.inventory.is_complete() && self.permits(Action::Rent, now);
         self.place_when_due(now, may_place, effects);
         if may_rent {
             self.advance_sizing(times, effects);
         }
-        // At the first step of a leader that has loaded all, too: nothing larger than
-        // what may be written is ever sent.
+        // Rechunking comes before any write of the step, including the first step after loading, so
+        // that no value over the size limit is ever sent.
         if self.rechunk_pending {
             self.rechunk_pending = self.job_table.rechunk(tasks_per_chunk(self.settings.max_value_bytes));
         }
@@ -45,16 +45,16 @@
         if lease_valid {
             self.flush(now, requests, effects);
         }
-        // Every heartbeat brings a step: what costs time with every machine or job
-        // has an interval of its own.
+        // Every heartbeat causes a step, so work that is linear in the number of machines or jobs
+        // runs at an interval.
         if now >= self.next_maintenance_at {
             self.next_maintenance_at = now + MAINTENANCE_INTERVAL;
             self.maintain(now, evidence, may_rent, effects);
         }
     }
 
-    /// A step of a leader that still loads: it only finishes what former leaders asked of
-    /// the cloud, and releases what a cancellation forces it to.
+    /// Does the periodic work of a leader that is still loading. It only completes the cloud requests
+    /// of earlier leaders and releases machines that may run cancelled tasks for too long.
     fn tick_loading(&mut self, times: StepTime, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let now = times.now;
         if self.loading.take_due_retry(now) {
@@ -70,9 +70,10 @@
         self.list_instances(now, effects);
     }
 
+    /// Runs a placement pass if one is due.
     fn place_when_due(&mut self, now: Duration, may_place: bool, effects: &mut EffectSink) {
-        // What could not be written yet could not start either: the next pass
-        // waits for it and so puts more into one write, but not for long.
+        // Placements that are not written yet cannot start, so the next pass waits for them for a
+        // limited time. More placements then share a write.
         let backlog = self.job_table.dirty_placements.len();
         let all_written = backlog == 0 || backlog <= self.persistence.available(now);
         if may_place && self.placement.is_pass_due(now, all_written) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Judges, rents and releases machines, and deletes garbage.
+    /// Checks, rents and releases machines, deletes garbage and logs late jobs.
     fn maintain(
         &mut self,
         now: Duration,
@@ -91,7 +92,8 @@
     ) {
         let lease_valid = evidence.lease_valid;
         self.check_machines(now, evidence, effects);
-        // A new leader's rentals took the cloud's rate while a cancellation was due.
+        // Due reclaims go first: the rentals of a new leader can otherwise use up the cloud's rate
+        // limit while a cancellation is due.
         if self.fleet.machines.values().any(|m| m.removal == Some(RemovalReason::CancellationDue)) {
             self.release_removed_machines(now, evidence, effects);
         }
@@ -109,9 +111,9 @@
         self.log_late_jobs(now, effects);
     }
 
-    /// When [`Leader::tick`] has something to do next, unless an event comes before.
-    /// `retry`: when to look again at what waits for a budget or for the state service,
-    /// whose time is not known.
+    /// Returns the next time at which [`Leader::tick`] has work to do if no event comes before.
+    /// `retry` is the time to check again for work that waits for a budget or for the state service
+    /// and whose due time is unknown.
     pub fn next_due(&self, now: Duration, retry: Duration) -> Duration {
         if !self.loading.is_ready() {
             return self
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -1,5 +1,6 @@
-//! The leader's role: it knows every job, places tasks, commands the workers and
-//! sizes the fleet. Whatever it writes fails once another node leads.
+//! The leader's role: it keeps track of every job, places tasks, commands the workers and
+//! sizes the fleet. All of its writes are conditional on its leadership and fail once another
+//! node leads.
 
 mod arrivals;
 mod commands;
@@ -55,11 +56,13 @@
 use target::TargetState;
 pub use target::{Size, Target};
 
-/// The pause before a call to the state service or the cloud that failed is repeated.
+/// The delay before a failed call to the state service or the cloud is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The leader in one term. Its parts own their state; what they decide together is in the
-/// methods of the folder's modules.
+/// The leader during one term.
+///
+/// Each component owns its state. Decisions that need several components are methods of
+/// `Leader`, spread over the submodules of this module.
 #[derive(Debug)]
 pub struct Leader {
     settings: Arc<Settings>,
@@ -71,9 +74,9 @@
     evidence: Evidence,
     persistence: Persistence,
     garbage: Garbage,
-    /// Every job with its attempts.
+    /// The jobs that are not over in the state service, with their attempts.
     pub job_table: JobTable,
-    /// Every machine that is held or expected.
+    /// All machines that are rented or expected to appear.
     pub fleet: Fleet,
     placement: Placement,
     target: TargetState,
@@ -83,20 +86,22 @@
     scaling: Scaling,
     inventory: Inventory,
     intents: Intents,
-    /// Who holds which machines, where they are divided into shards.
+    /// The holders of the shards, if sharding is enabled.
     shards: Option<LeaderShards>,
-    /// Every node has this version: what older ones can't read may be stored.
+    /// Whether every node runs this version, so that data that older versions cannot read may be
+    /// stored.
     pub all_nodes_upgraded: bool,
-    /// Some job's chunks are still to be rechunked.
+    /// Whether some jobs still have chunks that must be split into smaller ones.
     rechunk_pending: bool,
-    /// The first start of this term was sent.
+    /// Whether any start command has been sent in this term.
     first_start_sent: bool,
     next_maintenance_at: Duration,
     next_lateness_scan_at: Duration,
 }
 
 impl Leader {
-    /// A leader that has just won the lease; it is to begin loading.
+    /// Creates the leader for a node that has just won the lease. The caller must then call
+    /// [`Leader::begin_loading`].
     pub fn new(settings: Arc<Settings>, token: u64, now: Duration) -> Self {
         Self {
             token,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Takes in the machine types that the cloud has.
+    /// Replaces the machine types that the cloud offers.
     pub fn set_machine_types(&mut self, machine_types: BTreeMap<String, MachineType>) {
         self.fleet.machine_types = machine_types;
         for machine_type in self.fleet.machine_types.keys() {
@@ -141,8 +146,8 @@
         self.placement.request_pass();
     }
 
-    /// Every node has this version by now: the limits may be lowered at any time, and
-    /// what older versions can't read may be stored.
+    /// Records that every node runs this version: the platform may lower its limits at any time
+    /// from now on, and data that older versions cannot read may be stored.
     pub fn set_all_nodes_upgraded(&mut self) {
         if !std::mem::replace(&mut self.all_nodes_upgraded, true) {
             let next_limit = self.settings.next_kv_changes_per_s;
@@ -157,7 +162,8 @@
         effects.call_kv(CallPurpose::Leader(self.token, leader_call), op);
     }
 
-    /// The condition under which alone the leader writes.
+    /// Returns the condition on every write of the leader: the election key is unchanged since
+    /// this term began.
     fn leader_condition(&self) -> Condition {
         Condition { key: election::KEY.into(), mod_revision: self.token }
     }
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -1,5 +1,5 @@
-//! What the leader may do, depending on which links of this node work: the one table of
-//! permissions, and the evidence that its preconditions name.
+//! What the leader may do given which links of this node work: lookups in the permission table and
+//! checks of its preconditions.
 
 use super::Leader;
 use crate::fleet::HeartbeatId;
@@ -9,27 +9,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How much sooner answers of a leader that can't see cancellations end than leases and
-/// cancellations ask for: for the drift of clocks and for what is under way.
+/// The margin by which a leader that cannot see cancellations stops renewing leases early, for clock
+/// drift and messages in flight.
 const CLOCK_MARGIN: Duration = Duration::from_secs(2);
-/// No starts once the jobs were not synced for this long.
+/// The time after the last sync of the job records from which no starts are allowed.
 const JOBS_STALE_AFTER: Duration = Duration::from_secs(4);
 
 impl Leader {
-    /// Whether the table of permissions allows an action at present.
+    /// Returns whether the permission table allows an action in the present mode.
     pub(super) fn permits(&self, action: Action, now: Duration) -> bool {
         match self.settings.reachability.table.of(self.evidence.mode(), action) {
             Permission::Allowed => true,
-            Permission::Within(precondition) => self.holds(precondition, now),
+            Permission::Within(precondition) => self.is_satisfied(precondition, now),
             Permission::Deferred(_) | Permission::Forbidden(_) => false,
         }
     }
 
-    fn holds(&self, precondition: Precondition, now: Duration) -> bool {
+    fn is_satisfied(&self, precondition: Precondition, now: Duration) -> bool {
         let unsynced_for = now.saturating_sub(self.job_watch.synced_at());
         match precondition {
             Precondition::JobsSynced => unsynced_for < JOBS_STALE_AFTER,
-            // Leases must expire before a cancellation that was not seen is due.
+            // Leases must expire before the deadline of a cancellation that was not seen.
             Precondition::CancellationUnseen => {
                 let settings = &self.settings;
                 unsynced_for < settings.cancel_within.saturating_sub(settings.worker_lease + CLOCK_MARGIN)
@@ -38,8 +38,8 @@
         }
     }
 
-    /// What the node's reachability needs to know of this leader. `lease_undisputed`: its
-    /// lease is valid, and no call to the state service has failed since.
+    /// Returns the facts about this leader that the node's reachability monitoring uses.
+    /// `lease_undisputed` tells that its lease is valid and the latest renewal has not failed.
     pub fn reachability_facts(&self, now: Duration, lease_undisputed: bool) -> LeaderFacts {
         let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < timeout;
@@ -59,15 +59,17 @@
         }
     }
 
-    /// Whether a heartbeat shows the answer to the one before; `None` if there was none.
+    /// Returns whether a heartbeat shows that the response to the previous heartbeat has reached the
+    /// worker; `None` if there was no response or the heartbeat is not newer than the last one.
     pub fn answer_shown(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.fleet.machines.get(&heartbeat.machine)?;
         machine.responses.answered_at?;
-        let later = machine.last_heartbeat_id.is_some_and(|newest| HeartbeatId::of(heartbeat) > newest);
-        later.then_some(heartbeat.token >= self.token)
+        let is_newer = machine.last_heartbeat_id.is_some_and(|newest| HeartbeatId::of(heartbeat) > newest);
+        is_newer.then_some(heartbeat.token >= self.token)
     }
 
-    /// How many machines should report to this leader.
+    /// Returns the number of machines that should send their heartbeats to this leader; zero while it
+    /// is loading.
     pub fn machines_expected(&self) -> usize {
         if self.loading.is_ready() {
             self.fleet
@@ -80,13 +82,13 @@
         }
     }
 
-    /// The names of all machines, to be numbered.
+    /// Returns the names of all machines, for the numbering used in coverage messages.
     pub fn machine_names(&self) -> BTreeSet<MachineName> {
         self.fleet.machines.keys().cloned().collect()
     }
 
-    /// Notes which machines with late heartbeats are heard by some peer: their silence is
-    /// our link's.
+    /// Records which machines with late heartbeats are heard by a peer: the link to this node is at
+    /// fault, not the machine.
     pub fn record_heard_by_peers(&mut self, now: Duration, is_heard_by_peer: impl Fn(&str) -> bool) {
         let timeout = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -1,4 +1,4 @@
-//! Placement passes: which task goes where.
+//! Placement passes: the assignment of pending tasks to machines.
 
 use super::preemption::PassOutcome;
 use super::slots::AvailableSlots;
@@ -14,42 +14,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How much longer a pass waits for earlier placements to be written.
+/// The additional time that a pass may wait for earlier placements to be written.
 const MAX_PASS_DELAY: Duration = Duration::from_secs(1);
-/// How much the latest run time of a class counts beside the earlier ones.
+/// The weight of the latest run time in the moving average of its class.
 const RUNTIME_SMOOTHING: f64 = 0.1;
 
-/// Jobs that one pass looks at.
+/// The maximum number of jobs considered in one pass.
 const MAX_JOBS_PER_PASS: usize = 400;
 
-/// The pending work, each with its job at the same place.
+/// The pending work items and, at the same indices, the jobs that they belong to.
 #[derive(Debug, Default)]
 pub(super) struct PendingWork {
     pub jobs: Vec<JobId>,
     pub work: Vec<Work>,
 }
 
-/// A job with tasks to be placed, before its work is known.
+/// A job with tasks to place, before its work item is built.
 struct WaitingJob {
     id: JobId,
     spec: Arc<JobSpec>,
     team: usize,
-    /// The place of its demand among those of all live jobs.
+    /// The index of its entry in the list of quota demands of all unfinished jobs.
     demand_index: usize,
 }
 
-/// When passes are due, and what they know beside the jobs and the fleet.
+/// The schedule of placement passes, and the numbering and statistics that they use.
 #[derive(Debug)]
 pub(super) struct Placement {
-    /// The numbers of pools, zones and images.
+    /// The numbering of pools, zones and images.
     pub(super) index: PlacementIndex,
-    /// Something changed that may let tasks start.
+    /// Whether anything has changed since the last pass that may let tasks start.
     pass_needed: bool,
     next_pass_at: Duration,
     next_preemption_at: Duration,
-    /// Each team's place among the teams.
+    /// The index of each team.
     team_indices: HashMap<String, usize>,
-    /// Run time over estimate, by class.
+    /// The average ratio of observed to estimated run time, by job class.
     runtime_ratios: HashMap<String, f64>,
 }
 
@@ -65,54 +65,56 @@
         }
     }
 
-    /// Something changed that may let tasks start.
+    /// Requests a pass because of a change that may let tasks start. All changes before the next pass
+    /// share it.
     pub(super) fn request_pass(&mut self) {
         self.pass_needed = true;
     }
 
-    /// Whether a pass is needed and due. While earlier placements are not all written it
-    /// waits a little longer, so that more of them go into one write.
+    /// Returns whether a pass is needed and due. While earlier placements are not all written, the
+    /// pass waits a little longer, so that more placements share a write.
     pub(super) fn is_pass_due(&self, now: Duration, all_written: bool) -> bool {
         let due = if all_written { self.next_pass_at } else { self.next_pass_at + MAX_PASS_DELAY };
         self.pass_needed && now >= due
     }
 
-    /// A pass begins; the next one may begin at `next_at`.
+    /// Records that a pass begins and that the next one may begin at `next_at`.
     pub(super) fn pass_began(&mut self, next_at: Duration) {
         self.pass_needed = false;
         self.next_pass_at = next_at;
     }
 
-    /// When a needed pass is to be looked at; `retry`: when to look again at one that waits.
+    /// Returns when to check for a due pass, if one is needed: `retry` if its regular time has come
+    /// and it only waits for earlier placements to be written.
     pub(super) fn next_pass_due(&self, now: Duration, retry: Duration) -> Option<Duration> {
         let due = if self.next_pass_at > now { self.next_pass_at } else { retry };
         self.pass_needed.then_some(due)
     }
 
-    /// Takes in how long a task ran, as a multiple of its estimate.
+    /// Updates the class average with the run time of a completed task, as a multiple of its estimate.
     pub(super) fn record_runtime(&mut self, class: &str, ratio: f64) {
         let mean = self.runtime_ratios.entry(class.to_owned()).or_insert(1.0);
         *mean += RUNTIME_SMOOTHING * (ratio - *mean);
     }
 
-    /// A team's place among the teams.
+    /// Returns the index of a team.
     pub(super) fn team_index(&self, team: &str) -> Option<usize> {
         self.team_indices.get(team).copied()
     }
 
-    /// Run time over estimate of a class.
+    /// Returns the average ratio of observed to estimated run time of a class; 1 if none is known.
     pub(super) fn runtime_ratio(&self, class: &str) -> f64 {
         self.runtime_ratios.get(class).copied().unwrap_or(1.0)
     }
 }
 
 impl Leader {
-    /// The pending work, with the ids of its jobs.
+    /// Builds the work items of the jobs with tasks to place, up to the maximum per pass.
     pub(super) fn pending_work(&mut self, now: Duration, teams: &[TeamUsage]) -> PendingWork {
-        let live = |e: &JobEntry| e.phase == JobPhase::Active && e.done < e.spec.tasks;
+        let is_unfinished = |e: &JobEntry| e.phase == JobPhase::Active && e.done < e.spec.tasks;
         let mut demands = Vec::new();
         let mut waiting: Vec<WaitingJob> = Vec::new();
-        for (id, entry) in self.job_table.jobs.iter().filter(|(_, e)| live(e)) {
+        for (id, entry) in self.job_table.jobs.iter().filter(|(_, e)| is_unfinished(e)) {
             let Some(team) = self.team_index(&entry.spec) else { continue };
             let (demand, unfinished) = (&entry.spec.demand, f64::from(entry.unfinished()));
             let resources =
@@ -143,8 +145,8 @@
         }
         if pending.len() > MAX_JOBS_PER_PASS {
             pending.sort_by_key(|(_, w)| (std::cmp::Reverse(w.priority), !w.guaranteed, w.latest_start));
-            // The job that has waited longest has a machine kept, however much urgent
-            // work stands before it.
+            // The oldest job, preferably one with no task placed so far, gets at least the last place,
+            // so that a machine can be reserved for it however much more urgent work there is.
             let oldest = (0..pending.len())
                 .min_by_key(|i| (pending[*i].1.has_started, pending[*i].1.accepted_at))
                 .unwrap_or(0);
@@ -155,7 +157,7 @@
         PendingWork { jobs, work }
     }
 
-    /// Starts what may start now. Several changes share a pass.
+    /// Places the tasks that can start now, then looks for tasks to preempt if that is due.
     pub(super) fn run_placement_pass(&mut self, now: Duration, effects: &mut EffectSink) {
         let mut teams = self.team_usage();
         let PendingWork { jobs, mut work } = self.pending_work(now, &teams);
@@ -168,7 +170,7 @@
         let AvailableSlots { machines, mut slots } = self.available_slots(now);
         let max_starts = self.cpu_budget.max_starts_per_pass();
         let starts = backfill::pass_up_to(now, &mut slots, &mut work, &mut teams, max_starts);
-        // The rest has its turn after what else there is to do.
+        // A pass that reached its limit continues in another pass, after other due work.
         let cut_short = starts.iter().filter(|s| s.at <= now).count() >= max_starts;
         if cut_short {
             self.placement.request_pass();
--- a/crates/plankhead-core/src/leader/preemption.rs
+++ b/crates/plankhead-core/src/leader/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: lesser work is stopped for urgent tasks that would start too late.
+//! Preemption: less urgent tasks are stopped to make room for urgent ones that would start too late.
 
 use super::Leader;
 use crate::effects::EffectSink;
@@ -10,21 +10,22 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Tasks that one pass stops for others.
+/// The maximum number of tasks preempted in one pass.
 const MAX_PREEMPTIONS_PER_PASS: usize = 64;
-/// A task that needed more attempts than this is not stopped again.
+/// The highest attempt number that may be preempted, so that no task is restarted again and again.
 const MAX_ATTEMPTS_TO_PREEMPT: u64 = 2;
 
-/// What a placement pass has left: the machines with their slots, and the work.
+/// The state at the end of a placement pass.
 pub(super) struct PassOutcome<'a> {
     pub machines: &'a [MachineName],
-    /// The machines' slots, in their order.
+    /// The slots of the machines, at the same indices.
     pub slots: &'a [Slot],
     pub work: &'a mut [Work],
     pub teams: &'a mut [TeamUsage],
 }
 
-/// How many tasks of a job find no room in time, and in which zone, if it must be in one.
+/// The number of tasks of a job that find no room in time, and the zone concerned if the whole job
+/// must run in one zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Shortage {
     tasks: u32,
@@ -32,8 +33,8 @@
 }
 
 impl Shortage {
-    /// As many tasks of a job as find no room in time; those of a gang that must be in
-    /// one zone, in the zone that lacks least.
+    /// Computes the shortage of a job. For a gang that must run in one zone, this is the shortage in
+    /// the zone where it is smallest.
     fn of(work: &Work, slots: &[Slot], now: Duration) -> Self {
         if !work.gang || !work.single_zone {
             return Self::within(work, slots, None, now);
@@ -43,10 +44,12 @@
         zones.into_iter().map(|zone| Self::within(work, slots, Some(zone), now)).min().unwrap_or_default()
     }
 
+    /// Computes the shortage within a zone, or over all zones if `zone` is `None`. Only urgent and
+    /// critical jobs have one.
     fn within(work: &Work, slots: &[Slot], zone: Option<usize>, now: Duration) -> Self {
         let mut tasks = if work.priority >= Priority::Urgent { work.pending } else { 0 };
-        let suits = |slot: &&Slot| work.allows(slot.pool) && zone.is_none_or(|zone| zone == slot.zone);
-        for slot in slots.iter().filter(suits) {
+        let is_eligible = |slot: &&Slot| work.allows(slot.pool) && zone.is_none_or(|zone| zone == slot.zone);
+        for slot in slots.iter().filter(is_eligible) {
             if tasks == 0 {
                 break;
             }
@@ -56,10 +59,10 @@
     }
 }
 
-/// A task that may be stopped for a more urgent one.
+/// A task that may be preempted.
 #[derive(Debug, Clone)]
 struct Victim {
-    /// The progress that is lost with it.
+    /// The progress lost by stopping the task, which for a task of a gang counts all tasks of the gang.
     ran_for: Duration,
     task: TaskId,
     demand: Resources,
@@ -67,18 +70,18 @@
     gang: bool,
 }
 
-/// What it costs to make room for one task on a machine; the least comes first.
+/// The cost of making room for one task on a machine. Lower costs sort first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
     stops_gang: bool,
     progress_lost: Duration,
     slot_index: usize,
-    /// How many tasks would be stopped.
+    /// The number of tasks that would be stopped.
     victims: usize,
 }
 
-/// The tasks of a machine that may be stopped, the least urgent first, and the
-/// room beside them.
+/// The tasks of a machine that may be preempted, the least urgent first, and the resources that are
+/// free or being freed on it.
 #[derive(Debug, Clone, Default)]
 struct PreemptionCandidates {
     room: Resources,
@@ -86,19 +89,20 @@
 }
 
 impl PreemptionCandidates {
-    /// The job's tasks are being stopped.
+    /// Removes the tasks of a job that is being stopped and counts their resources as free.
     fn remove_job(&mut self, job: &JobId) {
         let room = &mut self.room;
         self.tasks.retain(|victim| {
-            let ends = victim.task.job == *job;
-            if ends {
+            let is_stopping = victim.task.job == *job;
+            if is_stopping {
                 room.add(&victim.demand);
             }
-            !ends
+            !is_stopping
         });
     }
 
-    /// What it costs to make room for one more task here; `None`: it can't be made.
+    /// Returns the cost of making room for one more task on this machine, or `None` if that is
+    /// impossible.
     fn cost(&self, demand: &Resources, priority: Priority, slot_index: usize) -> Option<PreemptionCost> {
         let mut room = self.room;
         let mut cost =
@@ -115,26 +119,26 @@
     }
 }
 
-/// A task that is to be stopped, and the slot that it is on.
+/// A task chosen for preemption, and the slot that it runs on.
 #[derive(Debug)]
 struct ChosenVictim {
     slot_index: usize,
     task: TaskId,
 }
 
-/// The search for tasks to stop, over one pass's slots.
+/// The search for tasks to preempt, over the slots of one pass.
 struct VictimSearch<'a> {
     slots: &'a [Slot],
     teams: &'a mut [TeamUsage],
-    /// For each slot.
+    /// The candidates on each slot, at the same indices as `slots`.
     candidates: Vec<PreemptionCandidates>,
-    /// Tasks chosen so far.
+    /// The number of tasks chosen so far.
     chosen: usize,
 }
 
 impl VictimSearch<'_> {
-    /// Chooses what to stop so that so many tasks of a job find room, or as many of them
-    /// as can.
+    /// Chooses tasks to stop so that `missing` tasks of a job find room, or as many as possible. For
+    /// a gang, it makes room for all of them or chooses nothing.
     fn make_room(&mut self, work: &mut Work, mut missing: u32) -> Vec<ChosenVictim> {
         let mut chosen = Vec::new();
         let before = work.gang.then(|| self.candidates.clone());
@@ -149,7 +153,7 @@
             work.add_to_zone(self.slots[cost.slot_index].zone);
             missing -= 1;
         }
-        // Room for some of a gang is of no use: nothing is stopped for it then.
+        // A gang needs room for all its tasks, so a partial result is discarded.
         if let Some(before) = before.filter(|_| missing > 0) {
             self.candidates = before;
             return Vec::new();
@@ -158,21 +162,25 @@
         chosen
     }
 
+    /// Returns the lowest cost of making room for one more task of the job on any slot.
     fn cheapest(&self, work: &Work) -> Option<PreemptionCost> {
         let cost = |(slot_index, slot): (usize, &Slot)| {
-            let suits = work.allows(slot.pool) && work.admits_zone(slot.zone);
-            suits.then(|| self.candidates[slot_index].cost(&work.demand, work.priority, slot_index)).flatten()
+            let is_eligible = work.allows(slot.pool) && work.admits_zone(slot.zone);
+            is_eligible
+                .then(|| self.candidates[slot_index].cost(&work.demand, work.priority, slot_index))
+                .flatten()
         };
         self.slots.iter().enumerate().filter_map(cost).min()
     }
 
+    /// Moves the victims that a cost stands for from the candidates to `chosen`.
     fn take_victims(&mut self, cost: PreemptionCost, chosen: &mut Vec<ChosenVictim>) {
         let slot_index = cost.slot_index;
         let victims: Vec<Victim> = self.candidates[slot_index].tasks.drain(..cost.victims).collect();
         for victim in victims {
             self.candidates[slot_index].room.add(&victim.demand);
             if victim.gang {
-                // The others end with it and make room where they are.
+                // The gang's other tasks end as well and free resources on their machines.
                 self.candidates.iter_mut().for_each(|other| other.remove_job(&victim.task.job));
             }
             chosen.push(ChosenVictim { slot_index, task: victim.task });
@@ -181,8 +189,8 @@
 }
 
 impl Leader {
-    /// Stops lesser work for urgent tasks that would start too late otherwise,
-    /// the least progressed first. What is stopped comes back to the queue.
+    /// Stops less urgent tasks to make room for urgent tasks that would otherwise start too late,
+    /// those with the least progress first. Stopped tasks return to the queue.
     pub(super) fn preempt(&mut self, now: Duration, pass: PassOutcome<'_>, effects: &mut EffectSink) {
         let PassOutcome { machines, slots, work, teams } = pass;
         let shortages: Vec<Shortage> = work.iter().map(|work| Shortage::of(work, slots, now)).collect();
@@ -212,6 +220,7 @@
         self.stop_victims(now, &victims, machines, effects);
     }
 
+    /// Requests the stop of the chosen tasks and sends the commands to their machines.
     fn stop_victims(
         &mut self,
         now: Duration,
@@ -230,8 +239,9 @@
         }
     }
 
-    /// What may be stopped on a machine: young tasks below the highest priority,
-    /// the least progressed first.
+    /// Returns the tasks on a machine that may be preempted, the least urgent first, then those with the
+    /// least progress: tasks below the highest priority that have run for less than half of their
+    /// estimated time and were not restarted too often.
     fn preemption_candidates(
         &self,
         now: Duration,
@@ -251,14 +261,14 @@
                 continue;
             }
             let ran_for = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            let young = ran_for < self.estimated_runtime(&entry.spec) / 2;
+            let is_early = ran_for < self.estimated_runtime(&entry.spec) / 2;
             let often_restarted = attempt.number > MAX_ATTEMPTS_TO_PREEMPT;
-            // To stop one task of a gang costs the progress of all, or the time they
-            // need to save: they come last.
+            // Stopping one task of a gang costs the progress of all its tasks, or the time for their
+            // checkpoints, so gangs come last within a priority.
             let gang = entry.gang.is_some();
             let ran_for = if gang { ran_for * entry.spec.tasks } else { ran_for };
             let reported = attempt.reported_status.is_some();
-            if reported && young && !often_restarted && priority < Priority::Critical {
+            if reported && is_early && !often_restarted && priority < Priority::Critical {
                 found.tasks.push(Victim { ran_for, task: task.clone(), demand, priority, gang });
             }
         }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -1,4 +1,4 @@
-//! Scaling out and in: renting machines and releasing them.
+//! Scaling out and in: renting and releasing machines.
 
 use super::intents::{LeavingMachine, ReturnForce};
 use super::{Leader, LeaderEvidence, Size, RETRY_INTERVAL};
@@ -13,11 +13,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A machine without work goes back after this time at the earliest.
+/// The shortest time for which a machine must have been idle before it is released.
 const MIN_IDLE_TIME: Duration = Duration::from_secs(3);
-/// The pause before a rental whose answer was lost is asked for again.
+/// The delay before a rental request whose reply was lost is repeated.
 const RENTAL_RETRY_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(4);
-/// The pause after a release that failed.
+/// The delay after a failed release before the next one.
 const RELEASE_RETRY_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(2);
 
 impl From<PendingRental> for Rental {
@@ -34,14 +34,15 @@
     }
 }
 
-/// A rental to be asked for again.
+/// A rental request to repeat.
 #[derive(Debug)]
 struct RentalRetry {
     due: Duration,
     rental: PendingRental,
 }
 
-/// A machine without work; ordinary ones go first, and the oldest among them.
+/// An idle machine. Machines sort in the order in which they are released: ordinary ones before spot
+/// ones, then the oldest first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleMachine {
     spot: bool,
@@ -49,24 +50,24 @@
     name: MachineName,
 }
 
-/// Machines of a type that the target asks for beyond those held or being rented.
+/// The number of machines of a type that the target requires beyond those held or being rented.
 #[derive(Debug, Clone, Copy)]
 struct MissingMachines {
     total: u32,
-    /// How many of them must not be spot.
+    /// The number of them that must be ordinary, that is, not spot.
     ordinary: u32,
 }
 
-/// What is under way with the cloud.
+/// The pending requests to the cloud, and their rate limit.
 #[derive(Debug)]
 pub(super) struct Scaling {
     cloud_budget: TokenBucket,
-    /// Numbers the rentals of this term.
+    /// The number of rentals requested in this term, used to name them.
     rental_counter: u64,
-    /// Rentals without a final answer.
+    /// Rentals that the cloud has neither granted nor refused yet.
     rentals_in_flight: Vec<PendingRental>,
     rental_retries: Vec<RentalRetry>,
-    /// Machines whose release was requested.
+    /// Machines whose release has been requested but not confirmed.
     releasing: BTreeSet<MachineName>,
     next_release_at: Duration,
 }
@@ -84,23 +85,23 @@
         }
     }
 
-    /// Takes one request to the cloud from the budget; false: there is none left.
+    /// Takes one cloud request from the rate limit's budget. Returns false if none is left.
     pub(super) fn take_request(&mut self, now: Duration) -> bool {
         self.cloud_budget.take(now, 1)
     }
 
-    /// Whether some rental has no final answer yet.
+    /// Returns whether any rental has been neither granted nor refused yet.
     pub(super) fn is_renting(&self) -> bool {
         !self.rentals_in_flight.is_empty()
     }
 
-    /// Has a rental asked for again as soon as the cloud's rate allows.
+    /// Schedules a rental request to be repeated as soon as the cloud's rate limit allows.
     pub(super) fn retry_rental(&mut self, now: Duration, rental: PendingRental) {
         self.rentals_in_flight.push(rental.clone());
         self.rental_retries.push(RentalRetry { due: now, rental });
     }
 
-    /// The release of these machines was requested.
+    /// Records that the release of these machines was requested.
     pub(super) fn release_requested(&mut self, machines: impl IntoIterator<Item = MachineName>) {
         self.releasing.extend(machines);
     }
@@ -111,7 +112,7 @@
 }
 
 impl Leader {
-    /// Rents machines up to the target, within the cloud's rate.
+    /// Rents machines up to the target, within the cloud's rate limit.
     pub(super) fn rent_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         self.retry_rentals(now, effects);
         for (machine_type, size) in self.target.current().sizes.clone() {
@@ -122,13 +123,14 @@
         }
     }
 
-    /// How many machines of a type are neither held nor being rented.
+    /// Returns the number of machines that a type lacks to reach `size`, counting those held and those
+    /// being rented.
     fn missing_machines(&self, machine_type: &str, size: Size) -> MissingMachines {
         let in_flight = |ordinary_only: bool| -> u32 {
-            let counts = |rental: &&PendingRental| {
+            let is_counted = |rental: &&PendingRental| {
                 rental.pool.machine_type == machine_type && !(ordinary_only && rental.pool.spot)
             };
-            self.scaling.rentals_in_flight.iter().filter(counts).map(|rental| rental.count).sum()
+            self.scaling.rentals_in_flight.iter().filter(is_counted).map(|rental| rental.count).sum()
         };
         let held_ordinary = self
             .fleet
@@ -143,8 +145,8 @@
         MissingMachines { total, ordinary }
     }
 
-    /// Rents missing machines of a type, spread over its pools. Where ordinary ones are
-    /// missing, only these are rented for now.
+    /// Rents missing machines of a type, spread over its pools. While ordinary machines are missing,
+    /// only those are rented.
     fn rent_missing(
         &mut self,
         now: Duration,
@@ -154,14 +156,14 @@
     ) {
         let ordinary_only = missing.ordinary > 0;
         let pools = self.pools_to_rent_from(now, machine_type, ordinary_only);
-        let mut left = if ordinary_only { missing.ordinary } else { missing.total };
-        let per_pool = left.div_ceil(pools.len().max(1) as u32);
+        let mut remaining = if ordinary_only { missing.ordinary } else { missing.total };
+        let per_pool = remaining.div_ceil(pools.len().max(1) as u32);
         for pool in pools {
-            let count = per_pool.min(left).min(MAX_RENTAL_COUNT);
+            let count = per_pool.min(remaining).min(MAX_RENTAL_COUNT);
             if count == 0 || !self.scaling.take_request(now) {
                 break;
             }
-            left -= count;
+            remaining -= count;
             self.scaling.rental_counter += 1;
             let name = format!("{}-{}-{}", self.settings.host, self.token, self.scaling.rental_counter);
             let rental = PendingRental { name, pool, count };
@@ -170,7 +172,7 @@
         }
     }
 
-    /// The pools of a type that machines may be rented from now, the preferred ones first.
+    /// Returns the pools of a type from which machines may be rented now, the preferred ones first.
     fn pools_to_rent_from(&self, now: Duration, machine_type: &str, ordinary_only: bool) -> Vec<Pool> {
         let mut pools: Vec<Pool> = self.fleet.pools(machine_type);
         pools.retain(|pool| {
@@ -180,16 +182,16 @@
         if ordinary_only {
             pools.retain(|pool| !pool.spot);
         }
-        // Spot first, for its price; ordinary ones once spot is refused.
+        // Spot machines are cheaper, so ordinary ones are rented only while no spot pool is available.
         let any_spot = pools.iter().any(|pool| pool.spot);
         pools.retain(|pool| pool.spot == any_spot);
-        // A gang that waits for room in its zone comes before an even spread.
+        // Room for a gang that waits in one zone takes precedence over an even spread over the zones.
         let is_preferred = |pool: &Pool| self.target.preferred_zone.as_ref() == Some(&pool.zone);
         pools.sort_by_key(|pool| (!is_preferred(pool), self.fleet.machines_staying(pool)));
         pools
     }
 
-    /// Asks again for rentals whose answers were lost, under their names.
+    /// Repeats rental requests whose replies were lost, under the same names.
     fn retry_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
         let all = std::mem::take(&mut self.scaling.rental_retries);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|retry| retry.due <= now);
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Requests a rental. With fencing enabled, it is recorded as an intent before it is sent.
     fn rent(&mut self, rental: PendingRental, effects: &mut EffectSink) {
         let key = IdempotencyKey::new(&rental.name);
         let name = rental.name.clone();
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Marks machines for release: those above the target as they fall idle, and empty
-    /// ones with a preemption notice.
+    /// Marks machines for release: idle ones in excess of the target, and empty ones with a preemption
+    /// notice.
     pub(super) fn remove_surplus(&mut self, now: Duration) {
         for (machine_type, size) in self.target.current().sizes.clone() {
             self.remove_surplus_of_type(now, &machine_type, size);
@@ -249,17 +252,17 @@
         }
     }
 
-    /// Machines of a type that have been without work for long enough, in the order in
-    /// which they go.
+    /// Returns the machines of a type that have been idle for long enough, in the order of their
+    /// release.
     fn idle_machines(&self, now: Duration, machine_type: &str) -> Vec<IdleMachine> {
-        let stays = |m: &&Machine| {
+        let is_staying = |m: &&Machine| {
             m.pool.machine_type == machine_type && m.removal.is_none() && !m.has_preemption_notice
         };
         let mut idle: Vec<IdleMachine> = self
             .fleet
             .machines
             .values()
-            .filter(stays)
+            .filter(is_staying)
             .filter(|m| self.job_table.by_machine(&m.name).next().is_none())
             .filter(|m| m.idle_since.is_some_and(|at| now.saturating_sub(at) >= MIN_IDLE_TIME))
             .map(|m| IdleMachine { spot: m.pool.spot, rented_at: m.rented_at, name: m.name.clone() })
@@ -268,9 +271,11 @@
         idle
     }
 
-    /// Releases machines that are to go. A leader without a valid lease, which may be cut
-    /// off or not lead any more, releases only what a cancellation, or one that it may not
-    /// have seen, forces it to, and only while the cloud answers it.
+    /// Releases the machines that are marked for removal.
+    ///
+    /// A leader without a valid lease may be partitioned or superseded. Such a leader, and one that is
+    /// still loading, releases only machines that may run tasks past a cancellation or past one that it
+    /// may not have seen, and only while the cloud answers.
     pub(super) fn release_removed_machines(
         &mut self,
         now: Duration,
@@ -298,8 +303,8 @@
             .filter(|machine| !self.scaling.releasing.contains(&machine.name))
             .take(MAX_RETURN_MACHINES)
             .collect();
-        // What a cancellation forces goes alone, so that it can go without its record where
-        // that can't be written.
+        // With fencing enabled, returns forced by a cancellation are issued on their own, so that they
+        // can be issued without their record if it cannot be written.
         let is_due = |machine: &LeavingMachine| machine.reason == RemovalReason::CancellationDue;
         let cancellation_due = leaving.iter().any(is_due);
         if cancellation_due && self.intents.is_fenced() {
@@ -315,7 +320,7 @@
         }
     }
 
-    /// Takes in the reply to a rental.
+    /// Handles the reply to a rental request.
     pub(super) fn rental_answered(
         &mut self,
         now: Duration,
@@ -342,12 +347,13 @@
                 );
                 self.rental_refused(now, rental, effects);
             }
-            // In doubt, the same name is used again: it rents once at most.
+            // The outcome is unknown, so the request is repeated under the same name: the cloud grants
+            // a name at most once.
             _ => self.scaling.rental_retries.push(RentalRetry { due: now + RENTAL_RETRY_INTERVAL, rental }),
         }
     }
 
-    /// Takes in the reply to a release.
+    /// Handles the reply to a release request.
     pub(super) fn release_answered(
         &mut self,
         now: Duration,
@@ -368,6 +374,7 @@
         }
     }
 
+    /// Removes released machines from the fleet and ends the attempts on them.
     fn machines_released(
         &mut self,
         now: Duration,
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -1,4 +1,4 @@
-//! Sizing rounds: the search for the fleet's size over a replay of the backlog, in slices.
+//! Sizing rounds: the search for the fleet size by replaying the backlog, in time slices.
 
 use super::wide_jobs::min_machines;
 use super::{Leader, Size, Target};
@@ -15,22 +15,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Without a setting of the operators, how far the fleet may grow under overload, as a
-/// multiple of what the guarantees would fill.
+/// If the operators set no maximum, how far the fleet may grow under overload, as a multiple of the
+/// size that the teams' guarantees would fill.
 const OVERLOAD_FACTOR: f64 = 1.5;
-/// Without an interval of the operators, rounds come as often as the slower of
-/// the usual boots allows, in boot times.
+/// If the operators set no interval, the time between rounds as a multiple of the longest boot time
+/// of all machine types.
 const ROUND_INTERVAL_IN_BOOTS: f64 = 1.5;
+/// The shortest time between rounds if the operators set no interval.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_secs(20);
-/// Time between rounds while no machine is up yet.
+/// The time between rounds while no machine is up.
 const COLD_ROUND_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When rounds are due, and the one under way.
+/// The schedule of sizing rounds, and the current round.
 #[derive(Debug)]
 pub(super) struct SizingRounds {
     next_round_at: Duration,
     round: Option<Round>,
-    /// When the round may go on.
+    /// When the next slice of the current round may run.
     next_slice_at: Duration,
 }
 
@@ -39,47 +40,50 @@
         Self { next_round_at: now, round: None, next_slice_at: now }
     }
 
-    /// Sets when the next round is due.
+    /// Sets the time of the next round.
     pub(super) fn schedule(&mut self, at: Duration) {
         self.next_round_at = at;
     }
 
-    /// When the round under way goes on.
+    /// Returns when the next slice of the current round is due; `None` if no round is in progress.
     pub(super) fn next_slice_due(&self) -> Option<Duration> {
         self.round.is_some().then_some(self.next_slice_at)
     }
 }
 
-/// How many machines of a type there may be.
+/// The largest numbers of machines of a type.
 struct FleetSizeLimits {
-    usual: u32,
+    /// The limit at normal load.
+    normal: u32,
+    /// The limit under overload.
     under_overload: u32,
 }
 
-/// What a round is decided by, for all machine types.
+/// The input of a sizing round, for all machine types.
 struct RoundInput {
     now: Duration,
     work: Vec<Work>,
     expected_arrivals: Vec<Arrival>,
     slots: Vec<Slot>,
     teams: Vec<TeamUsage>,
-    /// Jobs that run with all their tasks.
+    /// The number of jobs whose unfinished tasks are all placed.
     running: usize,
 }
 
-/// The numbers of a machine type's pools.
+/// The pools of a machine type, by their numbers in the placement index.
 struct TypePools {
-    /// The ordinary pools, each with its zone.
+    /// The numbers of the ordinary pools and of their zones.
     ordinary: Vec<(usize, usize)>,
+    /// The numbers of the spot pools.
     spot: Vec<usize>,
 }
 
-/// What a size search replays.
+/// The input of the replays for one machine type.
 #[derive(Debug)]
 struct ReplayInput {
     now: Duration,
     held: Vec<Slot>,
-    /// A machine of the type in each zone, as if it were up.
+    /// An idle machine of the type in each zone, for trial sizes larger than the fleet.
     new_machines: Vec<Slot>,
     work: Vec<Work>,
     expected_arrivals: Vec<Arrival>,
@@ -88,17 +92,18 @@
 }
 
 impl ReplayInput {
+    /// Creates a replay on a fleet of this size.
     fn replay(&self, machines: u32) -> Replay {
         let machines = machines as usize;
         let mut slots: Vec<Slot> = self.held.iter().take(machines).cloned().collect();
-        let more = self.new_machines.iter().cycle().take(machines.saturating_sub(slots.len()));
-        slots.extend(more.cloned());
+        let added = self.new_machines.iter().cycle().take(machines.saturating_sub(slots.len()));
+        slots.extend(added.cloned());
         let (work, expected, teams) = (self.work.clone(), self.expected_arrivals.clone(), self.teams.clone());
         Replay::new(self.now, slots, work, expected, teams, self.running)
     }
 }
 
-/// The search for one machine type.
+/// The fleet size search for one machine type.
 #[derive(Debug)]
 struct SizeTrial {
     machine_type: String,
@@ -107,20 +112,22 @@
     input: ReplayInput,
 }
 
-/// A round under way: the searches one after the other, in slices, since the replays of a
-/// large backlog would hold up everything else.
+/// A sizing round in progress. Its searches run one after the other and in slices, because replaying
+/// a large backlog in one go would delay all other work.
 #[derive(Debug)]
 struct Round {
     began: Duration,
+    /// Whether no machine was up when the round began. Such a round only raises the target.
     cold: bool,
     trials: Vec<SizeTrial>,
+    /// The replay of the current trial.
     replay: Option<Replay>,
-    /// Trials and their slowdowns, for the log.
+    /// The sizes tried and their slowdowns, for the log.
     trace: Vec<String>,
 }
 
 impl Round {
-    /// Goes on by a slice; true once all searches are over.
+    /// Runs one slice. Returns true once all searches are finished.
     fn advance(&mut self, cpu_budget: CpuBudget) -> bool {
         let Some(trial) = self.trials.iter_mut().find(|t| t.search.size().is_none()) else { return true };
         let replay = self.replay.get_or_insert_with(|| trial.input.replay(trial.search.trial()));
@@ -132,11 +139,12 @@
         false
     }
 
-    /// Machines of the trial under way.
+    /// Returns the number of machines in the current replay.
     fn machines(&self) -> usize {
         self.replay.as_ref().map_or(0, Replay::machines)
     }
 
+    /// Returns the sizes found by the searches.
     fn sizes(&self) -> BTreeMap<String, Size> {
         let mut sizes: BTreeMap<String, Size> = BTreeMap::new();
         for trial in &self.trials {
@@ -152,26 +160,28 @@
 }
 
 impl Leader {
-    /// The most machines of a type: set, or learned, or what the guarantees would fill;
-    /// and how far it goes under overload.
+    /// Returns the maximum number of machines of a type, at normal load and under overload: the
+    /// operators' setting or else the size that the teams' guarantees would fill, but no more than
+    /// the cloud is known to have.
     fn max_fleet_size(&self, machine_type: &str, now: Duration) -> FleetSizeLimits {
         let cpus = self.fleet.resources(machine_type).map_or(1.0, |r| r.cpus.max(1.0));
         let guaranteed: f64 = self.settings.teams.values().map(|t| t.guaranteed_cpus).sum();
-        let fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
+        let guarantees_fill = |share: f64| (guaranteed * share / cpus).ceil().clamp(1.0, 10_000.0) as u32;
         let set = self.settings.sizing.max_machines;
-        let known = self.fleet.known_capacity(machine_type, now).unwrap_or(u32::MAX);
-        let bound = |share: f64| set.unwrap_or(fill(share)).min(known).max(1);
-        FleetSizeLimits { usual: bound(1.0), under_overload: bound(OVERLOAD_FACTOR) }
+        let capacity = self.fleet.known_capacity(machine_type, now).unwrap_or(u32::MAX);
+        let bound = |share: f64| set.unwrap_or(guarantees_fill(share)).min(capacity).max(1);
+        FleetSizeLimits { normal: bound(1.0), under_overload: bound(OVERLOAD_FACTOR) }
     }
 
-    /// The time between rounds: longer than a boot, so that each sees what the one
-    /// before brought.
+    /// Returns the time between rounds. It is longer than a boot unless the operators set it, so that
+    /// each round sees the machines that the previous one requested.
     pub(super) fn round_interval(&self) -> Duration {
         let boot = self.fleet.machine_types.values().map(|t| t.boot_time).max().unwrap_or_default();
         self.settings.sizing.interval.unwrap_or(MIN_ROUND_INTERVAL.max(boot.mul_f64(ROUND_INTERVAL_IN_BOOTS)))
     }
 
-    /// Begins rounds, carries the one under way on by a slice, and ends it.
+    /// Starts a round if one is due, runs a slice of the current round if that is due, and sets the new
+    /// target when the round ends.
     pub(super) fn advance_sizing(&mut self, times: StepTime, effects: &mut EffectSink) {
         let now = times.now;
         if self.fleet.machine_types.is_empty() {
@@ -183,38 +193,39 @@
         let Some(round) = self.sizing.round.as_mut().filter(|_| now >= self.sizing.next_slice_at) else {
             return;
         };
-        let over = round.advance(self.cpu_budget);
+        let finished = round.advance(self.cpu_budget);
         self.sizing.next_slice_at =
             now + self.cpu_budget.slice_interval(round.machines(), self.evidence.is_cpu_starved());
-        if !over {
+        if !finished {
             return;
         }
         let Some(round) = self.sizing.round.take() else { return };
         let mut target =
             Target { round: self.target.current().round + 1, at_ms: times.wall_ms(), sizes: round.sizes() };
         if round.cold {
-            for (machine_type, before) in &self.target.current().sizes {
+            for (machine_type, previous) in &self.target.current().sizes {
                 let size = target.sizes.entry(machine_type.clone()).or_default();
-                size.machines = size.machines.max(before.machines);
-                size.ordinary = size.ordinary.max(before.ordinary);
+                size.machines = size.machines.max(previous.machines);
+                size.ordinary = size.ordinary.max(previous.ordinary);
             }
         }
         let level =
             if target.sizes == self.target.current().sizes { LogLevel::Debug } else { LogLevel::Info };
-        let took = now.saturating_sub(round.began).as_millis();
+        let took_ms = now.saturating_sub(round.began).as_millis();
         let trials = round.trace.join(" ");
         let (number, sizes) = (target.round, &target.sizes);
         effects.log(
             level,
-            format!("sizing round ended: round={number} sizes={sizes:?} took_ms={took} trials=[{trials}]"),
+            format!("sizing round ended: round={number} sizes={sizes:?} took_ms={took_ms} trials=[{trials}]"),
         );
         self.target.set(target);
     }
 
+    /// Starts a round if one is due.
     fn begin_round(&mut self, times: StepTime) {
         let now = times.now;
-        // Before any machine is up, whichever job came first would size the fleet
-        // for a whole interval: rounds follow quickly and only raise.
+        // While no machine is up, the first job to arrive would determine the fleet size for a whole
+        // interval. Rounds therefore follow quickly, and they only raise the target.
         let none_up =
             self.fleet.machines.values().all(|m| m.last_heartbeat_id.is_none() && !m.inventory.known_up);
         if now < self.sizing.next_round_at
@@ -228,12 +239,12 @@
         if cold {
             self.sizing.next_round_at = self.sizing.next_round_at.min(now + COLD_ROUND_INTERVAL);
         }
-        // The first round waits for something to replay.
+        // The first round waits until there is work to replay.
         if now < self.sizing.next_round_at || (self.target.current().round == 0 && work.is_empty()) {
             return;
         }
         self.sizing.next_round_at = now + self.round_interval();
-        // Nor does the backlog of the first seconds tell what comes later.
+        // The backlog of the first seconds does not predict later arrivals either.
         let expected_arrivals = if cold { Vec::new() } else { self.expected_arrivals(now) };
         let slots = self.available_slots(now).slots;
         let is_running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
@@ -248,18 +259,18 @@
         self.sizing.round = Some(Round { began: now, cold, trials, replay: None, trace: Vec::new() });
     }
 
-    /// The search for one type, over the jobs that can use it; `ordinary_only`: only
-    /// those that must not run on spot machines, and only ordinary ones.
+    /// Builds the search for one machine type over the jobs that can use it. With `ordinary_only`, it
+    /// covers only the jobs that must not run on spot machines, and only ordinary machines.
     fn build_trial(&mut self, type_name: &str, ordinary_only: bool, round: &RoundInput) -> Option<SizeTrial> {
         let machine_type = self.fleet.machine_types.get(type_name)?.clone();
         let pools = self.pools_of_type(type_name, &machine_type);
-        let suits = |work: &Work| {
+        let is_eligible = |work: &Work| {
             let needs_ordinary = !pools.spot.iter().any(|pool| work.allows(*pool));
             pools.ordinary.iter().any(|(pool, _)| work.allows(*pool)) && (!ordinary_only || needs_ordinary)
         };
-        let work: Vec<Work> = round.work.iter().filter(|work| suits(work)).cloned().collect();
+        let work: Vec<Work> = round.work.iter().filter(|work| is_eligible(work)).cloned().collect();
         let expected_arrivals =
-            round.expected_arrivals.iter().filter(|arrival| suits(&arrival.work)).cloned().collect();
+            round.expected_arrivals.iter().filter(|arrival| is_eligible(&arrival.work)).cloned().collect();
         let is_of_type = |slot: &&Slot| {
             pools.ordinary.iter().any(|(pool, _)| *pool == slot.pool)
                 || !ordinary_only && pools.spot.contains(&slot.pool)
@@ -276,7 +287,7 @@
         let limits = self.max_fleet_size(type_name, round.now);
         let search = FleetSizeSearch::new(
             busy.max(widest.unwrap_or(0)),
-            limits.usual,
+            limits.normal,
             limits.under_overload,
             self.settings.sizing.max_slowdown,
         );
@@ -292,7 +303,7 @@
         Some(SizeTrial { machine_type: type_name.into(), ordinary_only, search, input })
     }
 
-    /// The numbers of a type's pools, and of the zones of its ordinary ones.
+    /// Returns the numbers of a machine type's pools, with the zones of the ordinary ones.
     fn pools_of_type(&mut self, type_name: &str, machine_type: &MachineType) -> TypePools {
         let pool = |zone: &String, spot| Pool { machine_type: type_name.into(), zone: zone.clone(), spot };
         let index = &mut self.placement.index;
@@ -306,7 +317,8 @@
     }
 }
 
-/// An idle machine of the type in each of these pools and zones, as if it were up.
+/// Returns the slot of an idle machine of the type for each of these pools and zones, as if it were
+/// up.
 fn new_machines(pools: &[(usize, usize)], machine_type: &MachineType, now: Duration) -> Vec<Slot> {
     let free = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram };
     let slot = |(pool, zone): &(usize, usize)| Slot {
--- a/crates/plankhead-core/src/leader/slots.rs
+++ b/crates/plankhead-core/src/leader/slots.rs
@@ -1,4 +1,4 @@
-//! Machines as placement passes and replays see them.
+//! Slots: the view of machines that placement passes and replays work on.
 
 use super::Leader;
 use crate::fleet::Machine;
@@ -6,12 +6,12 @@
 use crate::protocol::MachineName;
 use std::time::Duration;
 
-/// How long a stopped task takes to be gone, usually.
+/// The usual time that a task takes to exit after its stop was requested.
 const STOP_DURATION: Duration = Duration::from_millis(300);
-/// A machine that has not reported yet takes no tasks for at least this long.
+/// The shortest time assumed until a machine that has not reported yet takes tasks.
 const MIN_BOOT_TIME_LEFT: Duration = Duration::from_secs(3);
 
-/// The machines that take tasks, each with its slot at the same place.
+/// The machines that accept tasks and, at the same indices, their slots.
 #[derive(Debug, Default)]
 pub(super) struct AvailableSlots {
     pub machines: Vec<MachineName>,
@@ -19,7 +19,7 @@
 }
 
 impl Leader {
-    /// A machine as the passes see it, whatever the time.
+    /// Builds the part of a machine's slot that does not depend on the current time.
     fn build_slot(&mut self, name: &MachineName) -> Option<Slot> {
         let machine = self.fleet.machines.get(name)?;
         let total = self.fleet.resources(&machine.pool.machine_type)?;
@@ -69,8 +69,8 @@
         Some(slot)
     }
 
-    /// The machines that take tasks, as passes see them. What has not changed
-    /// since the last time is taken from there.
+    /// Returns the machines that accept tasks, with their slots. Slots of machines that have not changed
+    /// since the previous call are taken from the cache.
     pub(super) fn available_slots(&mut self, now: Duration) -> AvailableSlots {
         for name in std::mem::take(&mut self.job_table.changed_machines) {
             if let Some(machine) = self.fleet.machines.get_mut(&name) {
@@ -90,9 +90,9 @@
                 machine.cached_slot = slot;
             }
         }
-        let takes_tasks = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
+        let accepts_tasks = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut available = AvailableSlots::default();
-        for machine in self.fleet.machines.values().filter(takes_tasks) {
+        for machine in self.fleet.machines.values().filter(accepts_tasks) {
             let (Some(cached), Some(machine_type)) =
                 (&machine.cached_slot, self.fleet.machine_types.get(&machine.pool.machine_type))
             else {
--- a/crates/plankhead-core/src/leader/target.rs
+++ b/crates/plankhead-core/src/leader/target.rs
@@ -1,4 +1,4 @@
-//! The fleet's target sizes: the stored value, and its way to the state service.
+//! The target sizes of the fleet, and their storage in the state service.
 
 use super::{Leader, TermStatus};
 use crate::calls::LeaderCall;
@@ -11,56 +11,57 @@
 /// The key of the stored target.
 const TARGET_KEY: &str = "target";
 
-/// What a sizing round decided, as the state service keeps it.
+/// The decision of a sizing round, as stored in the state service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Target {
     /// The number of the round.
     pub round: u64,
-    /// When it ended, in wall-clock milliseconds since 1970.
+    /// When the round ended, in milliseconds since the Unix epoch by the wall clock.
     pub at_ms: u64,
     /// The size for each machine type.
     #[serde(rename = "rigs")]
     pub sizes: BTreeMap<String, Size>,
 }
 
-/// How many machines of a type there should be.
+/// The target size for one machine type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Size {
-    /// Machines of the type.
+    /// The total number of machines of the type.
     pub machines: u32,
-    /// How many of them must not be spot.
+    /// The number of them that must be ordinary, that is, not spot.
     pub ordinary: u32,
 }
 
-/// The target in force, and what of it is still to be written.
+/// The current target, and whether it still has to be written.
 #[derive(Debug, Default)]
 pub(super) struct TargetState {
     current: Target,
-    /// It has changed since it was last written.
+    /// Whether the target has changed since it was last written.
     dirty: bool,
     write_in_flight: bool,
-    /// Where a gang that waits for machines will have most of its room.
+    /// The zone to rent machines in first: the one where the most tasks of a waiting gang fit.
     pub(super) preferred_zone: Option<String>,
 }
 
 impl TargetState {
-    /// The target in force.
+    /// Returns the current target.
     pub(super) fn current(&self) -> &Target {
         &self.current
     }
 
-    /// Takes in the stored target of a former leader.
+    /// Adopts the stored target of an earlier leader.
     pub(super) fn loaded(&mut self, target: Target) {
         self.current = target;
     }
 
-    /// Replaces the target by a new decision.
+    /// Replaces the target, which then has to be written.
     pub(super) fn set(&mut self, target: Target) {
         self.current = target;
         self.dirty = true;
     }
 
-    /// Raises a type's size to so many machines, and to so many ordinary ones among them.
+    /// Sets the total number of machines of a type, and the number of ordinary ones among them, where
+    /// given. The caller makes sure that neither decreases.
     pub(super) fn raise(&mut self, machine_type: &str, machines: Option<u32>, ordinary: Option<u32>) {
         let size = self.current.sizes.entry(machine_type.to_owned()).or_default();
         if let Some(machines) = machines {
@@ -73,24 +74,24 @@
         }
     }
 
-    /// Whether the target is still to be written.
+    /// Returns whether the target still has to be written.
     pub(super) fn is_dirty(&self) -> bool {
         self.dirty
     }
 
-    /// Whether the target is to be written, and no write of it is under way.
+    /// Returns whether the target has to be written and no write of it is in flight.
     pub(super) fn may_write(&self) -> bool {
         self.dirty && !self.write_in_flight
     }
 }
 
 impl Leader {
-    /// Asks for the stored target, the last that is loaded.
+    /// Requests the stored target, which is the last item that a new leader loads.
     pub(super) fn read_target(&self, effects: &mut EffectSink) {
         self.call_kv(LeaderCall::ReadTarget, KvRequest::Get { key: TARGET_KEY.into() }, effects);
     }
 
-    /// Writes the target, if the budget allows.
+    /// Writes the target if the write budget allows it.
     pub(super) fn write_target(&mut self, now: Duration, effects: &mut EffectSink) {
         let Ok(value) = serde_json::to_string(&self.target.current) else { return };
         if value.len() > self.settings.max_value_bytes {
@@ -111,7 +112,7 @@
         );
     }
 
-    /// Takes in the reply to a write of the target.
+    /// Handles the reply to a write of the target.
     pub(super) fn target_written(&mut self, reply: Result<KvReply, CallError>) -> TermStatus {
         self.target.write_in_flight = false;
         match reply {
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -1,4 +1,4 @@
-//! What users and operators see of the leader.
+//! The leader's state as shown to users and operators: job progress, late jobs and `GET /view`.
 
 use super::Leader;
 use crate::effects::{EffectSink, StepTime};
@@ -8,29 +8,29 @@
 use crate::requests::TaskCounts;
 use std::time::Duration;
 
-/// How often jobs are searched for late and stuck ones.
+/// The time between scans for late and stuck jobs.
 const LATENESS_SCAN_INTERVAL: Duration = Duration::from_secs(5);
-/// A job is stuck when nothing of it has started for this long.
+/// The time since its acceptance after which an unfinished job without any attempt counts as stuck.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(120);
-/// Jobs that the view lists in each of its lists.
+/// The maximum number of jobs in each list of the view.
 const MAX_JOBS_SHOWN: usize = 1000;
 
-/// A job that is to be logged.
+/// A late or stuck job to log.
 struct LateJob {
     id: JobId,
     is_late: bool,
     is_stuck: bool,
-    /// What a gang waits for.
+    /// What the job waits for, if it is a gang that is not running.
     waits_for: Option<&'static str>,
 }
 
 impl Leader {
-    /// How many tasks of a job are done, and how many run.
+    /// Returns the numbers of done and running tasks of a job.
     pub fn progress(&self, id: &JobId) -> Option<TaskCounts> {
         self.job_table.jobs.get(id).map(|e| TaskCounts { done: e.done, running: e.running })
     }
 
-    /// The progress of active jobs, of so many at the most.
+    /// Returns the progress of at most `max_jobs` active jobs that have running or done tasks.
     pub fn all_progress(&self, max_jobs: usize) -> Vec<JobProgress> {
         let progressing =
             self.job_table.jobs.iter().filter(|(_, e)| e.done + e.running > 0 && e.phase == JobPhase::Active);
@@ -40,18 +40,18 @@
             .collect()
     }
 
-    /// Past its deadline, or past what its class expects.
+    /// Returns whether a job is past its deadline or the objective of its class.
     fn is_late(&self, entry: &JobEntry, now: Duration) -> bool {
         self.completion_objective(&entry.spec).is_some_and(|within| now > entry.accepted_at + within)
     }
 
-    /// Nothing of it has started for long, or it fails on one machine after the other.
+    /// Returns whether a job was accepted long ago and has no attempt, or has failed on several machines.
     fn is_stuck(&self, entry: &JobEntry, now: Duration) -> bool {
         let idle = entry.running == 0 && entry.placed == 0 && entry.unfinished() > 0;
         idle && now.saturating_sub(entry.accepted_at) > STUCK_TIMEOUT || entry.failed_machines.len() > 1
     }
 
-    /// What a gang that does not run waits for.
+    /// Returns what an active gang that is not running waits for; `None` for any other job.
     fn waits_for(&self, entry: &JobEntry) -> Option<&'static str> {
         let all = |seen: fn(Option<TaskStatus>) -> bool| {
             self.job_table.attempts_of(entry).all(|a| seen(a.reported_status))
@@ -71,11 +71,11 @@
         if !entry.all_placements_durable() {
             return Some("its placements to be written");
         }
-        let there = all(|seen| matches!(seen, Some(TaskStatus::WaitingForGang)));
-        Some(if there { "its other tasks" } else { "images" })
+        let all_waiting = all(|seen| matches!(seen, Some(TaskStatus::WaitingForGang)));
+        Some(if all_waiting { "its other tasks" } else { "images" })
     }
 
-    /// Logs jobs that are late or stuck, each once.
+    /// Logs late and stuck jobs, each job once.
     pub(super) fn log_late_jobs(&mut self, now: Duration, effects: &mut EffectSink) {
         if now < self.next_lateness_scan_at {
             return;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What operators see of the leader, for `GET /view`.
+    /// Returns the leader's part of the document for `GET /view`.
     pub fn view(&self, times: StepTime) -> serde_json::Value {
         let now = times.now;
         let jobs: Vec<_> = self
@@ -131,7 +131,7 @@
                 })
             })
             .collect();
-        // Late or not: none should wait for long.
+        // Waiting gangs are listed whether late or not, because no gang should wait for long.
         let gangs: Vec<_> = self
             .job_table
             .jobs
--- a/crates/plankhead-core/src/leader/wide_jobs.rs
+++ b/crates/plankhead-core/src/leader/wide_jobs.rs
@@ -1,4 +1,4 @@
-//! Raises of the fleet's target for jobs that are wider than the fleet.
+//! Increases of the target for jobs that need more room at once than the whole fleet has.
 
 use super::Leader;
 use crate::fleet::Machine;
@@ -7,15 +7,17 @@
 use crate::protocol::Pool;
 use std::collections::BTreeMap;
 
-/// How many such tasks an empty machine holds.
+/// Returns the number of the job's tasks that fit on an empty machine with these resources.
 fn tasks_per_machine(work: &Work, room: &Resources) -> u32 {
+    // The addend makes up for rounding errors of decimal amounts.
     let times = |have: f64, need: f64| if need > 0.0 { (have / need + 1e-6).floor() } else { f64::MAX };
     let Resources { cpus, gpus, ram_gb } = work.demand;
     times(room.cpus, cpus).min(times(room.gpus, gpus)).min(times(room.ram_gb, ram_gb)).min(1e6) as u32
 }
 
-/// Machines that a job takes at least at a time: a gang all of it, and so many in
-/// each zone if it must be in one.
+/// Returns the smallest number of machines on which the job can make progress: enough for one task, or
+/// for all tasks of a gang. For a gang that must run in one zone and needs several machines, this is
+/// enough in every zone.
 pub(super) fn min_machines(work: &Work, room: &Resources, zones: usize) -> u32 {
     let machines = work.min_simultaneous().div_ceil(tasks_per_machine(work, room).max(1));
     if work.gang && work.single_zone && machines > 1 {
@@ -25,21 +27,22 @@
     }
 }
 
-/// The machines of a pool that are held, as far as they stay.
+/// The machines held in a pool, without those marked for removal or with a preemption notice.
 struct HeldPool {
+    /// The pool's number in the placement index.
     index: usize,
     zone: String,
     machines: u32,
-    /// What one of its machines holds.
+    /// The resources of one machine.
     room: Resources,
 }
 
-/// The room for a job that is wider than the fleet, at its best.
+/// The largest number of tasks of a job that fit on the fleet, whatever runs there now.
 #[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct WidestRoom<'a> {
-    /// Tasks that fit.
+    /// The number of tasks that fit.
     tasks: u32,
-    /// In which zone; empty for a job that may be in several.
+    /// The zone, for a gang that must run in one zone; otherwise empty.
     zone: &'a str,
 }
 
@@ -47,14 +50,14 @@
 struct SuitableType {
     name: String,
     price: f64,
-    /// The job must not run on spot machines.
+    /// Whether the job must not run on spot machines.
     ordinary_only: bool,
 }
 
 impl Leader {
-    /// A job wider than the fleet raises it at once. An array's width is one
-    /// task, so this is a job that no machine we have can hold; a gang's is all of
-    /// it, in one zone where asked.
+    /// Raises the target at once for jobs that the fleet cannot hold even when empty: an array if no
+    /// machine can hold one of its tasks, a gang if not all its tasks fit together, in one zone if the
+    /// job requires that.
     pub(super) fn raise_for_wide_jobs(&mut self, work: &[Work]) {
         let pools = self.held_pools();
         self.target.preferred_zone = None;
@@ -72,10 +75,11 @@
         }
     }
 
+    /// Returns the pools with machines that stay, with the numbers of these machines.
     fn held_pools(&mut self) -> Vec<HeldPool> {
-        let stays = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
+        let is_staying = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut held: BTreeMap<Pool, u32> = BTreeMap::new();
-        for machine in self.fleet.machines.values().filter(stays) {
+        for machine in self.fleet.machines.values().filter(is_staying) {
             *held.entry(machine.pool.clone()).or_default() += 1;
         }
         let mut pools = Vec::with_capacity(held.len());
@@ -87,7 +91,7 @@
         pools
     }
 
-    /// The cheapest machine type that holds a task of the job and that the job allows.
+    /// Returns the cheapest machine type that the job allows and that can hold one of its tasks.
     fn cheapest_suitable_type(&mut self, work: &Work) -> Option<SuitableType> {
         let mut suitable = Vec::new();
         for (name, machine_type) in &self.fleet.machine_types {
@@ -110,7 +114,7 @@
         suitable.into_iter().next()
     }
 
-    /// Raises the target so that so many more tasks of a job find room.
+    /// Raises the target so that `lacking` more tasks of a job find room.
     fn raise_target(&mut self, work: &Work, lacking: u32, suitable: &SuitableType) {
         let name = &suitable.name;
         let room = self.fleet.resources(name).unwrap_or_default();
@@ -135,7 +139,7 @@
     }
 }
 
-/// Where the most tasks of a job fit, over all machines held.
+/// Returns the most tasks of a job that fit on the machines held, and the zone if it must run in one.
 fn widest_room<'a>(work: &Work, pools: &'a [HeldPool]) -> WidestRoom<'a> {
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for pool in pools.iter().filter(|pool| work.allows(pool.index)) {
