--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -10,10 +10,10 @@
 use plankhead_reachability::permission::Action;
 use std::time::Duration;
 
-/// The time in which the cloud usually completes a release, at most.
+/// The longest time that the cloud usually takes for a release.
 const RELEASE_DURATION: Duration = Duration::from_secs(3);
 /// How long before a cancellation deadline the machine of a remaining task is reclaimed.
-const RECLAIM_DURATION: Duration = Duration::from_secs(7);
+const RECLAIM_LEAD_TIME: Duration = Duration::from_secs(7);
 
 impl Leader {
     /// Returns whether any worker was heard recently, or none could be because no machine is up.
@@ -48,7 +48,7 @@
     /// fault.
     pub(super) fn remove_silent_beyond_lease(&mut self, now: Duration, evidence: LeaderEvidence) {
         let is_loading = !self.loading.is_ready();
-        let due = is_loading || now.saturating_sub(self.job_watch.synced_at()) >= self.cancel_grace();
+        let due = is_loading || now.saturating_sub(self.job_watch.synced_at()) >= self.reclaim_delay();
         if due && evidence.no_peer_leads && self.is_cloud_reachable(now) {
             let silence = self.settings.worker_lease + Duration::from_secs(1);
             self.fleet.mark_silent_beyond_lease(now, silence, is_loading);
@@ -57,13 +57,13 @@
 
     /// Returns the time after a cancellation at which a machine that may still run a task of the job
     /// is reclaimed.
-    fn cancel_grace(&self) -> Duration {
-        self.cancel_due().saturating_sub(RECLAIM_DURATION)
+    fn reclaim_delay(&self) -> Duration {
+        self.cancellation_deadline().saturating_sub(RECLAIM_LEAD_TIME)
     }
 
     /// Returns the time within which a cancellation must be complete, reduced by the clock error so
     /// that it holds whichever node's clock recorded the cancellation.
-    fn cancel_due(&self) -> Duration {
+    fn cancellation_deadline(&self) -> Duration {
         self.settings.cancel_within.saturating_sub(self.settings.clock_error * 2)
     }
 
@@ -118,24 +118,26 @@
     /// Returns the machines with tasks of cancelled jobs that have not been proven ended in time.
     /// They are reclaimed even in an outage or when all machines hang.
     fn machines_with_overdue_tasks(&self, now: Duration) -> Vec<MachineName> {
-        let (due, grace) = (self.cancel_due(), self.cancel_grace());
+        let (deadline, reclaim_delay) = (self.cancellation_deadline(), self.reclaim_delay());
         let workers_had_time =
             now.saturating_sub(self.started_at) > self.settings.failover_heartbeat_timeout();
         self.job_table
             .jobs
             .values()
-            .filter(|e| e.placed > 0 && e.cancelled_at.is_some_and(|at| now.saturating_sub(at) >= grace))
+            .filter(|e| {
+                e.placed > 0 && e.cancelled_at.is_some_and(|at| now.saturating_sub(at) >= reclaim_delay)
+            })
             .flat_map(|e| self.job_table.attempts_of(e).map(|a| (e.cancelled_at.unwrap_or_default(), a)))
             // An attempt placed by an earlier leader may have ended during that leader's term. The
             // first heartbeats to this leader show it, so wait for them if there is enough time. A
             // leader that starts shortly before the deadline must not wait, or a hung machine would
             // keep its task past the deadline until the heartbeat timeout.
             .filter(|(cancelled_at, attempt)| {
-                let latest_release = *cancelled_at + due.saturating_sub(RELEASE_DURATION);
+                let latest_release = *cancelled_at + deadline.saturating_sub(RELEASE_DURATION);
                 attempt.reported_status.is_some()
                     || attempt.offered_under_token.is_some()
                     || workers_had_time
-                    || (self.started_at < *cancelled_at + due && now >= latest_release)
+                    || (self.started_at < *cancelled_at + deadline && now >= latest_release)
             })
             .map(|(_, attempt)| attempt.machine.clone())
             .collect()
