--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: which node answers them, which wait, and where workers are sent.
+//! Handling of worker heartbeats: answering, deferring, redirecting and relaying them.
 
 use super::shards::HolderRoute;
 use super::Node;
@@ -9,54 +9,59 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A worker that comes back this long after its redirect has not reached the node it was
-/// sent to; one that comes back after the timeout tells nothing.
+/// A worker that returns later than this after a redirect, but within `REDIRECT_TIMEOUT`, did
+/// not reach the node that it was redirected to.
 const MIN_REDIRECT_AGE: Duration = Duration::from_secs(1);
+/// A worker that returns after this time is no evidence that the redirect failed.
 const REDIRECT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Redirected workers that a node remembers.
+/// The maximum number of redirected workers that a node keeps track of.
 const MAX_REDIRECTED_WORKERS: usize = 10_000;
 
-/// How long a heartbeat waits for a leader that still loads: its worker waits for 4 s, and a
-/// peer that relayed it for 1.5 s.
+/// How long a heartbeat is deferred while the leader or holder on this node loads its state. The
+/// worker gives up after 4 s.
 const DEFERRAL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The same for a relayed heartbeat. The peer that relayed it gives up after 1.5 s.
 const RELAYED_DEFERRAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Heartbeats that wait at the same time.
+/// The maximum number of heartbeats that are deferred at the same time.
 const MAX_DEFERRED_HEARTBEATS: usize = 16_384;
 
-/// How long a worker waits that this node can't answer now.
+/// The delay after which a worker should retry that this node can't answer now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A heartbeat that waits until this node has loaded what it needs for the answer.
+/// A heartbeat whose answer is deferred until this node has loaded its state, or until a deadline.
 #[derive(Debug)]
 pub(super) struct DeferredHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
     relayed: bool,
+    /// The deadline for the answer.
     pub until: Duration,
 }
 
-/// The node that a worker is sent to.
+/// The node that a worker is redirected to.
 struct RedirectTarget {
     host: String,
-    /// The leader's fencing token, or the shard's epoch.
+    /// The leader's fencing token, or the epoch of the machine's shard.
     token: u64,
 }
 
+/// The latest redirect of a worker.
 #[derive(Debug)]
 struct Redirect {
-    /// Of the node that the worker was sent to.
+    /// The token or epoch of the node that the worker was redirected to.
     token: u64,
     redirected_at: Duration,
 }
 
-/// Workers that this node has sent elsewhere.
+/// Workers that this node has redirected to other nodes.
 #[derive(Debug, Default)]
 pub(super) struct RedirectedWorkers {
     by_machine: HashMap<MachineName, Redirect>,
 }
 
 impl RedirectedWorkers {
-    /// Whether the worker was sent to the holder of this token and has come back.
+    /// Whether the worker was redirected to the node with this token and has returned without
+    /// reaching it.
     fn has_returned(&self, machine: &MachineName, token: u64, now: Duration) -> bool {
         self.by_machine.get(machine).is_some_and(|redirect| {
             let age = now.saturating_sub(redirect.redirected_at);
@@ -64,6 +69,7 @@
         })
     }
 
+    /// Records a redirect, unless the table is full of redirects that have not timed out.
     fn record(&mut self, machine: MachineName, token: u64, now: Duration) {
         if self.by_machine.len() >= MAX_REDIRECTED_WORKERS {
             self.by_machine
@@ -76,7 +82,7 @@
 }
 
 impl Node {
-    /// Answers a heartbeat, now or once this node has loaded what it needs.
+    /// Answers a heartbeat, or defers it while this node loads the state that the answer needs.
     pub(super) fn receive_heartbeat(
         &mut self,
         times: StepTime,
@@ -97,7 +103,8 @@
 
     fn handle_heartbeat(&mut self, times: StepTime, heartbeat: Heartbeat, relayed: bool) -> Response {
         let now = times.now;
-        // A shard's epoch is above its leader's token and tells nothing of other shards.
+        // With sharding, a heartbeat may carry the epoch of the machine's shard. It is higher than the
+        // leader's token and applies to no other shard.
         if self.sharding.is_none() {
             self.token_guard.observe(heartbeat.token);
         }
@@ -123,14 +130,15 @@
                 }
                 LeaderRoute::Superseded => {}
             }
-            // The worker has seen a later token than this leader's.
+            // The worker has seen a later token than this leader's, so this node steps down.
             let change = self.election.lease_lost();
             self.apply_leadership(times, change);
         }
         self.handle_heartbeat_as_follower(times, heartbeat, relayed)
     }
 
-    /// Answers as the holder of the machine's shard, or sends the worker to the node that may.
+    /// Answers a heartbeat as the holder of the machine's shard, or redirects the worker to the
+    /// node that answers it.
     fn handle_heartbeat_as_follower(
         &mut self,
         times: StepTime,
@@ -158,7 +166,8 @@
         }
     }
 
-    /// Sends a worker to the node that acts for it, or has its heartbeat relayed there.
+    /// Redirects a worker to the node that answers it. If the worker can't reach that node, the
+    /// heartbeat is relayed there instead.
     fn redirect(
         &mut self,
         now: Duration,
@@ -167,7 +176,8 @@
         relayed: bool,
     ) -> Response {
         let RedirectTarget { host, token } = target;
-        // A worker that knows the node's token, or was sent there and is back, can't reach it.
+        // A worker that already knows the node's token, or has returned from a redirect to the node,
+        // can't reach it.
         let unreachable =
             token == heartbeat.token || self.redirected_workers.has_returned(&heartbeat.machine, token, now);
         if unreachable && !relayed {
@@ -177,7 +187,7 @@
         Response::Redirect { leader: Some(host) }
     }
 
-    /// Answers a heartbeat as the holder of its shard.
+    /// Answers a heartbeat as the holder of the machine's shard.
     fn handle_heartbeat_as_holder(
         &mut self,
         times: StepTime,
@@ -193,7 +203,8 @@
         sharding.holder.handle_heartbeat(times, heartbeat, shard_epoch, path, evidence)
     }
 
-    /// Whether a heartbeat should wait: the leader or holder that answers it here still loads.
+    /// Whether a heartbeat must be deferred, because the leader or holder on this node that answers
+    /// it is still loading its state.
     fn must_defer(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
         if let Some(leader) = &self.leader {
             return leader.is_loading() && matches!(leader.route(heartbeat), LeaderRoute::Own);
@@ -202,7 +213,7 @@
         is_loading && matches!(self.holder_route(heartbeat, now), HolderRoute::Own(_))
     }
 
-    /// Records what a heartbeat shows of the links to workers.
+    /// Records what a heartbeat shows about the links between this node and the workers.
     fn record_link_evidence(&mut self, heartbeat: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reachability) = &mut self.reachability else { return };
         reachability.heartbeat_arrived(&heartbeat.machine, relayed, now);
@@ -211,7 +222,7 @@
         }
     }
 
-    /// Answers the heartbeats that waited, once loading is over or their time is up.
+    /// Answers the deferred heartbeats that no longer wait for loading or whose deadline has passed.
     pub(super) fn answer_deferred(&mut self, times: StepTime) {
         let deferred = std::mem::take(&mut self.deferred_heartbeats);
         let (waiting, due): (Vec<DeferredHeartbeat>, Vec<DeferredHeartbeat>) =
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! How a node becomes the leader and stops being it, and which node it takes for the leader.
+//! The start and end of a node's leadership, and the leader known to a node.
 
 use super::Node;
 use crate::effects::StepTime;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Lets the leader act, where this node is it.
+    /// Runs the due work of the leader, if this node leads.
     pub(super) fn tick_leader(&mut self, times: StepTime, evidence: LeaderEvidence) {
         if let Some(leader) = &mut self.leader {
             leader.tick(times, evidence, &mut self.requests, &mut self.effects);
@@ -62,9 +62,10 @@
 
     /// Steps down if no worker reaches this leader and a peer could take over.
     ///
-    /// Without the state service nobody could take over, and what this leader knows of
-    /// cancellations would be lost: its lease expires by itself then. Where all nodes
-    /// exchange coverage, that decides who should lead.
+    /// A leader whose lease is no longer valid does not step down but lets the lease expire: without
+    /// the state service no peer could take over, and the cancellations that this leader knows of
+    /// would be lost. If all nodes exchange coverage, the coverage decides which node should lead,
+    /// and this check is skipped.
     pub(super) fn step_down_if_isolated(&mut self, times: StepTime, evidence: LeaderEvidence) {
         let now = times.now;
         let coverage_decides =
@@ -77,8 +78,9 @@
         }
     }
 
-    /// The latest known leader under no earlier token than `min_token`: by the leader's key,
-    /// or by its own heartbeats where the state service does not answer this node.
+    /// Returns the latest known leader other than this node whose token is at least `min_token`. Both
+    /// the leader's key and peer heartbeats are considered: the heartbeats show the leader even if the
+    /// state service does not answer this node.
     pub(super) fn known_leader(&self, now: Duration, min_token: u64) -> Option<LeaderId> {
         let claims = self.peers.fresh_heartbeats(now).map(|heartbeat| (heartbeat.token, &heartbeat.host));
         let stored = self.election.known_leader.iter().map(|leader| (leader.token, &leader.host));
@@ -86,8 +88,8 @@
         candidates.max().map(|(token, host)| LeaderId { token, host: host.clone() })
     }
 
-    /// The highest fencing token seen, for adapters that pass answers on; 0 while fencing is
-    /// off.
+    /// Returns the highest fencing token seen, or 0 if fencing is off. Adapters use it to reject
+    /// relayed answers under an older token.
     pub fn highest_token(&self) -> u64 {
         if self.settings.fencing.enabled {
             self.token_guard.highest()
@@ -101,8 +103,8 @@
             return;
         }
         self.drop_stale_claim(&mut heartbeat);
-        // A node that the state service does not answer can't learn from it that another one
-        // has the key, and would keep its workers.
+        // A node that can't reach the state service does not see that another node holds the leader's
+        // key. Without this check it would go on answering its workers as the leader.
         if self.leader.as_ref().is_some_and(|leader| leader.token < heartbeat.token) {
             let change = self.election.lease_lost();
             self.apply_leadership(times, change);
@@ -117,9 +119,9 @@
         self.peers.record(now, heartbeat);
     }
 
-    /// Where fencing is on, the progress that a node tells under a superseded token is
-    /// dropped. The node still counts as one that leads where this matters for workers: it
-    /// may renew leases of those that know no later token.
+    /// If fencing is on, discards the progress reported under a superseded token. The heartbeat keeps
+    /// its token, so that the sender still counts as a node that claims to lead: it may renew the
+    /// leases of workers that know no later token.
     fn drop_stale_claim(&mut self, heartbeat: &mut PeerHeartbeat) {
         if !self.settings.fencing.enabled || heartbeat.token == 0 {
             return;
--- a/crates/plankhead-core/src/node/machine_types.rs
+++ b/crates/plankhead-core/src/node/machine_types.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machine types, as this node last read it.
+//! The cloud's list of machine types, which is read periodically.
 
 use crate::calls::CallPurpose;
 use crate::effects::EffectSink;
@@ -6,10 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two reads of the list, and after a read that failed.
+/// The time between two reads of the list.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(300);
+/// The delay before the list is read again after a failed read.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
+/// The machine types known to this node.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypeList {
     by_name: BTreeMap<String, MachineType>,
@@ -18,17 +20,17 @@
 }
 
 impl MachineTypeList {
-    /// The machine types by name; empty until the list was read once.
+    /// The machine types by name; empty until the first successful read.
     pub fn by_name(&self) -> &BTreeMap<String, MachineType> {
         &self.by_name
     }
 
-    /// When the list is to be read next, unless a read is in flight.
+    /// Returns when the list is to be read next; `None` while a read is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.list_in_flight).then_some(self.next_list_at)
     }
 
-    /// Asks for the list, if it is time.
+    /// Requests the list if a read is due.
     pub fn tick(&mut self, now: Duration, effects: &mut EffectSink) {
         if now >= self.next_list_at && !self.list_in_flight {
             self.list_in_flight = true;
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Handles a reply; true if it brought a list.
+    /// Handles the reply to a read and returns whether it contained a list. An empty list counts as a
+    /// failed read.
     pub fn handle_reply(&mut self, now: Duration, reply: Result<CloudReply, CallError>) -> bool {
         self.list_in_flight = false;
         match reply {
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! One controller node: requests of users, the election, and the roles of leader and holder
-//! while it has them.
+//! A controller node: user requests, the leader election, and the leader and holder roles while the
+//! node has them.
 //!
-//! [`Node::step`] is the only entry: it takes events, lets the parts act, and returns the
-//! effects that they decided on.
+//! [`Node::step`] is the entry point for all events: it handles a batch of them, runs the work that
+//! is due, and returns the resulting effects.
 
 mod heartbeats;
 mod kv_health;
@@ -33,22 +33,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The state service must have failed a node for this long before the node sends its users
-/// elsewhere.
+/// How long the state service must have failed this node before the node may report itself as
+/// unhealthy.
 const UNHEALTHY_AFTER: Duration = Duration::from_secs(3);
-/// Jobs whose progress one peer heartbeat tells: all that a fleet of two thousand machines
-/// works on. Other nodes show those left out as queued.
+/// The maximum number of jobs whose progress is sent in one peer heartbeat: all jobs in progress on
+/// a fleet of 2,000 machines. Other nodes report the jobs left out as queued.
 pub const MAX_PROGRESS: usize = 2_000;
-/// Jobs whose progress is read from one peer heartbeat: a later version may tell more, for
-/// fleets of four thousand machines.
+/// The maximum number of jobs whose progress is accepted in one peer heartbeat. It exceeds the
+/// number sent because later versions may send more, for fleets of 4,000 machines.
 pub const MAX_PROGRESS_READ: usize = 8_192;
 
-/// A process whose timers are later than this lacks processor time.
+/// A process whose timers fire later than this is short of CPU time.
 const MAX_TIMER_LAG: Duration = Duration::from_millis(100);
 
-/// How soon what waits for a budget, or for the state service, is looked at again.
+/// The delay before work that waits for a budget or for the state service is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// A step that no event asked for comes at least this long after the one before.
+/// The minimum time between a step and the next one, if no event requires it earlier.
 const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A controller node.
@@ -59,26 +59,27 @@
     requests: RequestHandler,
     election: Election,
     version_barrier: VersionBarrier,
-    /// The leader's role, while this node has it.
+    /// The leader role, while this node leads.
     leader: Option<Leader>,
     machine_types: MachineTypeList,
     peers: Peers,
     kv_health: KvHealth,
     redirected_workers: RedirectedWorkers,
     deferred_heartbeats: Vec<DeferredHeartbeat>,
-    /// The highest fencing token that anything showed.
+    /// Tracks the highest fencing token seen.
     token_guard: TokenGuard,
-    /// How late the process's timers are.
+    /// How late the process's timers fire.
     timer_lag: Duration,
     next_reachability_check_at: Duration,
-    /// Its part in sharding, where that is on.
+    /// The state for sharding, if it is enabled.
     sharding: Option<Box<Sharding>>,
-    /// Which links work, where that is judged; made at the first step, which has the time.
+    /// Monitors which links work, if reachability is enabled. Created at the first step, the first
+    /// call that is given the time.
     reachability: Option<Reachability>,
 }
 
 impl Node {
-    /// A node that has just started and knows nothing of the cluster yet.
+    /// Creates a node that has just started and knows nothing about the cluster yet.
     pub fn new(settings: Settings) -> Self {
         let settings = Arc::new(settings);
         let sharding = settings.sharding.enabled.then(|| Box::new(Sharding::new(settings.clone())));
@@ -106,21 +107,21 @@
         }
     }
 
-    /// Whether users should be sent here. A node that only it can't reach the state service
-    /// sends them to its peers, and so does one that hears no peer at all; when the state
-    /// service fails all nodes, none does.
+    /// Whether users should send their requests to this node. It is unhealthy if the state service has
+    /// failed it for some time and either a peer still reaches the state service or no peer's
+    /// heartbeats arrive. If the state service fails all nodes, all of them stay healthy.
     pub fn is_healthy(&self, now: Duration) -> bool {
         let kv_failing = self.kv_health.is_failing_for_longer_than(UNHEALTHY_AFTER, now);
         !(kv_failing && (self.peers.any_reaches_kv(now) || self.peers.hears_none(now)))
     }
 
-    /// The mode that the links give, where they are judged.
+    /// Returns the reachability mode; `None` if reachability is disabled or before the first step.
     pub fn mode(&self) -> Option<Mode> {
         self.reachability.as_ref().map(Reachability::mode)
     }
 
-    /// Sets how late the process's timers are for want of processor time, so that work that
-    /// can wait gives way.
+    /// Sets how late the process's timers fire. A large lag shows a lack of CPU time, and work that can
+    /// wait is then postponed.
     pub fn set_timer_lag(&mut self, lag: Duration) {
         self.timer_lag = lag;
     }
@@ -129,8 +130,8 @@
         self.timer_lag > MAX_TIMER_LAG
     }
 
-    /// Handles a batch of events, lets every part act that is due, and returns the effects
-    /// in the order in which they were decided on.
+    /// Handles a batch of events, runs the work that is due, and returns the effects in the order in
+    /// which they were decided.
     pub fn step(&mut self, times: StepTime, batch: Vec<Event>) -> Vec<Effect> {
         self.init_reachability(times.now);
         for event in batch {
@@ -145,8 +146,8 @@
         std::mem::take(&mut self.effects.queued)
     }
 
-    /// When [`Node::step`] is to be called next if no event comes before. Each step without
-    /// need costs the process as much as a heartbeat.
+    /// Returns when [`Node::step`] must be called next if no event arrives before. An unnecessary step
+    /// costs as much CPU time as a heartbeat.
     pub fn next_wake(&self, now: Duration) -> Duration {
         let retry = now + RETRY_INTERVAL;
         let dues = [
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Lets every part act that is due. The order decides the order of the effects.
+    /// Runs the work that is due. The order of the calls determines the order of the effects.
     fn tick(&mut self, times: StepTime) {
         let now = times.now;
         self.election.tick(now, &mut self.effects);
--- a/crates/plankhead-core/src/node/peers.rs
+++ b/crates/plankhead-core/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes, as their peer heartbeats show them.
+//! The state of the other nodes, as reported in their peer heartbeats.
 
 use crate::protocol::PeerHeartbeat;
 use crate::settings::Settings;
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a node sends its peers a heartbeat.
+/// How often a node sends a heartbeat to its peers.
 const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A peer whose latest heartbeat is older counts as silent.
+/// A peer is silent if its latest heartbeat is at least this old.
 const PEER_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A peer's latest heartbeat.
+/// A peer's latest heartbeat and the time at which it arrived.
 #[derive(Debug)]
 struct ReceivedHeartbeat {
     received_at: Duration,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The latest heartbeat of each peer, and when this node's own is due.
+/// The latest heartbeat of each peer, and the schedule of this node's own heartbeats.
 #[derive(Debug)]
 pub(super) struct Peers {
     settings: Arc<Settings>,
@@ -37,33 +37,33 @@
         Self { settings, heartbeats: HashMap::new(), next_heartbeat_at: Duration::ZERO }
     }
 
-    /// Whether the settings name the node as a peer.
+    /// Whether the settings list the host as a peer.
     pub fn contains(&self, host: &String) -> bool {
         self.settings.peers.contains(host)
     }
 
-    /// The latest heartbeats of the peers that are not silent.
+    /// Returns the latest heartbeats of the peers that are not silent.
     pub fn fresh_heartbeats(&self, now: Duration) -> impl Iterator<Item = &PeerHeartbeat> {
         let fresh = self.heartbeats.values().filter(move |received| received.is_fresh(now));
         fresh.map(|received| &received.heartbeat)
     }
 
-    /// Whether at least one peer's heartbeats arrive.
+    /// Whether at least one peer is not silent.
     pub fn hears_any(&self, now: Duration) -> bool {
         self.fresh_heartbeats(now).next().is_some()
     }
 
-    /// Whether there are peers and none of their heartbeats arrive.
+    /// Whether there are peers and all of them are silent.
     pub fn hears_none(&self, now: Duration) -> bool {
         !self.settings.peers.is_empty() && !self.hears_any(now)
     }
 
-    /// Whether the state service answers a peer whose heartbeats arrive.
+    /// Whether the state service answers at least one peer that is not silent.
     pub fn any_reaches_kv(&self, now: Duration) -> bool {
         self.fresh_heartbeats(now).any(|heartbeat| heartbeat.kv_available)
     }
 
-    /// Whether every peer's heartbeats arrive, and none of them claims to lead.
+    /// Whether no peer is silent and none claims to lead.
     pub fn none_leads(&self, now: Duration) -> bool {
         self.settings.peers.iter().all(|host| {
             let received = self.heartbeats.get(host);
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Whether the peer's latest heartbeat claimed to lead under this token already.
+    /// Whether the peer's latest heartbeat already claimed to lead under this token.
     pub fn has_claimed(&self, host: &str, token: u64) -> bool {
         self.heartbeats.get(host).is_some_and(|received| received.heartbeat.token == token)
     }
@@ -80,12 +80,12 @@
         self.heartbeats.insert(heartbeat.host.clone(), ReceivedHeartbeat { received_at: now, heartbeat });
     }
 
-    /// When this node's own heartbeat is due.
+    /// Returns when this node's next heartbeat to its peers is due.
     pub fn next_due(&self) -> Duration {
         self.next_heartbeat_at
     }
 
-    /// Whether this node's own heartbeat is due, which counts as sent then.
+    /// Returns whether this node's heartbeat to its peers is due; if so, schedules the next one.
     pub fn take_heartbeat_due(&mut self, now: Duration) -> bool {
         let due = now >= self.next_heartbeat_at;
         if due {
@@ -94,7 +94,7 @@
         due
     }
 
-    /// The peers in the operators' view.
+    /// Returns the `peers` array of the operators' view.
     pub fn view(&self, now: Duration) -> Vec<serde_json::Value> {
         let peer = |received: &ReceivedHeartbeat| {
             let ReceivedHeartbeat { received_at, heartbeat } = received;
--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -1,5 +1,5 @@
-//! What a node does with its reachability: judges the links before each step decides
-//! anything, exchanges coverage, and hands the lease over to a peer that reaches more.
+//! Reachability in a node's step: evaluating the links, exchanging coverage, and handing leadership
+//! over to a peer that is better placed to lead.
 
 use super::Node;
 use crate::effects::StepTime;
@@ -9,18 +9,19 @@
 use plankhead_reachability::coverage::{Coverage, CoverageError, KnownLeader};
 use std::time::Duration;
 
-/// How often a leader compares its reach with that of its peers.
+/// How often a leader compares its reachability with that of its peers.
 const REACHABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Makes the reachability part at the first step, the first to know the time.
+    /// Creates the reachability state at the first step, the first call that is given the time.
     pub(super) fn init_reachability(&mut self, now: Duration) {
         if self.reachability.is_none() && self.settings.reachability.enabled {
             self.reachability = Some(Reachability::new(self.settings.clone(), now));
         }
     }
 
-    /// Judges the links before anything is decided.
+    /// Evaluates the links if that is due, and updates what depends on them: the permissions for user
+    /// requests, and whether this node defers to its peers in the election.
     pub(super) fn judge_reachability(&mut self, now: Duration) {
         let Some(reachability) = self.reachability.as_mut().filter(|part| part.is_due(now)) else { return };
         let machines = self.leader.as_ref().map_or(0, Leader::machines_expected);
@@ -35,8 +36,8 @@
         self.leader.as_ref().map(|leader| leader.reachability_facts(now, lease_undisputed))
     }
 
-    /// Sends this node's coverage to its peers; as the leader, numbers machines, and hands
-    /// the lease over to a peer that reaches more.
+    /// Sends this node's coverage to its peers if that is due. A leader also assigns numbers to
+    /// machines, and hands leadership over to a peer that is better placed to lead.
     pub(super) fn tick_reachability(&mut self, times: StepTime) {
         let now = times.now;
         let coverage_due =
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A peer's coverage arrived, or was refused before it came here.
+    /// Handles a peer's coverage, or the error for which it was rejected before it reached the core.
     pub(super) fn handle_coverage(&mut self, now: Duration, coverage: Result<Box<Coverage>, CoverageError>) {
         let known_leader = match (&self.leader, &self.election.known_leader) {
             (Some(leader), _) => Some(KnownLeader { host: &self.settings.host, token: leader.token }),
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to this node's calls, each handed to the part that made the call.
+//! Dispatch of replies to the parts of the node that made the calls.
 
 use super::Node;
 use crate::calls::{CallPurpose, HolderCall, LeaderCall, PendingRequest};
@@ -9,10 +9,10 @@
 use crate::shards::messages::Delivery;
 use std::time::Duration;
 
-/// An outage of the state service that lasted longer is logged.
+/// Outages of the state service that last longer than this are logged when they end.
 const MIN_LOGGED_OUTAGE: Duration = Duration::from_secs(2);
 
-/// The leader, if it still leads under the token of the term that made a call.
+/// Returns the leader if it still leads under `token`, that of the term in which the call was made.
 fn leader_of_term(leader: &mut Option<Leader>, token: u64) -> Option<&mut Leader> {
     leader.as_mut().filter(|leader| leader.token == token)
 }
@@ -62,6 +62,7 @@
             }
             Err(CallError::RateLimited) => {}
             Err(CallError::TooLarge) => {
+                // The state service lowers its limits only after all nodes are upgraded.
                 let text = "state service write rejected: reason=too_large";
                 self.effects.log(LogLevel::Error, text.into());
                 let opened = self.version_barrier.open(&mut self.effects);
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -1,5 +1,5 @@
-//! A node's part in sharding: the records of shards, the holder's role while it does not
-//! lead, and the messages between leader and holders.
+//! Sharding on one node: the shard records, the holder role while the node does not lead, and the
+//! messages between the leader and the holders.
 
 use super::Node;
 use crate::calls::{HolderCall, KeyWatchCall};
@@ -13,38 +13,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Records that were last read longer ago tell nothing of which node holds a shard now.
+/// The maximum age of the shard records. Older ones may no longer show which node holds a shard.
 const MAX_RECORDS_AGE: Duration = Duration::from_secs(5);
-/// The state service must have failed a node for this long before it counts as failing.
+/// How long the state service must have failed this node before a holder treats it as failing.
 const KV_FAILING_AFTER: Duration = Duration::from_secs(1);
-/// How long records of a former leader's term tell where a worker should go.
+/// How long after a change of leader the records of earlier terms are still used to route workers.
 const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Which node answers a heartbeat that came to one that does not lead.
+/// The node that answers a heartbeat received by a node that does not lead.
 #[derive(Debug)]
 pub(super) enum HolderRoute {
     /// This node, as the holder of the machine's shard.
     Own(ShardEpoch),
-    /// The holder of the machine's shard.
+    /// Another node, as the holder of the machine's shard.
     Other { host: String, epoch: u64 },
-    /// No node is known to hold it: the leader.
+    /// The leader, because no node is known to hold the shard.
     Leader,
 }
 
-/// The parts of a node that exist only where machines are sharded.
+/// The state of a node that exists only if sharding is enabled.
 #[derive(Debug)]
 pub(super) struct Sharding {
     pub records: RecordWatch,
     pub holder: Holder,
-    /// Messages that could not be decoded.
+    /// The number of shard messages that could not be decoded.
     malformed_messages: u64,
     term: KnownTerm,
 }
 
-/// The latest leader's term that this node knows of.
+/// The latest leader term known to this node.
 #[derive(Debug, Default)]
 struct KnownTerm {
-    /// 0: none is known.
+    /// The leader's fencing token, or 0 if no leader is known.
     token: u64,
     known_since: Duration,
 }
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Where the records send a heartbeat of this machine.
+    /// Determines which node answers a heartbeat, according to the shard records.
     pub(super) fn holder_route(&self, heartbeat: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
             let shard = table.shard_of(&heartbeat.zone, &heartbeat.machine)?;
             let known = table.get(&shard)?;
-            // The worker knows a later epoch: this node has not read its record yet, or the
-            // record is superseded.
+            // If the worker knows a later epoch, the record known here is outdated: it has been
+            // superseded, and this node may not have read its successor yet.
             (known.epoch() >= heartbeat.token).then_some((sharding, shard, known))
         });
         let Some((sharding, shard, known)) = found else { return HolderRoute::Leader };
@@ -91,8 +91,8 @@
         HolderRoute::Other { host: known.record.holder.clone(), epoch: known.epoch() }
     }
 
-    /// Whether this node, as a holder, sees neither the records nor the state service, and no
-    /// peer either.
+    /// Whether this node, as a holder, may miss that its shards were reassigned: its records are
+    /// outdated or the state service fails, and all peers are silent.
     pub(super) fn is_holder_cut_off(&self, evidence: HolderEvidence, now: Duration) -> bool {
         let records_stale =
             evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
@@ -159,7 +159,8 @@
         }
     }
 
-    /// A peer's message about shards.
+    /// Handles a peer's shard message, or the error for which it was rejected before it reached the
+    /// core.
     pub(super) fn handle_shard_message(
         &mut self,
         times: StepTime,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// This node leads from now on: what it knew as a holder goes to the leader.
+    /// Passes the shard records and machines known to this node as a holder to its new leader role.
     pub(super) fn start_leading_shards(&mut self, times: StepTime) {
         let (Some(sharding), Some(leader)) = (&mut self.sharding, &mut self.leader) else { return };
         let records = &sharding.records;
@@ -201,7 +202,8 @@
         }
     }
 
-    /// This node no longer leads: it holds the shards that the records give it.
+    /// Resumes the holder role after a term as the leader, for the shards that the records assign to
+    /// this node.
     pub(super) fn resume_holding(&mut self) {
         if let Some(sharding) = &mut self.sharding {
             sharding.holder.apply_records(&sharding.records.table, &mut self.effects);
--- a/crates/plankhead-core/src/node/view.rs
+++ b/crates/plankhead-core/src/node/view.rs
@@ -4,8 +4,8 @@
 use crate::effects::StepTime;
 
 impl Node {
-    /// The JSON document. The subcommands of other versions read some of its keys:
-    /// `leader`, `sharding`, `reachability` and what is inside keep their names.
+    /// Returns the view as a JSON document. The subcommands of other versions read `leader`,
+    /// `sharding` and `reachability`: these keys and those inside them must not be renamed.
     pub(super) fn view(&self, times: StepTime) -> serde_json::Value {
         serde_json::json!({
             "host": self.settings.host,
