--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -1,5 +1,5 @@
-//! The leader election: the node leads that wrote the key `lead` under its lease. The
-//! revision of that write is the fencing token.
+//! The leader election. The node that writes the key `lead` under its lease becomes the leader; the
+//! revision of that write is its fencing token.
 
 use crate::calls::{CallPurpose, ElectionCall};
 use crate::effects::EffectSink;
@@ -13,11 +13,11 @@
 pub const KEY: &str = "lead";
 /// How often the leader renews its lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a follower's watch waits before it is opened anew.
+/// How long one watch request of a follower waits for changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause after a failed attempt to read or to write.
+/// The delay before a failed call is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a node that stepped down leaves the key to its peers.
+/// How long a node that stepped down in favor of its peers does not compete for the key.
 const STEP_DOWN_PAUSE: Duration = Duration::from_secs(8);
 
 /// The value of the leader's key, as it is stored.
@@ -25,7 +25,7 @@
 pub struct LeaderRecord {
     /// The node that leads.
     pub host: String,
-    /// Tells one start of its process from another.
+    /// Identifies one start of the node's process.
     #[serde(rename = "boot")]
     pub boot_id: u64,
     /// The lease under which the key was written.
@@ -33,65 +33,66 @@
     pub lease: u64,
 }
 
-/// This node's time as the leader under one fencing token.
+/// A term of this node as the leader, under one fencing token.
 #[derive(Debug, Clone, Copy)]
 struct Term {
     token: u64,
     lease: u64,
-    /// When the latest renewal that succeeded was sent.
+    /// When the latest successful renewal was sent.
     renewed_at: Duration,
     next_renewal_at: Duration,
     renewal_in_flight: bool,
     last_renewal_failed: bool,
 }
 
-/// What this node knows of the leader's key.
+/// The state of the leader's key, as far as this node knows it.
 #[derive(Debug, Clone, Copy)]
 enum KeyState {
     /// The key must be read.
     Unknown,
-    /// Another node holds it; its changes after the revision are watched.
+    /// Another node, or an earlier term of this one, holds the key. Changes after `revision` are
+    /// watched.
     HeldByPeer { revision: u64 },
-    /// No node holds it, so that this one tries to.
+    /// No node holds the key, so this node tries to claim it.
     Vacant { since: Duration },
-    /// This node holds it, and leads.
+    /// This node holds the key and leads.
     Held(Term),
 }
 
-/// What became of this node's leadership.
+/// A change of this node's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// It leads as before, or does not lead as before.
+    /// The node still leads, or still does not lead.
     Unchanged,
-    /// It leads from now on, under this fencing token.
+    /// The node leads from now on, under this fencing token.
     Won { token: u64 },
-    /// It leads no longer.
+    /// The node no longer leads.
     Lost,
 }
 
-/// One node's part in the leader election.
+/// The state of the leader election on one node.
 #[derive(Debug)]
 pub struct Election {
     host: String,
     boot_id: u64,
     key: KeyState,
-    /// A call other than a renewal or a revocation is in flight.
+    /// Whether a call other than a lease renewal or revocation is in flight.
     call_in_flight: bool,
     retry_at: Duration,
-    /// The last known leader that is not this node.
+    /// The last known leader other than this node.
     pub known_leader: Option<LeaderId>,
-    /// The lease of a claim whose reply was lost: it alone may still win the key without
-    /// being asked for again.
+    /// The lease of a claim whose outcome is unknown. If the key turns out to be held under this
+    /// lease, the claim has succeeded.
     uncertain_claim: Option<u64>,
-    /// How long the key outlives its leader.
+    /// The duration of the lease: how long the key remains after its leader has stopped renewing it.
     lease_duration: Duration,
-    /// Peers are better placed to lead.
+    /// Whether peers are better placed to lead.
     defers_to_peers: bool,
 }
 
 impl Election {
-    /// The election as a node sees it that has just started; `lease`: how long its key is to
-    /// outlive it.
+    /// Creates the election state of a node that has just started. `lease` is the duration of the
+    /// lease under which the node will claim the key.
     pub fn new(host: String, boot_id: u64, lease: Duration) -> Self {
         Self {
             host,
@@ -106,13 +107,13 @@
         }
     }
 
-    /// Sets whether peers are better placed to lead: a vacant key is left to them for a
-    /// moment, and no longer, since they may have failed.
+    /// Sets whether peers are better placed to lead. If they are, this node leaves a vacant key to them
+    /// for [`SUCCESSOR_HEADSTART`] but no longer, because they may have failed.
     pub fn set_defers_to_peers(&mut self, defers: bool) {
         self.defers_to_peers = defers;
     }
 
-    /// Until when a vacant key is left to peers.
+    /// Returns the time until which a vacant key is left to the peers.
     fn deferred_until(&self) -> Option<Duration> {
         match self.key {
             KeyState::Vacant { since } if self.defers_to_peers => Some(since + SUCCESSOR_HEADSTART),
@@ -127,24 +128,24 @@
         }
     }
 
-    /// The fencing token under which this node leads.
+    /// Returns the fencing token under which this node leads, if it leads.
     pub fn token(&self) -> Option<u64> {
         self.term().map(|term| term.token)
     }
 
-    /// Whether this node leads and has renewed its lease within its time, so that writes make
-    /// sense.
+    /// Whether this node leads and has renewed its lease within the lease's duration. Otherwise its
+    /// writes are expected to fail.
     pub fn is_lease_valid(&self, now: Duration) -> bool {
         self.term().is_some_and(|term| now.saturating_sub(term.renewed_at) < self.lease_duration)
     }
 
-    /// Whether, beyond that, the last renewal has not failed: otherwise another node may have
-    /// the key soon and confirm what this one can't see.
+    /// Whether the lease is valid and its latest renewal has not failed. After a failed renewal, another
+    /// node may soon hold the key and confirm changes that this node can't see.
     pub fn is_lease_undisputed(&self, now: Duration) -> bool {
         self.is_lease_valid(now) && self.term().is_some_and(|term| !term.last_renewal_failed)
     }
 
-    /// When [`Election::tick`] has something to do next, unless a reply comes before.
+    /// Returns when [`Election::tick`] must be called next, if no reply arrives before.
     pub fn next_due(&self) -> Option<Duration> {
         match &self.key {
             KeyState::Held(term) => (!term.renewal_in_flight).then_some(term.next_renewal_at),
@@ -244,7 +245,7 @@
         change
     }
 
-    /// Writes the leader's key under the lease, if no node holds it.
+    /// Writes the leader's key under the lease, on condition that the key does not exist.
     fn claim(&mut self, lease: u64, effects: &mut EffectSink) -> LeadershipChange {
         let record = LeaderRecord { host: self.host.clone(), boot_id: self.boot_id, lease };
         if let Ok(value) = serde_json::to_string(&record) {
@@ -274,7 +275,7 @@
                 self.key = KeyState::Unknown;
                 LeadershipChange::Unchanged
             }
-            // The claim may have been carried out: the key will show it.
+            // The claim may have been carried out; reading the key will show whether it was.
             Err(CallError::OutcomeUnknown) => {
                 self.uncertain_claim = Some(lease);
                 self.retry_later(now)
@@ -301,9 +302,9 @@
             if self.uncertain_claim == Some(record.lease) && record.boot_id == self.boot_id {
                 return self.won(now, row.mod_revision, record.lease);
             }
-            // An earlier start of this process held it, or this one, which stepped down: the
-            // revocation of its lease was lost or comes late. Leading twice under one token
-            // would make commands of the first time look like those of the second.
+            // The key was written by an earlier start of this process, or by this one before it
+            // stepped down, and the revocation of its lease was lost or is delayed. If the node led
+            // again under the same token, commands of the two terms could not be told apart.
             revoke_lease(record.lease, effects);
         } else {
             self.known_leader = Some(LeaderId { token: row.mod_revision, host: record.host });
@@ -335,7 +336,7 @@
     ) -> LeadershipChange {
         let term = match &mut self.key {
             KeyState::Held(term) if term.lease == lease => term,
-            // Of an earlier term, which tells nothing of this one.
+            // A reply for the lease of an earlier term says nothing about the current one.
             _ => return LeadershipChange::Unchanged,
         };
         term.renewal_in_flight = false;
@@ -351,14 +352,15 @@
         LeadershipChange::Unchanged
     }
 
-    /// Steps down by its own decision, so that a peer that hears the workers can lead.
+    /// Steps down voluntarily and does not compete for the key for a while, so that a peer that is
+    /// better placed can lead.
     pub fn step_down_for_peers(&mut self, now: Duration, effects: &mut EffectSink) -> LeadershipChange {
         let change = self.release_lease(effects);
         self.retry_at = now + STEP_DOWN_PAUSE;
         change
     }
 
-    /// Steps down and gives the key up, if this node still holds it.
+    /// Steps down and revokes the lease if this node holds it, which deletes the key.
     pub fn release_lease(&mut self, effects: &mut EffectSink) -> LeadershipChange {
         if let Some(term) = self.term() {
             revoke_lease(term.lease, effects);
@@ -366,7 +368,7 @@
         self.lease_lost()
     }
 
-    /// Steps down: another node has the key, or will have it.
+    /// Steps down without revoking the lease, because another node holds the key or will hold it.
     pub fn lease_lost(&mut self) -> LeadershipChange {
         self.key = KeyState::Unknown;
         self.call_in_flight = false;
--- a/crates/plankhead-core/src/leadership/mod.rs
+++ b/crates/plankhead-core/src/leadership/mod.rs
@@ -1,11 +1,10 @@
-//! Leadership: the leader election, and the barrier that opens once every node has this
-//! version.
+//! The leader election, and the version barrier, which opens once every node runs this version.
 
 pub mod election;
 pub mod version_barrier;
 
-/// A leader's term: the fencing token under which it leads, and the node. Ordered by token,
-/// so that the greatest one is the latest known leader.
+/// A leader, identified by its fencing token and its host. Values are ordered by token first, so the
+/// greatest one is the latest leader.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaderId {
     pub token: u64,
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -1,8 +1,9 @@
-//! The version barrier: whether every node has this version. Each node writes a small key
-//! once, which older versions never read: values that they can't read may be stored only
-//! when the keys of all nodes in the settings are there. A node that has shown its version
-//! comes back with it, so that the barrier, once open, stays open, whichever node is cut off
-//! or starts again.
+//! The version barrier, which opens once every node runs this version.
+//!
+//! Each node writes a small key once; older versions never read these keys. Values that older
+//! versions can't read may be stored only after the keys of all nodes in the settings exist. A node
+//! that has written its key restarts with the same version, so an open barrier stays open even if
+//! nodes are disconnected or restart.
 
 use crate::calls::{CallPurpose, VersionBarrierCall};
 use crate::effects::EffectSink;
@@ -12,33 +13,35 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What this version can read: 1 adds gangs, and rechunked jobs.
+/// The format of stored values that this version can read. Format 1 adds gangs and rechunked jobs.
 const FORMAT: u32 = 1;
 const PREFIX: &str = "node/";
-/// Time between two calls, also after one that failed.
+/// The time between two calls, whether or not the first one succeeded.
 const CALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The value of a `node/<host>` key.
 #[derive(Debug, Serialize, Deserialize)]
 struct NodeVersion {
+    /// The latest format that the node can read.
     format: u32,
 }
 
-/// What this node is to do next until the barrier is open.
+/// The progress of this node towards an open barrier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// It writes its own key.
+    /// The node writes its own key.
     WritingVersion,
-    /// It lists the keys of all nodes.
+    /// The node lists the keys of all nodes until none is missing.
     ListingVersions,
+    /// The barrier is open.
     Open,
 }
 
-/// The version barrier as one node sees it.
+/// The version barrier as seen by one node.
 #[derive(Debug)]
 pub struct VersionBarrier {
     host: String,
-    /// All nodes in the settings, this one included.
+    /// All nodes in the settings, including this one.
     nodes: BTreeSet<String>,
     stage: Stage,
     call_in_flight: bool,
@@ -46,7 +49,7 @@
 }
 
 impl VersionBarrier {
-    /// A closed barrier for the nodes that the settings name.
+    /// Creates a closed barrier for the nodes in the settings.
     pub fn new(settings: &Settings) -> Self {
         Self {
             host: settings.host.clone(),
@@ -57,12 +60,12 @@
         }
     }
 
-    /// Whether every node has this version.
+    /// Whether every node runs this version.
     pub fn is_open(&self) -> bool {
         self.stage == Stage::Open
     }
 
-    /// When [`VersionBarrier::tick`] has something to do next, unless a reply comes before.
+    /// Returns when [`VersionBarrier::tick`] must be called next, if no reply arrives before.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.is_open() && !self.call_in_flight).then_some(self.next_call_at)
     }
@@ -87,7 +90,7 @@
         effects.call_kv(CallPurpose::VersionBarrier(call), request);
     }
 
-    /// Handles a reply; true if it has opened the barrier.
+    /// Handles a reply and returns whether it opened the barrier.
     pub fn reply(
         &mut self,
         call: VersionBarrierCall,
@@ -96,7 +99,7 @@
     ) -> bool {
         self.call_in_flight = false;
         match (call, reply) {
-            // A conflict: an earlier start of this node has written it.
+            // On a conflict, an earlier start of this node has already written the key.
             (VersionBarrierCall::WriteVersion, Ok(KvReply::Committed { .. } | KvReply::Conflict { .. })) => {
                 if self.stage == Stage::WritingVersion {
                     self.stage = Stage::ListingVersions;
@@ -112,8 +115,9 @@
         }
     }
 
-    /// Opens the barrier; false if it was open. Without all keys, this is right where the
-    /// state service has lowered its limits, which it does after the upgrade only.
+    /// Opens the barrier and returns whether it was closed before. This is also correct before all keys
+    /// have been seen if the state service has lowered its limits, because it does so only after every
+    /// node is upgraded.
     pub fn open(&mut self, effects: &mut EffectSink) -> bool {
         if self.is_open() {
             return false;
@@ -124,7 +128,7 @@
     }
 }
 
-/// The node whose key this is, if it reads all that this one writes.
+/// Returns the node that wrote the key, if it can read everything that this node writes.
 fn upgraded_node(row: &KeyValue) -> Option<String> {
     let version: NodeVersion = serde_json::from_str(&row.value).ok()?;
     let host = row.key.strip_prefix(PREFIX)?;
