--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that a holder passes on to its workers.
+//! The commands that a holder sends to the workers of its shards.
 
 use super::{Holder, HolderEvidence, ShardEpoch};
 use crate::calls::{CallPurpose, HolderCall, SentCommands};
@@ -12,16 +12,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Commands in one answer to a worker: its lines must stay below 64 KiB.
+/// The maximum number of commands in one answer to a worker, whose lines must stay below 64 KiB.
 const MAX_COMMANDS: usize = 300;
 
-/// What the leader commands a machine in one incarnation of its worker.
+/// The leader's commands for a machine in one incarnation of its worker.
 #[derive(Debug)]
 pub(super) struct PendingCommands {
     pub shard: ShardId,
     pub incarnation: u64,
+    /// Commands that are not known to have been carried out.
     pub pending: Vec<WorkerCommand>,
-    /// The expected effects of commands that were sent directly to the worker, once each.
+    /// The expected effects of the commands already sent directly to the worker, which are not sent
+    /// directly again.
     sent: BTreeSet<ExpectedEffect>,
 }
 
@@ -32,8 +34,8 @@
 }
 
 impl Holder {
-    /// Sends a machine directly what should not wait for its heartbeat: each start and each
-    /// kill once. The answers to heartbeats repeat what got lost.
+    /// Sends starts and kills directly to a worker instead of waiting for its next heartbeat. Each one
+    /// is sent directly only once; the answers to heartbeats repeat those that were lost.
     pub(super) fn send_commands(
         &mut self,
         now: Duration,
@@ -64,8 +66,9 @@
         effects.send_commands(CallPurpose::Holder(call), address, epoch, incarnation, commands);
     }
 
-    /// Starts and kills that were not sent directly to the worker yet. A start with a kill
-    /// of the same attempt goes with the answer to a heartbeat only.
+    /// Returns the starts and kills to be sent directly to the worker that have not been sent directly
+    /// yet. Starts are left to the answers to heartbeats if the process is short of CPU time or if a
+    /// kill of the same attempt is pending.
     fn unsent_commands(&self, machine: &Machine, freshness: Freshness, now: Duration) -> Vec<WorkerCommand> {
         let commands = self.commands_for(&machine.name, freshness, now);
         let sent = self.commands.get(&machine.name).map(|known| &known.sent);
@@ -85,7 +88,8 @@
         commands.into_iter().filter(is_unsent).collect()
     }
 
-    /// Commands for a machine, by its latest heartbeat.
+    /// Returns the commands that are due for a machine, according to its latest heartbeat. An attempt
+    /// is not acknowledged while a direct start of it may still be carried out.
     pub(super) fn commands_for(
         &self,
         name: &MachineName,
@@ -111,7 +115,7 @@
         commands
     }
 
-    /// Adds kills of listed tasks whose jobs are cancelled, where the leader has not sent one.
+    /// Adds kills for the listed tasks of cancelled jobs, unless the leader has already sent one.
     fn add_kills_of_cancelled(&self, heartbeat: &Heartbeat, commands: &mut Vec<WorkerCommand>) {
         for listed in heartbeat.tasks.iter() {
             if matches!(listed.status, TaskStatus::Exited(_)) || !self.jobs.is_cancelled(&listed.task.job) {
@@ -128,7 +132,8 @@
         }
     }
 
-    /// Drops commands that the heartbeat shows to be carried out.
+    /// Drops the pending commands that the heartbeat shows to have been carried out, or all of them if
+    /// they are for another incarnation of the worker.
     pub(super) fn drop_carried_out(&mut self, heartbeat: &Heartbeat) {
         let Some(known) = self.commands.get_mut(&heartbeat.machine) else { return };
         if known.incarnation != heartbeat.incarnation {
@@ -166,7 +171,8 @@
         }
         let shard_epoch = self.shard_epoch_of(&name, now);
         if let (CommandReply::Answered(heartbeat), Some(shard_epoch)) = (reply, shard_epoch) {
-            // A later token: another node holds the shard, and the record will say so.
+            // A heartbeat with a later token is ignored: another node holds the shard, and the shard's
+            // record will show it.
             if heartbeat.machine == name && heartbeat.token <= shard_epoch.epoch {
                 self.observe_machine(now, &heartbeat, shard_epoch, true);
             }
@@ -179,7 +185,8 @@
         Some(ShardEpoch { shard: shard.clone(), epoch: self.epoch(shard, now)? })
     }
 
-    /// Kills tasks of cancelled jobs, without waiting for the workers' heartbeats.
+    /// Sends kills for the tasks of cancelled jobs directly, without waiting for the workers'
+    /// heartbeats.
     pub(super) fn kill_cancelled(
         &mut self,
         now: Duration,
@@ -197,7 +204,7 @@
         }
     }
 
-    /// Probes machines whose heartbeats are late.
+    /// Probes machines whose heartbeats are late, with a message that contains no commands.
     pub(super) fn probe_late_machines(&mut self, now: Duration, effects: &mut EffectSink) {
         if self.cpu_starved {
             return;
--- a/crates/plankhead-core/src/holder/held_shards.rs
+++ b/crates/plankhead-core/src/holder/held_shards.rs
@@ -1,4 +1,4 @@
-//! The shards that this node holds, by their records and by the leader's messages.
+//! The shards that this node holds, according to their records and the leader's messages.
 
 use super::Holder;
 use crate::effects::EffectSink;
@@ -9,17 +9,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a holder acts under the records of a former leader while the present one has
-/// not renewed them: it may be of a version that does not know shards.
+/// How long a holder acts under the records of a former leader that the current leader has not
+/// renewed. The current leader may run a version without sharding and never renew them.
 const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A shard that this node holds, as its record says.
+/// A shard that this node holds, according to the shard's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct HeldShard {
     pub epoch: u64,
-    /// The fencing token of the leader that named this node.
+    /// The fencing token of the leader that wrote the record.
     pub term: u64,
-    /// It is to be handed over: nothing is started there.
+    /// Whether the shard is to be handed over, in which case no tasks are started there.
     pub releasing: bool,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Which commands for a shard's machines become void.
+/// The commands for a shard's machines that are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum VoidCommands {
     All,
@@ -37,7 +37,7 @@
 }
 
 impl Holder {
-    /// Takes in the records: which shards this node holds, and under which epoch.
+    /// Applies the shard records, which show the shards that this node holds and their epochs.
     pub fn apply_records(&mut self, table: &ShardTable, effects: &mut EffectSink) {
         let (host, boot_id) = (&self.settings.host, self.settings.boot_id);
         let held: BTreeMap<ShardId, HeldShard> = table
@@ -66,7 +66,7 @@
         if before.is_none_or(|before| before.epoch != record.epoch) {
             effects.log(LogLevel::Info, format!("shard acquired: shard={shard} epoch={}", record.epoch));
         }
-        // What a former leader commanded is void, and so are starts in a shard that is to be
+        // Commands of a former leader are no longer valid, nor are starts in a shard that is to be
         // handed over.
         let renewed = before.is_some_and(|before| before.term != record.term);
         if record.releasing {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Notes shards that the leader has given to other nodes since. Their records say so, too;
-    /// a node that can't read them must stop acting all the same.
+    /// Marks the shards that the leader has since assigned to other nodes. Their records show this as
+    /// well, but a node that can't read them must also stop acting for these shards.
     pub(super) fn drop_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
         let is_listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let superseded: Vec<(ShardId, u64)> = self
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The epoch under which this node acts for a shard, if it may.
+    /// Returns the epoch under which this node may act for a shard; `None` if it may not act for it.
     pub fn epoch(&self, shard: &ShardId, now: Duration) -> Option<u64> {
         let held = self.shards.get(shard)?;
         if self.superseded.get(shard).is_some_and(|epoch| held.epoch <= *epoch) {
@@ -115,7 +115,7 @@
         is_current.then_some(held.epoch)
     }
 
-    /// Into how many shards a zone is divided, by the records.
+    /// Returns the number of shards of a zone, according to the records.
     pub(super) fn shards_of_zone(&self, zone: &str) -> u32 {
         self.shards_per_zone.get(zone).copied().unwrap_or(1)
     }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -1,4 +1,4 @@
-//! What a holder itself reads of the jobs: which were cancelled, and as of when it knows.
+//! A holder's own watch of the job records, from which it learns of cancelled and ended jobs.
 
 use crate::calls::{CallPurpose, HolderCall, KeyWatchCall};
 use crate::effects::EffectSink;
@@ -10,23 +10,23 @@
 use std::time::Duration;
 
 const PREFIX: &str = "job/";
-/// How long the watch waits; its return proves that no cancellation up to its start is
-/// unseen.
+/// How long one watch request waits for changes. When it returns, all cancellations up to its start
+/// have been seen.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The jobs that were cancelled and are not yet over for the leader.
+/// Watches the job records. A cancelled job is kept until the leader has archived it.
 #[derive(Debug)]
 pub struct JobWatch {
     watch: KeyWatch,
     cancelled: BTreeSet<JobId>,
 }
 
-/// What a reply brought.
+/// The changes that a reply contained.
 #[derive(Debug, Default)]
 pub struct JobUpdate {
-    /// Jobs were cancelled.
+    /// Whether any job was newly cancelled.
     pub cancelled: bool,
-    /// Jobs of which nothing is to be started any more, whatever was commanded.
+    /// Jobs that have ended: pending commands to start their tasks must be dropped.
     pub ended: BTreeSet<JobId>,
 }
 
@@ -37,22 +37,22 @@
 }
 
 impl JobWatch {
-    /// Whether the job was cancelled, and its record is still there.
+    /// Whether the job is cancelled and not yet archived.
     pub fn is_cancelled(&self, job: &JobId) -> bool {
         self.cancelled.contains(job)
     }
 
-    /// When the latest complete read was asked for.
+    /// Returns when the latest complete read was sent.
     pub fn synced_at(&self) -> Option<Duration> {
         self.watch.synced_at
     }
 
-    /// Whether the jobs are being read for the first time, and no read has failed so far.
+    /// Whether the jobs are being read for the first time and no read has failed so far.
     pub fn is_loading(&self) -> bool {
         self.watch.is_loading()
     }
 
-    /// When [`JobWatch::tick`] has a call next, unless a reply comes before.
+    /// Returns when [`JobWatch::tick`] must be called next; `None` while a call is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         self.watch.next_due()
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Handles a reply, and tells what it brought.
+    /// Handles a reply and returns the changes that it contained.
     pub fn reply(
         &mut self,
         now: Duration,
@@ -88,7 +88,7 @@
     fn apply_event(&mut self, event: WatchEvent, requests: &mut RequestHandler, update: &mut JobUpdate) {
         match event {
             WatchEvent::Put(row) => self.apply_record(&row, requests, update),
-            // The leader has archived it, once none of its tasks was left.
+            // The leader archives a job, which deletes this key, once none of its tasks is left.
             WatchEvent::Delete { key, .. } => {
                 if let Some(id) = job_of(&key) {
                     self.cancelled.remove(&id);
--- a/crates/plankhead-core/src/holder/leader_messages.rs
+++ b/crates/plankhead-core/src/holder/leader_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the leader: which a holder accepts, and what it takes from them.
+//! The leader's messages: which ones a holder accepts, and how it applies them.
 
 use super::commands::PendingCommands;
 use super::{Holder, HolderEvidence, ShardEpoch};
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A leader's message must acknowledge a status that was sent within this time: otherwise it
-/// may have been held up for minutes.
+/// The maximum age of the status that a leader's message acknowledges. A message that acknowledges
+/// none, or an older one, may have been delayed for minutes.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Holder {
-    /// Takes in the leader's commands; false: the message is not meant for this node, or is
-    /// out of date.
+    /// Applies a message with the leader's commands. Returns false if the message is rejected because it
+    /// is out of date or does not match the shards that this node holds.
     pub fn handle_leader_commands(
         &mut self,
         now: Duration,
@@ -43,7 +43,8 @@
             self.observe_snapshot(now, heartbeat, &named_shards);
         }
         for commands in message.machines {
-            // A machine may not have been heard here yet: its commands wait for its heartbeat.
+            // Commands for a machine that has not sent a heartbeat to this node yet are kept until it
+            // does.
             let Some((shard, _)) = message.shards.get(commands.shard) else {
                 self.refused += 1;
                 continue;
@@ -60,8 +61,8 @@
         is_late || message.token < known_token
     }
 
-    /// Whether this node holds all shards that the message names, as the message has them: it
-    /// may not have read a record yet, or another record may have replaced one.
+    /// Whether this node holds all shards that the message names, with the same epochs and the same
+    /// term. It may not have read a record yet, or a record may have been replaced since.
     fn holds_all(&self, message: &LeaderCommands) -> bool {
         message.shards.iter().all(|(shard, epoch)| {
             let held = self.shards.get(shard);
@@ -87,8 +88,9 @@
         self.send_commands(now, &machine, evidence, effects);
     }
 
-    /// Takes in what the leader knows of a machine in a shard that came to this node: enough
-    /// to send commands, and no evidence that the machine is alive.
+    /// Records the latest heartbeat known to the leader of a machine in a newly acquired shard, unless
+    /// the machine is already known. This is enough to send commands to the machine, but no evidence
+    /// that it is alive.
     fn observe_snapshot(&mut self, now: Duration, heartbeat: &Heartbeat, named_shards: &BTreeSet<&ShardId>) {
         let is_known = self.fleet.machines.contains_key(&heartbeat.machine);
         let is_of_shard = |shard: &&&ShardId| {
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -1,9 +1,9 @@
-//! The holder's role: a node that does not lead answers the workers of its shards, passes
-//! the leader's commands on to them, and tells the leader what is new.
+//! The holder role: a node that does not lead answers the workers of its shards, relays the leader's
+//! commands to them, and reports changes to the leader.
 //!
-//! Each answer is bounded by the freshness of what the holder itself has read of the jobs and
-//! of the records of shards. It starts only what the present leader commanded, kills tasks of
-//! cancelled jobs by itself, and judges no machine: that is the leader's part.
+//! What an answer may contain depends on how recently the holder itself has read the jobs and the
+//! shard records. A holder starts only tasks that the current leader has commanded. It kills tasks of
+//! cancelled jobs without a command, and leaves it to the leader to decide whether a machine is faulty.
 
 mod commands;
 mod held_shards;
@@ -29,70 +29,72 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A machine that was not heard for so long is forgotten here; the leader judges it.
+/// How long a machine may be silent before the holder drops its state. Whether the machine has failed
+/// is decided by the leader.
 const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often the machines are looked through.
+/// How often the machines are checked for late heartbeats.
 const MACHINE_SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a worker waits whose lease this node may not renew now.
+/// The delay after which a worker should retry whose lease this node may not renew now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The leader as a holder knows it.
+/// The leader, as known to a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct KnownLeader {
     host: String,
     token: u64,
     known_since: Duration,
-    /// It does not shard machines.
+    /// Whether the leader runs without sharding.
     unsupported: bool,
 }
 
-/// The holder's role of one node.
+/// The holder role of one node.
 #[derive(Debug)]
 pub struct Holder {
     settings: Arc<Settings>,
     jobs: JobWatch,
     fleet: Fleet,
     shards: BTreeMap<ShardId, HeldShard>,
-    /// Epochs of shards that the leader has given to others since, although this node can't
-    /// read their records.
+    /// The epochs of shards that the leader's messages show to have been assigned to other nodes since,
+    /// even if this node has not read their records.
     superseded: BTreeMap<ShardId, u64>,
-    /// Into how many shards each zone is divided.
+    /// The number of shards of each zone.
     shards_per_zone: HashMap<String, u32>,
-    /// The shard as part of which each machine was heard.
+    /// The shard of each machine that was heard.
     shard_of: HashMap<MachineName, ShardId>,
     commands: HashMap<MachineName, PendingCommands>,
     leader: Option<KnownLeader>,
-    /// The latest message of a leader: its fencing token, under which one start of one process
-    /// leads, and its sequence.
+    /// The fencing token and the sequence number of the latest message accepted from a leader. A token
+    /// belongs to one start of one process, so messages are ordered by these two numbers.
     latest_leader_message: (u64, u64),
-    /// Messages of a leader that were refused, and commands under superseded epochs.
+    /// The number of rejected messages of a leader, and of commands whose shard index was out of range.
     refused: u64,
     status: StatusStream,
     next_machine_scan_at: Duration,
-    /// The process lacks processor time: starts go with the answers to heartbeats only.
+    /// Whether the process is short of CPU time. Starts are then sent only with the answers to
+    /// heartbeats.
     cpu_starved: bool,
 }
 
-/// A shard, and the epoch under which this node holds it.
+/// A shard and the epoch under which this node holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardEpoch {
     pub shard: ShardId,
     pub epoch: u64,
 }
 
-/// The evidence on which a holder decides in one step.
+/// The facts on which a holder bases its decisions in one step.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderEvidence {
-    /// When the latest complete read of the records of shards was asked for.
+    /// When the latest complete read of the shard records was sent.
     pub records_synced_at: Option<Duration>,
-    /// The state service has failed this node for some time.
+    /// Whether the state service has failed this node for some time.
     pub kv_failing: bool,
-    /// The process lacks processor time.
+    /// Whether the process is short of CPU time.
     pub cpu_starved: bool,
 }
 
 impl Holder {
-    /// A holder that knows neither a shard nor a machine yet.
+    /// Creates a holder that knows no shards and no machines yet.
     pub fn new(settings: Arc<Settings>) -> Self {
         Self {
             settings,
@@ -119,7 +121,7 @@
         self.status.forget(machine);
     }
 
-    /// Records which node leads. A new leader is told of all machines at once.
+    /// Records which node leads. A new leader is sent the state of all machines at once.
     pub fn set_leader(&mut self, leader: Option<LeaderId>, now: Duration) {
         let Some(LeaderId { host, token }) = leader else { return };
         if self.leader.as_ref().is_some_and(|known| known.token >= token) {
@@ -128,14 +130,14 @@
         self.leader = Some(KnownLeader { host, token, known_since: now, unsupported: false });
         self.restart_stream();
         self.status.send_now(now);
-        // A former leader's commands are void from here on, whether or not the records are
+        // Commands of a former leader are no longer valid, whether or not the shard records have been
         // renewed.
         for commands in self.commands.values_mut() {
             commands.pending.clear();
         }
     }
 
-    /// Whether heartbeats should wait until the jobs are read.
+    /// Whether heartbeats should be deferred until the jobs have been read.
     pub fn is_loading(&self) -> bool {
         self.jobs.is_loading()
     }
@@ -144,7 +146,7 @@
         Freshness { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
     }
 
-    /// Answers a heartbeat of a machine in one of the shards.
+    /// Answers the heartbeat of a machine in one of this node's shards.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
@@ -165,7 +167,7 @@
         let Some(machine) =
             self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| news != HeartbeatNews::Stale)
         else {
-            // A late copy gets no commands, and does not count as heard.
+            // A late copy gets no commands and does not count as a sign of life.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.is_relayed = path.relayed;
@@ -176,7 +178,7 @@
         Response::Commands { token: epoch, commands }
     }
 
-    /// Takes in a heartbeat; `is_reply`: it answers a command of this node.
+    /// Records a heartbeat. `is_reply` is true if it answers a command of this node.
     fn observe_machine(
         &mut self,
         now: Duration,
@@ -201,7 +203,7 @@
         news
     }
 
-    /// Reads the jobs, probes late machines, and tells the leader what is new.
+    /// Runs the work that is due: reading the jobs, probing late machines, and reporting to the leader.
     pub fn tick(&mut self, times: StepTime, evidence: HolderEvidence, effects: &mut EffectSink) {
         let now = times.now;
         self.cpu_starved = evidence.cpu_starved;
@@ -223,14 +225,15 @@
         silent.iter().for_each(|machine| self.forget(machine));
     }
 
-    /// When [`Holder::tick`] has something to do next, unless something comes before.
+    /// Returns when [`Holder::tick`] must be called next, if no event arrives before.
     pub fn next_due(&self) -> Duration {
         let scan = (!self.fleet.machines.is_empty()).then_some(self.next_machine_scan_at);
         let dues = [self.jobs.next_due(), self.status.next_due(), scan];
         dues.into_iter().flatten().min().unwrap_or(Duration::MAX)
     }
 
-    /// Handles a reply about the jobs: drops starts of ended ones, and kills cancelled ones.
+    /// Handles a reply of the job watch: drops pending starts of jobs that have ended, and sends kills
+    /// for the tasks of cancelled jobs.
     pub fn kv_reply(
         &mut self,
         now: Duration,
@@ -252,7 +255,7 @@
         }
     }
 
-    /// The machines as they were last heard, for the leader that this node becomes.
+    /// Returns the machines known to this node, for the leader role when the node becomes the leader.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.fleet.machines.values()
     }
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -15,36 +15,37 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
-/// Between two messages without news.
+/// The time between two status messages if there are no changes to report.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Until a message is repeated that did not arrive.
+/// The delay before the next message after one that was rejected or not delivered.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A holder that last read the records longer ago would not notice that a shard was taken
-/// from it.
+/// The maximum age of the shard records. A holder with older records may not notice that a shard was
+/// assigned to another node.
 const MAX_RECORDS_AGE: Duration = Duration::from_secs(5);
-/// Messages whose time of sending is remembered.
+/// The maximum number of messages whose send times are kept.
 const MAX_SENT_MESSAGES: usize = 64;
 
-/// When a message was sent.
+/// The send time of a message.
 #[derive(Debug)]
 struct SentMessage {
     sequence: u64,
     sent_at: Duration,
 }
 
-/// The stream of status messages to one leader: what it has been told, and what it has not.
+/// The stream of status messages to the leader, with the machines that are still to be reported.
 #[derive(Debug, Default)]
 pub(super) struct StatusStream {
-    /// Machines of whose latest heartbeat the leader has not been told.
+    /// Machines whose latest heartbeat has not been reported to the leader.
     pub unreported: BTreeSet<MachineName>,
-    /// Machines heard with nothing new since the last message, and since when.
+    /// Machines that have sent only unchanged heartbeats since the last message.
     pub alive: BTreeSet<MachineName>,
+    /// When the first of these heartbeats arrived.
     alive_since: Duration,
-    /// Short numbers for machines, new ones in each stream.
+    /// The numbers of machines in this stream, used as short identifiers.
     numbers: MachineNumbers,
-    /// Tells one numbering from another.
+    /// Identifies the stream, and thus the numbering of machines.
     stream: u64,
-    /// The leader has accepted the first message of the stream.
+    /// Whether the leader has accepted a message of this stream.
     begun: bool,
     sequence: u64,
     sent_messages: VecDeque<SentMessage>,
@@ -54,7 +55,7 @@
 }
 
 impl StatusStream {
-    /// Begins a new stream, in which the leader is told of all these machines.
+    /// Begins a new stream, in which all the given machines are reported anew.
     pub fn restart(&mut self, machines: impl Iterator<Item = MachineName>) {
         self.stream += 1;
         self.begun = false;
@@ -63,12 +64,12 @@
         self.unreported = machines.collect();
     }
 
-    /// The next message is due at once.
+    /// Makes the next message due at once.
     pub fn send_now(&mut self, now: Duration) {
         self.next_at = now;
     }
 
-    /// When the next message is due, unless one is in flight.
+    /// Returns when the next message is due; `None` while one is in flight.
     pub fn next_due(&self) -> Option<Duration> {
         (!self.in_flight).then_some(self.next_at)
     }
@@ -85,7 +86,8 @@
         self.alive.remove(machine);
     }
 
-    /// When the message with this number was sent, if that is not long ago.
+    /// Returns when the message with this sequence number was sent, if it is one of the latest
+    /// `MAX_SENT_MESSAGES`.
     pub fn sent_at(&self, sequence: u64) -> Option<Duration> {
         let sent = self.sent_messages.iter().find(|sent| sent.sequence == sequence);
         sent.map(|sent| sent.sent_at)
@@ -103,7 +105,7 @@
 }
 
 impl Holder {
-    /// Sends the next message, if one is due and none is in flight.
+    /// Sends the next status message, if one is due and none is in flight.
     pub(super) fn send_status(&mut self, now: Duration, evidence: HolderEvidence, effects: &mut EffectSink) {
         if self.status.in_flight || now < self.status.next_at {
             return;
@@ -138,6 +140,8 @@
         effects.send_shard_message(CallPurpose::Holder(call), leader, message);
     }
 
+    /// Returns the shards that this node acts for. A shard that is to be handed over counts as released
+    /// once all its machines have been reported.
     fn shard_holdings(&self, now: Duration) -> Vec<ShardHolding> {
         let any_releasing = self.shards.values().any(|held| held.releasing);
         let unreported_shards: HashSet<&ShardId> = if any_releasing {
@@ -154,8 +158,8 @@
         holdings.collect()
     }
 
-    /// The next machines that the leader is told of; none if the numbers are used up, which
-    /// restarts the stream.
+    /// Returns updates for the next machines to report. If the stream has no numbers left, restarts it
+    /// and returns no updates.
     fn take_unreported(&mut self, now: Duration) -> Vec<MachineUpdate> {
         let machines: Vec<MachineName> = self.status.unreported.iter().take(MAX_MACHINES).cloned().collect();
         let mut updates: Vec<MachineUpdate> = Vec::with_capacity(machines.len());
@@ -179,12 +183,12 @@
         updates
     }
 
-    /// Tells the leader of all machines anew, under new numbers.
+    /// Begins a new stream, in which all machines are reported anew under new numbers.
     pub(super) fn restart_stream(&mut self) {
         self.status.restart(self.fleet.machines.keys().cloned());
     }
 
-    /// Handles what became of a message to the leader with this fencing token.
+    /// Handles the delivery result of a message to the leader with this fencing token.
     pub fn status_delivered(
         &mut self,
         now: Duration,
@@ -193,7 +197,7 @@
         delivery: Delivery,
     ) {
         self.status.in_flight = false;
-        // A later leader is told of all machines anyway.
+        // If another leader has followed, its new stream reports all machines anyway.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else { return };
         leader.unsupported = delivery == Delivery::Unsupported;
         match delivery {
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Where there is news, the next message need not wait for the interval.
+    /// Schedules the next message before the regular interval if there are changes to report.
     pub fn send_news_soon(&mut self, now: Duration) {
         let status = &mut self.status;
         if !status.unreported.is_empty() && !status.in_flight {
--- a/crates/plankhead-core/src/holder/view.rs
+++ b/crates/plankhead-core/src/holder/view.rs
@@ -1,11 +1,11 @@
-//! The holder's role in the operators' view of a node. Subcommands of other versions read these
-//! keys too, so that their names stay.
+//! The holder role in the operators' view of a node. Subcommands of other versions read these keys,
+//! so they must not be renamed.
 
 use super::Holder;
 use std::time::Duration;
 
 impl Holder {
-    /// The JSON object under `sharding.holder`.
+    /// Returns the JSON object under `sharding.holder`.
     pub fn view(&self, now: Duration) -> serde_json::Value {
         let shards: Vec<serde_json::Value> = self
             .shards
