--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -57,9 +57,9 @@
         };
         let starts: Vec<(TaskId, u64)> = commands.iter().filter_map(start).collect();
         let Some(shard) = self.shard_of.get(name) else { return };
-        let known =
+        let entry =
             self.commands.entry(name.clone()).or_insert_with(|| PendingCommands::new(shard, incarnation));
-        known.sent.extend(commands.iter().filter_map(WorkerCommand::expected_effect));
+        entry.sent.extend(commands.iter().filter_map(WorkerCommand::expected_effect));
         let Some(machine) = self.fleet.machines.get_mut(name) else { return };
         let address = machine.begin_command(&starts);
         let call = HolderCall::SendCommands(SentCommands { machine: name.clone(), incarnation, starts });
@@ -71,7 +71,7 @@
     /// kill of the same attempt is pending.
     fn unsent_commands(&self, machine: &Machine, freshness: Freshness, now: Duration) -> Vec<WorkerCommand> {
         let commands = self.commands_for(&machine.name, freshness, now);
-        let sent = self.commands.get(&machine.name).map(|known| &known.sent);
+        let sent = self.commands.get(&machine.name).map(|entry| &entry.sent);
         let effects: Vec<ExpectedEffect> =
             commands.iter().filter_map(WorkerCommand::expected_effect).collect();
         let is_unsent = |command: &WorkerCommand| {
@@ -98,7 +98,7 @@
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(name) else { return Vec::new() };
         let Some(heartbeat) = &machine.last_heartbeat else { return Vec::new() };
-        let known = self.commands.get(name).filter(|known| known.incarnation == heartbeat.incarnation);
+        let entry = self.commands.get(name).filter(|entry| entry.incarnation == heartbeat.incarnation);
         let is_due = |command: &&WorkerCommand| match command {
             WorkerCommand::Run { task, attempt } => {
                 freshness.may_start(now)
@@ -108,15 +108,15 @@
             WorkerCommand::Kill { .. } => true,
             WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_start(task, *attempt),
         };
-        let pending = known.into_iter().flat_map(|known| &known.pending);
+        let pending = entry.into_iter().flat_map(|entry| &entry.pending);
         let mut commands: Vec<WorkerCommand> = pending.filter(is_due).cloned().collect();
-        self.add_kills_of_cancelled(heartbeat, &mut commands);
+        self.add_kills_for_cancelled_jobs(heartbeat, &mut commands);
         commands.truncate(MAX_COMMANDS);
         commands
     }
 
     /// Adds kills for the listed tasks of cancelled jobs, unless the leader has already sent one.
-    fn add_kills_of_cancelled(&self, heartbeat: &Heartbeat, commands: &mut Vec<WorkerCommand>) {
+    fn add_kills_for_cancelled_jobs(&self, heartbeat: &Heartbeat, commands: &mut Vec<WorkerCommand>) {
         for listed in heartbeat.tasks.iter() {
             if matches!(listed.status, TaskStatus::Exited(_)) || !self.jobs.is_cancelled(&listed.task.job) {
                 continue;
@@ -134,9 +134,9 @@
 
     /// Drops the pending commands that the heartbeat shows to have been carried out, or all of them if
     /// they are for another incarnation of the worker.
-    pub(super) fn drop_carried_out(&mut self, heartbeat: &Heartbeat) {
-        let Some(known) = self.commands.get_mut(&heartbeat.machine) else { return };
-        if known.incarnation != heartbeat.incarnation {
+    pub(super) fn drop_completed_commands(&mut self, heartbeat: &Heartbeat) {
+        let Some(entry) = self.commands.get_mut(&heartbeat.machine) else { return };
+        if entry.incarnation != heartbeat.incarnation {
             self.commands.remove(&heartbeat.machine);
             return;
         }
@@ -145,7 +145,7 @@
                 heartbeat.tasks.iter().find(|listed| listed.task == *task && listed.attempt == attempt);
             listed.map(|listed| listed.status)
         };
-        known.pending.retain(|command| match command {
+        entry.pending.retain(|command| match command {
             WorkerCommand::Run { task, attempt } => status_of(task, *attempt).is_none(),
             WorkerCommand::Kill { task, attempt, .. } => {
                 !matches!(status_of(task, *attempt), Some(TaskStatus::Exited(_)))
@@ -155,7 +155,7 @@
     }
 
     /// Handles a worker's reply to commands that were sent directly to it.
-    pub fn command_reply(
+    pub fn handle_command_reply(
         &mut self,
         now: Duration,
         sent: SentCommands,
--- a/crates/plankhead-core/src/holder/held_shards.rs
+++ b/crates/plankhead-core/src/holder/held_shards.rs
@@ -24,14 +24,14 @@
 }
 
 impl HeldShard {
-    fn of(known: &KnownRecord) -> Self {
+    fn from_record(known: &KnownRecord) -> Self {
         Self { epoch: known.epoch(), term: known.record.term, releasing: known.record.moving.is_some() }
     }
 }
 
-/// The commands for a shard's machines that are dropped.
+/// Which of the commands for a shard's machines are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum VoidCommands {
+enum DroppedCommands {
     All,
     Starts,
 }
@@ -43,7 +43,7 @@
         let held: BTreeMap<ShardId, HeldShard> = table
             .iter()
             .filter(|(_, known)| known.record.is_held_by(host, boot_id))
-            .map(|(shard, known)| (shard.clone(), HeldShard::of(known)))
+            .map(|(shard, known)| (shard.clone(), HeldShard::from_record(known)))
             .collect();
         self.shards_per_zone =
             table.iter().map(|(shard, known)| (shard.zone.clone(), known.record.shards)).collect();
@@ -53,10 +53,10 @@
         for shard in self.shards.keys().filter(|shard| !held.contains_key(*shard)) {
             effects.log(LogLevel::Info, format!("shard given up: shard={shard}"));
         }
-        let is_foreign = |(_, shard): &(&MachineName, &ShardId)| !held.contains_key(*shard);
-        let foreign_machines: Vec<MachineName> =
-            self.shard_of.iter().filter(is_foreign).map(|(machine, _)| machine.clone()).collect();
-        foreign_machines.iter().for_each(|machine| self.forget(machine));
+        let is_not_held = |(_, shard): &(&MachineName, &ShardId)| !held.contains_key(*shard);
+        let unheld_machines: Vec<MachineName> =
+            self.shard_of.iter().filter(is_not_held).map(|(machine, _)| machine.clone()).collect();
+        unheld_machines.iter().for_each(|machine| self.remove_machine(machine));
         self.commands.retain(|_, commands| held.contains_key(&commands.shard));
         self.shards = held;
     }
@@ -68,25 +68,25 @@
         }
         // Commands of a former leader are no longer valid, nor are starts in a shard that is to be
         // handed over.
-        let renewed = before.is_some_and(|before| before.term != record.term);
+        let term_changed = before.is_some_and(|before| before.term != record.term);
         if record.releasing {
-            self.drop_commands(shard, VoidCommands::Starts);
-        } else if renewed {
-            self.drop_commands(shard, VoidCommands::All);
+            self.drop_commands(shard, DroppedCommands::Starts);
+        } else if term_changed {
+            self.drop_commands(shard, DroppedCommands::All);
         }
     }
 
-    fn drop_commands(&mut self, shard: &ShardId, void: VoidCommands) {
+    fn drop_commands(&mut self, shard: &ShardId, dropped: DroppedCommands) {
         for commands in self.commands.values_mut().filter(|commands| commands.shard == *shard) {
             commands.pending.retain(|command| {
-                void == VoidCommands::Starts && !matches!(command, WorkerCommand::Run { .. })
+                dropped == DroppedCommands::Starts && !matches!(command, WorkerCommand::Run { .. })
             });
         }
     }
 
     /// Marks the shards that the leader has since assigned to other nodes. Their records show this as
     /// well, but a node that can't read them must also stop acting for these shards.
-    pub(super) fn drop_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
+    pub(super) fn mark_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
         let is_listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let superseded: Vec<(ShardId, u64)> = self
             .shards
@@ -110,13 +110,15 @@
         }
         let is_current = self.leader.as_ref().is_none_or(|leader| {
             let renewed = held.term >= leader.token;
-            renewed || !leader.unsupported && now.saturating_sub(leader.known_since) < FORMER_TERM_TIMEOUT
+            renewed
+                || !leader.sharding_unsupported
+                    && now.saturating_sub(leader.known_since) < FORMER_TERM_TIMEOUT
         });
         is_current.then_some(held.epoch)
     }
 
     /// Returns the number of shards of a zone, according to the records.
-    pub(super) fn shards_of_zone(&self, zone: &str) -> u32 {
+    pub(super) fn shard_count(&self, zone: &str) -> u32 {
         self.shards_per_zone.get(zone).copied().unwrap_or(1)
     }
 }
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -65,7 +65,7 @@
     }
 
     /// Handles a reply and returns the changes that it contained.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         call: KeyWatchCall,
@@ -90,7 +90,7 @@
             WatchEvent::Put(row) => self.apply_record(&row, requests, update),
             // The leader archives a job, which deletes this key, once none of its tasks is left.
             WatchEvent::Delete { key, .. } => {
-                if let Some(id) = job_of(&key) {
+                if let Some(id) = job_id_of_key(&key) {
                     self.cancelled.remove(&id);
                     update.ended.insert(id);
                 }
@@ -99,7 +99,7 @@
     }
 
     fn apply_record(&mut self, row: &KeyValue, requests: &mut RequestHandler, update: &mut JobUpdate) {
-        let Some(id) = job_of(&row.key) else { return };
+        let Some(id) = job_id_of_key(&row.key) else { return };
         let Ok(record) = serde_json::from_str::<JobRecord>(&row.value) else { return };
         match record.phase {
             JobPhase::Active => {}
@@ -115,6 +115,6 @@
     }
 }
 
-fn job_of(key: &str) -> Option<JobId> {
+fn job_id_of_key(key: &str) -> Option<JobId> {
     JobId::parse(key.strip_prefix(PREFIX)?).ok()
 }
--- a/crates/plankhead-core/src/holder/leader_messages.rs
+++ b/crates/plankhead-core/src/holder/leader_messages.rs
@@ -31,24 +31,24 @@
         }
         let leader = LeaderId { token: message.token, host: message.host.clone() };
         self.set_leader(Some(leader), now);
-        self.drop_superseded_shards(&message, effects);
+        self.mark_superseded_shards(&message, effects);
         if !self.holds_all(&message) {
             self.refused += 1;
             return false;
         }
         self.latest_leader_message = message_id;
-        message.removed.iter().for_each(|machine| self.forget(machine));
+        message.removed.iter().for_each(|machine| self.remove_machine(machine));
         let named_shards: BTreeSet<&ShardId> = message.shards.iter().map(|(shard, _)| shard).collect();
         for heartbeat in &message.snapshot {
             self.observe_snapshot(now, heartbeat, &named_shards);
         }
         for commands in message.machines {
-            // Commands for a machine that has not sent a heartbeat to this node yet are kept until it
-            // does.
             let Some((shard, _)) = message.shards.get(commands.shard) else {
                 self.refused += 1;
                 continue;
             };
+            // Commands for a machine that has not sent a heartbeat to this node yet are kept until it
+            // does.
             self.replace_commands(now, shard, commands, evidence, effects);
         }
         true
@@ -61,8 +61,8 @@
         is_late || message.token < known_token
     }
 
-    /// Whether this node holds all shards that the message names, with the same epochs and the same
-    /// term. It may not have read a record yet, or a record may have been replaced since.
+    /// Whether this node holds all shards that the message names, under the same epochs and in the same
+    /// term. It does not if it has not read a record yet or a record has been replaced since.
     fn holds_all(&self, message: &LeaderCommands) -> bool {
         message.shards.iter().all(|(shard, epoch)| {
             let held = self.shards.get(shard);
@@ -79,27 +79,26 @@
         effects: &mut EffectSink,
     ) {
         let MachineCommands { machine, incarnation, commands, .. } = message;
-        let known =
+        let entry =
             self.commands.entry(machine.clone()).or_insert_with(|| PendingCommands::new(shard, incarnation));
-        if known.incarnation != incarnation || known.shard != *shard {
-            *known = PendingCommands::new(shard, incarnation);
+        if entry.incarnation != incarnation || entry.shard != *shard {
+            *entry = PendingCommands::new(shard, incarnation);
         }
-        known.pending = commands;
+        entry.pending = commands;
         self.send_commands(now, &machine, evidence, effects);
     }
 
-    /// Records the latest heartbeat known to the leader of a machine in a newly acquired shard, unless
+    /// Records the heartbeat that the leader has sent for a machine in a newly acquired shard, unless
     /// the machine is already known. This is enough to send commands to the machine, but no evidence
     /// that it is alive.
     fn observe_snapshot(&mut self, now: Duration, heartbeat: &Heartbeat, named_shards: &BTreeSet<&ShardId>) {
         let is_known = self.fleet.machines.contains_key(&heartbeat.machine);
-        let is_of_shard = |shard: &&&ShardId| {
+        let contains_machine = |shard: &&&ShardId| {
             self.shards.contains_key(**shard)
                 && *shard.zone == *heartbeat.zone
-                && ShardId::of(&heartbeat.zone, &heartbeat.machine, self.shards_of_zone(&shard.zone))
-                    == ***shard
+                && ShardId::of(&heartbeat.zone, &heartbeat.machine, self.shard_count(&shard.zone)) == ***shard
         };
-        let shard = named_shards.iter().find(is_of_shard).copied();
+        let shard = named_shards.iter().find(contains_machine).copied();
         if let Some(shard) = shard.filter(|_| !is_known) {
             let epoch = self.shards.get(shard).map_or(0, |held| held.epoch);
             let shard_epoch = ShardEpoch { shard: shard.clone(), epoch };
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -31,10 +31,10 @@
 
 /// How long a machine may be silent before the holder drops its state. Whether the machine has failed
 /// is decided by the leader.
-const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How often the machines are checked for late heartbeats.
 const MACHINE_SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// The delay after which a worker should retry whose lease this node may not renew now.
+/// The retry delay for workers whose leases this node may not renew now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The leader, as known to a holder.
@@ -44,7 +44,7 @@
     token: u64,
     known_since: Duration,
     /// Whether the leader runs without sharding.
-    unsupported: bool,
+    sharding_unsupported: bool,
 }
 
 /// The holder role of one node.
@@ -54,19 +54,19 @@
     jobs: JobWatch,
     fleet: Fleet,
     shards: BTreeMap<ShardId, HeldShard>,
-    /// The epochs of shards that the leader's messages show to have been assigned to other nodes since,
-    /// even if this node has not read their records.
+    /// Shards that, according to the leader's messages, have since been assigned to other nodes, with
+    /// the epochs under which this node held them. This node may not have read the new records yet.
     superseded: BTreeMap<ShardId, u64>,
     /// The number of shards of each zone.
     shards_per_zone: HashMap<String, u32>,
-    /// The shard of each machine that was heard.
+    /// The shard of each known machine.
     shard_of: HashMap<MachineName, ShardId>,
     commands: HashMap<MachineName, PendingCommands>,
     leader: Option<KnownLeader>,
     /// The fencing token and the sequence number of the latest message accepted from a leader. A token
     /// belongs to one start of one process, so messages are ordered by these two numbers.
     latest_leader_message: (u64, u64),
-    /// The number of rejected messages of a leader, and of commands whose shard index was out of range.
+    /// The number of rejected leader messages, and of rejected commands with an invalid shard index.
     refused: u64,
     status: StatusStream,
     next_machine_scan_at: Duration,
@@ -114,11 +114,11 @@
         }
     }
 
-    fn forget(&mut self, machine: &MachineName) {
+    fn remove_machine(&mut self, machine: &MachineName) {
         self.fleet.machines.remove(machine);
         self.shard_of.remove(machine);
         self.commands.remove(machine);
-        self.status.forget(machine);
+        self.status.remove_machine(machine);
     }
 
     /// Records which node leads. A new leader is sent the state of all machines at once.
@@ -127,7 +127,7 @@
         if self.leader.as_ref().is_some_and(|known| known.token >= token) {
             return;
         }
-        self.leader = Some(KnownLeader { host, token, known_since: now, unsupported: false });
+        self.leader = Some(KnownLeader { host, token, known_since: now, sharding_unsupported: false });
         self.restart_stream();
         self.status.send_now(now);
         // Commands of a former leader are no longer valid, whether or not the shard records have been
@@ -199,7 +199,7 @@
             }
         }
         self.shard_of.insert(machine.clone(), shard);
-        self.drop_carried_out(heartbeat);
+        self.drop_completed_commands(heartbeat);
         news
     }
 
@@ -210,31 +210,31 @@
         self.jobs.tick(now, effects);
         if now >= self.next_machine_scan_at {
             self.next_machine_scan_at = now + MACHINE_SCAN_INTERVAL;
-            self.forget_silent_machines(now);
+            self.remove_silent_machines(now);
             self.probe_late_machines(now, effects);
         }
-        self.send_news_soon(now);
+        self.schedule_update(now);
         self.send_status(now, evidence, effects);
     }
 
-    fn forget_silent_machines(&mut self, now: Duration) {
+    fn remove_silent_machines(&mut self, now: Duration) {
         let is_silent =
-            |machine: &&Machine| now.saturating_sub(machine.heartbeat_times.last_heard_at) > FORGET_TIMEOUT;
+            |machine: &&Machine| now.saturating_sub(machine.heartbeat_times.last_heard_at) > SILENCE_TIMEOUT;
         let silent: Vec<MachineName> =
             self.fleet.machines.values().filter(is_silent).map(|machine| machine.name.clone()).collect();
-        silent.iter().for_each(|machine| self.forget(machine));
+        silent.iter().for_each(|machine| self.remove_machine(machine));
     }
 
     /// Returns when [`Holder::tick`] must be called next, if no event arrives before.
     pub fn next_due(&self) -> Duration {
         let scan = (!self.fleet.machines.is_empty()).then_some(self.next_machine_scan_at);
-        let dues = [self.jobs.next_due(), self.status.next_due(), scan];
-        dues.into_iter().flatten().min().unwrap_or(Duration::MAX)
+        let due_times = [self.jobs.next_due(), self.status.next_due(), scan];
+        due_times.into_iter().flatten().min().unwrap_or(Duration::MAX)
     }
 
     /// Handles a reply of the job watch: drops pending starts of jobs that have ended, and sends kills
     /// for the tasks of cancelled jobs.
-    pub fn kv_reply(
+    pub fn handle_kv_reply(
         &mut self,
         now: Duration,
         call: KeyWatchCall,
@@ -243,11 +243,14 @@
         evidence: HolderEvidence,
         effects: &mut EffectSink,
     ) {
-        let update = self.jobs.reply(now, call, reply, requests);
+        let update = self.jobs.handle_reply(now, call, reply, requests);
         if !update.ended.is_empty() {
-            let starts_ended = |command: &WorkerCommand| matches!(command, WorkerCommand::Run { task, .. } if update.ended.contains(&task.job));
+            let starts_ended_job = |command: &WorkerCommand| {
+                matches!(command, WorkerCommand::Run { task, .. }
+                    if update.ended.contains(&task.job))
+            };
             for commands in self.commands.values_mut() {
-                commands.pending.retain(|command| !starts_ended(command));
+                commands.pending.retain(|command| !starts_ended_job(command));
             }
         }
         if update.cancelled {
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -46,19 +46,19 @@
     /// Identifies the stream, and thus the numbering of machines.
     stream: u64,
     /// Whether the leader has accepted a message of this stream.
-    begun: bool,
+    stream_accepted: bool,
     sequence: u64,
     sent_messages: VecDeque<SentMessage>,
     in_flight: bool,
     last_sent_at: Duration,
-    next_at: Duration,
+    next_send_at: Duration,
 }
 
 impl StatusStream {
     /// Begins a new stream, in which all the given machines are reported anew.
     pub fn restart(&mut self, machines: impl Iterator<Item = MachineName>) {
         self.stream += 1;
-        self.begun = false;
+        self.stream_accepted = false;
         self.numbers = MachineNumbers::default();
         self.alive.clear();
         self.unreported = machines.collect();
@@ -66,12 +66,12 @@
 
     /// Makes the next message due at once.
     pub fn send_now(&mut self, now: Duration) {
-        self.next_at = now;
+        self.next_send_at = now;
     }
 
     /// Returns when the next message is due; `None` while one is in flight.
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.in_flight).then_some(self.next_at)
+        (!self.in_flight).then_some(self.next_send_at)
     }
 
     pub fn record_alive(&mut self, machine: &MachineName, now: Duration) {
@@ -81,7 +81,7 @@
         self.alive.insert(machine.clone());
     }
 
-    pub fn forget(&mut self, machine: &MachineName) {
+    pub fn remove_machine(&mut self, machine: &MachineName) {
         self.unreported.remove(machine);
         self.alive.remove(machine);
     }
@@ -107,14 +107,14 @@
 impl Holder {
     /// Sends the next status message, if one is due and none is in flight.
     pub(super) fn send_status(&mut self, now: Duration, evidence: HolderEvidence, effects: &mut EffectSink) {
-        if self.status.in_flight || now < self.status.next_at {
+        if self.status.in_flight || now < self.status.next_send_at {
             return;
         }
         let Some(KnownLeader { host: leader, token, .. }) = self.leader.clone() else {
-            self.status.next_at = now + STATUS_INTERVAL;
+            self.status.next_send_at = now + STATUS_INTERVAL;
             return;
         };
-        let updates = self.take_unreported(now);
+        let updates = self.take_updates(now);
         let machines: Vec<MachineName> =
             updates.iter().map(|update| update.heartbeat.machine.clone()).collect();
         let alive = std::mem::take(&mut self.status.alive);
@@ -130,7 +130,7 @@
                 && evidence.records_synced_at.is_some_and(|at| now.saturating_sub(at) < MAX_RECORDS_AGE),
             shards: self.shard_holdings(now),
             stream: self.status.stream,
-            first: !self.status.begun,
+            first: !self.status.stream_accepted,
             updates,
             alive,
             alive_age: now.saturating_sub(self.status.alive_since),
@@ -160,7 +160,7 @@
 
     /// Returns updates for the next machines to report. If the stream has no numbers left, restarts it
     /// and returns no updates.
-    fn take_unreported(&mut self, now: Duration) -> Vec<MachineUpdate> {
+    fn take_updates(&mut self, now: Duration) -> Vec<MachineUpdate> {
         let machines: Vec<MachineName> = self.status.unreported.iter().take(MAX_MACHINES).cloned().collect();
         let mut updates: Vec<MachineUpdate> = Vec::with_capacity(machines.len());
         let mut tasks = 0;
@@ -168,7 +168,7 @@
             if tasks > MAX_TASKS {
                 break;
             }
-            self.status.forget(&machine);
+            self.status.remove_machine(&machine);
             let Some(number) = self.status.numbers.assign(&machine) else {
                 self.restart_stream();
                 return Vec::new();
@@ -189,7 +189,7 @@
     }
 
     /// Handles the delivery result of a message to the leader with this fencing token.
-    pub fn status_delivered(
+    pub fn handle_status_delivery(
         &mut self,
         now: Duration,
         token: u64,
@@ -199,31 +199,32 @@
         self.status.in_flight = false;
         // If another leader has followed, its new stream reports all machines anyway.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else { return };
-        leader.unsupported = delivery == Delivery::Unsupported;
+        leader.sharding_unsupported = delivery == Delivery::Unsupported;
         match delivery {
             Delivery::FullSyncNeeded => {
                 self.restart_stream();
-                self.status.next_at = now;
+                self.status.next_send_at = now;
             }
             Delivery::Accepted => {
-                self.status.begun = true;
-                self.status.next_at = now + STATUS_INTERVAL;
-                self.send_news_soon(now);
+                self.status.stream_accepted = true;
+                self.status.next_send_at = now + STATUS_INTERVAL;
+                self.schedule_update(now);
             }
             Delivery::Rejected | Delivery::Unsupported | Delivery::NoResponse => {
-                let known = machines.into_iter().filter(|machine| self.fleet.machines.contains_key(machine));
-                self.status.unreported.extend(known);
-                self.status.next_at = now + RETRY_INTERVAL;
+                let known_machines =
+                    machines.into_iter().filter(|machine| self.fleet.machines.contains_key(machine));
+                self.status.unreported.extend(known_machines);
+                self.status.next_send_at = now + RETRY_INTERVAL;
             }
         }
     }
 
     /// Schedules the next message before the regular interval if there are changes to report.
-    pub fn send_news_soon(&mut self, now: Duration) {
+    pub fn schedule_update(&mut self, now: Duration) {
         let status = &mut self.status;
         if !status.unreported.is_empty() && !status.in_flight {
             let earliest = status.last_sent_at + self.settings.shard_message_interval();
-            status.next_at = status.next_at.min(now.max(earliest));
+            status.next_send_at = status.next_send_at.min(now.max(earliest));
         }
     }
 }
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -17,7 +17,7 @@
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// The delay before a failed call is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a node that stepped down in favor of its peers does not compete for the key.
+/// How long a node that stepped down in favour of its peers does not compete for the key.
 const STEP_DOWN_PAUSE: Duration = Duration::from_secs(8);
 
 /// The value of the leader's key, as it is stored.
@@ -174,7 +174,7 @@
     }
 
     /// Handles the reply to one of the election's calls.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         call: ElectionCall,
@@ -182,7 +182,7 @@
         effects: &mut EffectSink,
     ) -> LeadershipChange {
         match call {
-            ElectionCall::RenewLease { lease, sent } => self.renewal_reply(now, lease, sent, reply),
+            ElectionCall::RenewLease { lease, sent } => self.handle_renewal_reply(now, lease, sent, reply),
             ElectionCall::RevokeLease => LeadershipChange::Unchanged,
             ElectionCall::Read => {
                 self.call_in_flight = false;
@@ -209,7 +209,7 @@
             }
             ElectionCall::Claim { lease } => {
                 self.call_in_flight = false;
-                self.claim_reply(now, lease, reply, effects)
+                self.handle_claim_reply(now, lease, reply, effects)
             }
         }
     }
@@ -261,7 +261,7 @@
         LeadershipChange::Unchanged
     }
 
-    fn claim_reply(
+    fn handle_claim_reply(
         &mut self,
         now: Duration,
         lease: u64,
@@ -269,7 +269,7 @@
         effects: &mut EffectSink,
     ) -> LeadershipChange {
         match reply {
-            Ok(KvReply::Committed { revision }) => self.won(now, revision, lease),
+            Ok(KvReply::Committed { revision }) => self.begin_term(now, revision, lease),
             Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 revoke_lease(lease, effects);
                 self.key = KeyState::Unknown;
@@ -300,7 +300,7 @@
         };
         if record.host == self.host {
             if self.uncertain_claim == Some(record.lease) && record.boot_id == self.boot_id {
-                return self.won(now, row.mod_revision, record.lease);
+                return self.begin_term(now, row.mod_revision, record.lease);
             }
             // The key was written by an earlier start of this process, or by this one before it
             // stepped down, and the revocation of its lease was lost or is delayed. If the node led
@@ -313,7 +313,7 @@
         LeadershipChange::Unchanged
     }
 
-    fn won(&mut self, now: Duration, token: u64, lease: u64) -> LeadershipChange {
+    fn begin_term(&mut self, now: Duration, token: u64, lease: u64) -> LeadershipChange {
         self.key = KeyState::Held(Term {
             token,
             lease,
@@ -327,7 +327,7 @@
         LeadershipChange::Won { token }
     }
 
-    fn renewal_reply(
+    fn handle_renewal_reply(
         &mut self,
         now: Duration,
         lease: u64,
@@ -346,7 +346,7 @@
                 term.renewed_at = term.renewed_at.max(sent);
                 term.next_renewal_at = now.max(sent + RENEWAL_INTERVAL);
             }
-            Ok(KvReply::NoSuchLease) => return self.lease_lost(),
+            Ok(KvReply::NoSuchLease) => return self.step_down(),
             _ => term.next_renewal_at = now + RETRY_INTERVAL,
         }
         LeadershipChange::Unchanged
@@ -365,11 +365,11 @@
         if let Some(term) = self.term() {
             revoke_lease(term.lease, effects);
         }
-        self.lease_lost()
+        self.step_down()
     }
 
     /// Steps down without revoking the lease, because another node holds the key or will hold it.
-    pub fn lease_lost(&mut self) -> LeadershipChange {
+    pub fn step_down(&mut self) -> LeadershipChange {
         self.key = KeyState::Unknown;
         self.call_in_flight = false;
         self.retry_at = Duration::ZERO;
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -91,7 +91,7 @@
     }
 
     /// Handles a reply and returns whether it opened the barrier.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         call: VersionBarrierCall,
         reply: Result<KvReply, CallError>,
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -25,17 +25,16 @@
 /// The maximum number of heartbeats that are deferred at the same time.
 const MAX_DEFERRED_HEARTBEATS: usize = 16_384;
 
-/// The delay after which a worker should retry that this node can't answer now.
+/// The retry delay for workers that this node can't answer now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A heartbeat whose answer is deferred until this node has loaded its state, or until a deadline.
+/// A heartbeat whose answer is deferred until this node has loaded its state or the deadline passes.
 #[derive(Debug)]
 pub(super) struct DeferredHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
     relayed: bool,
-    /// The deadline for the answer.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// The node that a worker is redirected to.
@@ -93,8 +92,8 @@
         if self.deferred_heartbeats.len() < MAX_DEFERRED_HEARTBEATS && self.must_defer(&heartbeat, times.now)
         {
             let timeout = if relayed { RELAYED_DEFERRAL_TIMEOUT } else { DEFERRAL_TIMEOUT };
-            let until = times.now + timeout;
-            self.deferred_heartbeats.push(DeferredHeartbeat { request, heartbeat, relayed, until });
+            let deadline = times.now + timeout;
+            self.deferred_heartbeats.push(DeferredHeartbeat { request, heartbeat, relayed, deadline });
             return;
         }
         let response = self.handle_heartbeat(times, heartbeat, relayed);
@@ -109,7 +108,7 @@
             self.token_guard.observe(heartbeat.token);
         }
         self.record_link_evidence(&heartbeat, relayed, now);
-        let is_cut_off = !self.election.is_lease_valid(now) && !self.peers.hears_any(now);
+        let is_cut_off = !self.election.is_lease_valid(now) && !self.peers.any_alive(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&heartbeat) {
                 LeaderRoute::Own => {
@@ -131,7 +130,7 @@
                 LeaderRoute::Superseded => {}
             }
             // The worker has seen a later token than this leader's, so this node steps down.
-            let change = self.election.lease_lost();
+            let change = self.election.step_down();
             self.apply_leadership(times, change);
         }
         self.handle_heartbeat_as_follower(times, heartbeat, relayed)
@@ -227,7 +226,7 @@
         let deferred = std::mem::take(&mut self.deferred_heartbeats);
         let (waiting, due): (Vec<DeferredHeartbeat>, Vec<DeferredHeartbeat>) =
             deferred.into_iter().partition(|deferred| {
-                times.now < deferred.until && self.must_defer(&deferred.heartbeat, times.now)
+                times.now < deferred.deadline && self.must_defer(&deferred.heartbeat, times.now)
             });
         self.deferred_heartbeats = waiting;
         for DeferredHeartbeat { request, heartbeat, relayed, .. } in due {
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -29,13 +29,13 @@
         }
         leader.begin_loading(times.now, &mut self.effects);
         self.leader = Some(leader);
-        self.start_leading_shards(times);
+        self.pass_holder_state_to_leader(times);
     }
 
     fn stop_leading(&mut self) {
         self.effects.log(LogLevel::Info, "leadership lost".into());
         self.leader = None;
-        self.resume_holding();
+        self.resume_holder_role();
         if let Some(reachability) = &mut self.reachability {
             reachability.leadership_lost();
         }
@@ -70,7 +70,7 @@
         let now = times.now;
         let coverage_decides =
             self.reachability.as_ref().is_some_and(|reachability| reachability.is_complete(now));
-        let peer_could_lead = evidence.lease_valid && self.peers.hears_any(now) && !coverage_decides;
+        let peer_could_lead = evidence.lease_valid && self.peers.any_alive(now) && !coverage_decides;
         if peer_could_lead && self.leader.as_ref().is_some_and(|leader| leader.is_isolated(now)) {
             self.effects.log(LogLevel::Info, "leader stepped down: reason=no_worker_heartbeats".into());
             let change = self.election.step_down_for_peers(now, &mut self.effects);
@@ -102,11 +102,11 @@
         if !self.peers.contains(&heartbeat.host) {
             return;
         }
-        self.drop_stale_claim(&mut heartbeat);
+        self.discard_stale_progress(&mut heartbeat);
         // A node that can't reach the state service does not see that another node holds the leader's
         // key. Without this check it would go on answering its workers as the leader.
         if self.leader.as_ref().is_some_and(|leader| leader.token < heartbeat.token) {
-            let change = self.election.lease_lost();
+            let change = self.election.step_down();
             self.apply_leadership(times, change);
         }
         let now = times.now;
@@ -122,7 +122,7 @@
     /// If fencing is on, discards the progress reported under a superseded token. The heartbeat keeps
     /// its token, so that the sender still counts as a node that claims to lead: it may renew the
     /// leases of workers that know no later token.
-    fn drop_stale_claim(&mut self, heartbeat: &mut PeerHeartbeat) {
+    fn discard_stale_progress(&mut self, heartbeat: &mut PeerHeartbeat) {
         if !self.settings.fencing.enabled || heartbeat.token == 0 {
             return;
         }
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -38,10 +38,10 @@
 const UNHEALTHY_AFTER: Duration = Duration::from_secs(3);
 /// The maximum number of jobs whose progress is sent in one peer heartbeat: all jobs in progress on
 /// a fleet of 2,000 machines. Other nodes report the jobs left out as queued.
-pub const MAX_PROGRESS: usize = 2_000;
+pub const MAX_SENT_PROGRESS_ENTRIES: usize = 2_000;
 /// The maximum number of jobs whose progress is accepted in one peer heartbeat. It exceeds the
 /// number sent because later versions may send more, for fleets of 4,000 machines.
-pub const MAX_PROGRESS_READ: usize = 8_192;
+pub const MAX_ACCEPTED_PROGRESS_ENTRIES: usize = 8_192;
 
 /// A process whose timers fire later than this is short of CPU time.
 const MAX_TIMER_LAG: Duration = Duration::from_millis(100);
@@ -112,7 +112,7 @@
     /// heartbeats arrive. If the state service fails all nodes, all of them stay healthy.
     pub fn is_healthy(&self, now: Duration) -> bool {
         let kv_failing = self.kv_health.is_failing_for_longer_than(UNHEALTHY_AFTER, now);
-        !(kv_failing && (self.peers.any_reaches_kv(now) || self.peers.hears_none(now)))
+        !(kv_failing && (self.peers.any_reaches_kv(now) || self.peers.all_silent(now)))
     }
 
     /// Returns the reachability mode; `None` if reachability is disabled or before the first step.
@@ -137,7 +137,7 @@
         for event in batch {
             self.handle_event(times, event);
         }
-        self.judge_reachability(times.now);
+        self.evaluate_links(times.now);
         self.tick(times);
         self.tick_reachability(times);
         if let Some(reachability) = &mut self.reachability {
@@ -150,17 +150,17 @@
     /// costs as much CPU time as a heartbeat.
     pub fn next_wake(&self, now: Duration) -> Duration {
         let retry = now + RETRY_INTERVAL;
-        let dues = [
+        let due_times = [
             self.election.next_due(),
             self.version_barrier.next_due(),
             self.machine_types.next_due(),
-            self.deferred_heartbeats.iter().map(|deferred| deferred.until).min(),
+            self.deferred_heartbeats.iter().map(|deferred| deferred.deadline).min(),
             self.requests.has_queued().then_some(retry),
             self.leader.as_ref().map(|leader| leader.next_due(now, retry)),
             self.reachability.as_ref().map(|reachability| reachability.next_due(now)),
             self.next_sharding_due(),
         ];
-        let next = dues.into_iter().flatten().fold(self.peers.next_due(), Duration::min);
+        let next = due_times.into_iter().flatten().fold(self.peers.next_due(), Duration::min);
         next.max(now + MIN_WAKE_INTERVAL)
     }
 
@@ -223,7 +223,7 @@
 
     fn send_peer_heartbeat(&mut self) {
         let progress: Vec<JobProgress> = match &self.leader {
-            Some(leader) => leader.all_progress(MAX_PROGRESS),
+            Some(leader) => leader.all_progress(MAX_SENT_PROGRESS_ENTRIES),
             None => Vec::new(),
         };
         self.effects.queued.push(Effect::SendPeerHeartbeat(PeerHeartbeat {
--- a/crates/plankhead-core/src/node/peers.rs
+++ b/crates/plankhead-core/src/node/peers.rs
@@ -49,13 +49,13 @@
     }
 
     /// Whether at least one peer is not silent.
-    pub fn hears_any(&self, now: Duration) -> bool {
+    pub fn any_alive(&self, now: Duration) -> bool {
         self.fresh_heartbeats(now).next().is_some()
     }
 
     /// Whether there are peers and all of them are silent.
-    pub fn hears_none(&self, now: Duration) -> bool {
-        !self.settings.peers.is_empty() && !self.hears_any(now)
+    pub fn all_silent(&self, now: Duration) -> bool {
+        !self.settings.peers.is_empty() && !self.any_alive(now)
     }
 
     /// Whether the state service answers at least one peer that is not silent.
--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -22,7 +22,7 @@
 
     /// Evaluates the links if that is due, and updates what depends on them: the permissions for user
     /// requests, and whether this node defers to its peers in the election.
-    pub(super) fn judge_reachability(&mut self, now: Duration) {
+    pub(super) fn evaluate_links(&mut self, now: Duration) {
         let Some(reachability) = self.reachability.as_mut().filter(|part| part.is_due(now)) else { return };
         let machines = self.leader.as_ref().map_or(0, Leader::machines_expected);
         reachability.judge(machines, now, &mut self.effects);
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -31,11 +31,11 @@
         self.record_kv_health(now, &reply);
         match self.effects.calls_in_flight.remove(&call) {
             Some(CallPurpose::Election(call)) => {
-                let change = self.election.reply(now, call, reply, &mut self.effects);
+                let change = self.election.handle_reply(now, call, reply, &mut self.effects);
                 self.apply_leadership(times, change);
             }
             Some(CallPurpose::VersionBarrier(call)) => {
-                let opened = self.version_barrier.reply(call, reply, &mut self.effects);
+                let opened = self.version_barrier.handle_reply(call, reply, &mut self.effects);
                 self.apply_version_barrier(opened);
             }
             Some(CallPurpose::Reachability(call)) => {
@@ -43,10 +43,10 @@
                     reachability.reply(call, reply, now, &mut self.effects);
                 }
             }
-            Some(CallPurpose::UserRequest(request)) => self.user_request_reply(times, request, reply),
-            Some(CallPurpose::ShardRecords(call)) => self.shard_records_reply(now, call, reply),
-            Some(CallPurpose::Holder(call)) => self.holder_kv_reply(now, call, reply),
-            Some(CallPurpose::Leader(token, call)) => self.leader_kv_reply(times, token, call, reply),
+            Some(CallPurpose::UserRequest(request)) => self.handle_user_request_reply(times, request, reply),
+            Some(CallPurpose::ShardRecords(call)) => self.handle_shard_records_reply(now, call, reply),
+            Some(CallPurpose::Holder(call)) => self.handle_holder_kv_reply(now, call, reply),
+            Some(CallPurpose::Leader(token, call)) => self.handle_leader_kv_reply(times, token, call, reply),
             Some(CallPurpose::MachineTypes) | None => {}
         }
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn leader_kv_reply(
+    fn handle_leader_kv_reply(
         &mut self,
         times: StepTime,
         token: u64,
@@ -87,7 +87,7 @@
         }
     }
 
-    fn user_request_reply(
+    fn handle_user_request_reply(
         &mut self,
         times: StepTime,
         request: PendingRequest,
@@ -122,7 +122,7 @@
             reachability.cloud_reply(call, &reply, times.now);
         }
         match self.effects.calls_in_flight.remove(&call) {
-            Some(CallPurpose::MachineTypes) => self.machine_types_reply(times.now, reply),
+            Some(CallPurpose::MachineTypes) => self.handle_machine_types_reply(times.now, reply),
             Some(CallPurpose::Leader(token, call)) => {
                 if let Some(leader) = leader_of_term(&mut self.leader, token) {
                     leader.cloud_reply(times, call, reply, &mut self.effects);
@@ -132,7 +132,7 @@
         }
     }
 
-    fn machine_types_reply(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
+    fn handle_machine_types_reply(&mut self, now: Duration, reply: Result<CloudReply, CallError>) {
         let listed = self.machine_types.handle_reply(now, reply);
         if let Some(leader) = self.leader.as_mut().filter(|_| listed) {
             leader.set_machine_types(self.machine_types.by_name().clone());
@@ -149,7 +149,7 @@
                     leader.command_reply(times, call, reply, &mut self.effects);
                 }
             }
-            Some(CallPurpose::Holder(call)) => self.holder_command_reply(times.now, call, reply),
+            Some(CallPurpose::Holder(call)) => self.handle_holder_command_reply(times.now, call, reply),
             _ => {}
         }
     }
@@ -158,7 +158,7 @@
         match self.effects.calls_in_flight.remove(&call) {
             Some(CallPurpose::Holder(HolderCall::ReportStatus { leader, machines })) => {
                 if let Some(sharding) = &mut self.sharding {
-                    sharding.holder.status_delivered(now, leader, machines, delivery);
+                    sharding.holder.handle_status_delivery(now, leader, machines, delivery);
                 }
             }
             Some(CallPurpose::Leader(token, LeaderCall::SendShardCommands { to, sent })) => {
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -96,7 +96,7 @@
     pub(super) fn is_holder_cut_off(&self, evidence: HolderEvidence, now: Duration) -> bool {
         let records_stale =
             evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
-        (records_stale || evidence.kv_failing) && !self.peers.hears_any(now)
+        (records_stale || evidence.kv_failing) && !self.peers.any_alive(now)
     }
 
     pub(super) fn tick_sharding(&mut self, times: StepTime) {
@@ -123,7 +123,7 @@
         sharding.records.next_due().into_iter().chain(holder).min()
     }
 
-    pub(super) fn shard_records_reply(
+    pub(super) fn handle_shard_records_reply(
         &mut self,
         now: Duration,
         step: KeyWatchCall,
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(super) fn holder_kv_reply(
+    pub(super) fn handle_holder_kv_reply(
         &mut self,
         now: Duration,
         call: HolderCall,
@@ -148,14 +148,19 @@
     ) {
         let evidence = self.holder_evidence(now);
         let (Some(sharding), HolderCall::WatchJobs(step)) = (&mut self.sharding, call) else { return };
-        sharding.holder.kv_reply(now, step, reply, &mut self.requests, evidence, &mut self.effects);
+        sharding.holder.handle_kv_reply(now, step, reply, &mut self.requests, evidence, &mut self.effects);
     }
 
-    pub(super) fn holder_command_reply(&mut self, now: Duration, call: HolderCall, reply: CommandReply) {
+    pub(super) fn handle_holder_command_reply(
+        &mut self,
+        now: Duration,
+        call: HolderCall,
+        reply: CommandReply,
+    ) {
         let evidence = self.holder_evidence(now);
         let (Some(sharding), HolderCall::SendCommands(sent)) = (&mut self.sharding, call) else { return };
         if self.leader.is_none() {
-            sharding.holder.command_reply(now, sent, reply, evidence, &mut self.effects);
+            sharding.holder.handle_command_reply(now, sent, reply, evidence, &mut self.effects);
         }
     }
 
@@ -193,7 +198,7 @@
     }
 
     /// Passes the shard records and machines known to this node as a holder to its new leader role.
-    pub(super) fn start_leading_shards(&mut self, times: StepTime) {
+    pub(super) fn pass_holder_state_to_leader(&mut self, times: StepTime) {
         let (Some(sharding), Some(leader)) = (&mut self.sharding, &mut self.leader) else { return };
         let records = &sharding.records;
         leader.apply_shard_records(&records.table, records.synced_at(), times.now);
@@ -204,7 +209,7 @@
 
     /// Resumes the holder role after a term as the leader, for the shards that the records assign to
     /// this node.
-    pub(super) fn resume_holding(&mut self) {
+    pub(super) fn resume_holder_role(&mut self) {
         if let Some(sharding) = &mut self.sharding {
             sharding.holder.apply_records(&sharding.records.table, &mut self.effects);
         }
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -235,13 +235,13 @@
     let look = |rows: Vec<KeyValue>| {
         let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), EffectSink::default());
         version_barrier.tick(NOW, &mut out);
-        version_barrier.reply(
+        version_barrier.handle_reply(
             VersionBarrierCall::WriteVersion,
             Ok(KvReply::Conflict { failed: vec!["node/plank-0".into()] }),
             &mut out,
         );
         version_barrier.tick(NOW, &mut out);
-        version_barrier.reply(
+        version_barrier.handle_reply(
             VersionBarrierCall::ListVersions,
             Ok(KvReply::Page { rows, truncated: false, revision: 9 }),
             &mut out,
@@ -254,7 +254,7 @@
         look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
     assert!(version_barrier.is_open());
     let mut out = EffectSink::default();
-    version_barrier.reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
+    version_barrier.handle_reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
     version_barrier.tick(NOW * 2, &mut out);
     assert!(version_barrier.is_open() && out.queued.is_empty());
 }
--- a/crates/plankhead/src/peer_messages/heartbeat.rs
+++ b/crates/plankhead/src/peer_messages/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Peer heartbeats: what nodes tell each other every second.
 
 use super::{decode_archive, encode_archive, MAX_NAME};
-use plankhead_core::node::MAX_PROGRESS_READ;
+use plankhead_core::node::MAX_ACCEPTED_PROGRESS_ENTRIES;
 use plankhead_core::protocol::{JobProgress, PeerHeartbeat};
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -33,7 +33,7 @@
 /// Reads a heartbeat; `None` if it is malformed or too long.
 pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
     let message: HeartbeatMessage = decode_archive(bytes).ok()?;
-    if message.progress.len() > MAX_PROGRESS_READ || message.host.len() > MAX_NAME {
+    if message.progress.len() > MAX_ACCEPTED_PROGRESS_ENTRIES || message.host.len() > MAX_NAME {
         return None;
     }
     let progress = message.progress.into_iter();
