--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -1,9 +1,9 @@
-//! The holder's role: a node that does not lead answers the workers of its shards, passes
-//! the leader's commands on to them, and tells the leader what is new.
+//! The holder role: a node that does not lead answers the workers of its shards, relays the leader's
+//! commands to them, and reports changes to the leader.
 //!
-//! Each answer is bounded by the freshness of what the holder itself has read of the jobs and
-//! of the records of shards. It starts only what the present leader commanded, kills tasks of
-//! cancelled jobs by itself, and judges no machine: that is the leader's part.
+//! What an answer may contain depends on how recently the holder itself has read the jobs and the
+//! shard records. A holder starts only tasks that the current leader has commanded. It kills tasks of
+//! cancelled jobs without a command, and leaves it to the leader to decide whether a machine is faulty.
 
 mod commands;
 mod held_shards;
@@ -29,70 +29,72 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A machine that was not heard for so long is forgotten here; the leader judges it.
-const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often the machines are looked through.
+/// How long a machine may be silent before the holder drops its state. Whether the machine has failed
+/// is decided by the leader.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often the machines are checked for late heartbeats.
 const MACHINE_SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a worker waits whose lease this node may not renew now.
+/// The retry delay for workers whose leases this node may not renew now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The leader as a holder knows it.
+/// The leader, as known to a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct KnownLeader {
     host: String,
     token: u64,
     known_since: Duration,
-    /// It does not shard machines.
-    unsupported: bool,
+    /// Whether the leader runs without sharding.
+    sharding_unsupported: bool,
 }
 
-/// The holder's role of one node.
+/// The holder role of one node.
 #[derive(Debug)]
 pub struct Holder {
     settings: Arc<Settings>,
     jobs: JobWatch,
     fleet: Fleet,
     shards: BTreeMap<ShardId, HeldShard>,
-    /// Epochs of shards that the leader has given to others since, although this node can't
-    /// read their records.
+    /// Shards that, according to the leader's messages, have since been assigned to other nodes, with
+    /// the epochs under which this node held them. This node may not have read the new records yet.
     superseded: BTreeMap<ShardId, u64>,
-    /// Into how many shards each zone is divided.
+    /// The number of shards of each zone.
     shards_per_zone: HashMap<String, u32>,
-    /// The shard as part of which each machine was heard.
+    /// The shard of each known machine.
     shard_of: HashMap<MachineName, ShardId>,
     commands: HashMap<MachineName, PendingCommands>,
     leader: Option<KnownLeader>,
-    /// The latest message of a leader: its fencing token, under which one start of one process
-    /// leads, and its sequence.
+    /// The fencing token and the sequence number of the latest message accepted from a leader. A token
+    /// belongs to one start of one process, so messages are ordered by these two numbers.
     latest_leader_message: (u64, u64),
-    /// Messages of a leader that were refused, and commands under superseded epochs.
+    /// The number of rejected leader messages, and of rejected commands with an invalid shard index.
     refused: u64,
     status: StatusStream,
     next_machine_scan_at: Duration,
-    /// The process lacks processor time: starts go with the answers to heartbeats only.
+    /// Whether the process is short of CPU time. Starts are then sent only with the answers to
+    /// heartbeats.
     cpu_starved: bool,
 }
 
-/// A shard, and the epoch under which this node holds it.
+/// A shard and the epoch under which this node holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardEpoch {
     pub shard: ShardId,
     pub epoch: u64,
 }
 
-/// The evidence on which a holder decides in one step.
+/// The facts on which a holder bases its decisions in one step.
 #[derive(Debug, Clone, Copy)]
 pub struct HolderEvidence {
-    /// When the latest complete read of the records of shards was asked for.
+    /// When the latest complete read of the shard records was sent.
     pub records_synced_at: Option<Duration>,
-    /// The state service has failed this node for some time.
+    /// Whether the state service has failed this node for some time.
     pub kv_failing: bool,
-    /// The process lacks processor time.
+    /// Whether the process is short of CPU time.
     pub cpu_starved: bool,
 }
 
 impl Holder {
-    /// A holder that knows neither a shard nor a machine yet.
+    /// Creates a holder that knows no shards and no machines yet.
     pub fn new(settings: Arc<Settings>) -> Self {
         Self {
             settings,
@@ -112,30 +114,30 @@
         }
     }
 
-    fn forget(&mut self, machine: &MachineName) {
+    fn remove_machine(&mut self, machine: &MachineName) {
         self.fleet.machines.remove(machine);
         self.shard_of.remove(machine);
         self.commands.remove(machine);
-        self.status.forget(machine);
+        self.status.remove_machine(machine);
     }
 
-    /// Records which node leads. A new leader is told of all machines at once.
+    /// Records which node leads. A new leader is sent the state of all machines at once.
     pub fn set_leader(&mut self, leader: Option<LeaderId>, now: Duration) {
         let Some(LeaderId { host, token }) = leader else { return };
         if self.leader.as_ref().is_some_and(|known| known.token >= token) {
             return;
         }
-        self.leader = Some(KnownLeader { host, token, known_since: now, unsupported: false });
+        self.leader = Some(KnownLeader { host, token, known_since: now, sharding_unsupported: false });
         self.restart_stream();
         self.status.send_now(now);
-        // A former leader's commands are void from here on, whether or not the records are
+        // Commands of a former leader are no longer valid, whether or not the shard records have been
         // renewed.
         for commands in self.commands.values_mut() {
             commands.pending.clear();
         }
     }
 
-    /// Whether heartbeats should wait until the jobs are read.
+    /// Whether heartbeats should be deferred until the jobs have been read.
     pub fn is_loading(&self) -> bool {
         self.jobs.is_loading()
     }
@@ -144,7 +146,7 @@
         Freshness { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
     }
 
-    /// Answers a heartbeat of a machine in one of the shards.
+    /// Answers the heartbeat of a machine in one of this node's shards.
     pub fn handle_heartbeat(
         &mut self,
         times: StepTime,
@@ -165,7 +167,7 @@
         let Some(machine) =
             self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| news != HeartbeatNews::Stale)
         else {
-            // A late copy gets no commands, and does not count as heard.
+            // A late copy gets no commands and does not count as a sign of life.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.is_relayed = path.relayed;
@@ -176,7 +178,7 @@
         Response::Commands { token: epoch, commands }
     }
 
-    /// Takes in a heartbeat; `is_reply`: it answers a command of this node.
+    /// Records a heartbeat. `is_reply` is true if it answers a command of this node.
     fn observe_machine(
         &mut self,
         now: Duration,
@@ -197,41 +199,42 @@
             }
         }
         self.shard_of.insert(machine.clone(), shard);
-        self.drop_carried_out(heartbeat);
+        self.drop_completed_commands(heartbeat);
         news
     }
 
-    /// Reads the jobs, probes late machines, and tells the leader what is new.
+    /// Runs the work that is due: reading the jobs, probing late machines, and reporting to the leader.
     pub fn tick(&mut self, times: StepTime, evidence: HolderEvidence, effects: &mut EffectSink) {
         let now = times.now;
         self.cpu_starved = evidence.cpu_starved;
         self.jobs.tick(now, effects);
         if now >= self.next_machine_scan_at {
             self.next_machine_scan_at = now + MACHINE_SCAN_INTERVAL;
-            self.forget_silent_machines(now);
+            self.remove_silent_machines(now);
             self.probe_late_machines(now, effects);
         }
-        self.send_news_soon(now);
+        self.schedule_update(now);
         self.send_status(now, evidence, effects);
     }
 
-    fn forget_silent_machines(&mut self, now: Duration) {
+    fn remove_silent_machines(&mut self, now: Duration) {
         let is_silent =
-            |machine: &&Machine| now.saturating_sub(machine.heartbeat_times.last_heard_at) > FORGET_TIMEOUT;
+            |machine: &&Machine| now.saturating_sub(machine.heartbeat_times.last_heard_at) > SILENCE_TIMEOUT;
         let silent: Vec<MachineName> =
             self.fleet.machines.values().filter(is_silent).map(|machine| machine.name.clone()).collect();
-        silent.iter().for_each(|machine| self.forget(machine));
+        silent.iter().for_each(|machine| self.remove_machine(machine));
     }
 
-    /// When [`Holder::tick`] has something to do next, unless something comes before.
+    /// Returns when [`Holder::tick`] must be called next, if no event arrives before.
     pub fn next_due(&self) -> Duration {
         let scan = (!self.fleet.machines.is_empty()).then_some(self.next_machine_scan_at);
-        let dues = [self.jobs.next_due(), self.status.next_due(), scan];
-        dues.into_iter().flatten().min().unwrap_or(Duration::MAX)
+        let due_times = [self.jobs.next_due(), self.status.next_due(), scan];
+        due_times.into_iter().flatten().min().unwrap_or(Duration::MAX)
     }
 
-    /// Handles a reply about the jobs: drops starts of ended ones, and kills cancelled ones.
-    pub fn kv_reply(
+    /// Handles a reply of the job watch: drops pending starts of jobs that have ended, and sends kills
+    /// for the tasks of cancelled jobs.
+    pub fn handle_kv_reply(
         &mut self,
         now: Duration,
         call: KeyWatchCall,
@@ -240,11 +243,14 @@
         evidence: HolderEvidence,
         effects: &mut EffectSink,
     ) {
-        let update = self.jobs.reply(now, call, reply, requests);
+        let update = self.jobs.handle_reply(now, call, reply, requests);
         if !update.ended.is_empty() {
-            let starts_ended = |command: &WorkerCommand| matches!(command, WorkerCommand::Run { task, .. } if update.ended.contains(&task.job));
+            let starts_ended_job = |command: &WorkerCommand| {
+                matches!(command, WorkerCommand::Run { task, .. }
+                    if update.ended.contains(&task.job))
+            };
             for commands in self.commands.values_mut() {
-                commands.pending.retain(|command| !starts_ended(command));
+                commands.pending.retain(|command| !starts_ended_job(command));
             }
         }
         if update.cancelled {
@@ -252,7 +258,7 @@
         }
     }
 
-    /// The machines as they were last heard, for the leader that this node becomes.
+    /// Returns the machines known to this node, for the leader role when the node becomes the leader.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.fleet.machines.values()
     }
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! How a node becomes the leader and stops being it, and which node it takes for the leader.
+//! The start and end of a node's leadership, and the leader known to a node.
 
 use super::Node;
 use crate::effects::StepTime;
@@ -29,19 +29,19 @@
         }
         leader.begin_loading(times.now, &mut self.effects);
         self.leader = Some(leader);
-        self.start_leading_shards(times);
+        self.pass_holder_state_to_leader(times);
     }
 
     fn stop_leading(&mut self) {
         self.effects.log(LogLevel::Info, "leadership lost".into());
         self.leader = None;
-        self.resume_holding();
+        self.resume_holder_role();
         if let Some(reachability) = &mut self.reachability {
             reachability.leadership_lost();
         }
     }
 
-    /// Lets the leader act, where this node is it.
+    /// Runs the due work of the leader, if this node leads.
     pub(super) fn tick_leader(&mut self, times: StepTime, evidence: LeaderEvidence) {
         if let Some(leader) = &mut self.leader {
             leader.tick(times, evidence, &mut self.requests, &mut self.effects);
@@ -62,14 +62,15 @@
 
     /// Steps down if no worker reaches this leader and a peer could take over.
     ///
-    /// Without the state service nobody could take over, and what this leader knows of
-    /// cancellations would be lost: its lease expires by itself then. Where all nodes
-    /// exchange coverage, that decides who should lead.
+    /// A leader whose lease is no longer valid does not step down but lets the lease expire: without
+    /// the state service no peer could take over, and the cancellations that this leader knows of
+    /// would be lost. If all nodes exchange coverage, the coverage decides which node should lead,
+    /// and this check is skipped.
     pub(super) fn step_down_if_isolated(&mut self, times: StepTime, evidence: LeaderEvidence) {
         let now = times.now;
         let coverage_decides =
             self.reachability.as_ref().is_some_and(|reachability| reachability.is_complete(now));
-        let peer_could_lead = evidence.lease_valid && self.peers.hears_any(now) && !coverage_decides;
+        let peer_could_lead = evidence.lease_valid && self.peers.any_alive(now) && !coverage_decides;
         if peer_could_lead && self.leader.as_ref().is_some_and(|leader| leader.is_isolated(now)) {
             self.effects.log(LogLevel::Info, "leader stepped down: reason=no_worker_heartbeats".into());
             let change = self.election.step_down_for_peers(now, &mut self.effects);
@@ -77,8 +78,9 @@
         }
     }
 
-    /// The latest known leader under no earlier token than `min_token`: by the leader's key,
-    /// or by its own heartbeats where the state service does not answer this node.
+    /// Returns the latest known leader other than this node whose token is at least `min_token`. Both
+    /// the leader's key and peer heartbeats are considered: the heartbeats show the leader even if the
+    /// state service does not answer this node.
     pub(super) fn known_leader(&self, now: Duration, min_token: u64) -> Option<LeaderId> {
         let claims = self.peers.fresh_heartbeats(now).map(|heartbeat| (heartbeat.token, &heartbeat.host));
         let stored = self.election.known_leader.iter().map(|leader| (leader.token, &leader.host));
@@ -86,8 +88,8 @@
         candidates.max().map(|(token, host)| LeaderId { token, host: host.clone() })
     }
 
-    /// The highest fencing token seen, for adapters that pass answers on; 0 while fencing is
-    /// off.
+    /// Returns the highest fencing token seen, or 0 if fencing is off. Adapters use it to reject
+    /// relayed answers under an older token.
     pub fn highest_token(&self) -> u64 {
         if self.settings.fencing.enabled {
             self.token_guard.highest()
@@ -100,11 +102,11 @@
         if !self.peers.contains(&heartbeat.host) {
             return;
         }
-        self.drop_stale_claim(&mut heartbeat);
-        // A node that the state service does not answer can't learn from it that another one
-        // has the key, and would keep its workers.
+        self.discard_stale_progress(&mut heartbeat);
+        // A node that can't reach the state service does not see that another node holds the leader's
+        // key. Without this check it would go on answering its workers as the leader.
         if self.leader.as_ref().is_some_and(|leader| leader.token < heartbeat.token) {
-            let change = self.election.lease_lost();
+            let change = self.election.step_down();
             self.apply_leadership(times, change);
         }
         let now = times.now;
@@ -117,10 +119,10 @@
         self.peers.record(now, heartbeat);
     }
 
-    /// Where fencing is on, the progress that a node tells under a superseded token is
-    /// dropped. The node still counts as one that leads where this matters for workers: it
-    /// may renew leases of those that know no later token.
-    fn drop_stale_claim(&mut self, heartbeat: &mut PeerHeartbeat) {
+    /// If fencing is on, discards the progress reported under a superseded token. The heartbeat keeps
+    /// its token, so that the sender still counts as a node that claims to lead: it may renew the
+    /// leases of workers that know no later token.
+    fn discard_stale_progress(&mut self, heartbeat: &mut PeerHeartbeat) {
         if !self.settings.fencing.enabled || heartbeat.token == 0 {
             return;
         }
