--- a/crates/plankhead/src/cli.rs
+++ b/crates/plankhead/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: its arguments, and what the program runs for them.
 
 use crate::log;
 use crate::runtime::{self, RunError};
@@ -21,19 +21,20 @@
     /// The platform's settings file (JSON).
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
-    /// The operators' own settings (JSON, see operator.schema.json).
+    /// The operators' settings for the size of the fleet (JSON, see operator.schema.json).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Turns fencing on or off and configures it (JSON, see fencing.schema.json). Off without
-    /// this file.
+    /// The settings for fencing (JSON, see fencing.schema.json). Fencing is off without this
+    /// file.
     #[arg(long, value_name = "FILE")]
     fencing: Option<PathBuf>,
-    /// Turns reachability checks on or off and configures them (JSON, see
-    /// reachability.schema.json). Off without this file.
+    /// The settings for reachability checks (JSON, see reachability.schema.json). The checks are
+    /// off without this file.
     #[arg(long, value_name = "FILE")]
     reachability: Option<PathBuf>,
-    /// Turns sharding of machines among the controllers on or off and configures it (JSON, see
-    /// sharding.schema.json). Off without this file: the leader answers all workers.
+    /// The settings for sharding of machines among the controllers (JSON, see
+    /// sharding.schema.json). Without this file sharding is off, and the leader answers all
+    /// workers.
     #[arg(long, value_name = "FILE")]
     sharding: Option<PathBuf>,
     /// Check the settings, print every fault found, and exit.
@@ -43,15 +44,15 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// List the open intents, as the state service has them.
+    /// List the open intents that are recorded in the state service.
     #[command(alias = "duties")]
     Intents(IntentsArgs),
-    /// Print which links between the controllers work, as each of them sees it, and where they
-    /// disagree.
+    /// Print which links between the controllers work according to each controller, and where the
+    /// controllers disagree.
     #[command(alias = "views")]
     Reachability(ConfigArgs),
-    /// Print which controller holds which shard of the machines, and where the records and the
-    /// controllers disagree.
+    /// Print which controller holds each shard of the machines, and where the stored records and
+    /// the controllers disagree.
     Shards(ConfigArgs),
 }
 
@@ -59,7 +60,7 @@
 pub(crate) struct IntentsArgs {
     #[command(flatten)]
     config: ConfigArgs,
-    /// The time zone to show times in, such as Europe/Tallinn.
+    /// The time zone of the printed times, such as Europe/Tallinn.
     #[arg(long, value_name = "NAME", default_value = "UTC")]
     time_zone: String,
 }
@@ -71,13 +72,13 @@
     config: PathBuf,
 }
 
-/// Why the program failed.
+/// The reason why the program failed.
 #[derive(Debug, Error)]
 enum CliError {
-    /// Printed a line each.
-    #[error("{} faults in the settings", .0.len())]
+    /// Errors in the settings files, each of which is printed on its own line.
+    #[error("{} errors in the settings", .0.len())]
     Settings(Vec<SettingsFault>),
-    #[error("the runtime can't start: {0}")]
+    #[error("can't start the async runtime: {0}")]
     Runtime(io::Error),
     #[error(transparent)]
     Node(#[from] RunError),
@@ -87,7 +88,7 @@
     Shards(#[from] shards::ReadError),
 }
 
-/// Runs the program as its command line asks.
+/// Parses the command line and runs the node or the given subcommand.
 pub fn main() -> ExitCode {
     match run(Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -128,13 +129,13 @@
     }
 }
 
-/// The settings that subcommands need.
+/// Reads the platform's settings file, the only one that subcommands use.
 fn read_settings(args: ConfigArgs) -> Result<NodeSettings, CliError> {
     settings::read(&SettingsFiles { platform: args.config, ..SettingsFiles::default() })
         .map_err(CliError::Settings)
 }
 
-/// Runs a node, or only checks its settings.
+/// Runs a node, or only checks its settings if `--check` is given.
 fn run_node(args: Args) -> Result<(), CliError> {
     let files = SettingsFiles {
         platform: args.config.unwrap_or_default(),
@@ -152,7 +153,7 @@
     Ok(block_on(runtime::run(settings))??)
 }
 
-/// Runs a future on this thread.
+/// Runs a future to completion on the current thread.
 fn block_on<T>(future: impl Future<Output = T>) -> Result<T, CliError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     Ok(runtime.map_err(CliError::Runtime)?.block_on(future))
--- a/crates/plankhead/src/http/client.rs
+++ b/crates/plankhead/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client.
+//! The HTTP client, which keeps connections open between calls.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,16 +13,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A connection that takes longer than this is given up, for certain.
+/// The time limit for opening a connection. A call that fails with it certainly had no effect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// The largest response that is read, in bytes.
 const MAX_RESPONSE: usize = 8 * 1024 * 1024;
-/// Connections kept open for the next call.
+/// The largest number of connections that are kept open for further calls.
 const MAX_IDLE_CONNECTIONS: usize = 6;
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// A client of one address, which keeps its connections.
+/// A client of one server address, which reuses its connections.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl Client {
-    /// A client of this address; it connects when it is first used.
+    /// Creates a client of this address. It connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, idle: Mutex::new(Vec::new()) }
     }
@@ -48,25 +48,25 @@
         let (sender, connection) =
             timeout(CONNECT_TIMEOUT, connecting).await.map_err(|_| CallError::Refused)??;
         tokio::spawn(async move {
-            // How it ended shows in the calls that used it.
+            // The calls on this connection report its errors.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// An idle connection that is still open, or a new one.
+    /// Returns an idle connection that is still open, or a new one.
     async fn connection(&self) -> Result<Connection, CallError> {
         loop {
-            let kept = self.idle().pop();
-            let Some(mut connection) = kept else { return self.connect().await };
+            let idle = self.idle().pop();
+            let Some(mut connection) = idle else { return self.connect().await };
             if connection.ready().await.is_ok() {
                 return Ok(connection);
             }
         }
     }
 
-    /// Makes one request, within a time that includes connecting. The error `Refused` means that
-    /// it certainly had no effect.
+    /// Sends a request and returns the status and body of its response. The time limit includes
+    /// connecting. The error `Refused` means that the request certainly had no effect.
     pub async fn call(
         &self,
         method: Method,
@@ -96,7 +96,7 @@
         };
         let response = match sender.send_request(request()?).await {
             Ok(response) => response,
-            // The kept connection was closed before the request left.
+            // The idle connection was closed before the request was sent.
             Err(error) if error.is_canceled() => {
                 sender = self.connect().await?;
                 sender.send_request(request()?).await.map_err(|_| CallError::OutcomeUnknown)?
--- a/crates/plankhead/src/http/mod.rs
+++ b/crates/plankhead/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 both ways, with every time and size bounded.
+//! An HTTP/1.1 client and server with limits on every time and size.
 
 mod client;
 mod server;
 
 pub use client::Client;
-pub use server::{body, serve, serve_each, Reply, IDLE_TIMEOUT, MAX_REQUEST};
+pub use server::{body, serve, serve_per_connection, Reply, IDLE_TIMEOUT, MAX_REQUEST};
--- a/crates/plankhead/src/http/server.rs
+++ b/crates/plankhead/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server, and the replies that its handlers return.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -17,34 +17,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
 
-/// The largest request body, by the protocol, in bytes.
+/// The largest request body that the published protocol allows, in bytes.
 pub const MAX_REQUEST: usize = 64 * 1024;
-/// A connection that sends no request for this long is closed: workers and users come every
-/// few seconds, and those that a network cut or a failover left behind must not use up the
-/// sockets.
+/// A connection without a request for this time is closed. Workers and users send requests every few
+/// seconds. Connections abandoned after a network failure or a failover must not use up the sockets.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(25);
-/// What is read of a connection before it is handled, in bytes.
+/// The largest size of a connection's read buffer, in bytes.
 const MAX_BUFFER: usize = 16 * 1024;
-/// A request's body must have come within this time.
+/// The time within which a request's body must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// The time that clients are told to wait after a refusal that is not for good.
+/// The time after which clients are told to repeat a request that was refused temporarily.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause after a connection that could not be accepted.
+/// The pause after an error in accepting a connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a server answers.
+/// The reply to a request.
 #[derive(Debug)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// JSON, or a message between controllers.
+    /// JSON, or an encoded message between controllers.
     pub body: Vec<u8>,
-    /// After what time the client should try again.
+    /// The time after which the client should repeat the request (`Retry-After`).
     pub retry: Option<Duration>,
 }
 
 impl Reply {
-    /// A reply with an error as JSON. Those of which a client should try again say when.
+    /// Creates a reply with a JSON error message. With status 429 or 503 it tells the client when to repeat
+    /// the request.
     pub fn error(status: u16, reason: &str) -> Self {
         let body = serde_json::json!({"error": reason}).to_string().into_bytes();
         let retry = matches!(status, 429 | 503).then_some(RETRY_INTERVAL);
@@ -63,10 +63,10 @@
     built
 }
 
-/// Reads a request's body, of so many bytes at most; on failure, the reply to the request.
+/// Reads a request's body of at most `max_bytes`. On failure, returns the error reply to the request.
 pub async fn body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Reply> {
     let mut collecting = pin!(Limited::new(request.into_body(), max_bytes).collect());
-    // Mostly it came together with the head, so that no timer is needed.
+    // Usually the body has arrived together with the header, so no timer is needed.
     let immediate = poll_fn(|context| Poll::Ready(collecting.as_mut().poll(context))).await;
     let collected = match immediate {
         Poll::Ready(collected) => Ok(collected),
@@ -80,11 +80,11 @@
     }
 }
 
-/// When a connection had its last request.
+/// The time of a connection's last request.
 #[derive(Debug)]
 struct Activity {
     opened_at: Instant,
-    /// In whole seconds since it was opened.
+    /// The time of the last request, in whole seconds since the connection was opened.
     last_request_s: AtomicU64,
 }
 
@@ -93,12 +93,12 @@
         Self { opened_at: Instant::now(), last_request_s: AtomicU64::new(0) }
     }
 
-    fn mark(&self) {
+    fn record_request(&self) {
         self.last_request_s.store(self.opened_at.elapsed().as_secs(), Ordering::Relaxed);
     }
 
-    /// Returns once there was no request for [`IDLE_TIMEOUT`]. One timer serves all requests of
-    /// the connection: to set one for each costs more than a look now and then.
+    /// Returns once there has been no request for [`IDLE_TIMEOUT`]. One timer, which checks the time of
+    /// the last request, costs less than a new timer for each request.
     async fn idle_timeout(&self) {
         loop {
             let end = self.opened_at
@@ -112,18 +112,18 @@
     }
 }
 
-/// Serves connections until the process ends; above `max_connections` at a time, further ones
-/// are closed at once.
+/// Serves connections until the process ends. While `max_connections` are open, further connections are
+/// closed at once.
 pub async fn serve<F, R>(listener: TcpListener, max_connections: usize, handle: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Reply> + Send + 'static,
 {
-    serve_each(listener, max_connections, move || handle.clone()).await;
+    serve_per_connection(listener, max_connections, move || handle.clone()).await;
 }
 
-/// As [`serve`], with a handler of its own for each connection.
-pub async fn serve_each<M, F, R>(listener: TcpListener, max_connections: usize, make_handler: M)
+/// Serves connections as [`serve`] does, with a separate handler for each connection.
+pub async fn serve_per_connection<M, F, R>(listener: TcpListener, max_connections: usize, make_handler: M)
 where
     M: Fn() -> F,
     F: Fn(Request<Incoming>) -> R + Send + Sync + 'static,
@@ -159,7 +159,7 @@
     let _ = stream.set_nodelay(true);
     let activity = Activity::new();
     let service = service_fn(|request| {
-        activity.mark();
+        activity.record_request();
         let reply = handle(request);
         async move { Ok::<_, Infallible>(response(reply.await)) }
     });
--- a/crates/plankhead/src/lib.rs
+++ b/crates/plankhead/src/lib.rs
@@ -1,12 +1,18 @@
-//! plankhead: a controller node of a cluster scheduler.
+//! A controller node of the plankhead cluster scheduler.
 //!
-//! The decisions are made in `plankhead-core`; here are the sockets, files and timers around
-//! it. The library exists for the program, its tests and the stand-ins of
-//! `plankhead-standins`; it is no stable interface.
+//! `plankhead-core` makes the decisions; this crate provides the sockets, files and timers around
+//! it. The library is used by the program, its tests and `plankhead-standins`. Its interface is not
+//! stable.
 //!
-//! From the bottom up: [`http`], the messages ([`wire`], [`peer_messages`]), the [`clients`],
-//! the [`node_handle`], the [`server`], the [`settings`], the [`runtime`] with the event loop,
-//! the [`subcommands`], and the command line ([`cli`]).
+//! The modules, from the lowest layer to the highest:
+//!
+//! - [`http`]: the HTTP client and server;
+//! - [`wire`], [`peer_messages`]: the messages of the published protocol and between controllers;
+//! - [`clients`]: clients of the state service, the cloud, workers and peers;
+//! - [`node_handle`], [`server`]: the queue of requests to the node, and the ports that fill it;
+//! - [`settings`], [`log`]: the settings files and the log;
+//! - [`runtime`]: the event loop, which steps the core;
+//! - [`subcommands`], [`cli`]: the subcommands and the command line.
 
 pub mod cli;
 pub mod clients;
--- a/crates/plankhead/src/log.rs
+++ b/crates/plankhead/src/log.rs
@@ -1,9 +1,14 @@
-//! Logs on standard error, at the level that `LOG_LEVEL` sets: `error`, `info` or `debug`.
+//! The log on standard error. The environment variable `LOG_LEVEL` sets its level: `error`, `info`
+//! (the default) or `debug`.
 
 use plankhead_core::protocol::LogLevel;
 use tracing::level_filters::LevelFilter;
 
-/// Sets logging up. It may be called once in a process.
+/// Initializes logging.
+///
+/// # Panics
+///
+/// Panics if it is called twice in a process.
 pub fn start() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
@@ -18,7 +23,7 @@
         .init();
 }
 
-/// Logs a line of the core.
+/// Writes a log line of the core.
 pub fn emit(level: LogLevel, text: &str) {
     match level {
         LogLevel::Error => tracing::error!("{text}"),
--- a/crates/plankhead/src/main.rs
+++ b/crates/plankhead/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see the library of the same name.
+//! The `plankhead` program. The library of the same name contains its code.
 
 fn main() -> std::process::ExitCode {
     plankhead::cli::main()
--- a/crates/plankhead/src/node_handle.rs
+++ b/crates/plankhead/src/node_handle.rs
@@ -1,4 +1,4 @@
-//! The way from the servers to the node: the queue of its event loop.
+//! The handle through which the servers send messages to the event loop of the node.
 
 use crate::clients::peers::PeerClients;
 use crate::http::Reply;
@@ -13,29 +13,32 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a worker is answered that no node can help at the moment.
+/// The response to a worker while no leader is known that could answer it.
 const NO_LEADER: Response = Response::Redirect { leader: None };
 
-/// A request that wants a response.
+/// A request to the node that requires a response.
 #[derive(Debug)]
 pub enum NodeRequest {
-    /// Create a job.
+    /// Creates a job.
     Submit { id: JobId, job: Result<JobSpec, SubmissionError> },
-    /// Tell a job's status.
+    /// Returns a job's status.
     Poll { id: JobId },
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel { id: JobId },
-    /// Take in a worker's heartbeat. `relayed`: it came through a peer, since the worker can't
-    /// reach this node.
-    Heartbeat { heartbeat: Heartbeat, relayed: bool },
-    /// Take in a peer's message about shards, or why it was rejected.
+    /// Processes a worker's heartbeat.
+    Heartbeat {
+        heartbeat: Heartbeat,
+        /// Whether a peer relayed the heartbeat because the worker can't reach this node.
+        relayed: bool,
+    },
+    /// Processes a peer's message about shards, or the reason why it could not be decoded.
     ShardMessage { message: Result<ShardMessage, ShardMessageError> },
-    /// Tell the operators' view.
+    /// Returns the operators' view of the node.
     View,
 }
 
 impl NodeRequest {
-    /// The event that carries the request into the core.
+    /// Converts the request into an event for the core.
     pub fn into_event(self, request: RequestId) -> Event {
         match self {
             NodeRequest::Submit { id, job } => {
@@ -51,26 +54,28 @@
     }
 }
 
-/// What the queue of the event loop takes.
+/// A message in the queue of the event loop.
 #[derive(Debug)]
 pub enum NodeMessage {
-    /// A request, and where its response goes. The sender is dropped if there is none in time.
+    /// A request, and the channel for its response. The sender is dropped if there is no response in
+    /// time.
     Request(NodeRequest, oneshot::Sender<Response>),
-    /// Anything else that the core takes.
+    /// An event that requires no response.
     Event(Event),
 }
 
-/// The event loop has more to do than it can keep.
+/// The error that the queue of the event loop has no room for another message.
 #[derive(Debug, Error)]
 #[error("the queue of the node is full")]
 pub struct QueueFull;
 
-/// What the event loop makes known after each step.
+/// The status that the event loop publishes after each step.
 #[derive(Debug)]
 pub struct NodeStatus {
-    /// Whether the state service answers this node.
+    /// Whether the load balancer should send users to this node: see
+    /// [`Node::is_healthy`](plankhead_core::node::Node::is_healthy).
     pub healthy: AtomicBool,
-    /// The highest fencing token seen; 0 while fencing is off.
+    /// The highest fencing token that the node has seen, or 0 while fencing is off.
     pub highest_token: AtomicU64,
 }
 
@@ -80,7 +85,7 @@
     }
 }
 
-/// Hands requests to the node.
+/// A handle to the node that sends messages to its event loop and returns the replies.
 #[derive(Debug, Clone)]
 pub struct NodeHandle {
     queue: mpsc::Sender<NodeMessage>,
@@ -89,22 +94,22 @@
 }
 
 impl NodeHandle {
-    /// A handle of the event loop that takes from this queue and keeps this status.
+    /// Creates a handle to the event loop that receives from `queue` and updates `status`.
     pub fn new(queue: mpsc::Sender<NodeMessage>, status: Arc<NodeStatus>, peers: PeerClients) -> Self {
         Self { queue, status, peers }
     }
 
-    /// Whether the state service answers this node.
+    /// Returns whether the load balancer should send users to this node.
     pub fn is_healthy(&self) -> bool {
         self.status.healthy.load(Ordering::Relaxed)
     }
 
-    /// Puts a message into the queue, and does not wait for room.
+    /// Adds a message to the queue. Fails at once if the queue is full.
     pub fn send(&self, message: NodeMessage) -> Result<(), QueueFull> {
         self.queue.try_send(message).map_err(|_| QueueFull)
     }
 
-    /// The node's response, or the reply of one that has too much to do.
+    /// Returns the node's response, or a 503 reply if the queue is full or the response takes too long.
     async fn response(&self, request: NodeRequest) -> Result<Response, Reply> {
         let (sender, receiver) = oneshot::channel();
         if self.send(NodeMessage::Request(request, sender)).is_err() {
@@ -113,35 +118,35 @@
         receiver.await.map_err(|_| Reply::error(503, "no answer in time"))
     }
 
-    /// The reply to a request.
+    /// Returns the reply to a request.
     pub async fn reply(&self, request: NodeRequest) -> Reply {
         match self.response(request).await {
             Ok(response) => encode_response(&response),
-            Err(refusal) => refusal,
+            Err(error_reply) => error_reply,
         }
     }
 
-    /// The reply to a worker's heartbeat. Where the core asks for it, the heartbeat is relayed
-    /// to the peer that leads; `body` is the heartbeat as it came.
+    /// Returns the reply to a worker's heartbeat. If the core requests it, the heartbeat is relayed to
+    /// the peer that answers the worker. `body` is the request body that contained the heartbeat.
     pub async fn reply_to_heartbeat(&self, heartbeat: Heartbeat, body: &[u8]) -> Reply {
         match self.response(NodeRequest::Heartbeat { heartbeat, relayed: false }).await {
             Ok(Response::Relay { leader }) => {
                 self.relay(&leader, body).await.unwrap_or_else(|| encode_response(&NO_LEADER))
             }
             Ok(response) => encode_response(&response),
-            Err(refusal) => refusal,
+            Err(error_reply) => error_reply,
         }
     }
 
-    /// The leader's reply to a relayed heartbeat, if it gives one that is current.
+    /// Relays a heartbeat to a peer. Returns the peer's reply unless it is missing or outdated.
     async fn relay(&self, leader: &str, body: &[u8]) -> Option<Reply> {
         let reply = self.peers.get(leader)?.relay(body).await?;
-        self.is_current(&reply).then_some(reply)
+        self.has_current_token(&reply).then_some(reply)
     }
 
-    /// Whether a reply for a worker is not under a token that is over: the worker would drop
-    /// it, and stay here while its lease runs out.
-    fn is_current(&self, reply: &Reply) -> bool {
+    /// Returns whether a reply to a worker carries no outdated token. The worker would ignore an
+    /// outdated reply and go on sending its heartbeats to this node until its lease expires.
+    fn has_current_token(&self, reply: &Reply) -> bool {
         let highest = self.status.highest_token.load(Ordering::Relaxed);
         match response_token(&reply.body) {
             Some(token) if token < highest => {
--- a/crates/plankhead/src/runtime/effects.rs
+++ b/crates/plankhead/src/runtime/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core decides: calls to the outside, responses and log lines.
+//! Carries out the effects that the core returns: calls to other processes, responses and log lines.
 
 use super::pending_requests::PendingRequests;
 use crate::clients::peers::PeerClients;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Carries out effects. Calls run in the background; their replies come back as events.
+/// Carries out effects. Calls run in the background, and their replies are queued as events.
 #[derive(Debug)]
 pub struct EffectRunner {
     pub queue: mpsc::Sender<NodeMessage>,
@@ -27,7 +27,7 @@
 }
 
 impl EffectRunner {
-    /// Carries out an effect, or begins to.
+    /// Carries out an effect. A call is only started.
     pub fn run(&mut self, effect: Effect) {
         match effect {
             Effect::Respond { request, response } => self.requests.respond(request, response),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends a heartbeat to every peer; whether it arrives is not awaited.
+    /// Sends a heartbeat to every peer without waiting for its delivery.
     fn send_heartbeat(&self, heartbeat: &PeerHeartbeat) {
         let Some(bytes) = heartbeat::encode(heartbeat) else { return };
         for peer in self.peers.values() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends coverage to every peer; whether each answers comes back.
+    /// Sends coverage to every peer. An event reports for each peer whether it has answered.
     fn send_coverage(&self, coverage: &Coverage) {
         let Some(bytes) = coverage::encode(coverage) else { return };
         for (host, peer) in self.peers.iter() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sends a peer a message about shards; its delivery comes back.
+    /// Sends a peer a message about shards. An event reports the delivery.
     fn send_shard_message(&self, call: CallId, to: &str, message: &ShardMessage) {
         let peer = self.peers.get(to).cloned();
         let bytes = shards::encode(message);
@@ -89,12 +89,12 @@
         });
     }
 
-    /// Makes a call; its event waits for room in the queue.
+    /// Runs a call in the background and queues the resulting event, waiting while the queue is full.
     fn spawn(&self, call: impl Future<Output = Event> + Send + 'static) {
         let queue = self.queue.clone();
         tokio::spawn(async move {
             let event = call.await;
-            // The queue is closed only when the process ends.
+            // The queue is only closed when the process ends.
             let _ = queue.send(NodeMessage::Event(event)).await;
         });
     }
--- a/crates/plankhead/src/runtime/event_loop.rs
+++ b/crates/plankhead/src/runtime/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: the one owner of the core's state takes messages from a queue in batches,
-//! steps the core, and has the effects carried out.
+//! The event loop. It owns the core's state, takes messages from a queue in batches, steps the core
+//! and runs the resulting effects.
 
 use super::effects::EffectRunner;
 use super::timer_lag::TimerLag;
@@ -14,12 +14,12 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-/// Events in one step at most.
+/// The largest number of events in one step.
 const MAX_BATCH: usize = 256;
-/// The core's clock starts here, so that times before the start exist.
+/// The time of the core's clock when the process starts. It is large enough to subtract durations from.
 const CLOCK_START: Duration = Duration::from_secs(100 * 86_400);
 
-/// The event loop and the node that it steps.
+/// The event loop of a node.
 pub struct EventLoop {
     queue: mpsc::Receiver<NodeMessage>,
     node: Node,
@@ -27,12 +27,12 @@
     status: Arc<NodeStatus>,
     lag: TimerLag,
     started_at: Instant,
-    /// When the timer fires.
+    /// The time at which the timer fires.
     wake_at: Instant,
 }
 
 impl EventLoop {
-    /// An event loop whose timer fires at once.
+    /// Creates an event loop. Its timer fires at once.
     pub fn new(
         queue: mpsc::Receiver<NodeMessage>,
         node: Node,
@@ -60,7 +60,8 @@
         }
     }
 
-    /// The events of the first message and of those that wait behind it.
+    /// Returns the events of the first message and of the messages queued after it. `first` is `None`
+    /// if the timer has fired.
     fn take_batch(&mut self, first: Option<NodeMessage>, now: Instant) -> Vec<Event> {
         let mut events = Vec::new();
         let mut next = first;
@@ -76,10 +77,10 @@
         events
     }
 
-    /// Steps the core; returns when the timer is to fire, if that changes.
+    /// Steps the core. Returns the new time of the timer if it changes.
     fn step(&mut self, events: Vec<Event>, now: Instant) -> Option<Instant> {
         if now >= self.wake_at {
-            self.lag.measure(self.wake_at, now);
+            self.lag.record(self.wake_at, now);
             self.node.set_timer_lag(self.lag.get());
         }
         let times = StepTime { now: CLOCK_START + (now - self.started_at), wall: SystemTime::now() };
@@ -91,7 +92,8 @@
         self.next_wake(times.now, now)
     }
 
-    /// A timer that is due anyway stays, since setting one again costs something.
+    /// Updates and returns the time at which the timer must fire next. Returns `None` if the timer already
+    /// fires early enough: resetting it has a cost.
     fn next_wake(&mut self, core_now: Duration, now: Instant) -> Option<Instant> {
         let node_wake_at = self.started_at + (self.node.next_wake(core_now) - CLOCK_START);
         let deadline = self.effects.requests.expire(now);
--- a/crates/plankhead/src/runtime/mod.rs
+++ b/crates/plankhead/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a node: its servers, its clients and the event loop between them.
+//! Runs a node: its servers, its clients, and the event loop that connects them to the core.
 
 mod effects;
 mod event_loop;
@@ -22,20 +22,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Room in the event loop's queue beside one message for each connection; above, requests are
-/// refused at once.
+/// The capacity of the event loop's queue beyond one message for each connection. When the queue is
+/// full, requests are refused at once.
 const EXTRA_QUEUE_CAPACITY: usize = 256;
-/// Connections on the controller port.
+/// The largest number of connections on the controller port.
 const MAX_PEER_CONNECTIONS: usize = 64;
 
-/// Why a node ended.
+/// The reason why a node stopped.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A port can't be opened.
+    /// A port could not be opened.
     #[error("can't listen on {address}: {error}")]
     Listen { address: SocketAddr, error: io::Error },
-    /// No part of the program can send to the event loop any more.
-    #[error("the queue of commands is closed")]
+    /// All senders of the event loop's queue have been dropped.
+    #[error("the queue of the event loop is closed")]
     QueueClosed,
 }
 
@@ -43,7 +43,7 @@
     TcpListener::bind(address).await.map_err(|error| RunError::Listen { address, error })
 }
 
-/// Runs a node until the process ends.
+/// Runs a node. Returns only if the node fails.
 pub async fn run(settings: NodeSettings) -> Result<(), RunError> {
     let (sender, queue) = mpsc::channel(settings.max_connections + EXTRA_QUEUE_CAPACITY);
     let status = Arc::new(NodeStatus::default());
@@ -67,16 +67,16 @@
     EventLoop::new(queue, Node::new(settings.core), effects, status).run().await
 }
 
-/// Opens both ports, and serves them in the background.
+/// Opens both ports and serves them in the background.
 async fn serve(settings: &NodeSettings, handle: NodeHandle) -> Result<(), RunError> {
     let public = listen(settings.public_address).await?;
     let controllers = listen(settings.controller_address).await?;
     let public_handle = handle.clone();
-    let handler_of_connection = move || {
+    let make_public_handler = move || {
         let (handle, connection) = (public_handle.clone(), public_port::ConnectionState::default());
         move |request| public_port::handle(handle.clone(), connection.clone(), request)
     };
-    tokio::spawn(http::serve_each(public, settings.max_connections, handler_of_connection));
+    tokio::spawn(http::serve_per_connection(public, settings.max_connections, make_public_handler));
     let handler = move |request| controller_port::handle(handle.clone(), request);
     tokio::spawn(http::serve(controllers, MAX_PEER_CONNECTIONS, handler));
     Ok(())
--- a/crates/plankhead/src/runtime/pending_requests.rs
+++ b/crates/plankhead/src/runtime/pending_requests.rs
@@ -1,15 +1,15 @@
-//! Requests that wait for a response.
+//! The requests that wait for a response of the core.
 
 use plankhead_core::protocol::{RequestId, Response};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// No request waits longer for its response than this.
+/// The longest time for which a request waits for its response.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Requests that wait for a response, each for the same time: the oldest is due first, so
-/// that none needs a timer of its own.
+/// The requests that wait for a response. All have the same timeout, so the oldest expires first and
+/// one timer is enough for all of them.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
     senders: HashMap<RequestId, oneshot::Sender<Response>>,
@@ -18,7 +18,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request, and returns its id.
+    /// Adds a request and returns its id.
     pub fn add(&mut self, now: Instant, sender: oneshot::Sender<Response>) -> RequestId {
         self.last_id += 1;
         self.senders.insert(self.last_id, sender);
@@ -26,15 +26,15 @@
         self.last_id
     }
 
-    /// Hands a response to its request, unless that was given up.
+    /// Sends a response to its request, unless the request has expired.
     pub fn respond(&mut self, request: RequestId, response: Response) {
         if let Some(sender) = self.senders.remove(&request) {
-            // The connection that waits may be closed by now.
+            // Sending fails if the connection of the request has been closed.
             let _ = sender.send(response);
         }
     }
 
-    /// Gives up the requests whose time is over, and returns when the next one's is.
+    /// Drops the requests that have expired. Returns the time at which the next one expires.
     pub fn expire(&mut self, now: Instant) -> Option<Instant> {
         while let Some((deadline, request)) = self.deadlines.front() {
             if *deadline > now && self.senders.contains_key(request) {
--- a/crates/plankhead/src/server/controller_port.rs
+++ b/crates/plankhead/src/server/controller_port.rs
@@ -1,4 +1,4 @@
-//! The port for the other controllers, and for the operators' view.
+//! The HTTP port for the other controllers and for the operators' view.
 
 use crate::http::{self, Reply};
 use crate::node_handle::{NodeHandle, NodeMessage, NodeRequest};
@@ -11,23 +11,23 @@
 /// The path of the operators' view.
 pub const VIEW_PATH: &str = "/view";
 
-/// Answers a request.
+/// Handles a request on the controller port.
 pub async fn handle(node: NodeHandle, request: Request<Incoming>) -> Reply {
     let reply = match (request.method().clone(), request.uri().path()) {
-        (Method::POST, heartbeat::PATH) => take_heartbeat(&node, request).await,
-        (Method::POST, coverage::PATH) => take_coverage(&node, request).await,
-        (Method::POST, shards::PATH) => take_shard_message(&node, request).await,
-        (Method::POST, relay::PATH) => take_relayed_heartbeat(&node, request).await,
+        (Method::POST, heartbeat::PATH) => receive_heartbeat(&node, request).await,
+        (Method::POST, coverage::PATH) => receive_coverage(&node, request).await,
+        (Method::POST, shards::PATH) => receive_shard_message(&node, request).await,
+        (Method::POST, relay::PATH) => receive_relayed_heartbeat(&node, request).await,
         (Method::GET, VIEW_PATH) => Ok(node.reply(NodeRequest::View).await),
         (_, heartbeat::PATH | coverage::PATH | shards::PATH | relay::PATH | VIEW_PATH) => {
             Err(Reply::error(405, "wrong method"))
         }
         _ => Err(Reply::error(404, "no such path")),
     };
-    reply.unwrap_or_else(|refusal| refusal)
+    reply.unwrap_or_else(|error_reply| error_reply)
 }
 
-/// Puts an event into the node's queue; the sender is answered at once.
+/// Adds an event to the node's queue and replies without waiting until it is processed.
 fn enqueue(node: &NodeHandle, event: Event) -> Result<Reply, Reply> {
     match node.send(NodeMessage::Event(event)) {
         Ok(()) => Ok(Reply { status: 200, body: Vec::new(), retry: None }),
@@ -35,7 +35,7 @@
     }
 }
 
-async fn take_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
+async fn receive_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
     let body = http::body(request, heartbeat::MAX_MESSAGE).await?;
     let heartbeat = heartbeat::decode(&body).ok_or_else(|| {
         tracing::debug!("peer heartbeat rejected: reason=malformed");
@@ -44,8 +44,8 @@
     enqueue(node, Event::PeerHeartbeat(heartbeat))
 }
 
-/// The core is told of malformed coverage, too: its sender can reach this node.
-async fn take_coverage(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
+/// Malformed coverage is passed to the core, too, since it shows that its sender can reach this node.
+async fn receive_coverage(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
     let body = http::body(request, coverage::MAX_MESSAGE).await?;
     let coverage = coverage::decode(&body).map(Box::new);
     let error = coverage.as_ref().err().map(ToString::to_string);
@@ -53,8 +53,8 @@
     Ok(error.map_or(reply, |error| Reply::error(400, &error)))
 }
 
-/// The core is told of malformed messages, too, and counts them.
-async fn take_shard_message(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
+/// Malformed messages are passed to the core, too, which counts them.
+async fn receive_shard_message(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
     let body = http::body(request, shards::MAX_MESSAGE).await?;
     let message = shards::decode(&body);
     let error = message.as_ref().err().map(ToString::to_string);
@@ -62,7 +62,7 @@
     Ok(error.map_or(reply, |error| Reply::error(400, &error)))
 }
 
-async fn take_relayed_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
+async fn receive_relayed_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
     let body = http::body(request, relay::MAX_MESSAGE).await?;
     let heartbeat = relay::decode_request(&body).and_then(|body| parse_heartbeat(&body).ok());
     let heartbeat = heartbeat.ok_or_else(|| Reply::error(400, "not a report"))?;
--- a/crates/plankhead/src/server/public_port.rs
+++ b/crates/plankhead/src/server/public_port.rs
@@ -1,4 +1,4 @@
-//! The port for users, workers and the load balancer.
+//! The HTTP port for users, workers and the load balancer.
 
 use crate::http::{self, Reply, MAX_REQUEST};
 use crate::node_handle::{NodeHandle, NodeRequest};
@@ -9,10 +9,10 @@
 use plankhead_core::jobs::job::JobId;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What is kept for a connection: the reader that remembers its last heartbeat.
+/// The state of one connection: the reader that caches the connection's latest heartbeat.
 pub type ConnectionState = Arc<Mutex<HeartbeatReader>>;
 
-/// Answers a request.
+/// Handles a request on the public port.
 pub async fn handle(node: NodeHandle, connection: ConnectionState, request: Request<Incoming>) -> Reply {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
@@ -30,7 +30,7 @@
         }
         _ => Err(Reply::error(404, "no such path")),
     };
-    reply.unwrap_or_else(|refusal| refusal)
+    reply.unwrap_or_else(|error_reply| error_reply)
 }
 
 fn health(node: &NodeHandle) -> Reply {
@@ -48,7 +48,7 @@
     Ok(node.reply(NodeRequest::Submit { id, job }).await)
 }
 
-/// Answers a request about a job; an id that can't be one is as unknown as any other.
+/// Handles a request for the job with this id. A malformed id gets the same reply as an unknown one.
 async fn with_job(node: &NodeHandle, id: &str, request: impl FnOnce(JobId) -> NodeRequest) -> Reply {
     match JobId::parse(id) {
         Ok(id) => node.reply(request(id)).await,
--- a/crates/plankhead/src/tests/runtime.rs
+++ b/crates/plankhead/src/tests/runtime.rs
@@ -31,10 +31,10 @@
 fn a_late_timer_shows_and_is_forgotten() {
     let due = Instant::now();
     let mut lag = TimerLag::default();
-    lag.measure(due, due + Duration::from_millis(400));
+    lag.record(due, due + Duration::from_millis(400));
     assert_eq!(lag.get(), Duration::from_millis(400));
     for _ in 0..3 {
-        lag.measure(due, due);
+        lag.record(due, due);
     }
     assert!(lag.get() < Duration::from_millis(20), "{:?}", lag.get());
 }
