--- a/crates/plankhead/src/clients/cloud.rs
+++ b/crates/plankhead/src/clients/cloud.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud.
+//! Calls to the cloud.
 
 use crate::http::Client;
 use crate::wire::cloud::{
@@ -10,11 +10,10 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Machines in one page of the inventory, by the protocol.
+/// The largest number of machines in one page of the inventory, as limited by the published protocol.
 const MAX_PAGE: usize = 500;
 
-/// Calls the cloud. An error other than `Refused` may mean that the request is carried out
-/// later.
+/// Calls the cloud. After an error other than `Refused`, the request may still be carried out later.
 pub async fn call(client: &Client, request: CloudRequest) -> Result<CloudReply, CallError> {
     let (method, path, body) = match &request {
         CloudRequest::ListMachineTypes => (Method::GET, "/catalog".into(), Vec::new()),
--- a/crates/plankhead/src/clients/kv.rs
+++ b/crates/plankhead/src/clients/kv.rs
@@ -1,4 +1,4 @@
-//! The client of the state service.
+//! Calls to the state service.
 
 use crate::http::Client;
 use crate::wire::state_service::{
@@ -13,12 +13,12 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 const LIST_TIMEOUT: Duration = Duration::from_millis(2400);
-/// What a watch may take beyond the time that it waits for changes.
+/// The time that a watch may take in addition to the time for which it waits for changes.
 const WATCH_EXTRA_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Keys in one page of a list, by the protocol.
+/// The largest number of keys in one page of a list, as limited by the published protocol.
 const MAX_PAGE: usize = 1000;
 
-/// What is sent for a request, and how long its answer may take.
+/// An HTTP request to the state service and its timeout.
 struct HttpCall {
     method: Method,
     path: String,
@@ -110,13 +110,14 @@
     }
 }
 
-/// Why a transaction was rejected: its lease is over, or else, since it is well-formed, it is
-/// larger than is allowed by now.
+/// Determines why a transaction was rejected. The body says whether its lease has expired. Otherwise a
+/// transaction without a lease exceeds a size limit that was lowered in the meantime, since it is well-formed.
+/// With a lease, the reason remains unknown.
 fn parse_rejected_txn(changes: &[KvChange], body: &Bytes) -> Result<KvReply, CallError> {
     let error: serde_json::Value = parse(body)?;
     if is_no_such_lease(&error) {
         return Ok(KvReply::NoSuchLease);
     }
-    let under_lease = changes.iter().any(|change| matches!(change, KvChange::Put { lease: Some(_), .. }));
-    Err(if under_lease { CallError::OutcomeUnknown } else { CallError::TooLarge })
+    let has_lease = changes.iter().any(|change| matches!(change, KvChange::Put { lease: Some(_), .. }));
+    Err(if has_lease { CallError::OutcomeUnknown } else { CallError::TooLarge })
 }
--- a/crates/plankhead/src/clients/mod.rs
+++ b/crates/plankhead/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients of what is outside: the state service, the cloud, workers and peers. A reply that
-//! is not understood is a failure, never a fact.
+//! Clients of the state service, the cloud, workers and peers. A reply that can't be decoded is treated as
+//! a failed call, and no part of it is used.
 
 pub mod cloud;
 pub mod kv;
--- a/crates/plankhead/src/clients/peers.rs
+++ b/crates/plankhead/src/clients/peers.rs
@@ -1,4 +1,4 @@
-//! The client of a peer's controller port.
+//! The client of a peer's controller port, for heartbeats, coverage, relays and shard messages.
 
 use crate::http::{Client, Reply};
 use crate::peer_messages::{coverage, heartbeat, relay, shards};
@@ -11,20 +11,20 @@
 use std::time::{Duration, Instant};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long relaying a heartbeat may take, with its answer.
+/// The time limit for relaying a heartbeat, including the reply.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// After a failure nothing is relayed for this long.
+/// The time after a failed relay during which no heartbeats are relayed to the peer.
 const RELAY_RETRY_INTERVAL: Duration = Duration::from_secs(3);
-/// Relayed heartbeats under way to one peer.
+/// The largest number of concurrent relays to one peer.
 const MAX_RELAYS: usize = 24;
 
 /// The clients of the other nodes, by name.
 pub type PeerClients = Arc<HashMap<String, Arc<PeerClient>>>;
 
-/// The client of one peer.
+/// The client of one peer. Heartbeats with coverage, relays and shard messages have separate connections.
 #[derive(Debug)]
 pub struct PeerClient {
-    /// For heartbeats and coverage.
+    /// The connections for heartbeats and coverage.
     client: Client,
     heartbeat_in_flight: AtomicBool,
     relay_client: Client,
@@ -34,7 +34,7 @@
 }
 
 impl PeerClient {
-    /// A client of the controller port at this address; it connects when it is first used.
+    /// Creates a client of the controller port at this address. It connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             client: Client::new(address),
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Relays a worker's heartbeat, and returns what the worker is to be answered; `None` if
-    /// the peer can't be asked. After a failure nothing is relayed for a while.
+    /// Relays a worker's heartbeat and returns the reply to the worker. Returns `None` if the peer gives no
+    /// reply, if too many relays are in progress, or for [`RELAY_RETRY_INTERVAL`] after a failure.
     pub async fn relay(&self, heartbeat: &[u8]) -> Option<Reply> {
         let request = relay::encode_request(heartbeat)?;
-        if self.relays_paused() || self.relays_in_flight.load(Ordering::Relaxed) >= MAX_RELAYS {
+        if self.is_relaying_paused() || self.relays_in_flight.load(Ordering::Relaxed) >= MAX_RELAYS {
             return None;
         }
         self.relays_in_flight.fetch_add(1, Ordering::Relaxed);
@@ -69,17 +69,17 @@
         self.last_relay_failure.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn relays_paused(&self) -> bool {
+    fn is_relaying_paused(&self) -> bool {
         self.last_relay_failure().is_some_and(|failed_at| failed_at.elapsed() < RELAY_RETRY_INTERVAL)
     }
 
-    /// Sends coverage, and returns whether the peer answered: a version that does not know
-    /// the path answers, too.
+    /// Sends coverage and returns whether the peer answered. Any answer counts, since a peer whose version
+    /// does not support the path is reachable, too.
     pub async fn send_coverage(&self, message: Vec<u8>) -> bool {
         self.client.call(Method::POST, coverage::PATH, message, CALL_TIMEOUT).await.is_ok()
     }
 
-    /// Sends a message about shards.
+    /// Sends a message about shards and returns its delivery.
     pub async fn send_shard_message(&self, message: Vec<u8>) -> Delivery {
         match self.shard_client.call(Method::POST, shards::PATH, message, CALL_TIMEOUT).await {
             Ok((StatusCode::OK, _)) => Delivery::Accepted,
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Sends a heartbeat in the background, unless the one before is still under way.
+    /// Sends a heartbeat in the background, unless the previous one is still in progress.
     pub fn send_heartbeat(self: &Arc<Self>, message: Vec<u8>) {
         if self.heartbeat_in_flight.swap(true, Ordering::Relaxed) {
             return;
         }
         let peer = self.clone();
         tokio::spawn(async move {
-            // Heartbeats aren't repeated; that they don't arrive shows at the peer.
+            // A failed heartbeat is not repeated. The peer notices that it is missing.
             let _ = peer.client.call(Method::POST, heartbeat::PATH, message, CALL_TIMEOUT).await;
             peer.heartbeat_in_flight.store(false, Ordering::Relaxed);
         });
--- a/crates/plankhead/src/clients/workers.rs
+++ b/crates/plankhead/src/clients/workers.rs
@@ -1,4 +1,4 @@
-//! The client of workers: commands that are sent straight to them.
+//! Sends commands directly to workers.
 
 use crate::http::Client;
 use crate::wire::workers::{encode_commands, parse_heartbeat};
@@ -10,7 +10,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Clients of the workers that commands were sent to last.
+/// A cache of clients for the workers to which commands were sent most recently.
 #[derive(Debug)]
 pub struct WorkerClients {
     by_address: Mutex<HashMap<Arc<str>, CachedClient>>,
@@ -26,23 +26,23 @@
 /// Commands for one worker.
 #[derive(Debug)]
 pub struct CommandBatch {
-    /// Where the worker listens.
+    /// The address at which the worker listens.
     pub address: Arc<str>,
-    /// The fencing token of the sender's term.
+    /// The leader's fencing token, or the epoch of the machine's shard.
     pub token: u64,
-    /// The incarnation that the commands are meant for.
+    /// The incarnation of the worker to which the commands are addressed.
     pub incarnation: u64,
-    /// Carried out in order, or refused as a whole.
+    /// The commands. The worker carries them out in order or refuses all of them.
     pub commands: Vec<WorkerCommand>,
 }
 
 impl WorkerClients {
-    /// Keeps connections to so many workers at most.
+    /// Creates a cache of at most `max_clients` clients.
     pub fn new(max_clients: usize) -> Self {
         Self { by_address: Mutex::default(), max_clients }
     }
 
-    /// The client of a worker; `None` if its address is malformed.
+    /// Returns the client of a worker, or `None` if its address is malformed.
     fn client(&self, address: &Arc<str>) -> Option<Arc<Client>> {
         let mut clients = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(cached) = clients.get_mut(address) {
@@ -50,7 +50,8 @@
             return Some(cached.client.clone());
         }
         if clients.len() >= self.max_clients {
-            // Dropping all of them at once would make a large fleet connect anew over and over.
+            // Evicting only the oldest client keeps the other connections. If all were evicted, a large fleet
+            // would have to reconnect again and again.
             let oldest = clients.iter().min_by_key(|(_, cached)| cached.last_used);
             let oldest = oldest.map(|(address, _)| address.clone());
             oldest.and_then(|address| clients.remove(&address));
@@ -60,7 +61,7 @@
         Some(client)
     }
 
-    /// Sends commands to a worker.
+    /// Sends commands to a worker and returns its reply.
     pub async fn send(&self, batch: CommandBatch) -> CommandReply {
         let Some(client) = self.client(&batch.address) else { return CommandReply::NotSent };
         let body = encode_commands(batch.token, batch.incarnation, &batch.commands);
--- a/crates/plankhead/src/settings/fencing.rs
+++ b/crates/plankhead/src/settings/fencing.rs
@@ -1,4 +1,4 @@
-//! The operators' file that turns fencing on and configures it.
+//! The operators' settings file for fencing.
 
 use super::as_millis;
 use super::schema::SettingsFile;
@@ -6,23 +6,24 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Whether and how what the leader asks of the cloud is fenced.
+/// The settings for fencing the rentals and releases that the leader requests from the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct FencingFile {
     /// Whether rentals and releases are recorded as intents before they are requested.
     pub enabled: bool,
-    /// Milliseconds between two writes of intents, unless a cancellation is urgent.
+    /// Milliseconds between two writes of intents, unless a cancellation deadline requires an earlier one.
     #[cfg_attr(test, schemars(range(min = 0, max = 10_000)))]
     pub write_pause_ms: u64,
-    /// Seconds between two writes that only remove records of finished intents.
+    /// Seconds between two writes that only remove the records of finished intents.
     #[cfg_attr(test, schemars(range(min = 1, max = 3600)))]
     pub tidy_pause_s: u64,
-    /// Seconds until a refused rental that may still be carried out is requested again.
+    /// Seconds after which a refused rental that may still be carried out is requested again.
     #[cfg_attr(test, schemars(range(min = 1, max = 3600)))]
     pub refused_rental_retry_s: u64,
-    /// Seconds after a failover until such a rental is given up.
+    /// Seconds after a failover after which the new leader abandons refused rentals that may still be
+    /// carried out.
     #[cfg_attr(test, schemars(range(min = 60, max = 86_400)))]
     pub abandon_rental_s: u64,
 }
--- a/crates/plankhead/src/settings/mod.rs
+++ b/crates/plankhead/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings files: the platform's, of which unknown fields are ignored, and the operators'
-//! own, which must match their schemas.
+//! The settings files. Unknown fields of the platform's file are ignored. The operators' files must
+//! match their JSON schemas.
 
 pub mod fault;
 pub mod fencing;
@@ -23,22 +23,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The settings files; only the platform's is needed.
+/// The paths of the settings files. Only the platform's file is required.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsFiles {
-    /// The platform's settings.
+    /// The platform's settings file.
     pub platform: PathBuf,
-    /// The operators' settings on the size of the fleet.
+    /// The operators' file for the size of the fleet.
     pub operator: Option<PathBuf>,
-    /// Turns fencing on and configures it.
+    /// The operators' file for fencing, which is off without it.
     pub fencing: Option<PathBuf>,
-    /// Turns reachability checks on and configures them.
+    /// The operators' file for reachability checks, which are off without it.
     pub reachability: Option<PathBuf>,
-    /// Turns sharding on and configures it.
+    /// The operators' file for sharding, which is off without it.
     pub sharding: Option<PathBuf>,
 }
 
-/// Reads the files; on failure, every fault found.
+/// Reads and checks the files. On failure, returns every error found.
 pub fn read(files: &SettingsFiles) -> Result<NodeSettings, Vec<SettingsFault>> {
     let mut faults = Vec::new();
     let platform = load(&files.platform, &mut faults);
@@ -72,7 +72,7 @@
     value.map(|value| schema::parse(&value, faults))
 }
 
-/// Reads a file that must hold a JSON object.
+/// Reads a file that must contain a JSON object. On failure, adds a fault and returns `Null`.
 fn load(path: &Path, faults: &mut Vec<SettingsFault>) -> Value {
     let loaded = std::fs::read_to_string(path)
         .map_err(|error| SettingsFault::Unreadable { path: path.into(), error })
@@ -92,7 +92,7 @@
     }
 }
 
-/// A duration as the files hold it.
+/// Converts a duration into the milliseconds that the files contain.
 fn as_millis(time: Duration) -> u64 {
     time.as_millis() as u64
 }
--- a/crates/plankhead/src/settings/node.rs
+++ b/crates/plankhead/src/settings/node.rs
@@ -1,34 +1,34 @@
-//! The settings of a node.
+//! The settings of a node, as collected from all settings files.
 
 use plankhead_core::settings::Settings;
 use std::net::SocketAddr;
 
-/// All that a node must know of its deployment.
+/// The settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Where users, workers and the load balancer connect to.
+    /// The address of the public port, for users, workers and the load balancer.
     pub public_address: SocketAddr,
-    /// Where peers and the operators connect to.
+    /// The address of the controller port, for peers and operators.
     pub controller_address: SocketAddr,
-    /// The other nodes.
+    /// The other controller nodes.
     pub peers: Vec<PeerAddress>,
     /// The cloud's address.
     pub cloud: SocketAddr,
     /// The state service's address.
     pub state_service: SocketAddr,
-    /// Connections accepted on the public port at a time.
+    /// The largest number of connections on the public port at a time.
     pub max_connections: usize,
-    /// Workers to which connections are kept.
+    /// The largest number of workers to which connections are kept open.
     pub max_worker_clients: usize,
-    /// What the core must know.
+    /// The settings of the core.
     pub core: Settings,
 }
 
 /// Another node, and the address of its controller port.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// Its name, by which peers know each other.
+    /// The node's name, which identifies it to its peers.
     pub name: String,
-    /// The address of its controller port.
+    /// The address of the node's controller port.
     pub address: SocketAddr,
 }
--- a/crates/plankhead/src/settings/operator.rs
+++ b/crates/plankhead/src/settings/operator.rs
@@ -1,11 +1,11 @@
-//! The operators' file on the size of the fleet.
+//! The operators' settings file for the size of the fleet.
 
 use super::schema::SettingsFile;
 use plankhead_core::settings::Sizing;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The operators' own settings.
+/// The operators' settings for the size of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[cfg_attr(test, schemars(rename = "Operator"))]
@@ -14,21 +14,21 @@
     pub sizing: OperatorSizing,
 }
 
-/// How the fleet's size is found.
+/// The settings for the search for the size of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSizing {
-    /// S: the largest acceptable average bounded slowdown.
+    /// The largest acceptable average bounded slowdown (S in the sizing paper).
     #[cfg_attr(test, schemars(range(min = 1.0, max = 1e6)))]
     pub threshold: f64,
-    /// Seconds between rounds; longer than a machine's boot. Without it, half as
-    /// long again as the longest usual boot.
+    /// Seconds between two sizing rounds. This should be longer than the boot of a machine. Without it,
+    /// the interval is 1.5 times the longest usual boot time, but at least 20 seconds.
     #[cfg_attr(test, schemars(range(min = 5.0, max = 86400.0)))]
     pub interval_s: Option<f64>,
-    /// U: machines of one type at most. Without it, what the teams' guarantees
-    /// would fill, and half as much again under overload; either way less once
-    /// the cloud refuses more.
+    /// The largest number of machines of one type (U in the sizing paper). Without it, as many machines
+    /// as provide the teams' guaranteed CPUs, and 1.5 times as many under overload. In every
+    /// case the number is reduced once the cloud refuses to rent more.
     #[cfg_attr(test, schemars(range(min = 1, max = 10000)))]
     pub capacity: Option<u32>,
 }
--- a/crates/plankhead/src/settings/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -1,4 +1,4 @@
-//! The operators' file that turns reachability checks on and configures them.
+//! The operators' settings file for reachability checks.
 
 use super::as_millis;
 use super::schema::SettingsFile;
@@ -6,35 +6,37 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Whether and how a node judges which of its links work.
+/// The settings for checking which links of a node work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ReachabilityFile {
-    /// Whether links are judged, and actions are permitted by their condition.
+    /// Whether links are checked and restrict which actions are permitted.
     pub enabled: bool,
-    /// Milliseconds without a confirmation after which a failing link is down.
+    /// Milliseconds without a confirmation after which a failing link counts as down.
     #[cfg_attr(test, schemars(range(min = 200, max = 60_000)))]
     pub down_after_ms: u64,
-    /// Milliseconds that a side which was down must hold to be up.
+    /// Milliseconds for which the links of a side (state service or workers) that was down must work before
+    /// the side counts as up.
     #[cfg_attr(test, schemars(range(min = 0, max = 60_000)))]
     pub up_after_ms: u64,
-    /// Milliseconds in which the penalty of a flapping side halves.
+    /// Milliseconds in which the flap penalty of a side falls to half.
     #[cfg_attr(test, schemars(range(min = 100, max = 3_600_000)))]
     pub half_life_ms: u64,
-    /// Penalty, in failures, at which a flapping side is suppressed.
+    /// The flap penalty, in failures, from which a side is suppressed: it does not count as up.
     #[cfg_attr(test, schemars(range(min = 1.1, max = 100.0)))]
     pub suppress: f64,
-    /// Penalty at which a suppressed side is used again.
+    /// The flap penalty, in failures, at which a suppressed side may count as up again.
     #[cfg_attr(test, schemars(range(min = 0.1, max = 1.0)))]
     pub reuse: f64,
-    /// Milliseconds between two coverage messages.
+    /// Milliseconds between two messages that tell the peers which machines this node hears (coverage).
     #[cfg_attr(test, schemars(range(min = 200, max = 2_500)))]
     pub coverage_interval_ms: u64,
-    /// Milliseconds that another node must be better placed before a leader hands over.
+    /// Milliseconds for which another node must have clearly better links before the leader hands over to it.
     #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
     pub handover_after_ms: u64,
-    /// The shortest time, in milliseconds, that a leader leads before it hands over.
+    /// The shortest time, in milliseconds, for which a leader leads before it hands over. Each recent
+    /// hand-over doubles it.
     #[cfg_attr(test, schemars(range(min = 0, max = 600_000)))]
     pub least_tenure_ms: u64,
 }
--- a/crates/plankhead/src/settings/schema.rs
+++ b/crates/plankhead/src/settings/schema.rs
@@ -1,19 +1,19 @@
-//! Settings files of the operators: checked against a JSON schema, then read.
+//! Checks the operators' settings files against their JSON schemas and decodes them.
 
 use super::SettingsFault;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A settings file with a schema. Its default stands for a file that is absent or faulty.
+/// A settings file with a JSON schema. Its default is used if the file is absent or invalid.
 pub trait SettingsFile: Default + DeserializeOwned {
-    /// What faults call the file.
+    /// The name of the file in fault messages.
     const NAME: &'static str;
-    /// The JSON schema, also for editors.
+    /// The JSON schema of the file, which editors can use, too.
     const SCHEMA: &'static str;
 }
 
-/// Checks a file against its schema, then reads it. On failure every fault is added, and the
-/// defaults are returned.
+/// Checks a file against its schema and decodes it. On failure, adds every error to `faults` and returns
+/// the default.
 pub fn parse<F: SettingsFile>(value: &Value, faults: &mut Vec<SettingsFault>) -> F {
     let violations = check::<F>(value);
     if !violations.is_empty() {
--- a/crates/plankhead/src/settings/sharding.rs
+++ b/crates/plankhead/src/settings/sharding.rs
@@ -1,4 +1,4 @@
-//! The operators' file that turns sharding on and configures it.
+//! The operators' settings file for sharding.
 
 use super::as_millis;
 use super::schema::SettingsFile;
@@ -7,34 +7,35 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Whether and how machines are sharded among controllers.
+/// The settings for sharding machines among the controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ShardingFile {
-    /// Whether machines are sharded.
+    /// Whether machines are sharded among the controllers.
     pub enabled: bool,
-    /// Shards of each zone.
+    /// The number of shards into which the machines of each zone are divided.
     #[cfg_attr(test, schemars(range(min = 1, max = 64)))]
     pub shards_per_zone: u32,
-    /// The share of another controller's load that the leader takes besides its own work.
+    /// The load that the leader takes besides its work as leader, as a share of another controller's load.
     #[cfg_attr(test, schemars(range(min = 0.01, max = 10.0)))]
     pub leader_capacity: f64,
-    /// The least gain of a move, as a share of its holder's load.
+    /// The smallest gain for which a shard is moved to balance the load, as a share of its holder's load.
     #[cfg_attr(test, schemars(range(min = 0.05, max = 1.0)))]
     pub hysteresis: f64,
-    /// Milliseconds between two moves that balance the load.
+    /// Milliseconds between two moves that balance the load or empty a drained controller.
     #[cfg_attr(test, schemars(range(min = 500, max = 3_600_000)))]
     pub move_pause_ms: u64,
-    /// Milliseconds that a holder has to release a shard before the shard is seized.
+    /// Milliseconds within which a holder must release a shard. After that, the leader assigns the shard to
+    /// another controller without a release.
     #[cfg_attr(test, schemars(range(min = 100, max = 60_000)))]
     pub release_timeout_ms: u64,
-    /// Milliseconds without a message after which a holder's shards go to others.
+    /// Milliseconds without a message from a holder after which its shards are assigned to others.
     #[cfg_attr(test, schemars(range(min = 1_500, max = 60_000)))]
     pub holder_timeout_ms: u64,
-    /// Names of controllers that must hold no shards.
+    /// The names of controllers that must not hold shards.
     pub drained: BTreeSet<String>,
-    /// Milliseconds between moves of one shard whatever the balance, as a drill.
+    /// Milliseconds between two moves of a shard regardless of the balance, for drills and tests.
     #[cfg_attr(test, schemars(range(min = 1_000, max = 86_400_000)))]
     pub rotate_ms: Option<u64>,
 }
