--- a/crates/plankhead/src/cli.rs
+++ b/crates/plankhead/src/cli.rs
@@ -116,13 +116,13 @@
         Some(Command::Reachability(args)) => {
             let settings = read_settings(args)?;
             let views = block_on(reachability::fetch(&settings))?;
-            print!("{}", reachability::table(&views));
+            print!("{}", reachability::format_table(&views));
             Ok(())
         }
         Some(Command::Shards(args)) => {
             let settings = read_settings(args)?;
             let shards = block_on(shards::read(&settings))??;
-            print!("{}", shards.print());
+            print!("{}", shards.format_table());
             Ok(())
         }
         None => run_node(args),
--- a/crates/plankhead/src/subcommands/intents.rs
+++ b/crates/plankhead/src/subcommands/intents.rs
@@ -1,5 +1,5 @@
-//! `plankhead intents`: lists open intents. It reads the state service alone, so that it also
-//! shows what a leader left that is gone.
+//! `plankhead intents`: lists the open intents. It reads only the state service, so it also lists the
+//! intents of a leader that has failed.
 
 use crate::clients::kv;
 use crate::http::Client;
@@ -13,51 +13,51 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Pages of keys read at most.
+/// The largest number of pages of keys that are read.
 const MAX_PAGES: usize = 1_000;
 
-/// Why intents can't be listed.
+/// The reason why the intents can't be listed.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// The time zone's name is not known.
-    #[error("there is no time zone {0}")]
+    /// The time zone's name is unknown.
+    #[error("unknown time zone: {0}")]
     UnknownTimeZone(String),
-    /// A call of the state service failed.
-    #[error("the state service can't be read: {0:?}")]
+    /// A call to the state service failed.
+    #[error("can't read the state service: {0:?}")]
     StateService(CallError),
-    /// The state service's reply does not fit the request.
-    #[error("the state service gave another answer than was asked for")]
+    /// The state service's reply does not match the request.
+    #[error("unexpected reply from the state service")]
     UnexpectedReply,
 }
 
-/// The leader, and its fencing token.
+/// The current leader and its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
-    /// The node's name.
+    /// The leader's host name.
     pub host: String,
-    /// The token under which it leads.
+    /// The leader's fencing token.
     pub token: u64,
 }
 
-/// What the state service has of intents.
+/// The intents in the state service, and the leader that must complete them.
 #[derive(Debug, Default)]
 pub struct Listing {
-    /// `None`: no node holds the lease.
+    /// The leader, or `None` if no node holds the leader's lease.
     pub leader: Option<Leadership>,
-    /// Open intents, in the order of their keys.
+    /// The open intents, in the order of the keys of their records.
     pub intents: Vec<Intent>,
-    /// Records that can't be read.
+    /// The errors of records that can't be decoded.
     pub faults: Vec<RecordError>,
 }
 
-/// Reads the intents and prints them as a table, with times in this time zone.
+/// Reads the intents and formats them as a table, with times in the given time zone.
 pub async fn list(state_service: SocketAddr, time_zone: &str) -> Result<String, ListError> {
     let time_zone = TimeZone::get(time_zone).map_err(|_| ListError::UnknownTimeZone(time_zone.into()))?;
     let client = Client::new(state_service);
     let mut listing = Listing::default();
     read_intents(&client, &mut listing).await?;
     listing.leader = read_leader(&client).await?;
-    Ok(table(&listing, Timestamp::now(), &time_zone))
+    Ok(format_table(&listing, Timestamp::now(), &time_zone))
 }
 
 async fn read_intents(client: &Client, listing: &mut Listing) -> Result<(), ListError> {
@@ -92,20 +92,20 @@
     Some(Leadership { host: holder.host, token: row.mod_revision })
 }
 
-/// What an intent waits for.
+/// Describes what an intent waits for.
 fn waits_for(intent: &Intent, leader: Option<&Leadership>) -> &'static str {
     match leader {
-        None => "a leader, who will adopt it",
-        Some(leader) if leader.token == intent.token => "the cloud's answer, or its record's removal",
-        Some(leader) if leader.token > intent.token => "the leader, who has adopted it or will",
-        Some(_) => "nobody: its holder is later than the leader",
+        None => "a new leader, which adopts it",
+        Some(leader) if leader.token == intent.token => "the cloud's answer or the removal of its record",
+        Some(leader) if leader.token > intent.token => "the leader, which has adopted it or will adopt it",
+        Some(_) => "nothing: its token is newer than the leader's",
     }
 }
 
-/// The listing as people read it.
-pub fn table(listing: &Listing, now: Timestamp, time_zone: &TimeZone) -> String {
+/// Formats the listing as a table.
+pub fn format_table(listing: &Listing, now: Timestamp, time_zone: &TimeZone) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     match &listing.leader {
         Some(leader) => _ = writeln!(text, "{} leads under token {}", leader.host, leader.token),
         None => _ = writeln!(text, "nobody leads"),
@@ -134,7 +134,7 @@
         );
     }
     for fault in &listing.faults {
-        _ = writeln!(text, "left alone: {fault}");
+        _ = writeln!(text, "record skipped: {fault}");
     }
     text
 }
--- a/crates/plankhead/src/subcommands/mod.rs
+++ b/crates/plankhead/src/subcommands/mod.rs
@@ -1,4 +1,5 @@
-//! The subcommands, each with what it reads and what it prints.
+//! The subcommands. Each module collects the data of one subcommand and formats it; [`node_views`] fetches
+//! the views of the controllers.
 
 pub mod intents;
 pub mod node_views;
--- a/crates/plankhead/src/subcommands/node_views.rs
+++ b/crates/plankhead/src/subcommands/node_views.rs
@@ -1,4 +1,4 @@
-//! Asks every controller for its view.
+//! Fetches the operators' views (`GET /view`) of all controllers.
 
 use crate::http::Client;
 use crate::server::controller_port::VIEW_PATH;
@@ -12,8 +12,8 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The views of all controllers that the settings name, as they come, by controller; `None`:
-/// it did not answer. All are asked at the same time.
+/// Fetches the views of all controllers in the settings concurrently. Returns the views by controller name,
+/// with `None` for a controller that did not answer.
 pub async fn fetch_all(settings: &NodeSettings) -> BTreeMap<String, Option<Value>> {
     let own = (settings.core.host.clone(), settings.controller_address);
     let peers = settings.peers.iter().map(|peer| (peer.name.clone(), peer.address));
--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -1,4 +1,4 @@
-//! `plankhead reachability`: prints what the controllers hear of each other, and where they
+//! `plankhead reachability`: prints the controllers' views of the links between them, and where these views
 //! disagree.
 
 use super::node_views;
@@ -7,46 +7,46 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A node without reachability counts as hearing a peer whose last heartbeat is younger than
-/// this, in seconds.
+/// The age of a peer's last heartbeat, in seconds, below which a node without reachability checks counts as
+/// hearing the peer.
 const PEER_HEARTBEAT_TIMEOUT_S: f64 = 4.0;
 
-/// What one controller says of itself and of the others.
+/// One controller's view of its own links and of the other controllers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NodeView {
-    /// The mode of reachability; `not judged` while it is off.
+    /// The reachability mode, or `not judged` while reachability checks are off.
     pub mode: String,
-    /// For how long it has been in this mode.
+    /// The time since the controller entered this mode, in seconds.
     pub since_s: f64,
-    /// The node that it takes for the leader.
+    /// The node that the controller considers the leader.
     pub leader: Option<String>,
-    /// Links of its own that are down.
+    /// The controller's links that are down.
     pub down_links: Vec<String>,
-    /// Workers that report to it.
+    /// The number of workers whose heartbeats reach the controller.
     pub workers: u64,
-    /// Whether each peer's heartbeats reach it.
+    /// Whether the heartbeats of each peer reach the controller.
     pub hears: BTreeMap<String, bool>,
 }
 
-/// The views by node; `None`: it did not answer.
+/// The views by node name, with `None` for a node that did not answer.
 pub type NodeViews = BTreeMap<String, Option<NodeView>>;
 
-/// Asks all controllers that the settings name.
+/// Fetches the views of all controllers in the settings.
 pub async fn fetch(settings: &NodeSettings) -> NodeViews {
     let views = node_views::fetch_all(settings).await.into_iter();
-    views.map(|(node, view)| (node, view.as_ref().map(read))).collect()
+    views.map(|(node, view)| (node, view.as_ref().map(parse_view))).collect()
 }
 
 fn text(value: &Value) -> Option<String> {
     value.as_str().map(str::to_owned)
 }
 
-/// Reads a controller's view; one without reachability says less.
-pub fn read(view: &Value) -> NodeView {
+/// Parses a controller's view. Without reachability checks, the mode and the links are missing from it.
+pub fn parse_view(view: &Value) -> NodeView {
     let reachability = &view["reachability"];
     let links = reachability["links"].as_array().cloned().unwrap_or_default();
     let is_leader = !view["leader"].is_null();
-    // Nodes of the version before name the leader `foreman`.
+    // The previous version calls the leader `foreman`.
     let leader_host = view.get("leaderHost").unwrap_or(&view["foreman"]);
     NodeView {
         mode: text(&reachability["mode"]).unwrap_or_else(|| "not judged".into()),
@@ -66,22 +66,22 @@
     }
 }
 
-/// Which peers a node hears by the condition of its links.
+/// Returns which peers a node hears according to the condition of its links.
 fn heard_by_link(links: &[Value]) -> BTreeMap<String, bool> {
     let heartbeat_links = links.iter().filter(|link| link["link"] == "peerIn");
     heartbeat_links.filter_map(|link| Some((text(&link["peer"])?, link["condition"] != "down"))).collect()
 }
 
-/// Which peers a node hears by the age of their last heartbeats.
+/// Returns which peers a node hears according to the age of their last heartbeats.
 fn heard_by_age(view: &Value) -> BTreeMap<String, bool> {
-    // Nodes of the version before name the peers `siblings`.
+    // The previous version calls the peers `siblings`.
     let peers = view.get("peers").unwrap_or(&view["siblings"]).as_array().into_iter().flatten();
     peers
         .filter_map(|peer| Some((text(&peer["host"])?, peer["heardS"].as_f64()? < PEER_HEARTBEAT_TIMEOUT_S)))
         .collect()
 }
 
-/// Where the views contradict each other, a line each.
+/// Returns one line for each contradiction between the views.
 pub fn disagreements(views: &NodeViews) -> Vec<String> {
     let answered: Vec<(&String, &NodeView)> =
         views.iter().filter_map(|(node, view)| Some((node, view.as_ref()?))).collect();
@@ -104,7 +104,9 @@
     }
     by_leader
         .into_iter()
-        .map(|(leader, hosts)| format!("{} say that {} leads", hosts.join(", "), leader.unwrap_or("nobody")))
+        .map(|(leader, hosts)| {
+            format!("{} leads according to {}", leader.unwrap_or("nobody"), hosts.join(", "))
+        })
         .collect()
 }
 
@@ -118,10 +120,10 @@
     }
 }
 
-/// The views as people read them.
-pub fn table(views: &NodeViews) -> String {
+/// Formats the views as a table, followed by their disagreements.
+pub fn format_table(views: &NodeViews) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     _ = writeln!(
         text,
         "{:<16} {:<14} {:>8} {:<16} {:>7}  links down",
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -1,5 +1,5 @@
-//! `plankhead shards`: prints the shards as the records and the controllers have them, and
-//! where these disagree.
+//! `plankhead shards`: prints the shards according to the stored records and to the controllers, and where
+//! the two disagree.
 
 use super::node_views;
 use crate::clients::kv;
@@ -13,44 +13,44 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Why the shards can't be read.
+/// The reason why the shards can't be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// A call of the state service failed.
-    #[error("the records of shards can't be read: {0:?}")]
+    /// A call to the state service failed.
+    #[error("can't read the shard records: {0:?}")]
     StateService(CallError),
-    /// The state service's reply does not fit the request.
-    #[error("the state service answered something else than a list")]
+    /// The state service's reply does not match the request.
+    #[error("unexpected reply from the state service")]
     UnexpectedReply,
 }
 
-/// What one controller says of a shard that it holds.
+/// One controller's view of a shard that it holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// The epoch under which it holds the shard.
+    /// The epoch under which the controller holds the shard.
     pub epoch: u64,
-    /// Machines of the shard that report to it.
+    /// The number of the shard's machines according to the controller.
     pub machines: u64,
-    /// Whether it answers workers of the shard.
+    /// Whether the controller answers the workers of the shard.
     pub acts: bool,
 }
 
-/// The records, and what the controllers say of them.
+/// The records of the shards, and the controllers' views of them.
 #[derive(Debug, Default)]
 pub struct Shards {
-    /// The records of the state service.
+    /// The shard records in the state service.
     pub table: ShardTable,
-    /// Records that can't be read.
+    /// The errors of records that can't be decoded, with their keys.
     pub faults: Vec<String>,
-    /// By controller and shard; `None`: the controller did not answer.
+    /// The claims by controller and shard, with `None` for a controller that did not answer.
     pub claims: BTreeMap<String, Option<BTreeMap<String, Claim>>>,
-    /// What moves wait for, by shard, as the leader says.
+    /// What each shard waits for according to the leader, by shard.
     pub waits_for: BTreeMap<String, String>,
-    /// The node that says that it leads.
+    /// The node that leads according to its own view.
     pub leader: Option<String>,
 }
 
-/// Reads the records, and asks all controllers that the settings name.
+/// Reads the shard records and fetches the views of all controllers in the settings.
 pub async fn read(settings: &NodeSettings) -> Result<Shards, ReadError> {
     let mut shards = Shards::default();
     let client = Client::new(settings.state_service);
@@ -76,13 +76,13 @@
 }
 
 impl Shards {
-    /// Takes in a controller's view; `None`: it did not answer.
+    /// Adds a controller's view, or `None` if the controller did not answer.
     pub fn add_view(&mut self, node: &str, view: Option<&Value>) {
-        let claims = view.map(|view| self.claims_of_view(node, view));
+        let claims = view.map(|view| self.parse_claims(node, view));
         self.claims.insert(node.into(), claims);
     }
 
-    fn claims_of_view(&mut self, node: &str, view: &Value) -> BTreeMap<String, Claim> {
+    fn parse_claims(&mut self, node: &str, view: &Value) -> BTreeMap<String, Claim> {
         let mut claims = BTreeMap::new();
         let is_leader = !view["leader"].is_null();
         if is_leader {
@@ -97,7 +97,7 @@
                 claims.extend(parse_claim(row, true));
             }
         }
-        // What a leader has as a holder is of the time before it led.
+        // The holder state of a leader dates from the time before it led.
         let held = view["sharding"]["holder"]["shards"].as_array().filter(|_| !is_leader);
         for row in held.into_iter().flatten() {
             claims.extend(parse_claim(row, row["acts"].as_bool().unwrap_or_default()));
@@ -105,7 +105,7 @@
         claims
     }
 
-    /// Where records and controllers disagree, a line each.
+    /// Returns one line for each disagreement between the records and the controllers.
     pub fn disagreements(&self) -> Vec<String> {
         let mut lines = self.faults.clone();
         for (shard, known) in self.table.iter() {
@@ -119,32 +119,36 @@
         lines
     }
 
-    /// Whether the controller that a record names knows what the record says.
+    /// Checks whether the holder named in a shard's record has the same view of the shard.
     fn record_disagreement(&self, shard: &str, holder: &str, stored: u64) -> Option<String> {
         let claims = match self.claims.get(holder) {
-            None => return Some(format!("{shard}: {holder} holds it, whom the settings do not name")),
-            Some(None) => return Some(format!("{shard}: {holder} holds it and does not answer")),
+            None => return Some(format!("{shard}: its record names {holder}, which is not in the settings")),
+            Some(None) => return Some(format!("{shard}: its record names {holder}, which does not answer")),
             Some(Some(claims)) => claims,
         };
         match claims.get(shard) {
-            None => Some(format!("{shard}: {holder} does not know that it holds it")),
+            None => {
+                Some(format!("{shard}: its record names {holder}, which does not hold it in its own view"))
+            }
             Some(claim) if claim.epoch != stored => {
                 let own = claim.epoch;
-                Some(format!("{shard}: {holder} holds it under {own}, its record says {stored}"))
+                Some(format!("{shard}: {holder} holds it under epoch {own}, its record has epoch {stored}"))
+            }
+            Some(claim) if !claim.acts => {
+                Some(format!("{shard}: its record names {holder}, which does not act for it"))
             }
-            Some(claim) if !claim.acts => Some(format!("{shard}: {holder} holds it and does not act for it")),
             Some(_) => None,
         }
     }
 
-    /// Whether a controller acts for a shard whose record names another one.
+    /// Checks whether a controller acts for a shard although the shard's record names another holder.
     fn claim_disagreement(&self, node: &str, shard: &str, epoch: u64) -> Option<String> {
         let holder = self.holder(shard);
         if holder == Some(node) {
             return None;
         }
         let holder = holder.unwrap_or("nobody");
-        Some(format!("{shard}: {node} acts for it under {epoch}, its record names {holder}"))
+        Some(format!("{shard}: {node} acts for it under epoch {epoch}, its record names {holder}"))
     }
 
     fn holder(&self, shard: &str) -> Option<&str> {
@@ -152,10 +156,10 @@
         self.table.get(&id).map(|known| known.record.holder.as_str())
     }
 
-    /// The table as people read it.
-    pub fn print(&self) -> String {
+    /// Formats the shards as a table, followed by the disagreements.
+    pub fn format_table(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         _ = writeln!(text, "leader: {}", self.leader.as_deref().unwrap_or("none answers"));
         _ = writeln!(text, "{:<24} {:<16} {:>10} {:>8}  state", "shard", "holder", "epoch", "machines");
         for (shard, known) in self.table.iter() {
@@ -178,7 +182,7 @@
     }
 }
 
-/// Reads a row of a controller's view: the shard, and what the controller says of it.
+/// Parses one row of a controller's view into the shard's name and the claim.
 fn parse_claim(row: &Value, acts: bool) -> Option<(String, Claim)> {
     let shard = row["shard"].as_str()?.to_owned();
     let machines = row["machines"].as_u64().unwrap_or_default();
--- a/crates/plankhead/src/tests/intents.rs
+++ b/crates/plankhead/src/tests/intents.rs
@@ -1,6 +1,6 @@
 //! The listing of open intents, as people read it.
 
-use crate::subcommands::intents::{table, Leadership, Listing};
+use crate::subcommands::intents::{format_table, Leadership, Listing};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use plankhead_fencing::action::{CloudAction, InstanceReturn, Rental, ReturnReason};
@@ -37,27 +37,32 @@
     };
     let zone = TimeZone::get("Europe/Tallinn").unwrap();
     let now = Timestamp::from_millisecond(AT_MS + 90_000).unwrap();
-    let text = table(&listing, now, &zone);
+    let text = format_table(&listing, now, &zone);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 5, "{text}");
     assert_eq!(lines[0], "plank-1 leads under token 57");
     let columns: Vec<&str> = lines[1].split_whitespace().collect();
     assert_eq!(columns, ["intent", "token", "kind", "subject", "since", "age", "waits", "for"]);
-    for part in
-        ["plank-0-41-3", "rent", "7 spot g8 in a", "2026-12-02 11:00:00", "90 s", "has adopted it or will"]
-    {
+    for part in [
+        "plank-0-41-3",
+        "rent",
+        "7 spot g8 in a",
+        "2026-12-02 11:00:00",
+        "90 s",
+        "the leader, which has adopted it or will adopt it",
+    ] {
         assert!(lines[2].contains(part), "{part} in {}", lines[2]);
     }
     for part in ["reclaim", "i-1, i-2, i-3 and 2 more", "the cloud's answer"] {
         assert!(lines[3].contains(part), "{part} in {}", lines[3]);
     }
-    assert_eq!(lines[4], "left alone: duty/60/0 has format 2");
+    assert_eq!(lines[4], "record skipped: duty/60/0 has format 2");
 
     // The same moment elsewhere, and nobody who leads.
     listing.leader = None;
-    let text = table(&listing, now, &TimeZone::get("America/Chicago").unwrap());
+    let text = format_table(&listing, now, &TimeZone::get("America/Chicago").unwrap());
     assert!(text.starts_with("nobody leads\n") && text.contains("2026-12-02 03:00:00"), "{text}");
-    assert!(text.contains("a leader, who will adopt it"), "{text}");
-    let none = table(&Listing::default(), now, &zone);
+    assert!(text.contains("a new leader, which adopts it"), "{text}");
+    let none = format_table(&Listing::default(), now, &zone);
     assert_eq!(none, "nobody leads\nno intent is open\n");
 }
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -2,7 +2,7 @@
 
 use crate::peer_messages::coverage::{decode, encode, MAX_MESSAGE};
 use crate::settings::reachability::ReachabilityFile;
-use crate::subcommands::reachability::{disagreements, read, table, NodeView, NodeViews};
+use crate::subcommands::reachability::{disagreements, format_table, parse_view, NodeView, NodeViews};
 use crate::tests::{assert_schema_is_current, compare_with_fixture, parse_file};
 use plankhead_reachability::coverage::{Coverage, CoverageError};
 use plankhead_reachability::mode::Mode;
@@ -95,7 +95,7 @@
     ]
     .into();
     assert_eq!(disagreements(&agree), Vec::<String>::new());
-    assert!(table(&agree).ends_with("the views agree\n"));
+    assert!(format_table(&agree).ends_with("the views agree\n"));
     let differ: NodeViews = [
         ("plank-0".into(), view("plank-0", &[("plank-1", false), ("plank-2", true)])),
         ("plank-1".into(), view("plank-2", &[("plank-0", true)])),
@@ -105,13 +105,13 @@
     assert_eq!(
         disagreements(&differ),
         [
-            "plank-0 say that plank-0 leads",
-            "plank-1 say that plank-2 leads",
+            "plank-0 leads according to plank-0",
+            "plank-2 leads according to plank-1",
             "plank-0 does not hear plank-1, which hears plank-0",
             "plank-0 hears plank-2, which did not answer",
         ]
     );
-    assert!(table(&differ).contains("plank-2          does not answer"));
+    assert!(format_table(&differ).contains("plank-2          does not answer"));
 }
 
 /// Also one of a node of the version before, which names the leader and the peers otherwise.
@@ -123,14 +123,14 @@
                 {"link": "reportsIn", "peer": null, "condition": "down"},
                 {"link": "peerIn", "peer": "plank-1", "condition": "down"},
                 {"link": "peerIn", "peer": "plank-2", "condition": "up"}]}});
-        let read_view = read(&with);
+        let read_view = parse_view(&with);
         assert_eq!((read_view.mode.as_str(), read_view.since_s, read_view.workers), ("state-only", 4.5, 3));
         assert_eq!(read_view.leader.as_deref(), Some("plank-1"));
         assert_eq!(read_view.down_links, ["reportsIn", "peerIn plank-1"]);
         assert_eq!(read_view.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
         let without = json!({"host": "plank-0", "leader": {}, "reachability": null,
             peers_key: [{"host": "plank-1", "heardS": 0.4}, {"host": "plank-2", "heardS": 9.0}]});
-        let read_view = read(&without);
+        let read_view = parse_view(&without);
         assert_eq!(read_view.mode, "not judged");
         assert_eq!(read_view.leader.as_deref(), Some("plank-0"));
         assert_eq!(read_view.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -183,11 +183,11 @@
     shards.add_view("plank-2", None);
     let found = shards.disagreements();
     let expected = [
-        "a/2: plank-1 holds it under 9, its record says 10",
-        "a/3: plank-2 holds it and does not answer",
-        "a/3: plank-1 acts for it under 8, its record names plank-2",
+        "a/2: plank-1 holds it under epoch 9, its record has epoch 10",
+        "a/3: its record names plank-2, which does not answer",
+        "a/3: plank-1 acts for it under epoch 8, its record names plank-2",
     ];
     assert_eq!(found, expected);
-    let printed = shards.print();
+    let printed = shards.format_table();
     assert!(printed.contains("leader: plank-0") && printed.contains("waits for its record"), "{printed}");
 }
