--- a/crates/plankhead/src/clients/kv.rs
+++ b/crates/plankhead/src/clients/kv.rs
@@ -111,8 +111,8 @@
 }
 
 /// Determines why a transaction was rejected. The body says whether its lease has expired. Otherwise a
-/// transaction without a lease exceeds a size limit that was lowered in the meantime, since it is well-formed.
-/// With a lease, the reason remains unknown.
+/// transaction without a lease exceeds a size limit that was lowered in the meantime, since it is
+/// well-formed. With a lease, the reason remains unknown.
 fn parse_rejected_txn(changes: &[KvChange], body: &Bytes) -> Result<KvReply, CallError> {
     let error: serde_json::Value = parse(body)?;
     if is_no_such_lease(&error) {
--- a/crates/plankhead/src/peer_messages/coverage.rs
+++ b/crates/plankhead/src/peer_messages/coverage.rs
@@ -1,5 +1,5 @@
-//! Coverage: which machines a node hears. A node that does not know the path answers 404,
-//! which shows that it is reachable.
+//! Coverage messages, which tell the peers the machines that a node hears. A peer whose version does not
+//! support the path replies with 404, which still shows that it is reachable.
 
 use super::{decode_archive, encode_archive};
 use plankhead_reachability::bitmap;
@@ -7,9 +7,9 @@
 use plankhead_reachability::mode::Mode;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The path on the controller port.
+/// The path of coverage messages on the controller port.
 pub const PATH: &str = "/coverage";
-/// The largest message, in bytes: two bitmaps, names, and what rkyv adds.
+/// The largest message, in bytes: two bitmaps, the names, and the overhead of rkyv.
 pub const MAX_MESSAGE: usize = 2 * MAX_BITMAP_BYTES + 32 * 1024;
 
 #[derive(Archive, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
     successor: Option<String>,
 }
 
-/// Encodes a node's coverage.
+/// Encodes a node's coverage. Returns `None` if it can't be encoded.
 pub fn encode(coverage: &Coverage) -> Option<Vec<u8>> {
     encode_archive(&CoverageMessage {
         host: coverage.host.clone(),
@@ -44,7 +44,7 @@
     })
 }
 
-/// Reads a message, or says what is wrong with it.
+/// Decodes and checks a message.
 pub fn decode(bytes: &[u8]) -> Result<Coverage, CoverageError> {
     if bytes.len() > MAX_MESSAGE {
         return Err(CoverageError::TooLarge);
--- a/crates/plankhead/src/peer_messages/heartbeat.rs
+++ b/crates/plankhead/src/peer_messages/heartbeat.rs
@@ -1,11 +1,11 @@
-//! Peer heartbeats: what nodes tell each other every second.
+//! Peer heartbeats, which the nodes send to each other every second.
 
 use super::{decode_archive, encode_archive, MAX_NAME};
 use plankhead_core::node::MAX_PROGRESS_READ;
 use plankhead_core::protocol::{JobProgress, PeerHeartbeat};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The path on the controller port.
+/// The path of peer heartbeats on the controller port.
 pub const PATH: &str = "/pulse";
 /// The largest message, in bytes.
 pub const MAX_MESSAGE: usize = 1024 * 1024;
@@ -15,11 +15,11 @@
     host: String,
     kv_available: bool,
     token: u64,
-    /// (job, done, running)
+    /// The job id, and the numbers of completed and running tasks, of each job.
     progress: Vec<(String, u32, u32)>,
 }
 
-/// Encodes a heartbeat.
+/// Encodes a heartbeat. Returns `None` if it can't be encoded.
 pub fn encode(heartbeat: &PeerHeartbeat) -> Option<Vec<u8>> {
     let progress = heartbeat.progress.iter();
     encode_archive(&HeartbeatMessage {
@@ -30,7 +30,7 @@
     })
 }
 
-/// Reads a heartbeat; `None` if it is malformed or too long.
+/// Decodes a heartbeat. Returns `None` if it is malformed or too long.
 pub fn decode(bytes: &[u8]) -> Option<PeerHeartbeat> {
     let message: HeartbeatMessage = decode_archive(bytes).ok()?;
     if message.progress.len() > MAX_PROGRESS_READ || message.host.len() > MAX_NAME {
--- a/crates/plankhead/src/peer_messages/mod.rs
+++ b/crates/plankhead/src/peer_messages/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between controllers: rkyv archives, checked before use.
+//! Messages between controllers. They are rkyv archives, which are validated before use.
 //!
-//! Versions run side by side and the messages don't extend: order and types of their fields
-//! stay as they are, and what is new goes into messages of its own.
+//! Controllers of different versions run at the same time, and the messages are not extensible. The order and
+//! types of their fields must not change, and new data needs a new message.
 
 pub mod coverage;
 pub mod heartbeat;
@@ -15,10 +15,10 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The longest name of a controller, machine or zone.
+/// The longest name of a controller, machine or zone, in bytes.
 const MAX_NAME: usize = 200;
 
-/// The bytes of a message; `None` where it can't be encoded.
+/// Encodes a message. Returns `None` if it can't be encoded.
 fn encode_archive<M>(message: &M) -> Option<Vec<u8>>
 where
     M: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
@@ -26,8 +26,7 @@
     rkyv::to_bytes::<Error>(message).ok().map(|bytes| bytes.to_vec())
 }
 
-/// Checks the bytes and reads the message. They are copied, since an archive must lie aligned
-/// in memory.
+/// Validates and decodes a message. The bytes are copied, since an archive must be aligned in memory.
 fn decode_archive<M>(bytes: &[u8]) -> Result<M, Error>
 where
     M: Archive,
--- a/crates/plankhead/src/peer_messages/shards/decode.rs
+++ b/crates/plankhead/src/peer_messages/shards/decode.rs
@@ -17,7 +17,7 @@
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
 
-/// Reads a message, or says what is wrong with it.
+/// Decodes and checks a message.
 pub fn decode(bytes: &[u8]) -> Result<ShardMessage, ShardMessageError> {
     if bytes.len() > MAX_MESSAGE {
         return Err(ShardMessageError::TooLarge);
@@ -49,8 +49,8 @@
     lz4_flex::decompress_size_prepended(bytes).map_err(malformed)
 }
 
-/// Checks a name; `field` is where it stands, for the error.
-fn name(text: String, field: &'static str) -> Result<String, ShardMessageError> {
+/// Checks the length of a name. `field` names the field in the error.
+fn check_name(text: String, field: &'static str) -> Result<String, ShardMessageError> {
     if text.is_empty() || text.len() > MAX_NAME {
         return Err(ShardMessageError::Range(field));
     }
@@ -76,7 +76,7 @@
     let updates = message.updates.into_iter().map(machine_update).collect::<Result<_, _>>()?;
     let alive = machine_numbers::decode(&message.alive).map_err(malformed)?;
     Ok(HolderStatus {
-        host: name(message.host, "host")?,
+        host: check_name(message.host, "host")?,
         stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
         zone: message.zone,
         term: message.term,
@@ -109,10 +109,10 @@
     let tasks: Vec<ReportedTask> =
         message.tasks.iter().map(reported_task).collect::<Result<_, ShardMessageError>>()?;
     Ok(Heartbeat {
-        machine: name(message.machine, "machine")?.as_str().into(),
+        machine: check_name(message.machine, "machine")?.as_str().into(),
         address: message.address.as_str().into(),
         machine_type: message.machine_type.as_str().into(),
-        zone: name(message.zone, "zone")?.as_str().into(),
+        zone: check_name(message.zone, "zone")?.as_str().into(),
         spot: message.spot,
         incarnation: message.incarnation,
         sequence: message.sequence,
@@ -146,7 +146,7 @@
     Ok(LeaderCommands {
         machines: machines.collect::<Result<_, _>>()?,
         snapshot: message.snapshot.into_iter().map(heartbeat).collect::<Result<_, _>>()?,
-        host: name(message.host, "host")?,
+        host: check_name(message.host, "host")?,
         stamp: MessageStamp { boot: message.boot, sequence: message.sequence },
         acknowledged: message.acknowledged,
         token: message.token,
@@ -156,7 +156,7 @@
     })
 }
 
-/// `shards`: how many the message names.
+/// Decodes the commands for a machine. `shards` is the number of shards in the message.
 fn machine_commands(
     message: MachineCommandsMessage,
     shards: usize,
@@ -166,7 +166,7 @@
         return Err(ShardMessageError::Range("shard of a machine"));
     }
     let commands = message.commands.iter().map(worker_command).collect::<Result<_, _>>()?;
-    let machine = name(message.machine, "machine")?.as_str().into();
+    let machine = check_name(message.machine, "machine")?.as_str().into();
     Ok(MachineCommands { machine, shard, incarnation: message.incarnation, commands })
 }
 
--- a/crates/plankhead/src/peer_messages/shards/encode.rs
+++ b/crates/plankhead/src/peer_messages/shards/encode.rs
@@ -15,7 +15,7 @@
 use plankhead_sharding::shard::ShardId;
 use std::time::Duration;
 
-/// The bytes of a message; `None` where it would be larger than a receiver takes.
+/// Encodes a message. Returns `None` if it would exceed the size that a receiver accepts.
 pub fn encode(message: &ShardMessage) -> Option<Vec<u8>> {
     let message = match message {
         ShardMessage::HolderStatus(status) => Message::HolderStatus(holder_status(status)),
--- a/crates/plankhead/src/peer_messages/shards/mod.rs
+++ b/crates/plankhead/src/peer_messages/shards/mod.rs
@@ -1,5 +1,5 @@
-//! Messages about shards between the leader and the holders, compressed where they are large,
-//! as the snapshot of a shard is.
+//! Messages about shards between the leader and the holders. Large messages, such as those with the snapshot
+//! of a shard, are compressed.
 
 mod decode;
 mod encode;
@@ -10,24 +10,25 @@
 use plankhead_core::protocol::{ExitReason, TaskStatus};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The path on the controller port.
+/// The path of messages about shards on the controller port.
 pub const PATH: &str = "/shards";
-/// The largest message on the wire, in bytes.
+/// The largest encoded message, in bytes.
 pub const MAX_MESSAGE: usize = 2 * 1024 * 1024;
-/// The largest message once it is decompressed, in bytes.
+/// The largest message after decompression, in bytes.
 const MAX_DECOMPRESSED: usize = 8 * 1024 * 1024;
-/// Smaller messages are sent uncompressed.
+/// The size in bytes from which messages are compressed.
 const MIN_COMPRESSED: usize = 2 * 1024;
-/// The first byte of a message tells how the rest is encoded.
+/// The first byte of a message that is not compressed.
 const ENCODING_PLAIN: u8 = 0;
+/// The first byte of a message whose remaining bytes are compressed with LZ4.
 const ENCODING_LZ4: u8 = 1;
 
-/// The code of each command.
+// The codes of the commands.
 const COMMAND_RUN: u8 = 0;
 const COMMAND_KILL: u8 = 1;
 const COMMAND_ACKNOWLEDGE: u8 = 2;
 
-/// The statuses of a task by their code.
+/// The statuses of a task. The index of a status is its code.
 const TASK_STATUSES: [TaskStatus; 14] = [
     TaskStatus::FetchingImage,
     TaskStatus::WaitingForGang,
--- a/crates/plankhead/src/wire/cloud.rs
+++ b/crates/plankhead/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud: machine types, the inventory, rentals and releases.
+//! Messages to and from the cloud: machine types, the inventory, rentals and releases.
 
 use super::{duration_from_seconds, to_json};
 use plankhead_core::protocol::{Instance, InstanceStatus, MachineName, MachineType};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The largest amount of anything that a machine type may name.
+/// The largest amount that is accepted in a machine type, for resources and prices.
 const MAX_AMOUNT: f64 = 1e9;
 
 #[derive(Debug, Deserialize)]
@@ -38,7 +38,8 @@
 }
 
 impl MachineTypeMessage {
-    /// The machine type, if all its amounts are plausible.
+    /// Converts the message into a machine type. Returns `None` if an amount is out of range or no zone is
+    /// listed.
     fn into_machine_type(self) -> Option<MachineType> {
         let amounts = [
             self.cpus,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Parses the list of machine types; `None` if any of it is not understood.
+/// Parses the list of machine types. Returns `None` if any of them is invalid.
 pub fn parse_machine_types(body: &[u8]) -> Option<Vec<MachineType>> {
     let catalog: Catalog = serde_json::from_slice(body).ok()?;
     catalog.machine_types.into_iter().map(MachineTypeMessage::into_machine_type).collect()
@@ -131,13 +132,13 @@
 /// A page of the inventory.
 #[derive(Debug, PartialEq)]
 pub struct InstancePage {
-    /// In the order of their names.
+    /// The instances, in the order of their names.
     pub instances: Vec<Instance>,
     /// Whether further pages follow.
     pub truncated: bool,
 }
 
-/// Parses a page of the inventory; `None` if any of it is not understood.
+/// Parses a page of the inventory. Returns `None` if any instance is invalid.
 pub fn parse_instances(body: &[u8]) -> Option<InstancePage> {
     let page: InstancePageMessage = serde_json::from_slice(body).ok()?;
     let instances: Option<Vec<Instance>> =
@@ -159,24 +160,24 @@
     zone: &'a str,
 }
 
-/// Encodes a rental.
+/// Encodes the request to rent machines.
 pub fn encode_rental(rental: &Rental) -> Vec<u8> {
     let Rental { name, machine_type, zone, spot, count } = rental;
     to_json(&RentalMessage { name, spot: *spot, count: *count, machine_type, zone })
 }
 
-/// Parses the answer to a rental: the machines' names.
+/// Parses the names of the machines in the response to a rental.
 pub fn parse_rented(body: &[u8]) -> Option<Vec<MachineName>> {
     #[derive(Deserialize)]
-    struct Rented {
+    struct RentalResponse {
         #[serde(rename = "hosts")]
         machines: Vec<String>,
     }
-    let rented: Rented = serde_json::from_slice(body).ok()?;
-    Some(rented.machines.into_iter().map(Into::into).collect())
+    let response: RentalResponse = serde_json::from_slice(body).ok()?;
+    Some(response.machines.into_iter().map(Into::into).collect())
 }
 
-/// Encodes the release of machines.
+/// Encodes the request to release machines.
 pub fn encode_release(release: &InstanceReturn) -> Vec<u8> {
     #[derive(Serialize)]
     struct ReleaseMessage<'a> {
@@ -186,7 +187,7 @@
     to_json(&ReleaseMessage { machines: release.machines.iter().map(|machine| machine.as_ref()).collect() })
 }
 
-/// Whether the body of a refusal says that the pool has no machines left.
+/// Returns whether the body of an error response says that the pool has no machines left.
 pub fn is_no_capacity(body: &[u8]) -> bool {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     value.get("error").and_then(Value::as_str) == Some("no capacity")
--- a/crates/plankhead/src/wire/responses.rs
+++ b/crates/plankhead/src/wire/responses.rs
@@ -1,4 +1,4 @@
-//! What each response of the core is over HTTP.
+//! Encodes the responses of the core as HTTP replies.
 
 use super::to_json;
 use super::users::{status_name, JobResponse};
@@ -19,7 +19,7 @@
     leader: Option<&'a str>,
 }
 
-/// Encodes a response: its HTTP status, its body and the time after which to try again.
+/// Encodes a response as a reply with a status, a body and, if needed, the time after which to try again.
 pub fn encode_response(response: &Response) -> Reply {
     match response {
         Response::Job { created, id, status, done, running } => {
--- a/crates/plankhead/src/wire/state_service.rs
+++ b/crates/plankhead/src/wire/state_service.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service: keys, transactions, leases and watches.
+//! Messages to and from the state service: keys, transactions, leases and watches.
 
 use super::to_json;
 use plankhead_core::protocol::{Condition, KeyValue, KvChange, WatchEvent};
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// A key with its value, as the state service has it.
+/// A key with its value and the revision of its last change.
 #[derive(Debug, Deserialize)]
 pub struct KeyValueMessage {
     #[serde(rename = "k")]
@@ -26,42 +26,42 @@
 /// A page of the keys under a prefix.
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
-    /// In the order of the keys.
+    /// The keys and values, in the order of the keys.
     pub rows: Vec<KeyValueMessage>,
     /// Whether further pages follow.
     pub truncated: bool,
-    /// The revision of the whole store.
+    /// The revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// An answer that gives the store's revision and nothing else that is used here.
+/// A response of which only the revision of the store is used.
 #[derive(Debug, Deserialize)]
 pub struct RevisionMessage {
-    /// The revision of the whole store.
+    /// The revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// The keys whose conditions did not hold.
+/// The response to a transaction whose conditions were not met.
 #[derive(Debug, Deserialize)]
 pub struct ConflictMessage {
-    /// The keys.
+    /// The keys whose conditions were not met.
     pub failed: Vec<String>,
 }
 
-/// A lease that was granted.
+/// The response to the request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseMessage {
-    /// The lease's number.
+    /// The id of the granted lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// What a watch answers.
+/// The response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchMessage {
-    /// The revision of the whole store.
+    /// The revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
     events: Vec<WatchEventMessage>,
@@ -92,7 +92,7 @@
 }
 
 impl WatchMessage {
-    /// The events; `None` if any of them is neither a put nor a deletion.
+    /// Returns the events, or `None` if any of them is neither a put nor a delete.
     pub fn into_events(self) -> Option<Vec<WatchEvent>> {
         self.events.into_iter().map(WatchEventMessage::into_event).collect()
     }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Encodes a transaction; `None` if a value is not JSON.
+/// Encodes a transaction. Returns `None` if a value is not JSON.
 pub fn encode_txn(conditions: &[Condition], changes: &[KvChange]) -> Option<Vec<u8>> {
     let conditions = conditions
         .iter()
@@ -151,7 +151,7 @@
     Some(to_json(&TxnMessage { conditions, changes: changes? }))
 }
 
-/// Encodes the request for a lease of this length.
+/// Encodes the request for a lease with this time to live.
 pub fn encode_lease_request(ttl: Duration) -> Vec<u8> {
     #[derive(Serialize)]
     struct LeaseRequest {
@@ -161,7 +161,7 @@
     to_json(&LeaseRequest { ttl_ms: ttl.as_millis() })
 }
 
-/// Whether the body of a refusal says that the lease it named is over.
+/// Returns whether the body of an error response says that the lease in the request has expired.
 pub fn is_no_such_lease(error: &Value) -> bool {
     error.get("error").and_then(Value::as_str) == Some("no such lease")
 }
--- a/crates/plankhead/src/wire/users.rs
+++ b/crates/plankhead/src/wire/users.rs
@@ -1,4 +1,4 @@
-//! Messages of users: submissions and the status of jobs.
+//! Messages to and from users: submissions and the status of jobs.
 
 use plankhead_core::jobs::job::{InvalidJobId, InvalidSpec, JobId, JobSpec, Priority, Resources};
 use plankhead_core::protocol::JobStatus;
@@ -6,41 +6,41 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a submission was refused. Users are shown the text.
+/// The reason why a submission is refused. Its text is the error message in the reply to the user.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The body is JSON and no object.
+    /// The body is JSON but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// Without an id there is nothing to look up.
+    /// The job id is missing or not a string.
     #[error("nameId is missing or no text")]
     MissingJobId,
-    /// The id can't be one.
+    /// The job id is malformed.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidJobId),
-    /// A field is missing or of another type than published.
+    /// A field of the job is missing or has the wrong type.
     #[error(transparent)]
     MalformedJob(serde_json::Error),
-    /// A field is out of range.
+    /// A field of the job is out of range.
     #[error(transparent)]
     InvalidJob(#[from] InvalidSpec),
 }
 
-/// A submission with a valid id. The job itself may be malformed: a known id is answered
-/// before its body is judged.
+/// A submission with a valid id. The job itself may be malformed, since a submission with a known id is
+/// answered before the job is checked.
 #[derive(Debug)]
 pub struct Submission {
-    /// The id that the user chose.
+    /// The job id that the user has chosen.
     pub id: JobId,
-    /// The job, or why it is malformed.
+    /// The job, or the reason why it is invalid.
     pub job: Result<JobSpec, SubmissionError>,
 }
 
-/// Parses the body of a submission. Without a valid id there is nothing to look up, so that
-/// this is an error of the whole.
+/// Parses the body of a submission. Returns an error only if the job id is missing or invalid, since then no
+/// job can be looked up. Other errors are part of the submission.
 pub fn parse_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(SubmissionError::NotJson)?;
     if !value.is_object() {
@@ -148,7 +148,7 @@
     }
 }
 
-/// A job's state, as users are answered.
+/// The status of a job in the reply to a user.
 #[derive(Debug, Serialize)]
 pub(super) struct JobResponse<'a> {
     #[serde(rename = "nameId")]
--- a/crates/plankhead/src/wire/workers.rs
+++ b/crates/plankhead/src/wire/workers.rs
@@ -1,4 +1,4 @@
-//! Messages of workers: heartbeats, and the commands that answer them or go straight to a
+//! Messages to and from workers: heartbeats, and the commands in the responses to them or sent directly to a
 //! worker.
 
 use super::{duration_from_seconds, to_json};
@@ -12,37 +12,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest name of a machine.
+/// The longest name of a machine, in bytes.
 const MAX_MACHINE_NAME: usize = 100;
 
-/// Why a heartbeat was refused. Workers are answered with the text.
+/// The reason why a heartbeat is refused. Its text is the error message in the reply to the worker.
 #[derive(Debug, Error)]
 pub enum HeartbeatError {
-    /// It is no JSON, or a field is missing or of another type than published.
+    /// The body is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// It is empty, too long, or has other characters than printable ASCII.
+    /// The machine name is empty, too long, or contains characters other than printable ASCII.
     #[error("a strange host name")]
     InvalidMachineName,
-    /// The time of the preemption notice is too long to be one.
+    /// The time of the preemption notice is too long.
     #[error("warningS is out of range")]
     PreemptionNoticeOutOfRange,
-    /// A task is over, and the heartbeat does not say why.
+    /// A task has ended, but its exit reason is missing.
     #[error("an ended task without a cause")]
     MissingExitReason,
-    /// A task's name lacks its index.
+    /// The name of a task does not contain an index.
     #[error("a task without a number")]
     MissingTaskIndex,
-    /// A task's index is no number.
+    /// The index of a task is not a valid number.
     #[error("a task with a strange number")]
     InvalidTaskIndex,
-    /// A task's job can't be one.
+    /// The job id in the name of a task is malformed.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidJobId),
 }
 
-/// A heartbeat. The names of this type and of [`Piece`] are those of the protocol, since they
-/// stand in the errors that workers are answered.
+/// A heartbeat. This type and [`Piece`] have the names of the protocol, since serde's error texts contain
+/// them and are sent to workers.
 #[derive(Debug, Deserialize)]
 struct Beat<'a> {
     #[serde(borrow, rename = "host")]
@@ -57,7 +57,7 @@
     spot: bool,
     #[serde(rename = "shift")]
     incarnation: u64,
-    /// As it stands in the text, since repeated heartbeats differ in nothing else.
+    /// The sequence number as raw text, which locates it in the body: see [`HeartbeatReader`].
     #[serde(borrow, rename = "tick")]
     sequence: &'a RawValue,
     #[serde(rename = "baton")]
@@ -68,7 +68,7 @@
     tasks: Vec<Piece<'a>>,
 }
 
-/// A task's status in a heartbeat.
+/// A task in a heartbeat.
 #[derive(Debug, Deserialize)]
 struct Piece<'a> {
     #[serde(borrow, rename = "piece")]
@@ -92,7 +92,7 @@
     Checkpointing,
     #[serde(rename = "ended")]
     Exited,
-    /// A status of a later protocol version, which must not cost the rest of the heartbeat.
+    /// A status of a later protocol version, which must not make the rest of the heartbeat unreadable.
     #[serde(other)]
     Unrecognized,
 }
@@ -169,7 +169,7 @@
     parse_with_sequence_range(body).map(|(heartbeat, _)| heartbeat)
 }
 
-/// Parses a heartbeat, and tells at which bytes of the body its sequence number stands.
+/// Parses a heartbeat. Also returns the byte range of its sequence number in the body.
 fn parse_with_sequence_range(body: &[u8]) -> Result<(Heartbeat, Range<usize>), HeartbeatError> {
     let message: Beat = serde_json::from_slice(body)?;
     let sequence_text = message.sequence.get();
@@ -198,14 +198,13 @@
     Ok((heartbeat, sequence_range))
 }
 
-/// The time until the cloud takes the instance back; a notice that is overdue counts as zero.
+/// Parses the time until the cloud preempts the machine. An overdue notice (a negative time) counts as zero.
 fn parse_preemption_notice(seconds: f64) -> Result<Duration, HeartbeatError> {
     duration_from_seconds(seconds.max(0.0)).ok_or(HeartbeatError::PreemptionNoticeOutOfRange)
 }
 
-/// Parses the heartbeats that come over one connection, mostly of one worker. One that differs
-/// from the one before in nothing but its sequence number, which is the usual case, is not
-/// parsed again.
+/// Parses the heartbeats of one connection, which are usually those of one worker. Usually a heartbeat
+/// differs from the previous one only in its sequence number. Then only this number is parsed.
 #[derive(Debug, Default)]
 pub struct HeartbeatReader {
     previous: Option<ParsedHeartbeat>,
@@ -219,7 +218,7 @@
 }
 
 impl HeartbeatReader {
-    /// Parses as [`parse_heartbeat`] does.
+    /// Parses a heartbeat with the same result as [`parse_heartbeat`].
     pub fn read(&mut self, body: &Bytes) -> Result<Heartbeat, HeartbeatError> {
         if let Some(heartbeat) = self.previous.as_mut().and_then(|previous| previous.repeat(body)) {
             return Ok(heartbeat);
@@ -232,8 +231,8 @@
 }
 
 impl ParsedHeartbeat {
-    /// The heartbeat, if the body is the same but for the sequence number. One number in the
-    /// place of another makes no other change to what a JSON text says.
+    /// Returns the heartbeat if the body differs from the parsed one in the sequence number only. Replacing
+    /// one number by another changes nothing else in the meaning of a JSON text.
     fn repeat(&self, body: &Bytes) -> Option<Heartbeat> {
         let Range { start, end } = self.sequence_range;
         if body.len() != self.body.len()
@@ -247,7 +246,7 @@
     }
 }
 
-/// A task's id as workers know it, `<job>/<index>`.
+/// A task's id in the protocol: `<job>/<index>`.
 #[derive(Debug)]
 struct TaskName<'a>(&'a TaskId);
 
@@ -281,7 +280,7 @@
     }
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug, Serialize)]
 pub(super) struct CommandsResponse<'a> {
     #[serde(rename = "baton")]
@@ -296,7 +295,7 @@
     }
 }
 
-/// Commands that are sent straight to a worker.
+/// A request with commands that is sent directly to a worker.
 #[derive(Debug, Serialize)]
 struct DirectCommands<'a> {
     #[serde(rename = "baton")]
@@ -307,14 +306,14 @@
     commands: Vec<CommandMessage<'a>>,
 }
 
-/// Encodes commands that are sent straight to a worker; it refuses them if it is in another
-/// incarnation by then.
+/// Encodes commands that are sent directly to a worker. The worker refuses them if it has started another
+/// incarnation.
 pub fn encode_commands(token: u64, incarnation: u64, commands: &[WorkerCommand]) -> Vec<u8> {
     let commands = commands.iter().map(CommandMessage::from).collect();
     to_json(&DirectCommands { token, incarnation, commands })
 }
 
-/// The fencing token of an answer to a heartbeat; `None` if the body is something else.
+/// Returns the fencing token of a response to a heartbeat, or `None` if the body is not such a response.
 pub fn response_token(body: &[u8]) -> Option<u64> {
     #[derive(Deserialize)]
     struct TokenField {
