--- a/crates/plankhead/src/tests/cli.rs
+++ b/crates/plankhead/src/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: subcommands go on working under their former names.
+//! Tests of the command line. Subcommands must keep working under their former names.
 
 use crate::cli::{Args, Command};
 use clap::error::ErrorKind;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn former_names_of_subcommands_work() {
+fn subcommands_accept_their_former_names() {
     for name in ["intents", "duties"] {
         let arguments = [name, "--config", "a.json", "--time-zone", "Europe/Tallinn"];
         assert!(matches!(command(&arguments), Command::Intents(_)), "{name}");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn help_is_there_under_every_name() {
+fn every_subcommand_name_has_help() {
     Args::command().debug_assert();
     for name in ["intents", "duties", "reachability", "views", "shards"] {
         for arguments in [["plankhead", name, "--help"], ["plankhead", "help", name]] {
@@ -33,10 +33,9 @@
     }
 }
 
-/// The file that configures reachability goes with the node, and not with the subcommand of
-/// the same name.
+/// The option `--reachability` configures a node. It must not be taken for the subcommand of the same name.
 #[test]
-fn the_reachability_file_is_no_subcommand() {
+fn reachability_option_is_not_taken_for_the_subcommand() {
     let args = Args::try_parse_from(["plankhead", "--config", "a.json", "--reachability", "b.json"]).unwrap();
     assert!(args.command.is_none());
 }
--- a/crates/plankhead/src/tests/intents.rs
+++ b/crates/plankhead/src/tests/intents.rs
@@ -1,4 +1,4 @@
-//! The listing of open intents, as people read it.
+//! Tests of the table that `plankhead intents` prints.
 
 use crate::subcommands::intents::{format_table, Leadership, Listing};
 use jiff::tz::TimeZone;
@@ -7,14 +7,14 @@
 use plankhead_fencing::intent::{IdempotencyKey, Intent};
 use plankhead_fencing::record::RecordError;
 
-const AT_MS: i64 = 1_796_202_000_000;
+const INTENDED_AT_MS: i64 = 1_796_202_000_000;
 
-fn intent(key: &str, holder: u64, action: CloudAction) -> Intent {
-    Intent::adopted(IdempotencyKey::new(key), holder, action, AT_MS as u64)
+fn intent(key: &str, token: u64, action: CloudAction) -> Intent {
+    Intent::adopted(IdempotencyKey::new(key), token, action, INTENDED_AT_MS as u64)
 }
 
 #[test]
-fn the_listing_tells_who_holds_what_and_what_it_waits_for() {
+fn table_shows_each_intent_and_what_it_waits_for() {
     let rental = Rental {
         name: "plank-0-41-3".into(),
         machine_type: "g8".into(),
@@ -22,7 +22,7 @@
         spot: true,
         count: 7,
     };
-    let hosts = ["i-1", "i-2", "i-3", "i-4", "i-5"].map(Into::into).to_vec();
+    let machines = ["i-1", "i-2", "i-3", "i-4", "i-5"].map(Into::into).to_vec();
     let mut listing = Listing {
         leader: Some(Leadership { host: "plank-1".into(), token: 57 }),
         intents: vec![
@@ -30,13 +30,13 @@
             intent(
                 "57.1",
                 57,
-                CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Reclaim }),
+                CloudAction::Return(InstanceReturn { machines, reason: ReturnReason::Reclaim }),
             ),
         ],
         faults: vec![RecordError::Format { key: "duty/60/0".into(), format: 2 }],
     };
     let zone = TimeZone::get("Europe/Tallinn").unwrap();
-    let now = Timestamp::from_millisecond(AT_MS + 90_000).unwrap();
+    let now = Timestamp::from_millisecond(INTENDED_AT_MS + 90_000).unwrap();
     let text = format_table(&listing, now, &zone);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 5, "{text}");
@@ -58,11 +58,11 @@
     }
     assert_eq!(lines[4], "record skipped: duty/60/0 has format 2");
 
-    // The same moment elsewhere, and nobody who leads.
+    // The same time in another time zone, and no leader.
     listing.leader = None;
     let text = format_table(&listing, now, &TimeZone::get("America/Chicago").unwrap());
     assert!(text.starts_with("nobody leads\n") && text.contains("2026-12-02 03:00:00"), "{text}");
     assert!(text.contains("a new leader, which adopts it"), "{text}");
-    let none = format_table(&Listing::default(), now, &zone);
-    assert_eq!(none, "nobody leads\nno intent is open\n");
+    let empty = format_table(&Listing::default(), now, &zone);
+    assert_eq!(empty, "nobody leads\nno intent is open\n");
 }
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! The message of coverage on the wire, the operators' file, and what the subcommand prints.
+//! Tests of coverage messages, the reachability settings file, and the table of `plankhead reachability`.
 
 use crate::peer_messages::coverage::{decode, encode, MAX_MESSAGE};
 use crate::settings::reachability::ReachabilityFile;
@@ -26,28 +26,28 @@
 }
 
 #[test]
-fn coverage_of_four_thousand_machines_passes_the_wire() {
+fn coverage_of_four_thousand_machines_is_small_and_survives_encoding() {
     let bytes = encode(&coverage()).unwrap();
     assert!(bytes.len() < 10_000, "{} bytes", bytes.len());
     assert_eq!(decode(&bytes), Ok(coverage()));
 }
 
-/// What version 749ebcd sent for the same coverage, byte for byte.
+/// The encoding must match the bytes recorded from version 749ebcd, since versions run side by side.
 #[test]
-fn coverage_is_the_same_bytes_as_before() {
+fn coverage_encoding_is_unchanged() {
     let small = Coverage { heard: (0..40).collect(), reached: (3..9).collect(), ..coverage() };
     compare_with_fixture("coverage.bin", &encode(&small).unwrap());
     assert_eq!(decode(include_bytes!("../../tests/fixtures/coverage.bin")), Ok(small));
 }
 
 #[test]
-fn bad_messages_are_refused() {
+fn malformed_coverage_is_rejected() {
     let bytes = encode(&coverage()).unwrap();
     for length in (0..bytes.len()).step_by(7) {
         assert!(decode(&bytes[..length]).is_err(), "{length} bytes");
     }
     assert_eq!(decode(&vec![0; MAX_MESSAGE + 1]), Err(CoverageError::TooLarge));
-    // Whatever is changed on the way, it is read or refused, and never a crash.
+    // A message with a changed byte is decoded or rejected, without a panic.
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 0x55;
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn schema_is_current() {
+fn reachability_schema_is_current() {
     assert_schema_is_current::<ReachabilityFile>("reachability.schema.json");
 }
 
 #[test]
-fn every_fault_of_the_file_is_named() {
+fn every_fault_of_the_reachability_file_is_reported() {
     let faults = |value: Value| {
         let (file, faults) = parse_file::<ReachabilityFile>(&value);
         (faults, Settings::from(file))
     };
     assert_eq!(faults(json!({})), (Vec::new(), Settings::default()));
     let deployed = include_str!("../../../../deploy/reachability.json");
-    let (none, settings) = faults(serde_json::from_str(deployed).unwrap());
-    assert_eq!(none, Vec::<String>::new());
+    let (deployed_faults, settings) = faults(serde_json::from_str(deployed).unwrap());
+    assert_eq!(deployed_faults, Vec::<String>::new());
     assert_eq!(settings, Settings { enabled: true, ..Settings::default() });
     let (bad, _) = faults(json!({"enabled": 1, "down_after_ms": 0, "reuse": 7, "flaps": true}));
     assert_eq!(bad.len(), 4, "{bad:?}");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn views_that_contradict_each_other_are_told() {
+fn contradicting_views_are_reported() {
     let agree: NodeViews = [
         ("plank-0".into(), view("plank-0", &[("plank-1", true)])),
         ("plank-1".into(), view("plank-0", &[("plank-0", true)])),
@@ -114,25 +114,25 @@
     assert!(format_table(&differ).contains("plank-2          does not answer"));
 }
 
-/// Also one of a node of the version before, which names the leader and the peers otherwise.
+/// Covers the key names of the previous version, too, which has other names for the leader and the peers.
 #[test]
-fn a_view_is_read_with_and_without_reachability() {
+fn views_are_parsed_with_and_without_reachability_checks() {
     for (leader_key, peers_key) in [("leaderHost", "peers"), ("foreman", "siblings")] {
         let with = json!({"host": "plank-0", "leader": null, leader_key: "plank-1", peers_key: [],
             "reachability": {"mode": "state-only", "sinceS": 4.5, "heard": 3, "links": [
                 {"link": "reportsIn", "peer": null, "condition": "down"},
                 {"link": "peerIn", "peer": "plank-1", "condition": "down"},
                 {"link": "peerIn", "peer": "plank-2", "condition": "up"}]}});
-        let read_view = parse_view(&with);
-        assert_eq!((read_view.mode.as_str(), read_view.since_s, read_view.workers), ("state-only", 4.5, 3));
-        assert_eq!(read_view.leader.as_deref(), Some("plank-1"));
-        assert_eq!(read_view.down_links, ["reportsIn", "peerIn plank-1"]);
-        assert_eq!(read_view.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
+        let parsed = parse_view(&with);
+        assert_eq!((parsed.mode.as_str(), parsed.since_s, parsed.workers), ("state-only", 4.5, 3));
+        assert_eq!(parsed.leader.as_deref(), Some("plank-1"));
+        assert_eq!(parsed.down_links, ["reportsIn", "peerIn plank-1"]);
+        assert_eq!(parsed.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
         let without = json!({"host": "plank-0", "leader": {}, "reachability": null,
             peers_key: [{"host": "plank-1", "heardS": 0.4}, {"host": "plank-2", "heardS": 9.0}]});
-        let read_view = parse_view(&without);
-        assert_eq!(read_view.mode, "not judged");
-        assert_eq!(read_view.leader.as_deref(), Some("plank-0"));
-        assert_eq!(read_view.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
+        let parsed = parse_view(&without);
+        assert_eq!(parsed.mode, "not judged");
+        assert_eq!(parsed.leader.as_deref(), Some("plank-0"));
+        assert_eq!(parsed.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
     }
 }
--- a/crates/plankhead/src/tests/runtime.rs
+++ b/crates/plankhead/src/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! What the event loop keeps for the requests under way, and of its timers.
+//! Tests of pending requests and of the timer lag.
 
 use crate::runtime::pending_requests::{PendingRequests, REQUEST_TIMEOUT};
 use crate::runtime::timer_lag::TimerLag;
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A request that nobody answers is given up in time, and one that was answered keeps
-/// no deadline: the next one is that of the oldest that still waits.
+/// A request without a response expires after the timeout. The next deadline is that of the oldest request
+/// that still waits, not that of an answered one.
 #[test]
-fn requests_are_given_up_in_time() {
+fn requests_expire_after_the_timeout() {
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
     let mut pending = PendingRequests::default();
@@ -26,9 +26,9 @@
     assert_eq!(second.try_recv(), Err(oneshot::error::TryRecvError::Closed));
 }
 
-/// A peak counts at once and is forgotten within some timers that fire in time.
+/// The lag rises at once with a late timer and decays over the next timers that fire on time.
 #[test]
-fn a_late_timer_shows_and_is_forgotten() {
+fn timer_lag_rises_at_once_and_decays() {
     let due = Instant::now();
     let mut lag = TimerLag::default();
     lag.record(due, due + Duration::from_millis(400));
--- a/crates/plankhead/src/tests/settings.rs
+++ b/crates/plankhead/src/tests/settings.rs
@@ -1,12 +1,13 @@
+//! Tests of the platform's settings file and of the operators' files for sizing and fencing.
+
 use crate::settings::fencing::FencingFile;
 use crate::settings::operator::OperatorFile;
 use crate::settings::platform::parse;
 use crate::tests::{assert_schema_is_current, parse_file};
 use serde_json::{json, Value};
 
-/// The committed schema is the one that the types describe.
 #[test]
-fn schema_is_current() {
+fn operator_schema_is_current() {
     assert_schema_is_current::<OperatorFile>("operator.schema.json");
 }
 
@@ -23,7 +24,8 @@
     assert_eq!(operator_faults(json!({"sizing": {"interval_s": "75", "capacity": 0}})), 2);
 }
 
-pub fn platform() -> Value {
+/// Returns a valid platform file, with a field that this version does not know.
+pub fn platform_file() -> Value {
     json!({
         "host_name": "plank-0", "location": "a",
         "api_addr": "127.0.0.1:0", "peer_bind": "127.0.0.1:0",
@@ -45,15 +47,15 @@
 }
 
 #[test]
-fn every_fault_of_the_platform_file_is_named() {
+fn every_fault_of_the_platform_file_is_reported() {
     let faults = |platform: &Value| {
         let mut faults = Vec::new();
         parse(platform, &OperatorFile::default(), &mut faults);
         faults.iter().map(ToString::to_string).collect::<Vec<String>>()
     };
-    assert_eq!(faults(&platform()), Vec::<String>::new());
+    assert_eq!(faults(&platform_file()), Vec::<String>::new());
 
-    let mut bad = platform();
+    let mut bad = platform_file();
     bad["api_addr"] = json!("nowhere");
     bad["params"]["workers"]["lease_s"] = json!(-1);
     bad["params"]["teams"][0]["cpus"] = json!("many");
@@ -65,14 +67,13 @@
     }
 }
 
-/// The committed schema is the one that the types describe.
 #[test]
 fn fencing_schema_is_current() {
     assert_schema_is_current::<FencingFile>("fencing.schema.json");
 }
 
 #[test]
-fn every_fault_of_the_fencing_file_is_named() {
+fn every_fault_of_the_fencing_file_is_reported() {
     let faults = |value: Value| parse_file::<FencingFile>(&value).1;
     assert_eq!(faults(json!({})), Vec::<String>::new());
     let deployed = include_str!("../../../../deploy/fencing.json");
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -1,4 +1,4 @@
-//! The file that divides machines, the messages about shards, and what the subcommand finds.
+//! Tests of the sharding settings file, the messages about shards, and the table of `plankhead shards`.
 
 use crate::peer_messages::shards::{decode, encode, MAX_MESSAGE};
 use crate::settings::sharding::ShardingFile;
@@ -15,14 +15,13 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The committed schema is the one that the types describe.
 #[test]
 fn sharding_schema_is_current() {
     assert_schema_is_current::<ShardingFile>("sharding.schema.json");
 }
 
 #[test]
-fn every_fault_of_the_sharding_file_is_named() {
+fn every_fault_of_the_sharding_file_is_reported() {
     let faults = |value: Value| parse_file::<ShardingFile>(&value).1;
     assert_eq!(faults(json!({})), Vec::<String>::new());
     let deployed = include_str!("../../../../deploy/sharding.json");
@@ -38,14 +37,15 @@
     TaskId { job: JobId::parse("job-000412").unwrap(), index }
 }
 
-fn report(machine: u32, tasks: u32) -> Heartbeat {
-    let seen = [
+fn heartbeat(machine: u32, tasks: u32) -> Heartbeat {
+    let statuses = [
         TaskStatus::Running,
         TaskStatus::Exited(ExitReason::Completed),
         TaskStatus::FetchingImage,
         TaskStatus::Exited(ExitReason::Unrecognized),
     ];
-    let listed = |n: u32| ReportedTask { task: task(n), attempt: u64::from(n), status: seen[n as usize % 4] };
+    let reported_task =
+        |n: u32| ReportedTask { task: task(n), attempt: u64::from(n), status: statuses[n as usize % 4] };
     Heartbeat {
         machine: format!("i-{machine:06}").as_str().into(),
         address: "10.1.0.232:9000".into(),
@@ -56,14 +56,14 @@
         sequence: 88,
         token: 41,
         preemption_notice: Some(Duration::from_secs(30)),
-        tasks: (0..tasks).map(listed).collect(),
+        tasks: (0..tasks).map(reported_task).collect(),
     }
 }
 
-fn holder_report(machines: u32) -> ShardMessage {
-    let news = |n: u32| MachineUpdate {
+fn holder_status(machines: u32) -> ShardMessage {
+    let update = |n: u32| MachineUpdate {
         number: n,
-        heartbeat: report(n, 16),
+        heartbeat: heartbeat(n, 16),
         confirmed: n & 1 == 0,
         ignores_commands: n == 3,
         unanswered_commands: n,
@@ -82,14 +82,14 @@
         }],
         stream: 2,
         first: true,
-        updates: (0..machines).map(news).collect(),
+        updates: (0..machines).map(update).collect(),
         alive: (0..50).collect(),
         alive_age: Duration::from_millis(480),
     }))
 }
 
-fn leader_orders() -> LeaderCommands {
-    let (run, reap) = (
+fn leader_commands() -> LeaderCommands {
+    let (run, acknowledge) = (
         WorkerCommand::Run { task: task(4), attempt: 2 },
         WorkerCommand::Acknowledge { task: task(0), attempt: 1 },
     );
@@ -105,69 +105,73 @@
             machine: "i-000231".into(),
             shard: 0,
             incarnation: 3,
-            commands: vec![run, kill, reap],
+            commands: vec![run, kill, acknowledge],
         }],
         removed: vec!["i-000007".into()],
-        snapshot: vec![report(1, 3)],
+        snapshot: vec![heartbeat(1, 3)],
     }
 }
 
 #[test]
-fn messages_are_read_as_they_were_written() {
+fn messages_survive_encoding_and_large_ones_are_compressed() {
     for message in
-        [holder_report(1), holder_report(200), ShardMessage::LeaderCommands(Box::new(leader_orders()))]
+        [holder_status(1), holder_status(200), ShardMessage::LeaderCommands(Box::new(leader_commands()))]
     {
         assert_eq!(decode(&encode(&message).unwrap()).unwrap(), message);
     }
-    // A snapshot goes compressed: 200 machines with 16 tasks each.
-    let bytes = encode(&holder_report(200)).unwrap().len();
+    // Large messages are compressed: this one has 200 machines with 16 tasks each.
+    let bytes = encode(&holder_status(200)).unwrap().len();
     assert!(bytes < 60_000, "{bytes} bytes");
 }
 
-/// What version 749ebcd sent for the same messages, byte for byte: versions run side by side.
+/// The encodings must match the bytes recorded from version 749ebcd, since versions run side by side.
 #[test]
-fn messages_are_the_same_bytes_as_before() {
-    let orders = ShardMessage::LeaderCommands(Box::new(leader_orders()));
-    compare_with_fixture("holder-report.bin", &encode(&holder_report(1)).unwrap());
-    compare_with_fixture("holder-report-compressed.bin", &encode(&holder_report(8)).unwrap());
-    compare_with_fixture("leader-orders.bin", &encode(&orders).unwrap());
-    assert_eq!(decode(include_bytes!("../../tests/fixtures/leader-orders.bin")).unwrap(), orders);
+fn message_encodings_are_unchanged() {
+    let commands = ShardMessage::LeaderCommands(Box::new(leader_commands()));
+    compare_with_fixture("holder-report.bin", &encode(&holder_status(1)).unwrap());
+    compare_with_fixture("holder-report-compressed.bin", &encode(&holder_status(8)).unwrap());
+    compare_with_fixture("leader-orders.bin", &encode(&commands).unwrap());
+    assert_eq!(decode(include_bytes!("../../tests/fixtures/leader-orders.bin")).unwrap(), commands);
     let compressed = include_bytes!("../../tests/fixtures/holder-report-compressed.bin");
-    assert_eq!(decode(compressed).unwrap(), holder_report(8));
+    assert_eq!(decode(compressed).unwrap(), holder_status(8));
 }
 
 #[test]
-fn bad_messages_are_refused_with_their_reason() {
-    let good = encode(&holder_report(200)).unwrap();
+fn malformed_messages_are_rejected_with_their_reason() {
+    let good = encode(&holder_status(200)).unwrap();
     let malformed = |bytes: &[u8]| matches!(decode(bytes), Err(ShardMessageError::Malformed(_)));
     assert!(malformed(&[]) && malformed(&[7]) && malformed(&[0]) && malformed(&[1, 2]));
     assert!(malformed(&good[..good.len() / 2]), "cut off");
     assert_eq!(decode(&vec![0; MAX_MESSAGE + 1]), Err(ShardMessageError::TooLarge));
-    let bomb = [&[1u8][..], &u32::MAX.to_le_bytes(), &[0; 64]].concat();
-    assert_eq!(decode(&bomb), Err(ShardMessageError::TooLarge), "what it would become is looked at first");
-    // Every single byte that is wrong: refused or read as something, and never a panic.
-    let small = encode(&ShardMessage::LeaderCommands(Box::new(leader_orders()))).unwrap();
+    let huge_size = [&[1u8][..], &u32::MAX.to_le_bytes(), &[0; 64]].concat();
+    assert_eq!(
+        decode(&huge_size),
+        Err(ShardMessageError::TooLarge),
+        "the size must be checked before decompression"
+    );
+    // A message with a changed byte is decoded or rejected, without a panic.
+    let small = encode(&ShardMessage::LeaderCommands(Box::new(leader_commands()))).unwrap();
     for at in 0..small.len() {
         let mut bytes = small.clone();
         bytes[at] ^= 0x55;
         let _ = decode(&bytes);
     }
-    let range = |change: &dyn Fn(&mut LeaderCommands)| {
-        let mut orders = leader_orders();
-        change(&mut orders);
-        let bytes = encode(&ShardMessage::LeaderCommands(Box::new(orders))).unwrap();
+    let assert_out_of_range = |change: &dyn Fn(&mut LeaderCommands)| {
+        let mut commands = leader_commands();
+        change(&mut commands);
+        let bytes = encode(&ShardMessage::LeaderCommands(Box::new(commands))).unwrap();
         assert!(matches!(decode(&bytes), Err(ShardMessageError::Range(_))), "{:?}", decode(&bytes));
     };
-    range(&|orders| orders.machines[0].shard = 1);
-    range(&|orders| orders.machines[0].machine = "".into());
-    range(&|orders| orders.host = "x".repeat(201));
-    range(&|orders| orders.shards[0].0.index = 64);
-    range(&|orders| orders.machines = vec![orders.machines[0].clone(); 401]);
+    assert_out_of_range(&|commands| commands.machines[0].shard = 1);
+    assert_out_of_range(&|commands| commands.machines[0].machine = "".into());
+    assert_out_of_range(&|commands| commands.host = "x".repeat(201));
+    assert_out_of_range(&|commands| commands.shards[0].0.index = 64);
+    assert_out_of_range(&|commands| commands.machines = vec![commands.machines[0].clone(); 401]);
 }
 
-/// The subcommand says where records and controllers disagree.
+/// The table must list every disagreement between the records and the controllers' views.
 #[test]
-fn disagreements_about_shards_are_found() {
+fn disagreements_about_shards_are_reported() {
     let record =
         |holder: &str| json!({"format": 1, "holder": holder, "boot": 1, "term": 3, "shards": 4}).to_string();
     let mut shards = Shards::default();
--- a/crates/plankhead/src/tests/wire_bytes.rs
+++ b/crates/plankhead/src/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The published messages byte for byte, and the texts of errors that users and workers are
-//! shown, as version 205f9e2 wrote them.
+//! Compares the messages of the published protocol, and the error texts in replies to users and workers, with
+//! those of version 205f9e2, byte for byte.
 
 use crate::wire::cloud::{encode_release, encode_rental};
 use crate::wire::responses::encode_response;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn commands_are_the_same_bytes_as_before() {
+fn command_encodings_are_unchanged() {
     let list = r#"[{"verb":"run","piece":"job-1/3","try":2},{"verb":"kill","piece":"job-1/3","try":1,"leewayS":2.5},{"verb":"reap","piece":"job-1/3","try":1}]"#;
     let direct = text(encode_commands(41, 7, &commands()));
     assert_eq!(direct, format!(r#"{{"baton":41,"shift":7,"orders":{list}}}"#));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn responses_are_the_same_bytes_as_before() {
+fn response_encodings_are_unchanged() {
     let id = JobId::parse("job-1").unwrap();
     let job = Response::Job { created: true, id, status: JobStatus::Running, done: 2, running: 3 };
     let retry = Duration::from_secs(2);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn requests_to_the_cloud_are_the_same_bytes_as_before() {
+fn cloud_request_encodings_are_unchanged() {
     let rental =
         Rental { name: "r-1".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 7 };
     let expected = r#"{"hire":"r-1","loaners":true,"number":7,"rig":"g8","yard":"a"}"#;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn requests_to_the_state_service_are_the_same_bytes_as_before() {
+fn state_service_request_encodings_are_unchanged() {
     let changes = [
         KvChange::Put { key: "a/b".into(), value: r#"{"y":1.50, "x":1}"#.into(), lease: Some(7) },
         KvChange::Put { key: "a/c".into(), value: "3".into(), lease: None },
@@ -72,13 +72,13 @@
     let txn = encode_txn(&[Condition { key: "k".into(), mod_revision: 9 }], &changes).unwrap();
     let expected = r#"{"if":[{"k":"k","stamp":9}],"apply":[{"write":"a/b","value":{"y":1.50, "x":1},"hold":7},{"write":"a/c","value":3},{"drop":"c/d"}]}"#;
     assert_eq!(text(txn), expected);
-    let no_json = [KvChange::Put { key: "a".into(), value: "{".into(), lease: None }];
-    assert_eq!(encode_txn(&[], &no_json), None);
+    let invalid_json = [KvChange::Put { key: "a".into(), value: "{".into(), lease: None }];
+    assert_eq!(encode_txn(&[], &invalid_json), None);
     assert_eq!(text(encode_lease_request(Duration::from_millis(3500))), r#"{"lifeMs":3500}"#);
 }
 
 #[test]
-fn faults_of_heartbeats_are_told_as_before() {
+fn heartbeat_error_texts_are_unchanged() {
     let with = |change: &str| {
         let fields = [
             r#""host":"a""#,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn faults_of_submissions_are_told_as_before() {
+fn submission_error_texts_are_unchanged() {
     let text = |body: &str| match parse_submission(body.as_bytes()) {
         Err(error) => error.to_string(),
         Ok(submission) => format!("job: {}", submission.job.unwrap_err()),
--- a/crates/plankhead/tests/common/mod.rs
+++ b/crates/plankhead/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! What the tests with real controller processes share.
+//! Helpers for the tests with real controller processes.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of them.
 #![allow(dead_code)]
 
 use clap::Parser;
 use plankhead_standins::CommandLine;
 
-/// The directory with the settings files that are deployed.
+/// The directory with the deployed settings files.
 pub const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
 
-/// Sixty short jobs on three nodes and a dozen machines, some of them cancelled.
+/// A load of 60 short jobs on 3 nodes and 12 machines. A fifth of the jobs is cancelled.
 pub const SMALL_LOAD: [&str; 13] = [
     "--nodes=3",
     "--machines=12",
@@ -26,8 +26,8 @@
     "--longest-s=3",
 ];
 
-/// The command line of a fault program of the stand-ins, with which the program under test is
-/// started, and each of its nodes with `node_arguments`.
+/// Returns the parsed command line of a fault program of the stand-ins, which starts nodes of the program
+/// under test with `node_arguments`.
 pub fn command_line<A: clap::Args>(node_arguments: &str, arguments: &[&str]) -> CommandLine<A> {
     let binary = env!("CARGO_BIN_EXE_plankhead");
     let fixed = ["test", "--binary", binary, "--node-arguments", node_arguments];
--- a/crates/plankhead/tests/process_pauses.rs
+++ b/crates/plankhead/tests/process_pauses.rs
@@ -1,7 +1,8 @@
-//! Real controller processes, paused with a call to the cloud under way: without fencing
-//! the cloud does for the paused process what nobody knows of, with it nothing.
+//! Pauses real controller processes while a call to the cloud is in progress. Without fencing, the cloud then
+//! carries out requests of a former leader that the new leader does not know of (stale effects). With fencing
+//! there must be none.
 //!
-//! The thousand pauses are a program of their own: see the README.
+//! For a thousand pauses there is a separate program: see the README.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,9 +16,9 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// Pauses the leader for longer than its lease of 1.5 s whenever it has asked the cloud
-/// for something, which the cloud carries out 2 to 3 s later.
-async fn pauses(node_arguments: &str) -> Outcome {
+/// Pauses the leader for longer than its lease of 1.5 s after it has sent a request to the cloud, which the
+/// cloud carries out 2 to 3 s later.
+async fn run_with_pauses(node_arguments: &str) -> Outcome {
     let arguments = [
         "--nodes=3",
         "--machines=20",
@@ -40,18 +41,18 @@
 }
 
 #[tokio::test]
-async fn paused_processes_do_nothing_stale() {
+async fn fencing_prevents_stale_effects_of_paused_processes() {
     let fencing = format!("--fencing {DEPLOY}/fencing.json");
-    let (fenced, open) = tokio::join!(pauses(&fencing), pauses(""));
+    let (fenced, unfenced) = tokio::join!(run_with_pauses(&fencing), run_with_pauses(""));
     assert_eq!(fenced.found.stale, 0, "{fenced:?}");
     assert!(fenced.found.effects > 0 && fenced.duty_changes > 0, "{fenced:?}");
-    assert!(open.found.stale > 0, "the check finds nothing without fencing: {open:?}");
-    assert_eq!(open.duty_changes, 0, "{open:?}");
+    assert!(unfenced.found.stale > 0, "no stale effects without fencing: {unfenced:?}");
+    assert_eq!(unfenced.duty_changes, 0, "{unfenced:?}");
 }
 
-/// The check itself, on histories written by hand.
+/// Tests the check for stale effects itself, on histories written by hand.
 #[test]
-fn the_check_tells_stale_effects() {
+fn stale_effect_check_finds_stale_effects() {
     let written = |revision, key: &str, value: Option<Value>| KeyChange {
         revision,
         key: key.into(),
@@ -81,13 +82,17 @@
         let found = stale_effects::check(&history, effects);
         (found.of_former, found.stale)
     };
-    assert_eq!(count(&[effect("plank-0", rental("r-9"), 1)]), (0, 0), "the holder's own");
-    assert_eq!(count(&[effect("plank-1", rental("r-9"), 1)]), (1, 1), "not the holder's");
-    assert_eq!(count(&[effect("plank-0", rental("r-1"), 3)]), (1, 0), "recorded");
-    assert_eq!(count(&[effect("plank-0", machine("i-2"), 4)]), (1, 0), "recorded, under the next");
+    assert_eq!(count(&[effect("plank-0", rental("r-9"), 1)]), (0, 0), "from the holder of the lease");
+    assert_eq!(count(&[effect("plank-1", rental("r-9"), 1)]), (1, 1), "not from the holder of the lease");
+    assert_eq!(count(&[effect("plank-0", rental("r-1"), 3)]), (1, 0), "recorded as an intent");
+    assert_eq!(
+        count(&[effect("plank-0", machine("i-2"), 4)]),
+        (1, 0),
+        "recorded, carried out under the next leader"
+    );
     assert_eq!(count(&[effect("plank-0", machine("r-1"), 4)]), (1, 1), "recorded as something else");
     assert_eq!(count(&[effect("plank-0", rental("i-2"), 4)]), (1, 1), "recorded as something else");
-    assert_eq!(count(&[effect("plank-0", machine("i-2"), 5)]), (1, 1), "its record is gone");
-    assert_eq!(count(&[effect("plank-0", rental("r-6"), 6)]), (1, 1), "recorded when the lease was over");
-    assert_eq!(count(&[effect("plank-1", machine("i-3"), 5)]), (0, 0), "the next holder's own");
+    assert_eq!(count(&[effect("plank-0", machine("i-2"), 5)]), (1, 1), "its record has been removed");
+    assert_eq!(count(&[effect("plank-0", rental("r-6"), 6)]), (1, 1), "recorded after the lease had ended");
+    assert_eq!(count(&[effect("plank-1", machine("i-3"), 5)]), (0, 0), "from the next holder of the lease");
 }
--- a/crates/plankhead/tests/shard_move_faults.rs
+++ b/crates/plankhead/tests/shard_move_faults.rs
@@ -1,8 +1,8 @@
-//! Real controller processes between which shards of machines move every second and a half,
-//! while some are killed and paused: every job reaches exactly one final answer, and no task
-//! runs twice.
+//! Runs real controller processes, some of which are killed and paused, while shards of machines move between
+//! them every 1.5 s. Every job must get exactly one final status, and no task may run on two machines at the
+//! same time.
 //!
-//! Longer runs are a program of their own: see the README.
+//! For longer runs there is a separate program: see the README.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use plankhead_standins::shard_move_faults::{self, ShardMoveFaultArgs};
 
 #[tokio::test]
-async fn every_job_reaches_one_final_answer_while_shards_move() {
+async fn every_job_gets_one_final_status_while_shards_move() {
     let file = std::env::temp_dir().join(format!("plankhead-rotate-{}.json", std::process::id()));
     let sharding = r#"{"enabled": true, "shards_per_zone": 4, "rotate_ms": 1500}"#;
     std::fs::write(&file, sharding).unwrap();
