--- a/crates/plankhead/src/clients/peers.rs
+++ b/crates/plankhead/src/clients/peers.rs
@@ -47,7 +47,7 @@
     }
 
     /// Relays a worker's heartbeat and returns the reply to the worker. Returns `None` if the peer gives no
-    /// reply, if too many relays are in progress, or for [`RELAY_RETRY_INTERVAL`] after a failure.
+    /// reply, if too many relays are in progress, or for `RELAY_RETRY_INTERVAL` after a failure.
     pub async fn relay(&self, heartbeat: &[u8]) -> Option<Reply> {
         let request = relay::encode_request(heartbeat)?;
         if self.is_relaying_paused() || self.relays_in_flight.load(Ordering::Relaxed) >= MAX_RELAYS {
--- a/crates/plankhead/src/settings/fencing.rs
+++ b/crates/plankhead/src/settings/fencing.rs
@@ -22,8 +22,7 @@
     /// Seconds after which a refused rental that may still be carried out is requested again.
     #[cfg_attr(test, schemars(range(min = 1, max = 3600)))]
     pub refused_rental_retry_s: u64,
-    /// Seconds after a failover after which the new leader abandons refused rentals that may still be
-    /// carried out.
+    /// Seconds from a failover until the new leader abandons refused rentals that may still be carried out.
     #[cfg_attr(test, schemars(range(min = 60, max = 86_400)))]
     pub abandon_rental_s: u64,
 }
--- a/crates/plankhead/src/settings/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -11,7 +11,7 @@
 #[cfg_attr(test, derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ReachabilityFile {
-    /// Whether links are checked and restrict which actions are permitted.
+    /// Whether links are checked and their condition restricts which actions are permitted.
     pub enabled: bool,
     /// Milliseconds without a confirmation after which a failing link counts as down.
     #[cfg_attr(test, schemars(range(min = 200, max = 60_000)))]
@@ -23,7 +23,7 @@
     /// Milliseconds in which the flap penalty of a side falls to half.
     #[cfg_attr(test, schemars(range(min = 100, max = 3_600_000)))]
     pub half_life_ms: u64,
-    /// The flap penalty, in failures, from which a side is suppressed: it does not count as up.
+    /// The flap penalty, in failures, from which a side is suppressed, so that it does not count as up.
     #[cfg_attr(test, schemars(range(min = 1.1, max = 100.0)))]
     pub suppress: f64,
     /// The flap penalty, in failures, at which a suppressed side may count as up again.
--- a/crates/plankhead/src/settings/reader.rs
+++ b/crates/plankhead/src/settings/reader.rs
@@ -11,7 +11,7 @@
 
 /// Reads the fields of one JSON value of the file. A field is identified by its path, with dots between
 /// the keys. If a field is missing or invalid, the reader adds a fault and returns a placeholder: the
-/// smallest allowed number, an empty list, [`PLACEHOLDER_ADDRESS`], or `None` for a text.
+/// smallest allowed number, an empty list, `PLACEHOLDER_ADDRESS`, or `None` for a text.
 pub struct FieldReader<'a> {
     value: &'a Value,
     /// The path of the value in the file, followed by a dot, or an empty text for the whole file.
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -131,8 +131,10 @@
                 Some(format!("{shard}: its record names {holder}, which does not hold it in its own view"))
             }
             Some(claim) if claim.epoch != stored => {
-                let own = claim.epoch;
-                Some(format!("{shard}: {holder} holds it under epoch {own}, its record has epoch {stored}"))
+                let claimed = claim.epoch;
+                Some(format!(
+                    "{shard}: {holder} holds it under epoch {claimed}, its record has epoch {stored}"
+                ))
             }
             Some(claim) if !claim.acts => {
                 Some(format!("{shard}: its record names {holder}, which does not act for it"))
