--- a/crates/plankhead-core/src/leader/arrivals.rs
+++ b/crates/plankhead-core/src/leader/arrivals.rs
@@ -31,7 +31,7 @@
 
 impl ArrivalHistory {
     /// Records that the service is not new, so that no arrivals count as its initial backlog.
-    pub(super) fn service_is_running(&mut self) {
+    pub(super) fn mark_service_running(&mut self) {
         self.first_job_at = Some(Duration::ZERO);
     }
 
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -10,14 +10,14 @@
     /// Whether the leader's lease has been renewed in time, so that its writes may still succeed.
     pub lease_valid: bool,
     /// Whether the lease is valid and its latest renewal has not failed.
-    pub kv_undisputed: bool,
+    pub lease_undisputed: bool,
     /// Whether heartbeats of every peer arrive and none of them claims to lead.
     pub no_peer_leads: bool,
     /// Whether the process gets too little CPU time to keep up.
     pub cpu_starved: bool,
     /// The reachability mode: which links of this node work.
     pub mode: Mode,
-    /// Whether no other node hears any worker either.
+    /// Whether no peer receives heartbeats from any worker.
     pub peers_agree: bool,
 }
 
@@ -57,7 +57,7 @@
         self.cpu_starved = evidence.cpu_starved;
         self.mode = evidence.mode;
         self.peers_agree = evidence.peers_agree;
-        if !evidence.kv_undisputed {
+        if !evidence.lease_undisputed {
             self.lease_uncertain_at = Some(now);
         }
         if std::mem::take(&mut self.direct_heartbeat_arrived) || is_loading {
@@ -70,7 +70,7 @@
         self.mode
     }
 
-    /// Returns whether no other node hears any worker either.
+    /// Returns whether no peer receives heartbeats from any worker.
     pub(super) fn peers_agree(&self) -> bool {
         self.peers_agree
     }
@@ -87,7 +87,7 @@
     }
 
     /// Records that a heartbeat has arrived directly, not through a peer.
-    pub(super) fn direct_heartbeat_arrived(&mut self) {
+    pub(super) fn record_direct_heartbeat(&mut self) {
         self.direct_heartbeat_arrived = true;
     }
 
@@ -98,13 +98,13 @@
 
     /// Lets missing heartbeats count against machines again. Returns whether they did not count
     /// before.
-    pub(super) fn trust_silence(&mut self) -> bool {
+    pub(super) fn mark_silence_reliable(&mut self) -> bool {
         !std::mem::replace(&mut self.silence_is_reliable, true)
     }
 
-    /// Attributes missing heartbeats to this node's own links until [`Evidence::trust_silence`] is
-    /// called.
-    pub(super) fn distrust_silence(&mut self) {
+    /// Attributes missing heartbeats to this node's own links until
+    /// [`Evidence::mark_silence_reliable`] is called.
+    pub(super) fn mark_silence_unreliable(&mut self) {
         self.silence_is_reliable = false;
     }
 }
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -46,7 +46,7 @@
     ) -> Response {
         let now = times.now;
         if !path.relayed {
-            self.evidence.direct_heartbeat_arrived();
+            self.evidence.record_direct_heartbeat();
         }
         if !self.permits(Action::AnswerReports, now) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -185,7 +185,7 @@
         // A stored target shows that the service is not new: the existing jobs arrived over time and are
         // not an initial backlog.
         if row.is_some() {
-            self.arrivals.service_is_running();
+            self.arrivals.mark_service_running();
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
             let ended_at = times.monotonic_of(target.at_ms);
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -16,10 +16,9 @@
 const RECLAIM_LEAD_TIME: Duration = Duration::from_secs(7);
 
 impl Leader {
-    /// Returns whether any worker was heard recently, or none could be because no machine is up.
-    /// Machines that the cloud no longer lists do not count: they are gone, whatever the state of
-    /// this node's links.
-    pub(super) fn hears_workers(&self, now: Duration) -> bool {
+    /// Returns whether the latest heartbeat of any worker is recent, or no machine is up. Machines that
+    /// the cloud no longer lists do not count: they are gone, whatever the state of this node's links.
+    pub(super) fn receives_heartbeats(&self, now: Duration) -> bool {
         let recent = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let is_listed = |m: &&Machine| m.is_up() && !m.is_unlisted();
         let mut up = self.fleet.machines.values().filter(is_listed).peekable();
@@ -40,8 +39,8 @@
     ///
     /// Without the state service, no node learns of the latest cancellations, and a hung machine
     /// keeps a cancelled task past its lease for as long as it hangs. Such a machine is removed when
-    /// an unseen cancellation would be due and its lease has expired. If every peer is heard and none
-    /// leads, no other node has renewed the lease, so the tasks on the machine are lost anyway.
+    /// an unseen cancellation would be due and its lease has expired. If every peer sends heartbeats
+    /// and none leads, no other node has renewed the lease, so the tasks on the machine are lost anyway.
     ///
     /// A leader that has not finished loading does not know for how long it has missed cancellations,
     /// so it does not wait; but if most machines are silent, it assumes that its own links are at
@@ -89,11 +88,11 @@
 
     /// Marks machines with silent workers for removal, unless this node's own links may be at fault.
     fn check_silent_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
-        let hears_workers = self.hears_workers(now);
-        // If no node hears any worker, the links of this node are not at fault.
-        let silence_counts = hears_workers || self.evidence.mode() == Mode::StateOnly;
+        let receives_heartbeats = self.receives_heartbeats(now);
+        // If no node receives heartbeats, the links of this node are not at fault.
+        let silence_counts = receives_heartbeats || self.evidence.mode() == Mode::StateOnly;
         if evidence.lease_valid && silence_counts && self.permits(Action::JudgeSilent, now) {
-            if self.evidence.trust_silence() {
+            if self.evidence.mark_silence_reliable() {
                 self.fleet.reset_silence(now);
             }
             if self.fleet.mark_for_removal(now, &self.settings) > 0 {
@@ -103,13 +102,13 @@
                 self.probe_late_machines(now, effects);
             }
         } else {
-            // A partitioned leader hears no worker, and its requests to the cloud may be carried out
+            // A partitioned leader receives no heartbeats, and its requests to the cloud may be carried out
             // when the partition ends, which would release a healthy fleet. While the leader still
-            // hears some workers, the silence of the others keeps counting: if it were reset after
+            // receives some heartbeats, the silence of the others keeps counting: if it were reset after
             // every lost lease renewal, lost machines would keep their tasks forever while the state
             // service drops requests.
-            if !hears_workers {
-                self.evidence.distrust_silence();
+            if !receives_heartbeats {
+                self.evidence.mark_silence_unreliable();
             }
             self.remove_silent_beyond_lease(now, evidence);
         }
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -61,7 +61,7 @@
 
     /// Returns whether a heartbeat shows that the response to the previous heartbeat has reached the
     /// worker; `None` if there was no response or the heartbeat is not newer than the last one.
-    pub fn answer_shown(&self, heartbeat: &Heartbeat) -> Option<bool> {
+    pub fn confirms_response(&self, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.fleet.machines.get(&heartbeat.machine)?;
         machine.responses.answered_at?;
         let is_newer = machine.last_heartbeat_id.is_some_and(|newest| HeartbeatId::of(heartbeat) > newest);
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -65,7 +65,7 @@
             shards.registry.released(&held.shard, &message.host, held.epoch);
         }
         if !message.updates.is_empty() || !alive.is_empty() {
-            self.evidence.direct_heartbeat_arrived();
+            self.evidence.record_direct_heartbeat();
         }
         let mut all_applied = true;
         for update in message.updates {
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -216,8 +216,8 @@
     fn record_link_evidence(&mut self, heartbeat: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reachability) = &mut self.reachability else { return };
         reachability.heartbeat_arrived(&heartbeat.machine, relayed, now);
-        if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(heartbeat)) {
-            reachability.answer_confirmed(shown, now);
+        if let Some(confirmed) = self.leader.as_ref().and_then(|leader| leader.confirms_response(heartbeat)) {
+            reachability.answer_confirmed(confirmed, now);
         }
     }
 
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -52,7 +52,7 @@
         let reachability = self.reachability.as_ref();
         LeaderEvidence {
             lease_valid: self.election.is_lease_valid(now),
-            kv_undisputed: self.election.is_lease_undisputed(now),
+            lease_undisputed: self.election.is_lease_undisputed(now),
             no_peer_leads: self.peers.none_leads(now),
             cpu_starved: self.is_cpu_starved(),
             mode: reachability.map_or(Mode::Whole, Reachability::mode),
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -80,10 +80,10 @@
         self.heard_machines.record(machine, now);
     }
 
-    /// Records the first heartbeat of a worker after a reply to it. `shown` says whether the heartbeat shows
-    /// that the worker has received the reply.
-    pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
-        match shown {
+    /// Records the first heartbeat of a worker after a reply to it. `confirmed` says whether the heartbeat
+    /// shows that the worker has received the reply.
+    pub fn answer_confirmed(&mut self, confirmed: bool, now: Duration) {
+        match confirmed {
             true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
             false => self.monitor.failed(LinkId::HeartbeatReplies, now),
         }
