--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -60,7 +60,7 @@
 
 /// How a heartbeat differs from the previous heartbeat of the same machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeartbeatNews {
+pub enum HeartbeatChange {
     /// The heartbeat is a late copy, or its machine has been removed.
     Stale,
     /// The incarnation, the token, the tasks and their states are the same.
@@ -263,10 +263,10 @@
         heartbeat: &Heartbeat,
         own_token: u64,
         now: Duration,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         let id = HeartbeatId::of(heartbeat);
         if self.last_heartbeat_id.is_some_and(|newest| id <= newest) {
-            return HeartbeatNews::Stale;
+            return HeartbeatChange::Stale;
         }
         let is_first = self.last_heartbeat_id.is_none();
         let is_unchanged = self.last_heartbeat.as_ref().is_some_and(|last| {
@@ -297,9 +297,9 @@
         self.has_preemption_notice |= heartbeat.preemption_notice.is_some();
         self.last_heartbeat = Some(heartbeat.clone());
         if is_unchanged {
-            HeartbeatNews::Unchanged
+            HeartbeatChange::Unchanged
         } else {
-            HeartbeatNews::Changed
+            HeartbeatChange::Changed
         }
     }
 
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 
 pub use command_tracking::CommandTracking;
 pub use heartbeat_times::HeartbeatTimes;
-pub use machine::{HeartbeatId, HeartbeatNews, InventoryTracking, Machine, RemovalReason};
+pub use machine::{HeartbeatChange, HeartbeatId, InventoryTracking, Machine, RemovalReason};
 pub use response_tracking::ResponseTracking;
 
 use crate::jobs::job::Resources;
@@ -94,16 +94,16 @@
         heartbeat: &Heartbeat,
         own_token: u64,
         now: Duration,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         if self.removed.contains(&heartbeat.machine) {
-            return HeartbeatNews::Stale;
+            return HeartbeatChange::Stale;
         }
         if !self.machines.contains_key(&heartbeat.machine) {
             self.get_or_insert(&heartbeat.machine, heartbeat.address.clone(), Pool::of(heartbeat), now, now);
         }
         match self.machines.get_mut(&heartbeat.machine) {
             Some(machine) => machine.observe_heartbeat(heartbeat, own_token, now),
-            None => HeartbeatNews::Stale,
+            None => HeartbeatChange::Stale,
         }
     }
 
@@ -114,7 +114,7 @@
         heartbeat: &Heartbeat,
         own_token: u64,
         now: Duration,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.confirmed = true;
             machine.commands.unanswered = 0;
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::calls::KeyWatchCall;
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::{Fleet, HeartbeatNews, Machine};
+use crate::fleet::{Fleet, HeartbeatChange, Machine};
 use crate::leadership::LeaderId;
 use crate::protocol::{CallError, Heartbeat, HeartbeatPath, KvReply, MachineName, Response, WorkerCommand};
 use crate::requests::RequestHandler;
@@ -158,14 +158,14 @@
         let now = times.now;
         let freshness = self.freshness(evidence);
         let epoch = shard_epoch.epoch;
-        let news = self.observe_machine(now, heartbeat, shard_epoch, false);
+        let change = self.observe_machine(now, heartbeat, shard_epoch, false);
         let settings = &self.settings;
         if !freshness.may_renew(now, settings.worker_lease, settings.cancel_within) {
             return Response::Unavailable { retry_after: RETRY_AFTER };
         }
         let commands = self.commands_for(&heartbeat.machine, freshness, now);
         let Some(machine) =
-            self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| news != HeartbeatNews::Stale)
+            self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| change != HeartbeatChange::Stale)
         else {
             // A late copy gets no commands and does not count as a sign of life.
             return Response::Commands { token: epoch, commands: Vec::new() };
@@ -185,22 +185,22 @@
         heartbeat: &Heartbeat,
         ShardEpoch { shard, epoch }: ShardEpoch,
         is_reply: bool,
-    ) -> HeartbeatNews {
-        let news = match is_reply {
+    ) -> HeartbeatChange {
+        let change = match is_reply {
             true => self.fleet.observe_command_reply(heartbeat, epoch, now),
             false => self.fleet.observe_heartbeat(heartbeat, epoch, now),
         };
         let machine = &heartbeat.machine;
-        match news {
-            HeartbeatNews::Stale => return news,
-            HeartbeatNews::Unchanged => self.status.record_alive(machine, now),
-            HeartbeatNews::Changed => {
+        match change {
+            HeartbeatChange::Stale => return change,
+            HeartbeatChange::Unchanged => self.status.record_alive(machine, now),
+            HeartbeatChange::Changed => {
                 self.status.unreported.insert(machine.clone());
             }
         }
         self.shard_of.insert(machine.clone(), shard);
         self.drop_completed_commands(heartbeat);
-        news
+        change
     }
 
     /// Runs the work that is due: reading the jobs, probing late machines, and reporting to the leader.
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::{Fleet, HeartbeatNews, Machine, RemovalReason};
+use crate::fleet::{Fleet, HeartbeatChange, Machine, RemovalReason};
 use crate::jobs::job_table::EndedAttempt;
 use crate::jobs::reconcile::HeartbeatOutcome;
 use crate::protocol::HeartbeatPath;
@@ -57,10 +57,10 @@
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
         let name = heartbeat.machine.clone();
-        let news = self.observe_machine(times, &heartbeat, false, effects);
+        let change = self.observe_machine(times, &heartbeat, false, effects);
         let token = self.token_for(&name);
         let commands = self.commands_for(now, &name, requests);
-        let Some(machine) = self.fleet.machines.get_mut(&name).filter(|_| news != HeartbeatNews::Stale)
+        let Some(machine) = self.fleet.machines.get_mut(&name).filter(|_| change != HeartbeatChange::Stale)
         else {
             // A late copy of a heartbeat gets no commands and is no sign of life.
             return Response::Commands { token, commands: Vec::new() };
@@ -85,20 +85,20 @@
         heartbeat: &Heartbeat,
         is_command_reply: bool,
         effects: &mut EffectSink,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         let is_up = |fleet: &Fleet| fleet.machines.get(&heartbeat.machine).is_some_and(Machine::is_up);
         let was_up = is_up(&self.fleet);
-        let news = match is_command_reply {
+        let change = match is_command_reply {
             true => self.fleet.observe_command_reply(heartbeat, self.token, times.now),
             false => self.fleet.observe_heartbeat(heartbeat, self.token, times.now),
         };
         if is_up(&self.fleet) != was_up {
             self.placement.request_pass();
         }
-        if news != HeartbeatNews::Stale && self.loading.is_ready() {
-            self.observe_tasks(times, heartbeat, news, effects);
+        if change != HeartbeatChange::Stale && self.loading.is_ready() {
+            self.observe_tasks(times, heartbeat, change, effects);
         }
-        news
+        change
     }
 
     /// Reconciles the job table with a heartbeat and handles the attempts found ended or missing.
@@ -106,12 +106,12 @@
         &mut self,
         times: StepTime,
         heartbeat: &Heartbeat,
-        news: HeartbeatNews,
+        change: HeartbeatChange,
         effects: &mut EffectSink,
     ) {
         let now = times.now;
-        let HeartbeatOutcome { ended, missing } = match news {
-            HeartbeatNews::Changed => {
+        let HeartbeatOutcome { ended, missing } = match change {
+            HeartbeatChange::Changed => {
                 self.job_table.observe_heartbeat(heartbeat, heartbeat.token >= self.token, now)
             }
             _ => Default::default(),
@@ -123,7 +123,7 @@
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
             }
         }
-        for reported in heartbeat.tasks.iter().filter(|_| news == HeartbeatNews::Changed) {
+        for reported in heartbeat.tasks.iter().filter(|_| change == HeartbeatChange::Changed) {
             // A task that waits for the rest of its gang has already fetched its image.
             if !matches!(reported.status, TaskStatus::Running | TaskStatus::WaitingForGang) {
                 continue;
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -3,7 +3,7 @@
 use super::{Leader, Target, RETRY_INTERVAL};
 use crate::calls::{FinishedJob, LeaderCall, StoredKey};
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::HeartbeatNews;
+use crate::fleet::HeartbeatChange;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::jobs::job_table::{tasks_per_chunk, StoredJob};
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
@@ -199,7 +199,7 @@
         let heartbeats: Vec<Heartbeat> =
             self.fleet.machines.values().filter_map(|m| m.last_heartbeat.clone()).collect();
         for heartbeat in heartbeats {
-            self.observe_tasks(times, &heartbeat, HeartbeatNews::Changed, effects);
+            self.observe_tasks(times, &heartbeat, HeartbeatChange::Changed, effects);
         }
         effects.log(
             LogLevel::Info,
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::spec;
-use plankhead_core::fleet::{Fleet, HeartbeatNews, RemovalReason};
+use plankhead_core::fleet::{Fleet, HeartbeatChange, RemovalReason};
 use plankhead_core::jobs::job::{JobId, JobPhase, JobRecord};
 use plankhead_core::jobs::job_table::{JobTable, StoredJob};
 use plankhead_core::jobs::reconcile::HeartbeatOutcome;
@@ -285,13 +285,13 @@
     let mut fleet = Fleet::default();
     let mut heard =
         |incarnation, sequence| fleet.observe_heartbeat(&report(incarnation, sequence, &[]), 0, NOW);
-    assert_eq!(heard(3, 5), HeartbeatNews::Changed);
-    assert_eq!(heard(3, 6), HeartbeatNews::Unchanged);
-    assert_eq!(heard(3, 4), HeartbeatNews::Stale);
-    assert_eq!(heard(2, 9), HeartbeatNews::Stale);
-    assert_eq!(heard(4, 1), HeartbeatNews::Changed);
+    assert_eq!(heard(3, 5), HeartbeatChange::Changed);
+    assert_eq!(heard(3, 6), HeartbeatChange::Unchanged);
+    assert_eq!(heard(3, 4), HeartbeatChange::Stale);
+    assert_eq!(heard(2, 9), HeartbeatChange::Stale);
+    assert_eq!(heard(4, 1), HeartbeatChange::Changed);
     fleet.instance_released(&"i-1".into());
-    assert_eq!(fleet.observe_heartbeat(&report(5, 1, &[]), 0, NOW), HeartbeatNews::Stale);
+    assert_eq!(fleet.observe_heartbeat(&report(5, 1, &[]), 0, NOW), HeartbeatChange::Stale);
     assert!(fleet.machines.is_empty());
 }
 
