--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -172,7 +172,7 @@
         };
         machine.is_relayed = path.relayed;
         if machine.take_redirect(path.is_cut_off, self.settings.worker_lease, now) {
-            return Response::Redirect { leader: None };
+            return Response::Redirect { host: None };
         }
         machine.record_response(&commands, now);
         Response::Commands { token: epoch, commands }
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -70,7 +70,7 @@
             machine.heartbeat_times.last_direct_at = now;
         }
         if machine.take_redirect(path.is_cut_off, self.settings.worker_lease, now) {
-            return Response::Redirect { leader: None };
+            return Response::Redirect { host: None };
         }
         machine.record_response(&commands, now);
         self.record_offered_starts(&commands, token);
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -161,7 +161,7 @@
                 let target = RedirectTarget { host: leader.host, token: leader.token };
                 self.redirect(now, heartbeat, target, relayed)
             }
-            None => Response::Redirect { leader: None },
+            None => Response::Redirect { host: None },
         }
     }
 
@@ -180,10 +180,10 @@
         let unreachable =
             token == heartbeat.token || self.redirected_workers.has_returned(&heartbeat.machine, token, now);
         if unreachable && !relayed {
-            return Response::Relay { leader: host };
+            return Response::Relay { host };
         }
         self.redirected_workers.record(heartbeat.machine, token, now);
-        Response::Redirect { leader: Some(host) }
+        Response::Redirect { host: Some(host) }
     }
 
     /// Answers a heartbeat as the holder of the machine's shard.
@@ -197,7 +197,7 @@
         let now = times.now;
         let evidence = self.holder_evidence(now);
         let is_cut_off = self.is_holder_cut_off(evidence, now);
-        let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
+        let Some(sharding) = &mut self.sharding else { return Response::Redirect { host: None } };
         let path = HeartbeatPath { relayed, is_cut_off };
         sharding.holder.handle_heartbeat(times, heartbeat, shard_epoch, path, evidence)
     }
--- a/crates/plankhead-core/src/protocol/users.rs
+++ b/crates/plankhead-core/src/protocol/users.rs
@@ -35,10 +35,10 @@
         commands: Vec<WorkerCommand>,
     },
     /// To a worker, 421: the node that it should send heartbeats to, if that is known.
-    Redirect { leader: Option<String> },
-    /// To the adapter: relay the worker's heartbeat to this leader and pass the response back. The worker
-    /// already knows the leader, so it evidently can't reach it.
-    Relay { leader: String },
+    Redirect { host: Option<String> },
+    /// To the adapter: relay the worker's heartbeat to this node and pass the response back. The worker
+    /// already knows the node, so it evidently can't reach it.
+    Relay { host: String },
     /// To an operator: the JSON document of `GET /view`.
     View(serde_json::Value),
     /// To a peer: the outcome of its message about shards.
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -516,7 +516,7 @@
             Bench::of(Settings { fencing: Fencing { enabled: fenced, ..Fencing::default() }, ..settings() });
         bench.step(vec![Event::PeerHeartbeat(claim(50))]);
         let early = bench.beat(1, 7);
-        assert!(matches!(bench.answer(early), Some(Response::Redirect { leader: Some(_) })));
+        assert!(matches!(bench.answer(early), Some(Response::Redirect { host: Some(_) })));
         // Another leads meanwhile, as a worker shows; then the first is heard again.
         let mut later = report(2, 60);
         later.machine = "i-2".into();
@@ -525,9 +525,7 @@
         let mut third = report(3, 7);
         third.machine = "i-3".into();
         let question = bench.ask(|request| Event::Heartbeat { request, heartbeat: third, relayed: false });
-        let Some(Response::Redirect { leader: foreman }) = bench.answer(question) else {
-            panic!("no answer")
-        };
+        let Some(Response::Redirect { host: foreman }) = bench.answer(question) else { panic!("no answer") };
         assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
         let view = bench.ask(|request| Event::View { request });
         let Some(Response::View(view)) = bench.answer(view) else { panic!("no view") };
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -156,11 +156,11 @@
                 self.number(*token);
                 self.orders(commands);
             }
-            Response::Redirect { leader: foreman } => {
+            Response::Redirect { host: foreman } => {
                 self.tag(7);
                 self.optional(foreman.as_deref(), Self::text);
             }
-            Response::Relay { leader: foreman } => {
+            Response::Relay { host: foreman } => {
                 self.tag(8);
                 self.text(foreman);
             }
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -285,13 +285,13 @@
 
     /// One node passes a report on to another, if it can.
     fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
-        let Response::Relay { leader: foreman } = answer else { return };
+        let Response::Relay { host: foreman } = answer else { return };
         let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
         let machine = report.machine.clone();
         let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut_until[node].max(self.alone_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
-            let nobody = Response::Redirect { leader: None };
+            let nobody = Response::Redirect { host: None };
             return self.answered(PendingQuestion::Heartbeat { machine, sent, heartbeat: report }, nobody);
         };
         let boot = *boot;
@@ -338,7 +338,7 @@
                 let report = self.deployment.heartbeat_interval.as_millis() as u64;
                 self.between(report * 3 / 4, report * 5 / 4)
             }
-            Response::Redirect { leader: Some(name) } => {
+            Response::Redirect { host: Some(name) } => {
                 worker.node = name.trim_start_matches("plank-").parse().unwrap();
                 ms(200)
             }
--- a/crates/plankhead/src/node_handle.rs
+++ b/crates/plankhead/src/node_handle.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// What a worker is answered that no node can help at the moment.
-const NO_LEADER: Response = Response::Redirect { leader: None };
+const NO_LEADER: Response = Response::Redirect { host: None };
 
 /// A request that wants a response.
 #[derive(Debug)]
@@ -125,8 +125,8 @@
     /// to the peer that leads; `body` is the heartbeat as it came.
     pub async fn reply_to_heartbeat(&self, heartbeat: Heartbeat, body: &[u8]) -> Reply {
         match self.response(NodeRequest::Heartbeat { heartbeat, relayed: false }).await {
-            Ok(Response::Relay { leader }) => {
-                self.relay(&leader, body).await.unwrap_or_else(|| encode_response(&NO_LEADER))
+            Ok(Response::Relay { host }) => {
+                self.relay(&host, body).await.unwrap_or_else(|| encode_response(&NO_LEADER))
             }
             Ok(response) => encode_response(&response),
             Err(refusal) => refusal,
--- a/crates/plankhead/src/tests/wire_bytes.rs
+++ b/crates/plankhead/src/tests/wire_bytes.rs
@@ -40,8 +40,8 @@
     let retry = Duration::from_secs(2);
     let expected = [
         (job, 201, None, r#"{"nameId":"job-1","status":"running","done":2,"running":3}"#),
-        (Response::Redirect { leader: Some("plank-1".into()) }, 421, None, r#"{"foreman":"plank-1"}"#),
-        (Response::Redirect { leader: None }, 421, None, "{}"),
+        (Response::Redirect { host: Some("plank-1".into()) }, 421, None, r#"{"foreman":"plank-1"}"#),
+        (Response::Redirect { host: None }, 421, None, "{}"),
         (Response::NotFound, 404, None, r#"{"error":"no such job"}"#),
         (Response::Unavailable { retry_after: retry }, 503, Some(retry), r#"{"error":"try again later"}"#),
     ];
--- a/crates/plankhead/src/wire/responses.rs
+++ b/crates/plankhead/src/wire/responses.rs
@@ -34,7 +34,7 @@
             Reply { retry: Some(*retry_after), ..error(503, "try again later") }
         }
         Response::Commands { token, commands } => json(200, &CommandsResponse::new(*token, commands)),
-        Response::Redirect { leader } => json(421, &RedirectResponse { leader: leader.as_deref() }),
+        Response::Redirect { host } => json(421, &RedirectResponse { leader: host.as_deref() }),
         Response::Relay { .. } => json(421, &RedirectResponse { leader: None }),
         Response::View(view) => json(200, view),
         Response::ShardMessageDelivery(delivery) => encode_delivery(*delivery),
