--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -234,12 +234,13 @@
         self.commands.end(starts, incarnation, reply);
     }
 
-    /// Returns whether to redirect the worker to another node, and records the redirect. If this
-    /// node `is_cut_off`, another one may lead by now. Redirects are spaced so that a worker that
-    /// finds no other leader returns before its lease expires.
-    pub fn take_redirect(&mut self, is_cut_off: bool, lease: Duration, now: Duration) -> bool {
+    /// Returns whether to redirect the worker to another node, and records the redirect. If
+    /// `node_is_disconnected`, another node may lead by now. Redirects are spaced so that a worker
+    /// that finds no other leader returns before its lease expires.
+    pub fn take_redirect(&mut self, node_is_disconnected: bool, lease: Duration, now: Duration) -> bool {
         let interval = lease.mul_f64(REDIRECT_INTERVAL_LEASES);
-        let is_due = is_cut_off && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > interval);
+        let is_due =
+            node_is_disconnected && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > interval);
         if is_due {
             self.redirected_at = Some(now);
         }
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -171,7 +171,7 @@
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.is_relayed = path.relayed;
-        if machine.take_redirect(path.is_cut_off, self.settings.worker_lease, now) {
+        if machine.take_redirect(path.node_is_disconnected, self.settings.worker_lease, now) {
             return Response::Redirect { host: None };
         }
         machine.record_response(&commands, now);
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -69,7 +69,7 @@
         if !path.relayed {
             machine.heartbeat_times.last_direct_at = now;
         }
-        if machine.take_redirect(path.is_cut_off, self.settings.worker_lease, now) {
+        if machine.take_redirect(path.node_is_disconnected, self.settings.worker_lease, now) {
             return Response::Redirect { host: None };
         }
         machine.record_response(&commands, now);
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -108,14 +108,14 @@
             self.token_guard.observe(heartbeat.token);
         }
         self.record_link_evidence(&heartbeat, relayed, now);
-        let is_cut_off = !self.election.is_lease_valid(now) && !self.peers.any_alive(now);
+        let node_is_disconnected = !self.election.is_lease_valid(now) && !self.peers.any_alive(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&heartbeat) {
                 LeaderRoute::Own => {
                     return leader.handle_heartbeat(
                         times,
                         heartbeat,
-                        HeartbeatPath { relayed, is_cut_off },
+                        HeartbeatPath { relayed, node_is_disconnected },
                         &self.requests,
                         &mut self.effects,
                     );
@@ -196,9 +196,9 @@
     ) -> Response {
         let now = times.now;
         let evidence = self.holder_evidence(now);
-        let is_cut_off = self.is_holder_cut_off(evidence, now);
+        let node_is_disconnected = self.is_holder_disconnected(evidence, now);
         let Some(sharding) = &mut self.sharding else { return Response::Redirect { host: None } };
-        let path = HeartbeatPath { relayed, is_cut_off };
+        let path = HeartbeatPath { relayed, node_is_disconnected };
         sharding.holder.handle_heartbeat(times, heartbeat, shard_epoch, path, evidence)
     }
 
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -93,7 +93,7 @@
 
     /// Whether this node, as a holder, may miss that its shards were reassigned: its records are
     /// outdated or the state service fails, and all peers are silent.
-    pub(super) fn is_holder_cut_off(&self, evidence: HolderEvidence, now: Duration) -> bool {
+    pub(super) fn is_holder_disconnected(&self, evidence: HolderEvidence, now: Duration) -> bool {
         let records_stale =
             evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
         (records_stale || evidence.kv_failing) && !self.peers.any_alive(now)
--- a/crates/plankhead-core/src/protocol/worker.rs
+++ b/crates/plankhead-core/src/protocol/worker.rs
@@ -140,7 +140,7 @@
 pub struct HeartbeatPath {
     /// Whether a peer relayed the heartbeat, since the worker can't reach this node.
     pub relayed: bool,
-    /// Whether this node hears neither the state service nor any peer, so that another node may have
-    /// become the leader.
-    pub is_cut_off: bool,
+    /// Whether the state service does not answer this node in time and all peers are silent, so that
+    /// another node may have taken over.
+    pub node_is_disconnected: bool,
 }
