--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -25,7 +25,7 @@
     pub(super) fn evaluate_links(&mut self, now: Duration) {
         let Some(reachability) = self.reachability.as_mut().filter(|part| part.is_due(now)) else { return };
         let machines = self.leader.as_ref().map_or(0, Leader::machines_expected);
-        reachability.judge(machines, now, &mut self.effects);
+        reachability.evaluate_links(machines, now, &mut self.effects);
         self.requests.set_permissions(reachability.user_permissions());
         let defers_to_peers = reachability.defers_to_peers(now);
         self.election.set_defers_to_peers(defers_to_peers);
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -163,8 +163,13 @@
     }
 
     /// Evaluates the links, and logs and returns a change of mode.
-    pub fn judge(&mut self, machines: usize, now: Duration, effects: &mut EffectSink) -> Option<ModeChange> {
-        let change = self.monitor.judge(now, machines)?;
+    pub fn evaluate_links(
+        &mut self,
+        machines: usize,
+        now: Duration,
+        effects: &mut EffectSink,
+    ) -> Option<ModeChange> {
+        let change = self.monitor.evaluate(now, machines)?;
         let causes = if change.causes.is_empty() {
             "no link that determines the mode is down".into()
         } else {
--- a/crates/plankhead-reachability/src/link/arrival_link.rs
+++ b/crates/plankhead-reachability/src/link/arrival_link.rs
@@ -74,7 +74,7 @@
     }
 
     /// Judges the link; returns whether its condition has changed.
-    pub fn judge(&mut self, now: Duration) -> bool {
+    pub fn evaluate(&mut self, now: Duration) -> bool {
         let is_expected = self.expected_since.is_some();
         let timeout = self.silence_timeout(now);
         let silence = self.arrived_at.map(|at| now.saturating_sub(at));
--- a/crates/plankhead-reachability/src/link/call_link.rs
+++ b/crates/plankhead-reachability/src/link/call_link.rs
@@ -133,7 +133,7 @@
     }
 
     /// Judges the link; returns whether its condition has changed.
-    pub fn judge(&mut self, now: Duration) -> bool {
+    pub fn evaluate(&mut self, now: Duration) -> bool {
         let overdue = self.overdue(now);
         let failures = [self.failures, overdue].into_iter().flatten();
         let count = failures.clone().map(|failures| failures.count).sum::<u32>();
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -11,9 +11,9 @@
 /// nothing about its links.
 const PAUSE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The least time between two judgements: every heartbeat leads to a step of the node.
-const MIN_JUDGE_INTERVAL: Duration = Duration::from_millis(50);
+const MIN_EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// How soon links are judged again while some fail.
-const FAILURE_JUDGE_INTERVAL: Duration = Duration::from_millis(250);
+const FAILURE_EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
 /// The bounds of the silence of a peer that shows a failure: its heartbeats come every second.
 const MIN_PEER_SILENCE: Duration = Duration::from_millis(2500);
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
@@ -83,7 +83,7 @@
     worker_side: SideStatus,
     mode: Mode,
     mode_since: Duration,
-    judged_at: Duration,
+    evaluated_at: Duration,
     mode_changes: u64,
     pauses: u64,
 }
@@ -107,7 +107,7 @@
             worker_side: SideStatus::new(settings, now),
             mode: Mode::Whole,
             mode_since: now,
-            judged_at: now,
+            evaluated_at: now,
             mode_changes: 0,
             pauses: 0,
         }
@@ -180,28 +180,28 @@
 
     /// Whether the links may be judged again already.
     pub fn due(&self, now: Duration) -> bool {
-        now.saturating_sub(self.judged_at) >= MIN_JUDGE_INTERVAL
+        now.saturating_sub(self.evaluated_at) >= MIN_EVALUATION_INTERVAL
     }
 
     /// Judges all links; `machines`: how many should send heartbeats to this node.
-    pub fn judge(&mut self, now: Duration, machines: usize) -> Option<ModeChange> {
-        if now.saturating_sub(self.judged_at) > PAUSE_TIMEOUT {
+    pub fn evaluate(&mut self, now: Duration, machines: usize) -> Option<ModeChange> {
+        if now.saturating_sub(self.evaluated_at) > PAUSE_TIMEOUT {
             self.forget_after_pause(now);
         }
-        self.judged_at = now;
+        self.evaluated_at = now;
         self.heartbeats.expect(machines >= MIN_MACHINES_FOR_SILENCE, now);
-        self.heartbeats.judge(now);
+        self.heartbeats.evaluate(now);
         for link in &mut self.peers {
-            link.judge(now);
+            link.evaluate(now);
         }
         for link in self.call_links.values_mut() {
-            link.judge(now);
+            link.evaluate(now);
         }
         let kv_works = KV_LINKS.iter().all(|id| !self.is_down(*id));
         let replies_work = machines < MIN_MACHINES_FOR_REPLIES || !self.is_down(LinkId::HeartbeatReplies);
         let workers_work = replies_work && self.heartbeats.status().condition != LinkCondition::Down;
-        self.kv_side.judge(kv_works, now);
-        self.worker_side.judge(workers_work, now);
+        self.kv_side.evaluate(kv_works, now);
+        self.worker_side.evaluate(workers_work, now);
         self.update_mode(now)
     }
 
@@ -285,7 +285,7 @@
         let is_healthy = self.mode == Mode::Whole
             && self.heartbeats.status().condition != LinkCondition::Suspect
             && KV_LINKS.iter().all(|id| self.call_links[id].status().condition != LinkCondition::Suspect);
-        (!is_healthy).then_some(now + FAILURE_JUDGE_INTERVAL)
+        (!is_healthy).then_some(now + FAILURE_EVALUATION_INTERVAL)
     }
 
     /// All links, for the operators' view.
--- a/crates/plankhead-reachability/src/side.rs
+++ b/crates/plankhead-reachability/src/side.rs
@@ -27,7 +27,7 @@
     }
 
     /// Takes in whether the side's links are good.
-    pub fn judge(&mut self, good: bool, now: Duration) {
+    pub fn evaluate(&mut self, good: bool, now: Duration) {
         if !good {
             if self.good_since.take().is_some() {
                 self.damping.failed(now);
--- a/crates/plankhead-reachability/tests/links.rs
+++ b/crates/plankhead-reachability/tests/links.rs
@@ -70,7 +70,7 @@
         if works.reports {
             self.monitor.report_arrived(now);
         }
-        if let Some(change) = self.monitor.judge(now + ms(10), 10) {
+        if let Some(change) = self.monitor.evaluate(now + ms(10), 10) {
             self.changes.push((now, change.to));
         }
     }
@@ -121,13 +121,13 @@
     let mut link = CallLink::new(ms(1_000), START);
     assert_eq!(link.status().condition, LinkCondition::Unknown);
     link.confirmed(START);
-    link.judge(START);
+    link.evaluate(START);
     assert_eq!(link.status().condition, LinkCondition::Up);
-    link.judge(START + ms(60_000));
+    link.evaluate(START + ms(60_000));
     assert_eq!(link.status().condition, LinkCondition::Unknown);
     // One failure is anybody's, however long ago.
     link.failed(START + ms(60_000));
-    link.judge(START + ms(90_000));
+    link.evaluate(START + ms(90_000));
     assert_eq!(link.status().condition, LinkCondition::Suspect);
     assert!(link.wants_probe(START + ms(90_000)));
 }
@@ -143,19 +143,19 @@
     }
     let sent = START + ms(2_000);
     link.sent(100, sent);
-    link.judge(sent + ms(1_100));
+    link.evaluate(sent + ms(1_100));
     assert_eq!(link.status().condition, LinkCondition::Suspect);
     // One call alone may be lost: another must not be answered either.
-    link.judge(sent + ms(9_000));
+    link.evaluate(sent + ms(9_000));
     assert_eq!(link.status().condition, LinkCondition::Suspect);
     assert!(!link.wants_probe(sent + ms(300)));
     assert!(link.wants_probe(sent + ms(1_000)));
     link.sent(101, sent + ms(1_000));
-    link.judge(sent + ms(1_300));
+    link.evaluate(sent + ms(1_300));
     assert_eq!(link.status().condition, LinkCondition::Down);
     // Its answer is late, and confirms the link all the same.
     link.answered(100, sent + ms(5_000));
-    link.judge(sent + ms(5_000));
+    link.evaluate(sent + ms(5_000));
     assert_eq!(link.status().condition, LinkCondition::Up);
 }
 
@@ -167,7 +167,7 @@
     for n in 0..600 {
         link.sent(n, now);
         now += ms(900);
-        link.judge(now);
+        link.evaluate(now);
         assert_ne!(link.status().condition, LinkCondition::Down, "call {n}");
         link.answered(n, now);
     }
@@ -182,7 +182,7 @@
     link.confirmed(START + ms(5_000));
     link.unanswered(1, START + ms(5_100));
     link.failed(START + ms(5_100));
-    link.judge(START + ms(5_200));
+    link.evaluate(START + ms(5_200));
     assert_eq!(link.status().condition, LinkCondition::Suspect, "sent before the confirmation");
 }
 
@@ -195,7 +195,7 @@
     life.now += ms(30_000);
     life.monitor.unanswered(LinkId::KvReads, 1_000_000, life.now);
     life.monitor.unanswered(LinkId::KvReads, 1_000_001, life.now);
-    assert_eq!(life.monitor.judge(life.now, 10), None);
+    assert_eq!(life.monitor.evaluate(life.now, 10), None);
     assert_eq!(life.monitor.freezes(), 1);
     life.live(ALL, ms(3_000));
     assert!(life.changes.is_empty(), "{:?}", life.changes);
@@ -216,7 +216,7 @@
         }
         for _ in 0..96 {
             now += ms(50);
-            assert_eq!(monitor.judge(now, 100), None);
+            assert_eq!(monitor.evaluate(now, 100), None);
         }
     }
 }
