--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Forgets the state of the links that only a leader uses, after this node has lost the leadership.
+    /// Resets the state of the links that only a leader uses, after this node has lost the leadership.
     pub fn leadership_lost(&mut self) {
-        self.monitor.forget_link(LinkId::KvLeaseRenewal);
-        self.monitor.forget_link(LinkId::HeartbeatReplies);
+        self.monitor.reset_link(LinkId::KvLeaseRenewal);
+        self.monitor.reset_link(LinkId::HeartbeatReplies);
     }
 }
--- a/crates/plankhead-reachability/src/link/arrival_link.rs
+++ b/crates/plankhead-reachability/src/link/arrival_link.rs
@@ -57,7 +57,7 @@
     }
 
     /// Lets silence count from now on, since this process did not run meanwhile.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn reset(&mut self, now: Duration) {
         self.arrived_at = self.arrived_at.map(|_| now);
     }
 
--- a/crates/plankhead-reachability/src/link/call_link.rs
+++ b/crates/plankhead-reachability/src/link/call_link.rs
@@ -110,7 +110,7 @@
     }
 
     /// Forgets calls under way and failures, since this process did not run meanwhile.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.outstanding.clear();
         self.failures = None;
         self.confirmed_at = None;
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -160,9 +160,9 @@
     }
 
     /// Forgets what is known of a link that is not used any more.
-    pub fn forget_link(&mut self, id: LinkId) {
+    pub fn reset_link(&mut self, id: LinkId) {
         if let Some(link) = self.link(id) {
-            link.forget();
+            link.reset();
         }
     }
 
@@ -186,7 +186,7 @@
     /// Judges all links; `machines`: how many should send heartbeats to this node.
     pub fn evaluate(&mut self, now: Duration, machines: usize) -> Option<ModeChange> {
         if now.saturating_sub(self.evaluated_at) > PAUSE_TIMEOUT {
-            self.forget_after_pause(now);
+            self.reset_after_pause(now);
         }
         self.evaluated_at = now;
         self.heartbeats.expect(machines >= MIN_MACHINES_FOR_SILENCE, now);
@@ -228,14 +228,14 @@
     }
 
     /// The process did not run: links become unknown, and the sides stay what they were.
-    fn forget_after_pause(&mut self, now: Duration) {
+    fn reset_after_pause(&mut self, now: Duration) {
         self.pauses += 1;
         for link in self.call_links.values_mut() {
-            link.forget();
+            link.reset();
         }
-        self.heartbeats.forget(now);
+        self.heartbeats.reset(now);
         for link in &mut self.peers {
-            link.forget(now);
+            link.reset(now);
         }
     }
 
