--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -111,7 +111,7 @@
         }
         let now = times.now;
         if let Some(reachability) = &mut self.reachability {
-            reachability.peer_heard(&heartbeat.host, now);
+            reachability.peer_heartbeat_received(&heartbeat.host, now);
         }
         if heartbeat.token > 0 {
             self.requests.set_leader_progress(&heartbeat.progress);
--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -77,7 +77,7 @@
         self.heard_machines.forget_silent(self.settings.heartbeat_timeout() + HEARD_MARGIN, now);
         self.sequence += 1;
         let peers = self.settings.peers.iter().enumerate();
-        let heard_peers = peers.filter(|(index, _)| self.monitor.hears_peer(*index));
+        let sending_peers = peers.filter(|(index, _)| self.monitor.receives_from_peer(*index));
         let coverage = Coverage {
             host: self.settings.host.clone(),
             boot: self.settings.boot_id,
@@ -88,7 +88,7 @@
             heard: self.numbers_of(self.heard_machines.names()),
             reached: facts.map(|facts| self.numbers_of(facts.confirmed_commands.iter())).unwrap_or_default(),
             expected: facts.map_or(0, |facts| u32::try_from(facts.machines_up).unwrap_or(u32::MAX)),
-            peers: heard_peers.map(|(_, peer)| peer.clone()).collect(),
+            peers: sending_peers.map(|(_, peer)| peer.clone()).collect(),
             successor,
         };
         effects.queued.push(Effect::SendCoverage(Box::new(coverage)));
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -94,9 +94,9 @@
     }
 
     /// Records a heartbeat of a peer.
-    pub fn peer_heard(&mut self, host: &str, now: Duration) {
+    pub fn peer_heartbeat_received(&mut self, host: &str, now: Duration) {
         if let Some(peer) = self.peer_index(host) {
-            self.monitor.peer_heard(peer, now);
+            self.monitor.peer_heartbeat_received(peer, now);
         }
     }
 
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -172,7 +172,7 @@
     }
 
     /// A peer's heartbeat arrived.
-    pub fn peer_heard(&mut self, peer: usize, now: Duration) {
+    pub fn peer_heartbeat_received(&mut self, peer: usize, now: Duration) {
         if let Some(link) = self.peers.get_mut(peer) {
             link.arrived(now);
         }
@@ -260,7 +260,7 @@
     }
 
     /// Whether a peer's heartbeats arrive.
-    pub fn hears_peer(&self, peer: usize) -> bool {
+    pub fn receives_from_peer(&self, peer: usize) -> bool {
         let condition = self.peers.get(peer).map(|link| link.status().condition);
         matches!(condition, Some(LinkCondition::Up | LinkCondition::Suspect))
     }
