--- a/crates/plankhead-core/src/fleet/heartbeat_times.rs
+++ b/crates/plankhead-core/src/fleet/heartbeat_times.rs
@@ -14,8 +14,8 @@
     /// When the machine last reached this node, or its shard's holder, without a relay. Events that
     /// excuse its silence also advance this time.
     pub last_direct_at: Duration,
-    /// When a peer last reported that it hears this machine while the heartbeats were late here.
-    pub heard_by_peer_at: Option<Duration>,
+    /// When a peer last stated that it receives this machine's heartbeats while they were late here.
+    pub reported_to_peer_at: Option<Duration>,
     /// When the machine was last granted time to find another node.
     rerouted_at: Duration,
 }
@@ -27,7 +27,7 @@
             last_heard_at: now,
             last_new_at: now,
             last_direct_at: now,
-            heard_by_peer_at: None,
+            reported_to_peer_at: None,
             rerouted_at: Duration::ZERO,
         }
     }
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -20,7 +20,7 @@
 /// Unresponsive machines count as lost only if there is at most one per this many machines. If more
 /// are unresponsive, they may be unreachable from this node only and return through a peer.
 const MIN_MACHINES_PER_UNRESPONSIVE: usize = 50;
-/// The time for which a peer's report that it hears a machine is trusted.
+/// The time for which a peer's statement that it receives a machine's heartbeats is valid.
 const PEER_COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// The number of consecutive task failures after which a machine is removed.
 const MAX_CONSECUTIVE_ERRORS: u32 = 3;
@@ -110,13 +110,13 @@
             return is_late.then_some(RemovalReason::BootTimeout);
         }
         let is_lost = !is_cut_off && self.removes_unresponsive && self.is_unresponsive(machine);
-        // If a peer hears the machine, the link to this node has failed and not the machine. This
-        // excuses the silence for one more worker lease.
-        let is_heard_by_peer = machine
+        // If a peer receives the machine's heartbeats, the link to this node has failed and not the
+        // machine. This excuses the silence for one more worker lease.
+        let reports_to_peer = machine
             .heartbeat_times
-            .heard_by_peer_at
+            .reported_to_peer_at
             .is_some_and(|at| self.elapsed_since(at) < PEER_COVERAGE_TIMEOUT);
-        let is_excused = is_heard_by_peer && silence < max_silence + self.worker_lease;
+        let is_excused = reports_to_peer && silence < max_silence + self.worker_lease;
         if (silence > max_silence || is_lost) && !is_excused {
             Some(RemovalReason::HeartbeatTimeout)
         } else if machine.is_unlisted() && silence > self.heartbeat_timeout.max(max_silence / 2) {
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -18,14 +18,14 @@
     /// The reachability mode: which links of this node work.
     pub mode: Mode,
     /// Whether no peer receives heartbeats from any worker.
-    pub peers_agree: bool,
+    pub no_peer_receives_heartbeats: bool,
 }
 
 /// The evidence that the leader keeps between steps.
 #[derive(Debug)]
 pub(super) struct Evidence {
     mode: Mode,
-    peers_agree: bool,
+    no_peer_receives_heartbeats: bool,
     cpu_starved: bool,
     /// When the lease was last found invalid or its latest renewal failed.
     lease_uncertain_at: Option<Duration>,
@@ -42,7 +42,7 @@
     pub(super) fn new(now: Duration) -> Self {
         Self {
             mode: Mode::Whole,
-            peers_agree: false,
+            no_peer_receives_heartbeats: false,
             cpu_starved: false,
             lease_uncertain_at: None,
             direct_heartbeat_arrived: false,
@@ -56,7 +56,7 @@
     pub(super) fn update(&mut self, evidence: &LeaderEvidence, is_loading: bool, now: Duration) {
         self.cpu_starved = evidence.cpu_starved;
         self.mode = evidence.mode;
-        self.peers_agree = evidence.peers_agree;
+        self.no_peer_receives_heartbeats = evidence.no_peer_receives_heartbeats;
         if !evidence.lease_undisputed {
             self.lease_uncertain_at = Some(now);
         }
@@ -71,8 +71,8 @@
     }
 
     /// Returns whether no peer receives heartbeats from any worker.
-    pub(super) fn peers_agree(&self) -> bool {
-        self.peers_agree
+    pub(super) fn no_peer_receives_heartbeats(&self) -> bool {
+        self.no_peer_receives_heartbeats
     }
 
     /// Returns whether CPU time is short. Starts are then sent only in responses to heartbeats.
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -34,7 +34,7 @@
                 let settings = &self.settings;
                 unsynced_for < settings.cancel_within.saturating_sub(settings.worker_lease + CLOCK_MARGIN)
             }
-            Precondition::PeersAgree => self.evidence.peers_agree(),
+            Precondition::NoPeerReceivesHeartbeats => self.evidence.no_peer_receives_heartbeats(),
         }
     }
 
@@ -87,15 +87,15 @@
         self.fleet.machines.keys().cloned().collect()
     }
 
-    /// Records which machines with late heartbeats are heard by a peer: the link to this node is at
-    /// fault, not the machine.
-    pub fn record_heard_by_peers(&mut self, now: Duration, is_heard_by_peer: impl Fn(&str) -> bool) {
+    /// Records which machines with late heartbeats report to a peer: the link to this node is at fault,
+    /// not the machine.
+    pub fn record_reports_to_peers(&mut self, now: Duration, reports_to_peer: impl Fn(&str) -> bool) {
         let timeout = self.settings.heartbeat_timeout();
         for machine in self.fleet.machines.values_mut() {
             if now.saturating_sub(machine.heartbeat_times.last_heard_at) > timeout
-                && is_heard_by_peer(&machine.name)
+                && reports_to_peer(&machine.name)
             {
-                machine.heartbeat_times.heard_by_peer_at = Some(now);
+                machine.heartbeat_times.reported_to_peer_at = Some(now);
             }
         }
     }
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -56,7 +56,8 @@
             no_peer_leads: self.peers.none_leads(now),
             cpu_starved: self.is_cpu_starved(),
             mode: reachability.map_or(Mode::Whole, Reachability::mode),
-            peers_agree: reachability.is_some_and(|reachability| reachability.peers_agree(now)),
+            no_peer_receives_heartbeats: reachability
+                .is_some_and(|reachability| reachability.no_peer_receives_heartbeats(now)),
         }
     }
 
--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -53,7 +53,7 @@
         if facts.lease_undisputed && reachability.take_numbering_check(now) {
             reachability.write_numbering(&leader.machine_names(), facts.token, &mut self.effects);
         }
-        leader.record_heard_by_peers(now, |machine| reachability.heard_by_a_peer(machine, now));
+        leader.record_reports_to_peers(now, |machine| reachability.reports_to_a_peer(machine, now));
         if let Some(successor) = reachability.successor(&facts, now, &mut self.effects) {
             let text = format!("leadership handed over: peer={successor} reason=peer_reaches_more");
             self.effects.log(LogLevel::Info, text);
--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -46,13 +46,13 @@
     }
 
     /// Whether a peer receives the machine's heartbeats, according to its coverage.
-    pub fn heard_by_a_peer(&self, machine: &str, now: Duration) -> bool {
-        self.coverage_table.heard_by_a_peer(machine, self.numbering.current(), now)
+    pub fn reports_to_a_peer(&self, machine: &str, now: Duration) -> bool {
+        self.coverage_table.reports_to_a_peer(machine, self.numbering.current(), now)
     }
 
-    /// Whether the coverage of every peer is recent and shows that the peer hears no machine either.
-    pub fn peers_agree(&self, now: Duration) -> bool {
-        self.coverage_table.nobody_hears(now)
+    /// Whether the coverage of every peer is recent and shows that the peer receives no heartbeats either.
+    pub fn no_peer_receives_heartbeats(&self, now: Duration) -> bool {
+        self.coverage_table.no_peer_receives_heartbeats(now)
     }
 
     /// Whether reachability is enabled, there are peers and the coverage of all of them is recent, so that
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -222,15 +222,15 @@
         self.fresh(now).count() == self.peers.len()
     }
 
-    /// Whether some peer hears the machine.
-    pub fn heard_by_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
+    /// Whether a peer receives the machine's heartbeats, according to its recent coverage.
+    pub fn reports_to_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
         let Some(number) = numbering.number(name) else { return false };
         self.fresh(now)
             .any(|coverage| coverage.heard.contains(number) && numbering.meant(number, coverage.numbering))
     }
 
-    /// Whether the coverage of every peer is recent, and none hears any machine.
-    pub fn nobody_hears(&self, now: Duration) -> bool {
+    /// Whether the coverage of every peer is recent and shows that the peer receives no heartbeats.
+    pub fn no_peer_receives_heartbeats(&self, now: Duration) -> bool {
         self.complete(now) && self.fresh(now).all(|coverage| coverage.heard.is_empty())
     }
 }
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -95,8 +95,8 @@
     JobsSynced,
     /// A cancellation that this node has not read is not due before leases expire.
     CancellationUnseen,
-    /// No other node hears any worker either.
-    PeersAgree,
+    /// No other node receives heartbeats from any worker.
+    NoPeerReceivesHeartbeats,
 }
 
 /// Whether an action is allowed.
@@ -168,7 +168,7 @@
         // The deadline of a cancellation demands it, and the cloud's answer is the evidence.
         (Action::ReclaimOverdue, _) => Allowed,
         (Action::JudgeSilent, Whole) => Allowed,
-        (Action::JudgeSilent, StateOnly) => Within(PeersAgree),
+        (Action::JudgeSilent, StateOnly) => Within(NoPeerReceivesHeartbeats),
         (Action::JudgeSilent, WorkersOnly | Isolated) => Forbidden(OwnSilence),
         (Action::Lead, Whole) => Allowed,
         (Action::Lead, StateOnly) => Deferred(BetterPlaced),
--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -180,15 +180,15 @@
     let number = numbering.number("machine-00004").unwrap();
     let hears = Coverage { heard: [number].into_iter().collect(), ..from("plank-1", 1) };
     table.receive(hears, NOW, &numbering, None).unwrap();
-    assert!(table.heard_by_a_peer("machine-00004", &numbering, NOW));
-    assert!(!table.heard_by_a_peer("machine-00005", &numbering, NOW));
-    assert!(!table.heard_by_a_peer("machine-00004", &numbering, NOW + COVERAGE_TIMEOUT), "it is too old");
-    assert!(!table.nobody_hears(NOW));
+    assert!(table.reports_to_a_peer("machine-00004", &numbering, NOW));
+    assert!(!table.reports_to_a_peer("machine-00005", &numbering, NOW));
+    assert!(!table.reports_to_a_peer("machine-00004", &numbering, NOW + COVERAGE_TIMEOUT), "it is too old");
+    assert!(!table.no_peer_receives_heartbeats(NOW));
     table.receive(from("plank-1", 2), NOW, &numbering, None).unwrap();
-    assert!(!table.nobody_hears(NOW), "one peer has said nothing");
+    assert!(!table.no_peer_receives_heartbeats(NOW), "one peer has said nothing");
     table.receive(from("plank-2", 1), NOW, &numbering, None).unwrap();
-    assert!(table.nobody_hears(NOW));
-    assert!(!table.nobody_hears(NOW + COVERAGE_TIMEOUT));
+    assert!(table.no_peer_receives_heartbeats(NOW));
+    assert!(!table.no_peer_receives_heartbeats(NOW + COVERAGE_TIMEOUT));
 }
 
 fn own(mode: Mode, heard: u64) -> LeaderView {
--- a/crates/plankhead-reachability/tests/table.rs
+++ b/crates/plankhead-reachability/tests/table.rs
@@ -9,7 +9,7 @@
         Permission::Allowed => 'a',
         Permission::Within(Precondition::JobsSynced) => 'j',
         Permission::Within(Precondition::CancellationUnseen) => 'c',
-        Permission::Within(Precondition::PeersAgree) => 'p',
+        Permission::Within(Precondition::NoPeerReceivesHeartbeats) => 'p',
         Permission::Deferred(_) => 'd',
         Permission::Forbidden(_) => 'f',
     }
