--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -54,8 +54,8 @@
             leading_since: self.started_at,
             lease_undisputed: lease_undisputed && self.loading.is_ready(),
             machines_up: up().count(),
-            heard_directly: direct.map(|machine| machine.name.clone()).collect(),
-            confirmed_commands: commanded.map(|machine| machine.name.clone()).collect(),
+            reporting_directly: direct.map(|machine| machine.name.clone()).collect(),
+            replied_to: commanded.map(|machine| machine.name.clone()).collect(),
         }
     }
 
--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -1,5 +1,5 @@
 //! Coverage, the set of machines whose heartbeats a node receives: its exchange with peers, and the
-//! handover of the leader's lease to a peer that hears more machines.
+//! handover of the leader's lease to a peer that receives the heartbeats of more machines.
 
 use super::{LeaderFacts, Reachability};
 use crate::effects::EffectSink;
@@ -11,8 +11,9 @@
 
 /// The minimum time between two log lines about rejected coverage.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// The time beyond the heartbeat timeout for which a machine counts as heard after its latest heartbeat.
-const HEARD_MARGIN: Duration = Duration::from_secs(1);
+/// The time beyond the heartbeat timeout for which a machine counts as reporting after its latest
+/// heartbeat.
+const REPORT_MARGIN: Duration = Duration::from_secs(1);
 
 impl Reachability {
     /// Records a peer's coverage, and returns whether it was accepted. Coverage that refers to a later
@@ -74,7 +75,7 @@
         now: Duration,
         effects: &mut EffectSink,
     ) {
-        self.heard_machines.forget_silent(self.settings.heartbeat_timeout() + HEARD_MARGIN, now);
+        self.reporting_machines.remove_silent(self.settings.heartbeat_timeout() + REPORT_MARGIN, now);
         self.sequence += 1;
         let peers = self.settings.peers.iter().enumerate();
         let sending_peers = peers.filter(|(index, _)| self.monitor.receives_from_peer(*index));
@@ -85,8 +86,8 @@
             token: facts.map_or(0, |facts| facts.token),
             mode: self.mode(),
             numbering: self.numbering.current().revision(),
-            heard: self.numbers_of(self.heard_machines.names()),
-            reached: facts.map(|facts| self.numbers_of(facts.confirmed_commands.iter())).unwrap_or_default(),
+            reporting: self.numbers_of(self.reporting_machines.names()),
+            reached: facts.map(|facts| self.numbers_of(facts.replied_to.iter())).unwrap_or_default(),
             expected: facts.map_or(0, |facts| u32::try_from(facts.machines_up).unwrap_or(u32::MAX)),
             peers: sending_peers.map(|(_, peer)| peer.clone()).collect(),
             successor,
@@ -108,14 +109,14 @@
         }
         let own = LeaderView {
             mode: self.mode(),
-            heard: facts.heard_directly.len() as u64,
+            reporting: facts.reporting_directly.len() as u64,
             expected: facts.machines_up as u64,
             state_suppressed: self.monitor.state_suppressed(now),
         };
         let candidate = |coverage: &Coverage| Candidate {
             host: coverage.host.clone(),
             mode: coverage.mode,
-            heard: coverage.heard.len(),
+            reporting: coverage.reporting.len(),
         };
         let candidates: Vec<Candidate> = self.coverage_table.fresh(now).map(candidate).collect();
         let successor = self.handover.decide(&own, &candidates, facts.leading_since, now)?;
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -72,12 +72,12 @@
         if relayed {
             return;
         }
-        if self.heard_machines.is_empty() {
-            // Workers have begun to send heartbeats to this node, perhaps because the leader can't hear
-            // them: tell the peers at once.
+        if self.reporting_machines.is_empty() {
+            // Workers have begun to send heartbeats to this node, perhaps because they can't reach the
+            // leader: tell the peers at once.
             self.next_coverage_at = now;
         }
-        self.heard_machines.record(machine, now);
+        self.reporting_machines.record(machine, now);
     }
 
     /// Records the first heartbeat of a worker after a reply to it. `confirmed` says whether the heartbeat
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -5,16 +5,15 @@
 
 mod coverage;
 mod evidence;
-mod heard_machines;
 mod numbering;
 mod probes;
+mod reporting_machines;
 mod view;
 
 use crate::calls::ReachabilityCall;
 use crate::effects::EffectSink;
 use crate::protocol::{CallError, CallId, KvReply, LogLevel, MachineName};
 use crate::settings::Settings;
-use heard_machines::HeardMachines;
 use numbering::NumberingStore;
 use plankhead_reachability::coverage::{Coverage, CoverageTable};
 use plankhead_reachability::handover::Handover;
@@ -22,12 +21,13 @@
 use plankhead_reachability::mode::Mode;
 use plankhead_reachability::monitor::{ModeChange, Monitor};
 use plankhead_reachability::permission::{Action, Permission};
+use reporting_machines::ReportingMachines;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time beyond the heartbeat timeout for which no worker is heard before the link on which
-/// heartbeats arrive counts as failed.
+/// The time beyond the heartbeat timeout for which no heartbeats of workers arrive before the link on
+/// which they arrive counts as failed.
 const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The state of the leader on this node, as far as reachability depends on it.
@@ -42,10 +42,9 @@
     /// The number of machines that are up and should send heartbeats to the leader.
     pub machines_up: usize,
     /// Machines whose recent heartbeats came directly, not relayed by a peer.
-    pub heard_directly: Vec<MachineName>,
-    /// Machines with recent heartbeats to which the leader has replied since their presence was
-    /// confirmed.
-    pub confirmed_commands: Vec<MachineName>,
+    pub reporting_directly: Vec<MachineName>,
+    /// Machines that are confirmed, have sent a heartbeat recently and were sent a reply.
+    pub replied_to: Vec<MachineName>,
 }
 
 /// What this node may currently do for users.
@@ -74,7 +73,7 @@
     handover: Handover,
     /// The link that each call in flight uses.
     link_by_call: HashMap<CallId, LinkId>,
-    heard_machines: HeardMachines,
+    reporting_machines: ReportingMachines,
     /// The sequence number of the latest coverage that was sent.
     sequence: u64,
     next_coverage_at: Duration,
@@ -94,7 +93,7 @@
             handover: Handover::new(reachability),
             settings,
             link_by_call: HashMap::new(),
-            heard_machines: HeardMachines::default(),
+            reporting_machines: ReportingMachines::default(),
             sequence: 0,
             next_coverage_at: now,
             next_probe_at: now,
--- a/crates/plankhead-core/src/reachability/view.rs
+++ b/crates/plankhead-core/src/reachability/view.rs
@@ -24,7 +24,7 @@
             "freezes": self.monitor.freezes(),
             "handovers": self.handover.recent(),
             "links": links,
-            "heard": self.heard_machines.len(),
+            "heard": self.reporting_machines.len(),
             "numbered": self.numbering.current().len(),
             "refusedCoverage": self.coverage_table.refused(),
             "peers": peers,
@@ -52,7 +52,7 @@
     serde_json::json!({
         "host": coverage.host,
         "mode": coverage.mode,
-        "heard": coverage.heard.len(),
+        "heard": coverage.reporting.len(),
         "reached": coverage.reached.len(),
         "expected": coverage.expected,
         "hears": coverage.peers,
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -282,7 +282,7 @@
         self.number(coverage.token);
         self.tag(coverage.mode.code());
         self.number(coverage.numbering);
-        for bitmap in [&coverage.heard, &coverage.reached] {
+        for bitmap in [&coverage.reporting, &coverage.reached] {
             self.bitmap(bitmap);
         }
         self.number(u64::from(coverage.expected));
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -38,7 +38,7 @@
     /// The revision of the numbering that the bitmaps refer to.
     pub numbering: u64,
     /// Machines whose heartbeats reach the sender directly.
-    pub heard: RoaringBitmap,
+    pub reporting: RoaringBitmap,
     /// Machines that confirmed a reply or a command of the sender.
     pub reached: RoaringBitmap,
     /// How many machines the sender hears or should hear.
@@ -200,7 +200,7 @@
         if coverage.numbering > numbering.revision() {
             return Err(CoverageError::NumberingAhead);
         }
-        let named_machines = &coverage.heard | &coverage.reached;
+        let named_machines = &coverage.reporting | &coverage.reached;
         let is_unknown =
             |number: &u32| coverage.numbering == numbering.revision() && numbering.name(*number).is_none();
         match named_machines.iter().filter(is_unknown).count() {
@@ -225,12 +225,13 @@
     /// Whether a peer receives the machine's heartbeats, according to its recent coverage.
     pub fn reports_to_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
         let Some(number) = numbering.number(name) else { return false };
-        self.fresh(now)
-            .any(|coverage| coverage.heard.contains(number) && numbering.meant(number, coverage.numbering))
+        self.fresh(now).any(|coverage| {
+            coverage.reporting.contains(number) && numbering.meant(number, coverage.numbering)
+        })
     }
 
     /// Whether the coverage of every peer is recent and shows that the peer receives no heartbeats.
     pub fn no_peer_receives_heartbeats(&self, now: Duration) -> bool {
-        self.complete(now) && self.fresh(now).all(|coverage| coverage.heard.is_empty())
+        self.complete(now) && self.fresh(now).all(|coverage| coverage.reporting.is_empty())
     }
 }
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -26,7 +26,7 @@
     /// The leader's mode.
     pub mode: Mode,
     /// How many machines it hears directly.
-    pub heard: u64,
+    pub reporting: u64,
     /// How many machines it should hear.
     pub expected: u64,
     /// Its links to the state service work, but flap damping keeps that side from being up.
@@ -36,7 +36,7 @@
 impl LeaderView {
     /// It hears no machine at all.
     fn is_blind(&self) -> bool {
-        self.mode == Mode::StateOnly && self.heard == 0
+        self.mode == Mode::StateOnly && self.reporting == 0
     }
 }
 
@@ -48,20 +48,20 @@
     /// The node's mode.
     pub mode: Mode,
     /// How many machines it hears directly.
-    pub heard: u64,
+    pub reporting: u64,
 }
 
 /// The candidate that is clearly better placed than the leader, if one is. Of two nodes that
 /// hear different halves neither is: each would hand over to the other again and again.
 pub fn better_placed<'a>(own: &LeaderView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let healthy = candidates.iter().filter(|candidate| candidate.mode == Mode::Whole);
-    let best = healthy.max_by(|a, b| (a.heard, &b.host).cmp(&(b.heard, &a.host)))?;
+    let best = healthy.max_by(|a, b| (a.reporting, &b.host).cmp(&(b.reporting, &a.host)))?;
     if own.state_suppressed {
         return Some(best);
     }
-    let hears_more = best.heard >= own.heard * BETTER_FACTOR + BETTER_MARGIN;
-    let hears_minority = own.heard * BETTER_FACTOR < own.expected;
-    ((own.is_blind() && best.heard > 0) || (hears_more && hears_minority)).then_some(best)
+    let receives_more = best.reporting >= own.reporting * BETTER_FACTOR + BETTER_MARGIN;
+    let receives_minority = own.reporting * BETTER_FACTOR < own.expected;
+    ((own.is_blind() && best.reporting > 0) || (receives_more && receives_minority)).then_some(best)
 }
 
 /// A node that is better placed, without interruption since then.
--- a/crates/plankhead-reachability/tests/coverage.rs
+++ b/crates/plankhead-reachability/tests/coverage.rs
@@ -125,7 +125,7 @@
     let numbering = numbering();
     let mut table = table();
     let holder = Some(KnownLeader { host: "plank-2", token: 41 });
-    let good = Coverage { heard: [1, 2].into_iter().collect(), ..from("plank-1", 5) };
+    let good = Coverage { reporting: [1, 2].into_iter().collect(), ..from("plank-1", 5) };
     table.receive(good.clone(), NOW, &numbering, holder).unwrap();
     let later_boot = Coverage { boot: 8, sequence: 1, ..good.clone() };
     let cases = [
@@ -139,7 +139,7 @@
         ),
         (Coverage { numbering: 99, ..from("plank-1", 9) }, CoverageError::NumberingAhead),
         (
-            Coverage { heard: [3, 500, 501].into_iter().collect(), ..from("plank-1", 9) },
+            Coverage { reporting: [3, 500, 501].into_iter().collect(), ..from("plank-1", 9) },
             CoverageError::UnknownMachines(2),
         ),
         (
@@ -178,8 +178,8 @@
 fn coverage_tells_whose_silence_it_is() {
     let (numbering, mut table) = (numbering(), table());
     let number = numbering.number("machine-00004").unwrap();
-    let hears = Coverage { heard: [number].into_iter().collect(), ..from("plank-1", 1) };
-    table.receive(hears, NOW, &numbering, None).unwrap();
+    let reports = Coverage { reporting: [number].into_iter().collect(), ..from("plank-1", 1) };
+    table.receive(reports, NOW, &numbering, None).unwrap();
     assert!(table.reports_to_a_peer("machine-00004", &numbering, NOW));
     assert!(!table.reports_to_a_peer("machine-00005", &numbering, NOW));
     assert!(!table.reports_to_a_peer("machine-00004", &numbering, NOW + COVERAGE_TIMEOUT), "it is too old");
@@ -191,12 +191,12 @@
     assert!(!table.no_peer_receives_heartbeats(NOW + COVERAGE_TIMEOUT));
 }
 
-fn own(mode: Mode, heard: u64) -> LeaderView {
-    LeaderView { mode, heard, expected: 100, state_suppressed: false }
+fn own(mode: Mode, reporting: u64) -> LeaderView {
+    LeaderView { mode, reporting, expected: 100, state_suppressed: false }
 }
 
-fn candidate(host: &str, mode: Mode, heard: u64) -> Candidate {
-    Candidate { host: host.into(), mode, heard }
+fn candidate(host: &str, mode: Mode, reporting: u64) -> Candidate {
+    Candidate { host: host.into(), mode, reporting }
 }
 
 #[test]
@@ -220,9 +220,9 @@
 /// Two nodes with different halves of the workers: neither hands over.
 #[test]
 fn different_halves_do_not_play_ping_pong() {
-    for heard in 34..=100 {
-        let other = candidate("plank-1", Mode::Whole, 100 - heard);
-        assert_eq!(better_placed(&own(Mode::Whole, heard), &[other]), None, "{heard}");
+    for reporting in 34..=100 {
+        let other = candidate("plank-1", Mode::Whole, 100 - reporting);
+        assert_eq!(better_placed(&own(Mode::Whole, reporting), &[other]), None, "{reporting}");
     }
 }
 
@@ -255,7 +255,7 @@
     let mut now = NOW;
     for n in 0..300 {
         now += Duration::from_millis(100);
-        let heard = if n % 10 == 0 { 90 } else { 10 };
-        assert_eq!(handover.decide(&own(Mode::Whole, heard), &candidates, NOW, now), None);
+        let reporting = if n % 10 == 0 { 90 } else { 10 };
+        assert_eq!(handover.decide(&own(Mode::Whole, reporting), &candidates, NOW, now), None);
     }
 }
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -17,7 +17,7 @@
         token: 41,
         mode: Mode::StateOnly,
         numbering: 99,
-        heard: (0..4_000).collect(),
+        reporting: (0..4_000).collect(),
         reached: (0..4_000).step_by(2).collect(),
         expected: 4_000,
         peers: vec!["plank-0".into()],
@@ -35,7 +35,7 @@
 /// What version 749ebcd sent for the same coverage, byte for byte.
 #[test]
 fn coverage_is_the_same_bytes_as_before() {
-    let small = Coverage { heard: (0..40).collect(), reached: (3..9).collect(), ..coverage() };
+    let small = Coverage { reporting: (0..40).collect(), reached: (3..9).collect(), ..coverage() };
     compare_with_fixture("coverage.bin", &encode(&small).unwrap());
     assert_eq!(decode(include_bytes!("../../tests/fixtures/coverage.bin")), Ok(small));
 }
