--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -70,7 +70,7 @@
     pub(super) fn step_down_if_isolated(&mut self, times: StepTime, evidence: LeaderEvidence) {
         let now = times.now;
         let coverage_decides =
-            self.reachability.as_ref().is_some_and(|reachability| reachability.is_complete(now));
+            self.reachability.as_ref().is_some_and(|reachability| reachability.has_complete_coverage(now));
         let peer_could_lead = evidence.lease_valid && self.peers.any_alive(now) && !coverage_decides;
         if peer_could_lead && self.leader.as_ref().is_some_and(|leader| leader.is_isolated(now)) {
             self.effects.log(LogLevel::Info, "leader stepped down: reason=no_worker_heartbeats".into());
--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -58,8 +58,8 @@
 
     /// Whether reachability is enabled, there are peers and the coverage of all of them is recent, so that
     /// coverage can decide which node should lead.
-    pub fn is_complete(&self, now: Duration) -> bool {
-        self.is_enabled() && !self.settings.peers.is_empty() && self.coverage_table.complete(now)
+    pub fn has_complete_coverage(&self, now: Duration) -> bool {
+        self.is_enabled() && !self.settings.peers.is_empty() && self.coverage_table.has_complete_coverage(now)
     }
 
     fn numbers_of<'a>(&self, machines: impl Iterator<Item = &'a MachineName>) -> RoaringBitmap {
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -218,7 +218,7 @@
     }
 
     /// Whether the coverage of every peer is recent.
-    pub fn complete(&self, now: Duration) -> bool {
+    pub fn has_complete_coverage(&self, now: Duration) -> bool {
         self.fresh(now).count() == self.peers.len()
     }
 
@@ -232,6 +232,6 @@
 
     /// Whether the coverage of every peer is recent and shows that the peer receives no heartbeats.
     pub fn no_peer_receives_heartbeats(&self, now: Duration) -> bool {
-        self.complete(now) && self.fresh(now).all(|coverage| coverage.reporting.is_empty())
+        self.has_complete_coverage(now) && self.fresh(now).all(|coverage| coverage.reporting.is_empty())
     }
 }
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -11,9 +11,9 @@
 
 /// How long the other nodes leave the lease to the successor.
 pub const SUCCESSOR_HEADSTART: Duration = Duration::from_millis(1500);
-/// How long a hand-over makes the least tenure longer.
+/// How long a hand-over makes the minimum time as leader longer.
 const RECENT_WINDOW: Duration = Duration::from_secs(120);
-/// How often the least tenure is doubled at the most.
+/// How often the minimum time as leader is doubled at the most.
 const MAX_DOUBLINGS: u32 = 4;
 /// A better placed node hears this many times as many machines as the leader, and ...
 const BETTER_FACTOR: u64 = 2;
@@ -34,8 +34,8 @@
 }
 
 impl LeaderView {
-    /// It hears no machine at all.
-    fn is_blind(&self) -> bool {
+    /// Whether the leader reaches the state service, but no machine reports to it.
+    fn has_lost_all_workers(&self) -> bool {
         self.mode == Mode::StateOnly && self.reporting == 0
     }
 }
@@ -61,7 +61,8 @@
     }
     let receives_more = best.reporting >= own.reporting * BETTER_FACTOR + BETTER_MARGIN;
     let receives_minority = own.reporting * BETTER_FACTOR < own.expected;
-    ((own.is_blind() && best.reporting > 0) || (receives_more && receives_minority)).then_some(best)
+    ((own.has_lost_all_workers() && best.reporting > 0) || (receives_more && receives_minority))
+        .then_some(best)
 }
 
 /// A node that is better placed, without interruption since then.
@@ -75,7 +76,7 @@
 #[derive(Debug)]
 pub struct Handover {
     handover_after: Duration,
-    least_tenure: Duration,
+    min_time_as_leader: Duration,
     better_placed: Option<BetterPlaced>,
     /// When this node handed over recently.
     past: VecDeque<Duration>,
@@ -86,16 +87,16 @@
     pub fn new(settings: &Settings) -> Self {
         Self {
             handover_after: settings.handover_after,
-            least_tenure: settings.least_tenure,
+            min_time_as_leader: settings.min_time_as_leader,
             better_placed: None,
             past: VecDeque::new(),
         }
     }
 
     /// The least time for which this node leads: doubled by each recent hand-over.
-    pub fn tenure(&self, now: Duration) -> Duration {
+    pub fn required_time_as_leader(&self, now: Duration) -> Duration {
         let recent = self.past.iter().filter(|at| now.saturating_sub(**at) < RECENT_WINDOW).count();
-        self.least_tenure * 2_u32.pow(u32::try_from(recent).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
+        self.min_time_as_leader * 2_u32.pow(u32::try_from(recent).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
     }
 
     /// The node to hand over to now.
@@ -114,9 +115,9 @@
         let since = same.map_or(now, |former| former.since);
         self.better_placed = Some(BetterPlaced { host: best.host.clone(), since });
         // A leader that hears no machine was without any for long enough already.
-        let is_steady = own.is_blind() || now.saturating_sub(since) >= self.handover_after;
-        let has_served = now.saturating_sub(leads_since) >= self.tenure(now);
-        if !(is_steady && has_served) {
+        let is_steady = own.has_lost_all_workers() || now.saturating_sub(since) >= self.handover_after;
+        let has_led_long_enough = now.saturating_sub(leads_since) >= self.required_time_as_leader(now);
+        if !(is_steady && has_led_long_enough) {
             return None;
         }
         self.better_placed = None;
--- a/crates/plankhead-reachability/src/settings.rs
+++ b/crates/plankhead-reachability/src/settings.rs
@@ -24,7 +24,7 @@
     pub handover_after: Duration,
     /// The least time for which a leader leads before it hands over; doubled by each recent
     /// hand-over.
-    pub least_tenure: Duration,
+    pub min_time_as_leader: Duration,
     /// What is allowed in which mode. Operators can't set it; tests do.
     pub table: PermissionTable,
 }
@@ -40,7 +40,7 @@
             reuse: 1.0,
             coverage_interval: Duration::from_secs(2),
             handover_after: Duration::from_millis(1500),
-            least_tenure: Duration::from_secs(5),
+            min_time_as_leader: Duration::from_secs(5),
             table: PermissionTable::standard(),
         }
     }
--- a/crates/plankhead/src/settings/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -56,7 +56,7 @@
             reuse: core.reuse,
             coverage_interval_ms: as_millis(core.coverage_interval),
             handover_after_ms: as_millis(core.handover_after),
-            least_tenure_ms: as_millis(core.least_tenure),
+            least_tenure_ms: as_millis(core.min_time_as_leader),
         }
     }
 }
@@ -72,7 +72,7 @@
             reuse: file.reuse,
             coverage_interval: Duration::from_millis(file.coverage_interval_ms),
             handover_after: Duration::from_millis(file.handover_after_ms),
-            least_tenure: Duration::from_millis(file.least_tenure_ms),
+            min_time_as_leader: Duration::from_millis(file.least_tenure_ms),
             ..Self::default()
         }
     }
