--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -73,7 +73,7 @@
         requests: &mut RequestHandler,
     ) -> JobUpdate {
         let mut update = JobUpdate::default();
-        match self.watch.reply(now, call, reply) {
+        match self.watch.handle_reply(now, call, reply) {
             KeyUpdate::Page { rows, .. } => {
                 rows.iter().for_each(|row| self.apply_record(row, requests, &mut update))
             }
--- a/crates/plankhead-core/src/key_watch.rs
+++ b/crates/plankhead-core/src/key_watch.rs
@@ -89,7 +89,7 @@
     }
 
     /// Handles a reply, and returns its content.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         call: KeyWatchCall,
--- a/crates/plankhead-core/src/leader/replies.rs
+++ b/crates/plankhead-core/src/leader/replies.rs
@@ -18,7 +18,7 @@
 
 impl Leader {
     /// Handles a reply of the state service.
-    pub fn kv_reply(
+    pub fn handle_kv_reply(
         &mut self,
         times: StepTime,
         leader_call: LeaderCall,
@@ -53,7 +53,7 @@
     }
 
     /// Handles a reply of the cloud.
-    pub fn cloud_reply(
+    pub fn handle_cloud_reply(
         &mut self,
         times: StepTime,
         leader_call: LeaderCall,
@@ -75,7 +75,7 @@
     }
 
     /// Handles a worker's reply to commands that were sent to it directly.
-    pub fn command_reply(
+    pub fn handle_command_reply(
         &mut self,
         times: StepTime,
         leader_call: LeaderCall,
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -175,7 +175,9 @@
                 let submission = Submission { request, id, job };
                 self.requests.submit(times, submission, context, &mut self.effects);
             }
-            Event::Poll { request, id } => self.requests.poll(now, request, id, &mut self.effects),
+            Event::Poll { request, id } => {
+                self.requests.status_requested(now, request, id, &mut self.effects)
+            }
             Event::Cancel { request, id } => {
                 self.requests.cancel_requested(now, request, id, &mut self.effects)
             }
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -26,7 +26,7 @@
     ) {
         let now = times.now;
         if let Some(reachability) = &mut self.reachability {
-            reachability.kv_reply(call, &reply, now);
+            reachability.record_kv_reply(call, &reply, now);
         }
         self.record_kv_health(now, &reply);
         match self.effects.calls_in_flight.remove(&call) {
@@ -40,7 +40,7 @@
             }
             Some(CallPurpose::Reachability(call)) => {
                 if let Some(reachability) = &mut self.reachability {
-                    reachability.reply(call, reply, now, &mut self.effects);
+                    reachability.handle_reply(call, reply, now, &mut self.effects);
                 }
             }
             Some(CallPurpose::UserRequest(request)) => self.handle_user_request_reply(times, request, reply),
@@ -80,7 +80,7 @@
         reply: Result<KvReply, CallError>,
     ) {
         let Some(leader) = leader_of_term(&mut self.leader, token) else { return };
-        let status = leader.kv_reply(times, call, reply, &mut self.requests, &mut self.effects);
+        let status = leader.handle_kv_reply(times, call, reply, &mut self.requests, &mut self.effects);
         if status == TermStatus::Over {
             let change = self.election.release_lease(&mut self.effects);
             self.apply_leadership(times, change);
@@ -95,7 +95,7 @@
     ) {
         let leader = self.leader.as_ref();
         let progress = |id: &JobId| leader?.progress(id);
-        let changed_rows = self.requests.reply(times, request, reply, &progress, &mut self.effects);
+        let changed_rows = self.requests.handle_reply(times, request, reply, &progress, &mut self.effects);
         if let Some(leader) = &mut self.leader {
             for row in changed_rows {
                 leader.job_record_changed(times, &row, &mut self.requests);
@@ -119,13 +119,13 @@
         reply: Result<CloudReply, CallError>,
     ) {
         if let Some(reachability) = &mut self.reachability {
-            reachability.cloud_reply(call, &reply, times.now);
+            reachability.record_cloud_reply(call, &reply, times.now);
         }
         match self.effects.calls_in_flight.remove(&call) {
             Some(CallPurpose::MachineTypes) => self.handle_machine_types_reply(times.now, reply),
             Some(CallPurpose::Leader(token, call)) => {
                 if let Some(leader) = leader_of_term(&mut self.leader, token) {
-                    leader.cloud_reply(times, call, reply, &mut self.effects);
+                    leader.handle_cloud_reply(times, call, reply, &mut self.effects);
                 }
             }
             _ => {}
@@ -141,12 +141,12 @@
 
     pub(super) fn handle_command_reply(&mut self, times: StepTime, call: CallId, reply: CommandReply) {
         if let Some(reachability) = &mut self.reachability {
-            reachability.command_reply(call, &reply, times.now);
+            reachability.record_command_reply(call, &reply, times.now);
         }
         match self.effects.calls_in_flight.remove(&call) {
             Some(CallPurpose::Leader(token, call)) => {
                 if let Some(leader) = leader_of_term(&mut self.leader, token) {
-                    leader.command_reply(times, call, reply, &mut self.effects);
+                    leader.handle_command_reply(times, call, reply, &mut self.effects);
                 }
             }
             Some(CallPurpose::Holder(call)) => self.handle_holder_command_reply(times.now, call, reply),
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -130,7 +130,7 @@
         reply: Result<KvReply, CallError>,
     ) {
         let Some(sharding) = &mut self.sharding else { return };
-        let changed = sharding.records.reply(now, step, reply, &mut self.effects);
+        let changed = sharding.records.handle_reply(now, step, reply, &mut self.effects);
         let records = &sharding.records;
         if let Some(leader) = &mut self.leader {
             return leader.apply_shard_records(&records.table, records.synced_at(), now);
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records the outcome of a call to the state service.
-    pub fn kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
+    pub fn record_kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
@@ -49,7 +49,7 @@
     }
 
     /// Records the outcome of a call to the cloud.
-    pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
+    pub fn record_cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
@@ -58,7 +58,7 @@
     }
 
     /// Records the outcome of commands sent directly to a worker.
-    pub fn command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
+    pub fn record_command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             CommandReply::Answered(_) => self.monitor.confirmed(link, now),
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -215,7 +215,7 @@
     }
 
     /// Handles the reply to one of the calls that this module makes itself.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         call: ReachabilityCall,
         reply: Result<KvReply, CallError>,
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -155,7 +155,13 @@
     }
 
     /// Handles a user's request for a job's status.
-    pub fn poll(&mut self, now: Duration, request: RequestId, id: JobId, effects: &mut EffectSink) {
+    pub fn status_requested(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        id: JobId,
+        effects: &mut EffectSink,
+    ) {
         if !self.answer_if_ended(request, &id, effects) && self.admit(now, request, effects) {
             self.lookup(now, request, id, LookupReason::Status, effects);
         }
@@ -163,7 +169,7 @@
 
     /// Handles a reply of the state service. Returns the rows of job records that were written, which are
     /// meant for the leader if this node leads.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         times: StepTime,
         request: PendingRequest,
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -52,14 +52,14 @@
     }
 
     /// Handles a reply. Returns whether the records may have changed.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         call: KeyWatchCall,
         reply: Result<KvReply, CallError>,
         effects: &mut EffectSink,
     ) -> bool {
-        match self.watch.reply(now, call, reply) {
+        match self.watch.handle_reply(now, call, reply) {
             KeyUpdate::Page { rows, complete } => {
                 self.listed_keys.extend(rows.iter().map(|row| row.key.clone()));
                 rows.iter().for_each(|row| self.apply_record(row, effects));
