--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -49,10 +49,10 @@
     Read,
     /// Waits for the leader's key to change.
     Watch,
-    /// Requests the lease under which to claim the key.
+    /// Requests the lease under which to acquire the key.
     GrantLease,
     /// Writes the leader's key under the lease if the key does not exist.
-    Claim { lease: u64 },
+    Acquire { lease: u64 },
     /// Renews the lease of the leader's key. `sent` is when the renewal was sent.
     RenewLease { lease: u64, sent: Duration },
     /// Revokes a lease, so that the key becomes vacant.
--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -53,7 +53,7 @@
     /// Another node, or an earlier term of this one, holds the key. Changes after `revision` are
     /// watched.
     HeldByPeer { revision: u64 },
-    /// No node holds the key, so this node tries to claim it.
+    /// No node holds the key, so this node tries to acquire it.
     Vacant { since: Duration },
     /// This node holds the key and leads.
     Held(Term),
@@ -81,9 +81,9 @@
     retry_at: Duration,
     /// The last known leader other than this node.
     pub known_leader: Option<LeaderId>,
-    /// The lease of a claim whose outcome is unknown. If the key turns out to be held under this
-    /// lease, the claim has succeeded.
-    uncertain_claim: Option<u64>,
+    /// The lease of an attempt to acquire the key whose outcome is unknown. If the key turns out to
+    /// be held under this lease, the attempt has succeeded.
+    uncertain_acquire: Option<u64>,
     /// The duration of the lease: how long the key remains after its leader has stopped renewing it.
     lease_duration: Duration,
     /// Whether peers are better placed to lead.
@@ -92,7 +92,7 @@
 
 impl Election {
     /// Creates the election state of a node that has just started. `lease` is the duration of the
-    /// lease under which the node will claim the key.
+    /// lease under which the node will acquire the key.
     pub fn new(host: String, boot_id: u64, lease: Duration) -> Self {
         Self {
             host,
@@ -101,7 +101,7 @@
             call_in_flight: false,
             retry_at: Duration::ZERO,
             known_leader: None,
-            uncertain_claim: None,
+            uncertain_acquire: None,
             lease_duration: lease,
             defers_to_peers: false,
         }
@@ -203,13 +203,13 @@
             ElectionCall::GrantLease => {
                 self.call_in_flight = false;
                 match reply {
-                    Ok(KvReply::LeaseGranted { lease }) => self.claim(lease, effects),
+                    Ok(KvReply::LeaseGranted { lease }) => self.acquire(lease, effects),
                     _ => self.retry_later(now),
                 }
             }
-            ElectionCall::Claim { lease } => {
+            ElectionCall::Acquire { lease } => {
                 self.call_in_flight = false;
-                self.handle_claim_reply(now, lease, reply, effects)
+                self.handle_acquire_reply(now, lease, reply, effects)
             }
         }
     }
@@ -246,12 +246,12 @@
     }
 
     /// Writes the leader's key under the lease, on condition that the key does not exist.
-    fn claim(&mut self, lease: u64, effects: &mut EffectSink) -> LeadershipChange {
+    fn acquire(&mut self, lease: u64, effects: &mut EffectSink) -> LeadershipChange {
         let record = LeaderRecord { host: self.host.clone(), boot_id: self.boot_id, lease };
         if let Ok(value) = serde_json::to_string(&record) {
             self.call_in_flight = true;
             effects.call_kv(
-                CallPurpose::Election(ElectionCall::Claim { lease }),
+                CallPurpose::Election(ElectionCall::Acquire { lease }),
                 KvRequest::Txn {
                     conditions: vec![Condition { key: KEY.into(), mod_revision: 0 }],
                     changes: vec![KvChange::Put { key: KEY.into(), value, lease: Some(lease) }],
@@ -261,7 +261,7 @@
         LeadershipChange::Unchanged
     }
 
-    fn handle_claim_reply(
+    fn handle_acquire_reply(
         &mut self,
         now: Duration,
         lease: u64,
@@ -275,9 +275,9 @@
                 self.key = KeyState::Unknown;
                 LeadershipChange::Unchanged
             }
-            // The claim may have been carried out; reading the key will show whether it was.
+            // The key may have been written; reading it will show whether it was.
             Err(CallError::OutcomeUnknown) => {
-                self.uncertain_claim = Some(lease);
+                self.uncertain_acquire = Some(lease);
                 self.retry_later(now)
             }
         }
@@ -299,7 +299,7 @@
             return LeadershipChange::Unchanged;
         };
         if record.host == self.host {
-            if self.uncertain_claim == Some(record.lease) && record.boot_id == self.boot_id {
+            if self.uncertain_acquire == Some(record.lease) && record.boot_id == self.boot_id {
                 return self.begin_term(now, row.mod_revision, record.lease);
             }
             // The key was written by an earlier start of this process, or by this one before it
@@ -323,7 +323,7 @@
             last_renewal_failed: false,
         });
         self.known_leader = None;
-        self.uncertain_claim = None;
+        self.uncertain_acquire = None;
         LeadershipChange::Won { token }
     }
 
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -128,7 +128,7 @@
             return;
         }
         if let Err(stale) = self.token_guard.admit(heartbeat.token) {
-            let repeated = self.peers.has_claimed(&heartbeat.host, heartbeat.token);
+            let repeated = self.peers.claims_to_lead(&heartbeat.host, heartbeat.token);
             let level = if repeated { LogLevel::Debug } else { LogLevel::Info };
             let text = format!("leadership claim rejected: peer={} reason=\"{stale}\"", heartbeat.host);
             self.effects.log(level, text);
--- a/crates/plankhead-core/src/node/peers.rs
+++ b/crates/plankhead-core/src/node/peers.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether the peer's latest heartbeat already claimed to lead under this token.
-    pub fn has_claimed(&self, host: &str, token: u64) -> bool {
+    pub fn claims_to_lead(&self, host: &str, token: u64) -> bool {
         self.heartbeats.get(host).is_some_and(|received| received.heartbeat.token == token)
     }
 
