--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -20,7 +20,7 @@
     /// A call of the version barrier.
     VersionBarrier(VersionBarrierCall),
     /// A call on behalf of users' requests.
-    UserRequest(PendingRequest),
+    UserRequest(UserRequestCall),
     /// A call of the leader, with the fencing token of its term. Replies to calls of an earlier term
     /// are ignored.
     Leader(u64, LeaderCall),
@@ -36,7 +36,7 @@
 
 /// A key in the state service that is no longer needed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredKey {
+pub struct ObsoleteKey {
     pub key: String,
     /// The revision of the key's latest change, if known.
     pub revision: Option<u64>,
@@ -79,7 +79,7 @@
 
 /// The purpose of a call on behalf of users' requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PendingRequest {
+pub enum UserRequestCall {
     /// Writes the records of new jobs.
     Create(Vec<JobCreation>),
     /// Reads a job's record.
@@ -181,7 +181,7 @@
     /// Reads a job's record again after its write failed or had an unknown outcome.
     ReadJob(JobId),
     /// Deletes keys that are no longer needed.
-    DeleteGarbage(Vec<StoredKey>),
+    DeleteGarbage(Vec<ObsoleteKey>),
     /// Reads the revision of a key that is to be deleted.
     ReadGarbageRevision(String),
     /// Moves records of ended jobs to their archive keys.
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -203,7 +203,7 @@
     }
 
     /// Returns whether the newest heartbeat lists the attempt.
-    pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn lists_attempt(&self, task: &TaskId, attempt: u64) -> bool {
         let is_listed =
             |heartbeat: &Heartbeat| heartbeat.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
         self.last_heartbeat.as_ref().is_some_and(is_listed)
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -62,7 +62,7 @@
 
     /// Adds a machine that has attempts, unless it has been removed. The machine is expected to be
     /// up even if no heartbeat or inventory has shown it.
-    pub fn expect_machine(&mut self, name: &MachineName, now: Duration) {
+    pub fn add_placed_machine(&mut self, name: &MachineName, now: Duration) {
         let pool = Pool { machine_type: String::new(), zone: String::new(), spot: false };
         if !self.removed.contains(name) {
             let machine = self.get_or_insert(name, "".into(), pool, now, now);
@@ -73,7 +73,7 @@
 
     /// Marks machines whose return a previous leader had begun. The cloud may carry the return out
     /// at any time, so nothing is placed on them.
-    pub fn returns_inherited(&mut self, names: &[MachineName]) {
+    pub fn mark_inherited_returns(&mut self, names: &[MachineName]) {
         for name in names.iter().filter(|name| !self.removed.contains(name)) {
             self.returns_inherited.insert(name.clone());
             if let Some(machine) = self.machines.get_mut(name) {
@@ -126,19 +126,19 @@
 
     /// Adds the machines that the cloud rented when `asked` were requested. Fewer machines than
     /// requested count as a refusal of the pool.
-    pub fn rented(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
+    pub fn record_rental(&mut self, names: &[MachineName], pool: &Pool, asked: u32, now: Duration) {
         for name in names {
             if !self.removed.contains(name) {
                 self.get_or_insert(name, "".into(), pool.clone(), now, now);
             }
         }
         if (names.len() as u32) < asked {
-            self.capacity_refused(pool, now);
+            self.record_capacity_refusal(pool, now);
         }
     }
 
     /// Records that the pool had fewer machines left than were requested.
-    pub fn capacity_refused(&mut self, pool: &Pool, now: Duration) {
+    pub fn record_capacity_refusal(&mut self, pool: &Pool, now: Duration) {
         let held = self.machines_held(pool);
         self.capacity_backoffs.record_refusal(pool, held, now);
     }
@@ -222,7 +222,7 @@
     }
 
     /// Removes a machine whose release the cloud has confirmed.
-    pub fn instance_released(&mut self, name: &MachineName) {
+    pub fn remove_released(&mut self, name: &MachineName) {
         self.machines.remove(name);
         self.returns_inherited.remove(name);
         self.removed.insert(name);
--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -81,7 +81,7 @@
                     let kill = ExpectedEffect { kind: EffectKind::Stopped, ..effect.clone() };
                     !self.cpu_starved && !effects.contains(&kill)
                 }
-                EffectKind::Stopped => machine.lists(&effect.task, effect.attempt),
+                EffectKind::Stopped => machine.lists_attempt(&effect.task, effect.attempt),
             };
             is_due && sent.is_none_or(|sent| !sent.contains(&effect))
         };
@@ -103,7 +103,7 @@
             WorkerCommand::Run { task, attempt } => {
                 freshness.may_start(now)
                     && !self.jobs.is_cancelled(&task.job)
-                    && !machine.lists(task, *attempt)
+                    && !machine.lists_attempt(task, *attempt)
             }
             WorkerCommand::Kill { .. } => true,
             WorkerCommand::Acknowledge { task, attempt } => !machine.has_unconfirmed_start(task, *attempt),
--- a/crates/plankhead-core/src/jobs/job_entry.rs
+++ b/crates/plankhead-core/src/jobs/job_entry.rs
@@ -1,7 +1,7 @@
 //! The entry of a job in the job table: its specification, its chunks and the counts of its tasks by
 //! state.
 
-use crate::calls::StoredKey;
+use crate::calls::ObsoleteKey;
 use crate::jobs::attempt::{Attempt, TaskState};
 use crate::jobs::chunk::Chunk;
 use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
@@ -61,7 +61,7 @@
     /// Whether the job was rechunked, so that its chunks are stored under the keys for smaller chunks.
     pub rechunked: bool,
     /// Keys of chunks from before rechunking, which are deleted once the job is over.
-    pub superseded_keys: Vec<StoredKey>,
+    pub superseded_keys: Vec<ObsoleteKey>,
     /// The index from which on tasks were never placed.
     pub first_unplaced: u32,
     /// Indices below `first_unplaced` of pending tasks: the latest attempt is proven over without having
@@ -159,11 +159,11 @@
     }
 
     /// Returns all keys under which placements of the job are or may be stored.
-    pub fn stored_keys(&self, id: &JobId) -> Vec<StoredKey> {
+    pub fn stored_keys(&self, id: &JobId) -> Vec<ObsoleteKey> {
         let superseded = self.superseded_keys.iter().cloned();
         let written =
             self.chunks.iter().filter(|(_, chunk)| chunk.mod_revision > 0 || chunk.revision_uncertain);
-        let stored_key = |(number, chunk): (&u32, &Chunk)| StoredKey {
+        let stored_key = |(number, chunk): (&u32, &Chunk)| ObsoleteKey {
             key: id.chunk_key(*number, self.rechunked),
             revision: (!chunk.revision_uncertain).then_some(chunk.mod_revision),
         };
--- a/crates/plankhead-core/src/jobs/reconcile.rs
+++ b/crates/plankhead-core/src/jobs/reconcile.rs
@@ -151,7 +151,7 @@
     }
 
     /// Ends every attempt on a machine whose release the cloud has confirmed, and returns their number.
-    pub fn machine_gone(&mut self, machine: &str, now: Duration) -> usize {
+    pub fn handle_machine_removal(&mut self, machine: &str, now: Duration) -> usize {
         let tasks: Vec<TaskId> = self.by_machine(machine).cloned().collect();
         for id in &tasks {
             self.end_on_evidence(id, false, now);
--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -1,7 +1,7 @@
 //! Deletion of obsolete keys from the state service, and archiving of ended jobs.
 
 use super::{Leader, TermStatus};
-use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::calls::{FinishedJob, LeaderCall, ObsoleteKey};
 use crate::effects::EffectSink;
 use crate::jobs::job::{JobId, JobPhase};
 use crate::leadership::election;
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Garbage {
     /// The keys to be deleted.
-    keys: Vec<StoredKey>,
+    keys: Vec<ObsoleteKey>,
     /// The number of urgent keys, which are at the front.
     urgent: usize,
     /// Records of ended jobs to be moved to the archive, so that later leaders do not load them.
@@ -23,13 +23,13 @@
 
 impl Garbage {
     /// Adds keys that may be deleted at any time.
-    pub(super) fn add(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
+    pub(super) fn add(&mut self, keys: impl IntoIterator<Item = ObsoleteKey>) {
         self.keys.extend(keys);
     }
 
     /// Adds keys that are deleted before others, since a new leader would wait for proof that the attempts
     /// stored under them are over.
-    pub(super) fn add_urgent(&mut self, keys: impl IntoIterator<Item = StoredKey>) {
+    pub(super) fn add_urgent(&mut self, keys: impl IntoIterator<Item = ObsoleteKey>) {
         let before = self.keys.len();
         self.keys.extend(keys);
         let added = self.keys.len() - before;
@@ -68,7 +68,7 @@
             self.garbage.urgent.min(self.garbage.keys.len())
         };
         let count = self.settings.max_txn_changes.min(count).min(self.persistence.available(now));
-        let mut keys: Vec<StoredKey> = self.garbage.keys.drain(..count).collect();
+        let mut keys: Vec<ObsoleteKey> = self.garbage.keys.drain(..count).collect();
         keys.sort_by(|a, b| a.key.cmp(&b.key));
         keys.dedup_by(|a, b| a.key == b.key);
         self.garbage.urgent = self.garbage.urgent.saturating_sub(keys.len());
@@ -81,7 +81,8 @@
         self.garbage.write_in_flight = true;
         let mut conditions = vec![self.leader_condition()];
         if self.intents.is_fenced() {
-            let revision = |k: &StoredKey| Some(Condition { key: k.key.clone(), mod_revision: k.revision? });
+            let revision =
+                |k: &ObsoleteKey| Some(Condition { key: k.key.clone(), mod_revision: k.revision? });
             conditions.extend(keys.iter().filter_map(revision));
         }
         let changes = keys.iter().map(|k| KvChange::Delete { key: k.key.clone() }).collect();
@@ -90,9 +91,9 @@
 
     /// Returns the keys whose revisions are known, and requests the revisions of the others. With fencing, a
     /// key is deleted only at the revision that is known to be obsolete.
-    fn with_known_revision(&self, keys: Vec<StoredKey>, effects: &mut EffectSink) -> Vec<StoredKey> {
+    fn with_known_revision(&self, keys: Vec<ObsoleteKey>, effects: &mut EffectSink) -> Vec<ObsoleteKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
-        for StoredKey { key, .. } in unknown {
+        for ObsoleteKey { key, .. } in unknown {
             self.call_kv(LeaderCall::ReadGarbageRevision(key.clone()), KvRequest::Get { key }, effects);
         }
         known
@@ -100,12 +101,12 @@
 
     /// Queues keys again after a deletion that was not carried out because the `failed` ones had other
     /// revisions than expected.
-    fn requeue_after_conflict(&mut self, keys: Vec<StoredKey>, failed: &[String]) {
-        let without_failed_revision = |mut stored: StoredKey| {
-            if failed.contains(&stored.key) {
-                stored.revision = None;
+    fn requeue_after_conflict(&mut self, keys: Vec<ObsoleteKey>, failed: &[String]) {
+        let without_failed_revision = |mut obsolete: ObsoleteKey| {
+            if failed.contains(&obsolete.key) {
+                obsolete.revision = None;
             }
-            stored
+            obsolete
         };
         self.garbage.keys.extend(keys.into_iter().map(without_failed_revision));
     }
@@ -120,9 +121,9 @@
             _ if is_in_use => {}
             Ok(KvReply::Value(None)) => {}
             Ok(KvReply::Value(Some(row))) => {
-                self.garbage.keys.push(StoredKey { key, revision: Some(row.mod_revision) });
+                self.garbage.keys.push(ObsoleteKey { key, revision: Some(row.mod_revision) });
             }
-            _ => self.garbage.keys.push(StoredKey { key, revision: None }),
+            _ => self.garbage.keys.push(ObsoleteKey { key, revision: None }),
         }
     }
 
@@ -148,7 +149,7 @@
     /// Handles the reply to a deletion of obsolete keys.
     pub(super) fn garbage_deleted(
         &mut self,
-        keys: Vec<StoredKey>,
+        keys: Vec<ObsoleteKey>,
         reply: Result<KvReply, CallError>,
     ) -> TermStatus {
         self.garbage.write_in_flight = false;
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -181,7 +181,7 @@
             match action {
                 CloudAction::Rent(rental) => self.scaling.retry_rental(now, rental.clone().into()),
                 CloudAction::Return(request) => {
-                    self.fleet.returns_inherited(&request.machines);
+                    self.fleet.mark_inherited_returns(&request.machines);
                     self.scaling.release_requested(request.machines.iter().cloned());
                     self.intents.return_retries.push(ReturnRetry { due: now, key: key.clone() });
                 }
--- a/crates/plankhead-core/src/leader/job_work.rs
+++ b/crates/plankhead-core/src/leader/job_work.rs
@@ -101,7 +101,7 @@
         if let Some(image) = self.placement.index.image_index(&spec.image, spec.image_gb) {
             return image;
         }
-        self.placement.index.forget_images();
+        self.placement.index.clear_images();
         for machine in self.fleet.machines.values_mut() {
             machine.cached_images.clear();
             machine.cached_slot = None;
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,7 +1,7 @@
 //! Loading at failover: a new leader loads all stored state before it makes any decision.
 
 use super::{Leader, Target, RETRY_INTERVAL};
-use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::calls::{FinishedJob, LeaderCall, ObsoleteKey};
 use crate::effects::{EffectSink, StepTime};
 use crate::fleet::HeartbeatChange;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
@@ -151,7 +151,7 @@
             });
             match (id, number) {
                 (Some(id), Some(_)) if !self.job_table.jobs.contains_key(&id) => {
-                    self.garbage.add([StoredKey { key: row.key, revision: Some(row.mod_revision) }]);
+                    self.garbage.add([ObsoleteKey { key: row.key, revision: Some(row.mod_revision) }]);
                 }
                 (Some(job), Some((rechunked, number))) => {
                     let (value, mod_revision) = (row.value, row.mod_revision);
@@ -241,9 +241,9 @@
             // The machine was released while this leader was loading. No later event would prove that
             // its attempts are over.
             if self.fleet.is_removed(&name) {
-                self.job_table.machine_gone(&name, now);
+                self.job_table.handle_machine_removal(&name, now);
             } else {
-                self.fleet.expect_machine(&name, now);
+                self.fleet.add_placed_machine(&name, now);
             }
         }
     }
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -79,7 +79,7 @@
             return;
         }
         for name in overdue {
-            self.fleet.expect_machine(&name, now);
+            self.fleet.add_placed_machine(&name, now);
             if let Some(machine) = self.fleet.machines.get_mut(&name) {
                 machine.removal.get_or_insert(RemovalReason::CancellationDue);
             }
--- a/crates/plankhead-core/src/leader/scaling.rs
+++ b/crates/plankhead-core/src/leader/scaling.rs
@@ -331,13 +331,13 @@
         match reply {
             Ok(CloudReply::Rented(machines)) => {
                 self.scaling.rental_ended(&rental.name);
-                self.fleet.rented(&machines, &rental.pool, rental.count, now);
+                self.fleet.record_rental(&machines, &rental.pool, rental.count, now);
                 self.confirm_intent(&IdempotencyKey::new(&rental.name), effects);
             }
             Ok(CloudReply::NoCapacity) => {
                 self.scaling.rental_ended(&rental.name);
                 let pool = &rental.pool;
-                self.fleet.capacity_refused(pool, now);
+                self.fleet.record_capacity_refusal(pool, now);
                 effects.log(
                     LogLevel::Debug,
                     format!(
@@ -385,9 +385,9 @@
         self.confirm_intent(intent, effects);
         for machine in machines {
             self.scaling.releasing.remove(&machine);
-            self.fleet.instance_released(&machine);
-            self.machine_gone(&machine);
-            let lost = self.job_table.machine_gone(&machine, now);
+            self.fleet.remove_released(&machine);
+            self.handle_machine_removal(&machine);
+            let lost = self.job_table.handle_machine_removal(&machine, now);
             if lost > 0 {
                 let text = format!("machine released with tasks: machine={machine} tasks={lost}");
                 effects.log(LogLevel::Debug, text);
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -263,7 +263,7 @@
     }
 
     /// Handles the cloud's release of a machine: the holders that know it are to forget it.
-    pub(in crate::leader) fn machine_gone(&mut self, name: &MachineName) {
+    pub(in crate::leader) fn handle_machine_removal(&mut self, name: &MachineName) {
         for peer in self.shards.iter_mut().flat_map(|shards| shards.peers.values_mut()) {
             peer.commands_due.remove(name);
             if peer.sent.remove(name).is_some() {
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -1,7 +1,7 @@
 //! Dispatch of replies to the parts of the node that made the calls.
 
 use super::Node;
-use crate::calls::{CallPurpose, HolderCall, LeaderCall, PendingRequest};
+use crate::calls::{CallPurpose, HolderCall, LeaderCall, UserRequestCall};
 use crate::effects::StepTime;
 use crate::jobs::job::JobId;
 use crate::leader::{Leader, TermStatus};
@@ -90,7 +90,7 @@
     fn handle_user_request_reply(
         &mut self,
         times: StepTime,
-        request: PendingRequest,
+        request: UserRequestCall,
         reply: Result<KvReply, CallError>,
     ) {
         let leader = self.leader.as_ref();
--- a/crates/plankhead-core/src/placement/index.rs
+++ b/crates/plankhead-core/src/placement/index.rs
@@ -57,7 +57,7 @@
     }
 
     /// Removes all images. Image numbers assigned before become invalid.
-    pub fn forget_images(&mut self) {
+    pub fn clear_images(&mut self) {
         self.images.clear();
         self.image_sizes_gb.clear();
     }
--- a/crates/plankhead-core/src/requests/cancellation.rs
+++ b/crates/plankhead-core/src/requests/cancellation.rs
@@ -2,7 +2,7 @@
 //! not changed in between.
 
 use super::{respond_unavailable, RequestHandler};
-use crate::calls::{CallPurpose, Cancellation, LookupReason, PendingRequest};
+use crate::calls::{CallPurpose, Cancellation, LookupReason, UserRequestCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobId, JobPhase};
 use crate::protocol::{CallError, Condition, JobStatus, KeyValue, KvChange, KvReply, KvRequest, RequestId};
@@ -50,7 +50,7 @@
         self.requests_in_flight += 1;
         let key = cancellation.id.key();
         effects.call_kv(
-            CallPurpose::UserRequest(PendingRequest::Cancel(Box::new(cancellation))),
+            CallPurpose::UserRequest(UserRequestCall::Cancel(Box::new(cancellation))),
             KvRequest::Txn {
                 conditions: vec![Condition { key: key.clone(), mod_revision }],
                 changes: vec![KvChange::Put { key, value, lease: None }],
--- a/crates/plankhead-core/src/requests/lookups.rs
+++ b/crates/plankhead-core/src/requests/lookups.rs
@@ -2,7 +2,7 @@
 //! key of archived ones.
 
 use super::{respond_unavailable, RequestHandler, TaskCounts};
-use crate::calls::{CallPurpose, Cancellation, Lookup, LookupReason, PendingRequest};
+use crate::calls::{CallPurpose, Cancellation, Lookup, LookupReason, UserRequestCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::protocol::{CallError, JobStatus, KvReply, KvRequest, RequestId, Response};
@@ -27,7 +27,7 @@
         }
         self.requests_in_flight += 1;
         let key = if lookup.archived { lookup.id.archive_key() } else { lookup.id.key() };
-        effects.call_kv(CallPurpose::UserRequest(PendingRequest::Lookup(lookup)), KvRequest::Get { key });
+        effects.call_kv(CallPurpose::UserRequest(UserRequestCall::Lookup(lookup)), KvRequest::Get { key });
     }
 
     /// Handles the reply to a lookup.
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -7,7 +7,7 @@
 mod submission;
 mod validation;
 
-use crate::calls::{JobCreation, LookupReason, PendingRequest};
+use crate::calls::{JobCreation, LookupReason, UserRequestCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::JobId;
 use crate::protocol::{CallError, JobProgress, JobStatus, KeyValue, KvReply, RequestId, Response};
@@ -172,24 +172,24 @@
     pub fn handle_reply(
         &mut self,
         times: StepTime,
-        request: PendingRequest,
+        request: UserRequestCall,
         reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<TaskCounts>,
         effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
         self.kv_failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         match request {
-            PendingRequest::Create(batch) => {
+            UserRequestCall::Create(batch) => {
                 self.batches_in_flight -= 1;
                 self.requests_in_flight = self.requests_in_flight.saturating_sub(batch.len());
                 self.creation_reply(times.now, batch, reply, effects)
             }
-            PendingRequest::Lookup(lookup) => {
+            UserRequestCall::Lookup(lookup) => {
                 self.requests_in_flight -= 1;
                 self.lookup_reply(times, lookup, reply, progress, effects);
                 Vec::new()
             }
-            PendingRequest::Cancel(cancellation) => {
+            UserRequestCall::Cancel(cancellation) => {
                 self.requests_in_flight -= 1;
                 self.cancellation_reply(times.now, *cancellation, reply, effects).into_iter().collect()
             }
--- a/crates/plankhead-core/src/requests/submission.rs
+++ b/crates/plankhead-core/src/requests/submission.rs
@@ -2,7 +2,7 @@
 
 use super::validation::check_satisfiable;
 use super::{respond_unavailable, RequestHandler, RETRY_AFTER};
-use crate::calls::{CallPurpose, JobCreation, LookupReason, PendingRequest};
+use crate::calls::{CallPurpose, JobCreation, LookupReason, UserRequestCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::{JobId, JobPhase, JobRecord, JobSpec};
 use crate::jobs::job_table::tasks_per_chunk;
@@ -287,7 +287,7 @@
     };
     let changes = batch.iter().map(put).collect();
     effects.call_kv(
-        CallPurpose::UserRequest(PendingRequest::Create(batch)),
+        CallPurpose::UserRequest(UserRequestCall::Create(batch)),
         KvRequest::Txn { conditions, changes },
     );
 }
--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -133,7 +133,7 @@
     job_table.observe_heartbeat(&report(4, 3, &[]), false, NOW);
     assert_eq!((placed(&job_table), job_table.jobs[&id()].to_restart.len()), (0, 2));
     job_table.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
-    assert_eq!(job_table.machine_gone("i-2", NOW), 1);
+    assert_eq!(job_table.handle_machine_removal("i-2", NOW), 1);
     assert_eq!(placed(&job_table), 0);
 }
 
@@ -290,7 +290,7 @@
     assert_eq!(heard(3, 4), HeartbeatChange::Stale);
     assert_eq!(heard(2, 9), HeartbeatChange::Stale);
     assert_eq!(heard(4, 1), HeartbeatChange::Changed);
-    fleet.instance_released(&"i-1".into());
+    fleet.remove_released(&"i-1".into());
     assert_eq!(fleet.observe_heartbeat(&report(5, 1, &[]), 0, NOW), HeartbeatChange::Stale);
     assert!(fleet.machines.is_empty());
 }
@@ -301,7 +301,7 @@
 fn machines_known_from_placements_are_judged_by_silence() {
     let settings = settings(1, 11);
     let mut fleet = Fleet::default();
-    fleet.expect_machine(&"i-1".into(), NOW);
+    fleet.add_placed_machine(&"i-1".into(), NOW);
     assert_eq!(fleet.mark_for_removal(NOW + settings.failover_heartbeat_timeout(), &settings), 0);
     assert_eq!(
         fleet.mark_for_removal(
@@ -423,10 +423,10 @@
         },
     );
     let pool = |spot| Pool { machine_type: "r".into(), zone: "z".into(), spot };
-    fleet.rented(&["i-1".into(), "i-2".into()], &pool(true), 5, NOW);
+    fleet.record_rental(&["i-1".into(), "i-2".into()], &pool(true), 5, NOW);
     assert_eq!(fleet.known_capacity("r", NOW), None);
     assert!(!fleet.may_rent_from(&pool(true), NOW) && fleet.may_rent_from(&pool(false), NOW));
-    fleet.capacity_refused(&pool(false), NOW);
+    fleet.record_capacity_refusal(&pool(false), NOW);
     assert_eq!(fleet.known_capacity("r", NOW), Some(2));
 }
 
@@ -472,7 +472,7 @@
         );
     }
     assert!(job_table.machines_to_stop.is_empty());
-    job_table.machine_gone("i-2", NOW);
+    job_table.handle_machine_removal("i-2", NOW);
     let told: Vec<&str> = job_table.machines_to_stop.iter().map(|h| h.as_ref()).collect();
     assert_eq!(told, ["i-1", "i-3"]);
     let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop_requested);
@@ -512,7 +512,7 @@
     assert_eq!((job_table.jobs[&id()].done, placed(&job_table)), (3, 2));
     assert!(job_table.job_finished(&id()) && !job_table.job_finished(&id()));
     assert_eq!((job_table.jobs[&id()].phase, placed(&job_table)), (JobPhase::Done, 2));
-    job_table.machine_gone("i-1", NOW);
+    job_table.handle_machine_removal("i-1", NOW);
     job_table.observe_heartbeat(
         &from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
         true,
