--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -7,7 +7,7 @@
 use crate::jobs::job::{JobId, JobPhase, JobSpec, Resources};
 use crate::jobs::job_table::JobEntry;
 use crate::placement::backfill;
-use crate::placement::fair_share::{guaranteed, QuotaDemand, TeamUsage, Work};
+use crate::placement::fair_share::{jobs_within_guarantee, QuotaDemand, TeamUsage, Work};
 use crate::placement::index::PlacementIndex;
 use crate::settings::Settings;
 use std::collections::HashMap;
@@ -128,7 +128,7 @@
         if waiting.is_empty() {
             return PendingWork::default();
         }
-        let guaranteed = guaranteed(&demands, teams);
+        let guaranteed = jobs_within_guarantee(&demands, teams);
         let mut pending: Vec<(JobId, Work)> = Vec::with_capacity(waiting.len());
         for WaitingJob { id, spec, team, demand_index } in waiting {
             let mut work = self.whole_job_as_work(&spec, team, demands[demand_index].accepted_at);
--- a/crates/plankhead-core/src/leader/slots.rs
+++ b/crates/plankhead-core/src/leader/slots.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::fleet::Machine;
-use crate::placement::backfill::{Running, Slot};
+use crate::placement::backfill::{RunningTask, Slot};
 use crate::protocol::MachineName;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
             let spec = &entry.spec;
             let estimate = self.estimated_runtime(spec);
             let mut end = attempt.running_since.unwrap_or(attempt.placed_at) + estimate;
-            let mut grace = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
+            let mut overdue_extension = if attempt.running_since.is_some() { estimate / 5 } else { estimate };
             let image = self.placement.index.image_index(&spec.image, spec.image_gb);
             if let Some(image) = image.filter(|i| !slot.images.contains(i)) {
                 slot.fetches_in_progress += 1;
@@ -55,12 +55,12 @@
                 }
             }
             if attempt.stop_requested {
-                (end, grace) = (Duration::ZERO, STOP_DURATION);
+                (end, overdue_extension) = (Duration::ZERO, STOP_DURATION);
             }
             let team = self.team_index(spec).unwrap_or(0);
-            slot.add_running(Running {
+            slot.add_running(RunningTask {
                 ends_at: end,
-                grace,
+                overdue_extension,
                 demand: spec.demand,
                 team,
                 is_reservation: false,
--- a/crates/plankhead-core/src/placement/backfill.rs
+++ b/crates/plankhead-core/src/placement/backfill.rs
@@ -5,7 +5,7 @@
 //! every job. It keeps a list of the machines with room, and computes when busy machines will have
 //! room only for tasks that would have to fetch their image and for reservations.
 
-pub use crate::placement::slot::{Running, Slot};
+pub use crate::placement::slot::{RunningTask, Slot};
 
 use crate::jobs::job::Resources;
 use crate::placement::choose::Chooser;
--- a/crates/plankhead-core/src/placement/choose.rs
+++ b/crates/plankhead-core/src/placement/choose.rs
@@ -74,7 +74,7 @@
             let slot = &self.slots[*index];
             // Few slots have reserved room. Counting tasks, which gangs need, is skipped for the others.
             let delays_reservation = || self.is_reserved(*index) && self.max_starts(*index, work, 1) == 0;
-            if !work.demand.fits(&slot.free) || !slot.suits(work) || delays_reservation() {
+            if !work.demand.fits(&slot.free) || !slot.is_eligible(work) || delays_reservation() {
                 continue;
             }
             let score = Score {
@@ -112,7 +112,7 @@
         let mut candidates = Vec::new();
         for index in open_slots {
             let slot = &self.slots[*index];
-            if !slot.suits(work) {
+            if !slot.is_eligible(work) {
                 continue;
             }
             let max_tasks = self.max_starts(*index, work, work.pending);
@@ -187,7 +187,7 @@
         }
         let mut best: Option<Opening> = None;
         for (index, slot) in self.slots.iter().enumerate() {
-            if !slot.images.contains(&work.image) || !slot.suits(work) || self.is_reserved(index) {
+            if !slot.images.contains(&work.image) || !slot.is_eligible(work) || self.is_reserved(index) {
                 continue;
             }
             let until = best.as_ref().map_or(self.now + fetch_time, |opening| opening.at);
--- a/crates/plankhead-core/src/placement/fair_share.rs
+++ b/crates/plankhead-core/src/placement/fair_share.rs
@@ -163,7 +163,7 @@
 
 /// Returns for each job whether it fits into its team's guaranteed quota together with the team's
 /// earlier unfinished jobs.
-pub fn guaranteed(demands: &[QuotaDemand], teams: &[TeamUsage]) -> Vec<bool> {
+pub fn jobs_within_guarantee(demands: &[QuotaDemand], teams: &[TeamUsage]) -> Vec<bool> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| demands[*index].accepted_at);
     let mut sums = vec![Resources::default(); teams.len()];
--- a/crates/plankhead-core/src/placement/gang.rs
+++ b/crates/plankhead-core/src/placement/gang.rs
@@ -41,7 +41,7 @@
     now: Duration,
     is_candidate: impl Fn(usize) -> bool,
 ) -> Option<GangOpening> {
-    let may_serve = |index: &usize| slots[*index].suits(work) && is_candidate(*index);
+    let may_serve = |index: &usize| slots[*index].is_eligible(work) && is_candidate(*index);
     let mut best: Option<GangOpening> = None;
     for zone in zones_to_try(slots, (0..slots.len()).filter(may_serve), work) {
         let in_zone = |index: &usize| zone.is_none_or(|zone| slots[*index].zone == zone);
--- a/crates/plankhead-core/src/placement/reservation.rs
+++ b/crates/plankhead-core/src/placement/reservation.rs
@@ -61,7 +61,7 @@
 
     fn for_task(slots: &[Slot], work: &Work, now: Duration) -> Option<Self> {
         let mut best: Option<(Duration, usize)> = None;
-        for (index, slot) in slots.iter().enumerate().filter(|(_, slot)| slot.suits(work)) {
+        for (index, slot) in slots.iter().enumerate().filter(|(_, slot)| slot.is_eligible(work)) {
             let until = best.map_or(Duration::MAX, |(at, _)| at);
             if let Some(at) = slot.earliest_fit(&work.demand, now, until) {
                 best = Some((at, index));
--- a/crates/plankhead-core/src/placement/slot.rs
+++ b/crates/plankhead-core/src/placement/slot.rs
@@ -23,7 +23,7 @@
     /// The time from which the machine accepts tasks.
     pub ready_at: Duration,
     /// The tasks on the machine, in the order of their estimated ends.
-    pub running: Vec<Running>,
+    pub running: Vec<RunningTask>,
     /// The images that the machine has or is fetching, by number in the placement index.
     pub images: Vec<u32>,
     /// The number of images being fetched.
@@ -34,11 +34,11 @@
 
 /// A task on a machine, with its estimated end.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Running {
+pub struct RunningTask {
     /// The estimated end of the task.
     pub ends_at: Duration,
     /// The remaining run time assumed for the task once it is overdue.
-    pub grace: Duration,
+    pub overdue_extension: Duration,
     /// The resources that the task takes.
     pub demand: Resources,
     /// The task's team, by number.
@@ -49,7 +49,7 @@
 
 impl Slot {
     /// Adds a task, keeping the order of ends.
-    pub fn add_running(&mut self, task: Running) {
+    pub fn add_running(&mut self, task: RunningTask) {
         let position = self.running.partition_point(|other| other.ends_at <= task.ends_at);
         self.running.insert(position, task);
         self.free.sub(&task.demand);
@@ -58,9 +58,9 @@
     /// Extends the estimated ends of overdue tasks, so that a slot computed earlier is valid at
     /// `now` if no task has ended since.
     pub fn extend_overdue(&mut self, now: Duration) {
-        if self.running.first().is_some_and(|task| task.ends_at < now + task.grace) {
+        if self.running.first().is_some_and(|task| task.ends_at < now + task.overdue_extension) {
             for task in &mut self.running {
-                task.ends_at = task.ends_at.max(now + task.grace);
+                task.ends_at = task.ends_at.max(now + task.overdue_extension);
             }
             self.running.sort_by_key(|task| task.ends_at);
         }
@@ -106,7 +106,7 @@
     }
 
     /// Returns whether the machine may run the work's tasks, regardless of its free resources.
-    pub(super) fn suits(&self, work: &Work) -> bool {
+    pub(super) fn is_eligible(&self, work: &Work) -> bool {
         work.allows(self.pool) && work.admits_zone(self.zone)
     }
 
@@ -137,21 +137,21 @@
             self.images.push(work.image);
             self.fetches_in_progress += 1;
         }
-        self.add_running(Running::of(work, ends_at, false));
+        self.add_running(RunningTask::of(work, ends_at, false));
     }
 
     /// Reserves room for a task of the work that waits until `at` for this machine, which has its
     /// image. The room is taken at once, so that smaller tasks cannot use it in the meantime.
     pub(super) fn reserve_task(&mut self, at: Duration, work: &Work) {
-        self.add_running(Running::of(work, at + work.estimated_runtime, true));
+        self.add_running(RunningTask::of(work, at + work.estimated_runtime, true));
     }
 }
 
-impl Running {
+impl RunningTask {
     fn of(work: &Work, ends_at: Duration, is_reservation: bool) -> Self {
         Self {
             ends_at,
-            grace: work.estimated_runtime / OVERDUE_DIVISOR,
+            overdue_extension: work.estimated_runtime / OVERDUE_DIVISOR,
             demand: work.demand,
             team: work.team,
             is_reservation,
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -2,7 +2,7 @@
 //! and what the real one must give.
 
 use plankhead_core::jobs::job::{Priority, Resources};
-use plankhead_core::placement::backfill::{Running, Slot, Start};
+use plankhead_core::placement::backfill::{RunningTask, Slot, Start};
 use plankhead_core::placement::fair_share::{TeamUsage, Work};
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     )
 }
 
-fn suits(slot: &Slot, work: &Work) -> bool {
+fn is_eligible(slot: &Slot, work: &Work) -> bool {
     work.allows(slot.pool) && work.admits_zone(slot.zone)
 }
 
@@ -87,7 +87,7 @@
 
 fn together(slots: &[Slot], work: &Work, now: Duration, held: Option<&Held>) -> Option<Vec<usize>> {
     let price = |s: usize| if now > work.latest_restart { -slots[s].price } else { slots[s].price };
-    let usable = |s: &usize| slots[*s].ready_at <= now && suits(&slots[*s], work);
+    let usable = |s: &usize| slots[*s].ready_at <= now && is_eligible(&slots[*s], work);
     let many = |s: usize| {
         let fits = |n: &u32| spares_many(&slots[s], s, work, now, held, *n);
         (1..=work.pending).filter(fits).max().unwrap_or(0)
@@ -117,12 +117,14 @@
     for at in moments {
         for zone in places(work) {
             let image = |s: usize| !warm || slots[s].images.contains(&work.image) && !kept(held, s);
-            let suits = |s: &usize| slots[*s].ready_at <= at && suits(&slots[*s], work) && image(*s);
+            let is_usable =
+                |s: &usize| slots[*s].ready_at <= at && is_eligible(&slots[*s], work) && image(*s);
             let many = |s: usize| {
                 let fits = |n: &u32| work.demand.times(*n).fits(&free_at(&slots[s], at));
                 (1..=work.pending).filter(fits).max().unwrap_or(0)
             };
-            let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(suits).map(|s| (s, many(s))).collect();
+            let mut order: Vec<(usize, u32)> =
+                (0..slots.len()).filter(is_usable).map(|s| (s, many(s))).collect();
             order.sort_by_key(|(s, n)| (Reverse(*n), *s));
             let Some(chosen) = fill(&order, slots, work, zone) else { continue };
             let mut holds: Vec<(usize, Resources)> = Vec::new();
@@ -163,9 +165,9 @@
 
 fn run(slot: &mut Slot, work: &Work, end: Duration, booked: bool) {
     slot.free.sub(&work.demand);
-    slot.running.push(Running {
+    slot.running.push(RunningTask {
         ends_at: end,
-        grace: work.estimated_runtime / 5,
+        overdue_extension: work.estimated_runtime / 5,
         demand: work.demand,
         team: work.team,
         is_reservation: booked,
@@ -193,7 +195,7 @@
                 let held = keep_all(slots, w, now, false, None)?;
                 return Some(Held { breakable, owner: Some(i), ..held });
             }
-            let all = slots.iter().enumerate().filter(|(_, s)| suits(s, w));
+            let all = slots.iter().enumerate().filter(|(_, s)| is_eligible(s, w));
             let (at, slot) = all.filter_map(|(i, s)| opens(s, &w.demand, now).map(|at| (at, i))).min()?;
             Some(Held { holds: vec![(slot, w.demand)], at, breakable, owner: Some(i) })
         });
@@ -210,7 +212,7 @@
                 let mut best: Option<(Duration, f64, f64, usize)> = None;
                 for (s, slot) in slots.iter().enumerate() {
                     let room = slot.ready_at <= now && work[i].demand.fits(&slot.free);
-                    if !room || !suits(slot, &work[i]) || !spares(slot, s, &work[i], now, held) {
+                    if !room || !is_eligible(slot, &work[i]) || !spares(slot, s, &work[i], now, held) {
                         continue;
                     }
                     let price = if now > work[i].latest_restart { -slot.price } else { slot.price };
@@ -265,7 +267,7 @@
                 None if may_break => find(None),
                 best => best,
             };
-            let all = || slots.iter().enumerate().filter(|(_, s)| suits(s, &work[i]));
+            let all = || slots.iter().enumerate().filter(|(_, s)| is_eligible(s, &work[i]));
             let opening = |(s, slot): (usize, &Slot)| opens(slot, &work[i].demand, now).map(|at| (at, s));
             let Some((cold, _, _, s)) = best else {
                 open[i] = false;
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -6,8 +6,10 @@
 mod plain;
 
 use plankhead_core::jobs::job::{Priority, Resources};
-use plankhead_core::placement::backfill::{pass, pass_up_to, Running, Slot, Start};
-use plankhead_core::placement::fair_share::{guaranteed, FairShareQueue, QuotaDemand, TeamUsage, Work};
+use plankhead_core::placement::backfill::{pass, pass_up_to, RunningTask, Slot, Start};
+use plankhead_core::placement::fair_share::{
+    jobs_within_guarantee, FairShareQueue, QuotaDemand, TeamUsage, Work,
+};
 use plankhead_core::sizing::fleet_size_search::FleetSizeSearch;
 use plankhead_core::sizing::replay::{Arrival, Replay};
 use rand::rngs::StdRng;
@@ -25,9 +27,9 @@
 }
 
 fn slot(free: f64, running: &[(u64, f64)]) -> Slot {
-    let task = |(end, held): &(u64, f64)| Running {
+    let task = |(end, held): &(u64, f64)| RunningTask {
         ends_at: NOW + secs(*end),
-        grace: Duration::ZERO,
+        overdue_extension: Duration::ZERO,
         demand: cpus(*held),
         team: 0,
         is_reservation: false,
@@ -297,7 +299,7 @@
 fn guarantees_go_by_arrival() {
     let need = |i| QuotaDemand { team: 0, accepted_at: NOW - secs(i), resources: cpus(4.0) };
     let needs: Vec<QuotaDemand> = (0..3).map(need).collect();
-    assert_eq!(guaranteed(&needs, &[team(8.0, 99.0)]), vec![false, true, true]);
+    assert_eq!(jobs_within_guarantee(&needs, &[team(8.0, 99.0)]), vec![false, true, true]);
 }
 
 /// The climb of the paper, and its steps written out: 4, then ceil((4+32)/2).
