--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -20,7 +20,7 @@
     /// A call of the version barrier.
     VersionBarrier(VersionBarrierCall),
     /// A call on behalf of users' requests.
-    UserRequest(PendingRequest),
+    UserRequest(UserRequestCall),
     /// A call of the leader, with the fencing token of its term. Replies to calls of an earlier term
     /// are ignored.
     Leader(u64, LeaderCall),
@@ -36,7 +36,7 @@
 
 /// A key in the state service that is no longer needed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredKey {
+pub struct ObsoleteKey {
     pub key: String,
     /// The revision of the key's latest change, if known.
     pub revision: Option<u64>,
@@ -49,10 +49,10 @@
     Read,
     /// Waits for the leader's key to change.
     Watch,
-    /// Requests the lease under which to claim the key.
+    /// Requests the lease under which to acquire the key.
     GrantLease,
     /// Writes the leader's key under the lease if the key does not exist.
-    Claim { lease: u64 },
+    Acquire { lease: u64 },
     /// Renews the lease of the leader's key. `sent` is when the renewal was sent.
     RenewLease { lease: u64, sent: Duration },
     /// Revokes a lease, so that the key becomes vacant.
@@ -79,7 +79,7 @@
 
 /// The purpose of a call on behalf of users' requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum PendingRequest {
+pub enum UserRequestCall {
     /// Writes the records of new jobs.
     Create(Vec<JobCreation>),
     /// Reads a job's record.
@@ -181,7 +181,7 @@
     /// Reads a job's record again after its write failed or had an unknown outcome.
     ReadJob(JobId),
     /// Deletes keys that are no longer needed.
-    DeleteGarbage(Vec<StoredKey>),
+    DeleteGarbage(Vec<ObsoleteKey>),
     /// Reads the revision of a key that is to be deleted.
     ReadGarbageRevision(String),
     /// Moves records of ended jobs to their archive keys.
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -60,7 +60,7 @@
 
 /// How a heartbeat differs from the previous heartbeat of the same machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeartbeatNews {
+pub enum HeartbeatChange {
     /// The heartbeat is a late copy, or its machine has been removed.
     Stale,
     /// The incarnation, the token, the tasks and their states are the same.
@@ -203,7 +203,7 @@
     }
 
     /// Returns whether the newest heartbeat lists the attempt.
-    pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn lists_attempt(&self, task: &TaskId, attempt: u64) -> bool {
         let is_listed =
             |heartbeat: &Heartbeat| heartbeat.tasks.iter().any(|l| l.task == *task && l.attempt == attempt);
         self.last_heartbeat.as_ref().is_some_and(is_listed)
@@ -234,12 +234,13 @@
         self.commands.end(starts, incarnation, reply);
     }
 
-    /// Returns whether to redirect the worker to another node, and records the redirect. If this
-    /// node `is_cut_off`, another one may lead by now. Redirects are spaced so that a worker that
-    /// finds no other leader returns before its lease expires.
-    pub fn take_redirect(&mut self, is_cut_off: bool, lease: Duration, now: Duration) -> bool {
+    /// Returns whether to redirect the worker to another node, and records the redirect. If
+    /// `node_is_disconnected`, another node may lead by now. Redirects are spaced so that a worker
+    /// that finds no other leader returns before its lease expires.
+    pub fn take_redirect(&mut self, node_is_disconnected: bool, lease: Duration, now: Duration) -> bool {
         let interval = lease.mul_f64(REDIRECT_INTERVAL_LEASES);
-        let is_due = is_cut_off && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > interval);
+        let is_due =
+            node_is_disconnected && self.redirected_at.is_none_or(|at| now.saturating_sub(at) > interval);
         if is_due {
             self.redirected_at = Some(now);
         }
@@ -263,10 +264,10 @@
         heartbeat: &Heartbeat,
         own_token: u64,
         now: Duration,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         let id = HeartbeatId::of(heartbeat);
         if self.last_heartbeat_id.is_some_and(|newest| id <= newest) {
-            return HeartbeatNews::Stale;
+            return HeartbeatChange::Stale;
         }
         let is_first = self.last_heartbeat_id.is_none();
         let is_unchanged = self.last_heartbeat.as_ref().is_some_and(|last| {
@@ -297,9 +298,9 @@
         self.has_preemption_notice |= heartbeat.preemption_notice.is_some();
         self.last_heartbeat = Some(heartbeat.clone());
         if is_unchanged {
-            HeartbeatNews::Unchanged
+            HeartbeatChange::Unchanged
         } else {
-            HeartbeatNews::Changed
+            HeartbeatChange::Changed
         }
     }
 
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -10,22 +10,22 @@
     /// Whether the leader's lease has been renewed in time, so that its writes may still succeed.
     pub lease_valid: bool,
     /// Whether the lease is valid and its latest renewal has not failed.
-    pub kv_undisputed: bool,
+    pub lease_undisputed: bool,
     /// Whether heartbeats of every peer arrive and none of them claims to lead.
     pub no_peer_leads: bool,
     /// Whether the process gets too little CPU time to keep up.
     pub cpu_starved: bool,
     /// The reachability mode: which links of this node work.
     pub mode: Mode,
-    /// Whether no other node hears any worker either.
-    pub peers_agree: bool,
+    /// Whether no peer receives heartbeats from any worker.
+    pub no_peer_receives_heartbeats: bool,
 }
 
 /// The evidence that the leader keeps between steps.
 #[derive(Debug)]
 pub(super) struct Evidence {
     mode: Mode,
-    peers_agree: bool,
+    no_peer_receives_heartbeats: bool,
     cpu_starved: bool,
     /// When the lease was last found invalid or its latest renewal failed.
     lease_uncertain_at: Option<Duration>,
@@ -42,7 +42,7 @@
     pub(super) fn new(now: Duration) -> Self {
         Self {
             mode: Mode::Whole,
-            peers_agree: false,
+            no_peer_receives_heartbeats: false,
             cpu_starved: false,
             lease_uncertain_at: None,
             direct_heartbeat_arrived: false,
@@ -56,8 +56,8 @@
     pub(super) fn update(&mut self, evidence: &LeaderEvidence, is_loading: bool, now: Duration) {
         self.cpu_starved = evidence.cpu_starved;
         self.mode = evidence.mode;
-        self.peers_agree = evidence.peers_agree;
-        if !evidence.kv_undisputed {
+        self.no_peer_receives_heartbeats = evidence.no_peer_receives_heartbeats;
+        if !evidence.lease_undisputed {
             self.lease_uncertain_at = Some(now);
         }
         if std::mem::take(&mut self.direct_heartbeat_arrived) || is_loading {
@@ -70,9 +70,9 @@
         self.mode
     }
 
-    /// Returns whether no other node hears any worker either.
-    pub(super) fn peers_agree(&self) -> bool {
-        self.peers_agree
+    /// Returns whether no peer receives heartbeats from any worker.
+    pub(super) fn no_peer_receives_heartbeats(&self) -> bool {
+        self.no_peer_receives_heartbeats
     }
 
     /// Returns whether CPU time is short. Starts are then sent only in responses to heartbeats.
@@ -87,7 +87,7 @@
     }
 
     /// Records that a heartbeat has arrived directly, not through a peer.
-    pub(super) fn direct_heartbeat_arrived(&mut self) {
+    pub(super) fn record_direct_heartbeat(&mut self) {
         self.direct_heartbeat_arrived = true;
     }
 
@@ -98,13 +98,13 @@
 
     /// Lets missing heartbeats count against machines again. Returns whether they did not count
     /// before.
-    pub(super) fn trust_silence(&mut self) -> bool {
+    pub(super) fn mark_silence_reliable(&mut self) -> bool {
         !std::mem::replace(&mut self.silence_is_reliable, true)
     }
 
-    /// Attributes missing heartbeats to this node's own links until [`Evidence::trust_silence`] is
-    /// called.
-    pub(super) fn distrust_silence(&mut self) {
+    /// Attributes missing heartbeats to this node's own links until
+    /// [`Evidence::mark_silence_reliable`] is called.
+    pub(super) fn mark_silence_unreliable(&mut self) {
         self.silence_is_reliable = false;
     }
 }
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -1,9 +1,9 @@
 //! Loading at failover: a new leader loads all stored state before it makes any decision.
 
 use super::{Leader, Target, RETRY_INTERVAL};
-use crate::calls::{FinishedJob, LeaderCall, StoredKey};
+use crate::calls::{FinishedJob, LeaderCall, ObsoleteKey};
 use crate::effects::{EffectSink, StepTime};
-use crate::fleet::HeartbeatNews;
+use crate::fleet::HeartbeatChange;
 use crate::jobs::job::{JobId, JobPhase, JobRecord};
 use crate::jobs::job_table::{tasks_per_chunk, StoredJob};
 use crate::protocol::{CallError, Heartbeat, JobStatus, KeyValue, KvReply, KvRequest, LogLevel, MachineName};
@@ -151,7 +151,7 @@
             });
             match (id, number) {
                 (Some(id), Some(_)) if !self.job_table.jobs.contains_key(&id) => {
-                    self.garbage.add([StoredKey { key: row.key, revision: Some(row.mod_revision) }]);
+                    self.garbage.add([ObsoleteKey { key: row.key, revision: Some(row.mod_revision) }]);
                 }
                 (Some(job), Some((rechunked, number))) => {
                     let (value, mod_revision) = (row.value, row.mod_revision);
@@ -185,7 +185,7 @@
         // A stored target shows that the service is not new: the existing jobs arrived over time and are
         // not an initial backlog.
         if row.is_some() {
-            self.arrivals.service_is_running();
+            self.arrivals.mark_service_running();
         }
         if let Some(target) = row.and_then(|r| serde_json::from_str::<Target>(&r.value).ok()) {
             let ended_at = times.monotonic_of(target.at_ms);
@@ -199,7 +199,7 @@
         let heartbeats: Vec<Heartbeat> =
             self.fleet.machines.values().filter_map(|m| m.last_heartbeat.clone()).collect();
         for heartbeat in heartbeats {
-            self.observe_tasks(times, &heartbeat, HeartbeatNews::Changed, effects);
+            self.observe_tasks(times, &heartbeat, HeartbeatChange::Changed, effects);
         }
         effects.log(
             LogLevel::Info,
@@ -241,9 +241,9 @@
             // The machine was released while this leader was loading. No later event would prove that
             // its attempts are over.
             if self.fleet.is_removed(&name) {
-                self.job_table.machine_gone(&name, now);
+                self.job_table.handle_machine_removal(&name, now);
             } else {
-                self.fleet.expect_machine(&name, now);
+                self.fleet.add_placed_machine(&name, now);
             }
         }
     }
--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -108,14 +108,14 @@
             self.token_guard.observe(heartbeat.token);
         }
         self.record_link_evidence(&heartbeat, relayed, now);
-        let is_cut_off = !self.election.is_lease_valid(now) && !self.peers.any_alive(now);
+        let node_is_disconnected = !self.election.is_lease_valid(now) && !self.peers.any_alive(now);
         if let Some(leader) = &mut self.leader {
             match leader.route(&heartbeat) {
                 LeaderRoute::Own => {
                     return leader.handle_heartbeat(
                         times,
                         heartbeat,
-                        HeartbeatPath { relayed, is_cut_off },
+                        HeartbeatPath { relayed, node_is_disconnected },
                         &self.requests,
                         &mut self.effects,
                     );
@@ -161,7 +161,7 @@
                 let target = RedirectTarget { host: leader.host, token: leader.token };
                 self.redirect(now, heartbeat, target, relayed)
             }
-            None => Response::Redirect { leader: None },
+            None => Response::Redirect { host: None },
         }
     }
 
@@ -180,10 +180,10 @@
         let unreachable =
             token == heartbeat.token || self.redirected_workers.has_returned(&heartbeat.machine, token, now);
         if unreachable && !relayed {
-            return Response::Relay { leader: host };
+            return Response::Relay { host };
         }
         self.redirected_workers.record(heartbeat.machine, token, now);
-        Response::Redirect { leader: Some(host) }
+        Response::Redirect { host: Some(host) }
     }
 
     /// Answers a heartbeat as the holder of the machine's shard.
@@ -196,9 +196,9 @@
     ) -> Response {
         let now = times.now;
         let evidence = self.holder_evidence(now);
-        let is_cut_off = self.is_holder_cut_off(evidence, now);
-        let Some(sharding) = &mut self.sharding else { return Response::Redirect { leader: None } };
-        let path = HeartbeatPath { relayed, is_cut_off };
+        let node_is_disconnected = self.is_holder_disconnected(evidence, now);
+        let Some(sharding) = &mut self.sharding else { return Response::Redirect { host: None } };
+        let path = HeartbeatPath { relayed, node_is_disconnected };
         sharding.holder.handle_heartbeat(times, heartbeat, shard_epoch, path, evidence)
     }
 
@@ -216,8 +216,8 @@
     fn record_link_evidence(&mut self, heartbeat: &Heartbeat, relayed: bool, now: Duration) {
         let Some(reachability) = &mut self.reachability else { return };
         reachability.heartbeat_arrived(&heartbeat.machine, relayed, now);
-        if let Some(shown) = self.leader.as_ref().and_then(|leader| leader.answer_shown(heartbeat)) {
-            reachability.answer_confirmed(shown, now);
+        if let Some(confirmed) = self.leader.as_ref().and_then(|leader| leader.confirms_response(heartbeat)) {
+            reachability.answer_confirmed(confirmed, now);
         }
     }
 
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -52,11 +52,12 @@
         let reachability = self.reachability.as_ref();
         LeaderEvidence {
             lease_valid: self.election.is_lease_valid(now),
-            kv_undisputed: self.election.is_lease_undisputed(now),
+            lease_undisputed: self.election.is_lease_undisputed(now),
             no_peer_leads: self.peers.none_leads(now),
             cpu_starved: self.is_cpu_starved(),
             mode: reachability.map_or(Mode::Whole, Reachability::mode),
-            peers_agree: reachability.is_some_and(|reachability| reachability.peers_agree(now)),
+            no_peer_receives_heartbeats: reachability
+                .is_some_and(|reachability| reachability.no_peer_receives_heartbeats(now)),
         }
     }
 
@@ -69,7 +70,7 @@
     pub(super) fn step_down_if_isolated(&mut self, times: StepTime, evidence: LeaderEvidence) {
         let now = times.now;
         let coverage_decides =
-            self.reachability.as_ref().is_some_and(|reachability| reachability.is_complete(now));
+            self.reachability.as_ref().is_some_and(|reachability| reachability.has_complete_coverage(now));
         let peer_could_lead = evidence.lease_valid && self.peers.any_alive(now) && !coverage_decides;
         if peer_could_lead && self.leader.as_ref().is_some_and(|leader| leader.is_isolated(now)) {
             self.effects.log(LogLevel::Info, "leader stepped down: reason=no_worker_heartbeats".into());
@@ -111,7 +112,7 @@
         }
         let now = times.now;
         if let Some(reachability) = &mut self.reachability {
-            reachability.peer_heard(&heartbeat.host, now);
+            reachability.peer_heartbeat_received(&heartbeat.host, now);
         }
         if heartbeat.token > 0 {
             self.requests.set_leader_progress(&heartbeat.progress);
@@ -127,7 +128,7 @@
             return;
         }
         if let Err(stale) = self.token_guard.admit(heartbeat.token) {
-            let repeated = self.peers.has_claimed(&heartbeat.host, heartbeat.token);
+            let repeated = self.peers.claims_to_lead(&heartbeat.host, heartbeat.token);
             let level = if repeated { LogLevel::Debug } else { LogLevel::Info };
             let text = format!("leadership claim rejected: peer={} reason=\"{stale}\"", heartbeat.host);
             self.effects.log(level, text);
--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -25,7 +25,7 @@
     pub(super) fn evaluate_links(&mut self, now: Duration) {
         let Some(reachability) = self.reachability.as_mut().filter(|part| part.is_due(now)) else { return };
         let machines = self.leader.as_ref().map_or(0, Leader::machines_expected);
-        reachability.judge(machines, now, &mut self.effects);
+        reachability.evaluate_links(machines, now, &mut self.effects);
         self.requests.set_permissions(reachability.user_permissions());
         let defers_to_peers = reachability.defers_to_peers(now);
         self.election.set_defers_to_peers(defers_to_peers);
@@ -53,7 +53,7 @@
         if facts.lease_undisputed && reachability.take_numbering_check(now) {
             reachability.write_numbering(&leader.machine_names(), facts.token, &mut self.effects);
         }
-        leader.record_heard_by_peers(now, |machine| reachability.heard_by_a_peer(machine, now));
+        leader.record_reports_to_peers(now, |machine| reachability.reports_to_a_peer(machine, now));
         if let Some(successor) = reachability.successor(&facts, now, &mut self.effects) {
             let text = format!("leadership handed over: peer={successor} reason=peer_reaches_more");
             self.effects.log(LogLevel::Info, text);
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -93,7 +93,7 @@
 
     /// Whether this node, as a holder, may miss that its shards were reassigned: its records are
     /// outdated or the state service fails, and all peers are silent.
-    pub(super) fn is_holder_cut_off(&self, evidence: HolderEvidence, now: Duration) -> bool {
+    pub(super) fn is_holder_disconnected(&self, evidence: HolderEvidence, now: Duration) -> bool {
         let records_stale =
             evidence.records_synced_at.is_none_or(|at| now.saturating_sub(at) > MAX_RECORDS_AGE);
         (records_stale || evidence.kv_failing) && !self.peers.any_alive(now)
@@ -130,7 +130,7 @@
         reply: Result<KvReply, CallError>,
     ) {
         let Some(sharding) = &mut self.sharding else { return };
-        let changed = sharding.records.reply(now, step, reply, &mut self.effects);
+        let changed = sharding.records.handle_reply(now, step, reply, &mut self.effects);
         let records = &sharding.records;
         if let Some(leader) = &mut self.leader {
             return leader.apply_shard_records(&records.table, records.synced_at(), now);
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records the outcome of a call to the state service.
-    pub fn kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
+    pub fn record_kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
@@ -49,7 +49,7 @@
     }
 
     /// Records the outcome of a call to the cloud.
-    pub fn cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
+    pub fn record_cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
@@ -58,7 +58,7 @@
     }
 
     /// Records the outcome of commands sent directly to a worker.
-    pub fn command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
+    pub fn record_command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
             CommandReply::Answered(_) => self.monitor.confirmed(link, now),
@@ -72,18 +72,18 @@
         if relayed {
             return;
         }
-        if self.heard_machines.is_empty() {
-            // Workers have begun to send heartbeats to this node, perhaps because the leader can't hear
-            // them: tell the peers at once.
+        if self.reporting_machines.is_empty() {
+            // Workers have begun to send heartbeats to this node, perhaps because they can't reach the
+            // leader: tell the peers at once.
             self.next_coverage_at = now;
         }
-        self.heard_machines.record(machine, now);
+        self.reporting_machines.record(machine, now);
     }
 
-    /// Records the first heartbeat of a worker after a reply to it. `shown` says whether the heartbeat shows
-    /// that the worker has received the reply.
-    pub fn answer_confirmed(&mut self, shown: bool, now: Duration) {
-        match shown {
+    /// Records the first heartbeat of a worker after a reply to it. `confirmed` says whether the heartbeat
+    /// shows that the worker has received the reply.
+    pub fn answer_confirmed(&mut self, confirmed: bool, now: Duration) {
+        match confirmed {
             true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
             false => self.monitor.failed(LinkId::HeartbeatReplies, now),
         }
@@ -94,9 +94,9 @@
     }
 
     /// Records a heartbeat of a peer.
-    pub fn peer_heard(&mut self, host: &str, now: Duration) {
+    pub fn peer_heartbeat_received(&mut self, host: &str, now: Duration) {
         if let Some(peer) = self.peer_index(host) {
-            self.monitor.peer_heard(peer, now);
+            self.monitor.peer_heartbeat_received(peer, now);
         }
     }
 
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Forgets the state of the links that only a leader uses, after this node has lost the leadership.
+    /// Resets the state of the links that only a leader uses, after this node has lost the leadership.
     pub fn leadership_lost(&mut self) {
-        self.monitor.forget_link(LinkId::KvLeaseRenewal);
-        self.monitor.forget_link(LinkId::HeartbeatReplies);
+        self.monitor.reset_link(LinkId::KvLeaseRenewal);
+        self.monitor.reset_link(LinkId::HeartbeatReplies);
     }
 }
--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -7,7 +7,7 @@
 mod submission;
 mod validation;
 
-use crate::calls::{JobCreation, LookupReason, PendingRequest};
+use crate::calls::{JobCreation, LookupReason, UserRequestCall};
 use crate::effects::{EffectSink, StepTime};
 use crate::jobs::job::JobId;
 use crate::protocol::{CallError, JobProgress, JobStatus, KeyValue, KvReply, RequestId, Response};
@@ -155,7 +155,13 @@
     }
 
     /// Handles a user's request for a job's status.
-    pub fn poll(&mut self, now: Duration, request: RequestId, id: JobId, effects: &mut EffectSink) {
+    pub fn status_requested(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        id: JobId,
+        effects: &mut EffectSink,
+    ) {
         if !self.answer_if_ended(request, &id, effects) && self.admit(now, request, effects) {
             self.lookup(now, request, id, LookupReason::Status, effects);
         }
@@ -163,27 +169,27 @@
 
     /// Handles a reply of the state service. Returns the rows of job records that were written, which are
     /// meant for the leader if this node leads.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         times: StepTime,
-        request: PendingRequest,
+        request: UserRequestCall,
         reply: Result<KvReply, CallError>,
         progress: &dyn Fn(&JobId) -> Option<TaskCounts>,
         effects: &mut EffectSink,
     ) -> Vec<KeyValue> {
         self.kv_failing = matches!(reply, Err(CallError::Refused | CallError::OutcomeUnknown));
         match request {
-            PendingRequest::Create(batch) => {
+            UserRequestCall::Create(batch) => {
                 self.batches_in_flight -= 1;
                 self.requests_in_flight = self.requests_in_flight.saturating_sub(batch.len());
                 self.creation_reply(times.now, batch, reply, effects)
             }
-            PendingRequest::Lookup(lookup) => {
+            UserRequestCall::Lookup(lookup) => {
                 self.requests_in_flight -= 1;
                 self.lookup_reply(times, lookup, reply, progress, effects);
                 Vec::new()
             }
-            PendingRequest::Cancel(cancellation) => {
+            UserRequestCall::Cancel(cancellation) => {
                 self.requests_in_flight -= 1;
                 self.cancellation_reply(times.now, *cancellation, reply, effects).into_iter().collect()
             }
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -156,11 +156,11 @@
                 self.number(*token);
                 self.orders(commands);
             }
-            Response::Redirect { leader: foreman } => {
+            Response::Redirect { host: foreman } => {
                 self.tag(7);
                 self.optional(foreman.as_deref(), Self::text);
             }
-            Response::Relay { leader: foreman } => {
+            Response::Relay { host: foreman } => {
                 self.tag(8);
                 self.text(foreman);
             }
@@ -282,7 +282,7 @@
         self.number(coverage.token);
         self.tag(coverage.mode.code());
         self.number(coverage.numbering);
-        for bitmap in [&coverage.heard, &coverage.reached] {
+        for bitmap in [&coverage.reporting, &coverage.reached] {
             self.bitmap(bitmap);
         }
         self.number(u64::from(coverage.expected));
--- a/crates/plankhead/src/node_handle.rs
+++ b/crates/plankhead/src/node_handle.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// The response to a worker while no leader is known that could answer it.
-const NO_LEADER: Response = Response::Redirect { leader: None };
+const NO_LEADER: Response = Response::Redirect { host: None };
 
 /// A request to the node that requires a response.
 #[derive(Debug)]
@@ -130,8 +130,8 @@
     /// the peer that answers the worker. `body` is the request body that contained the heartbeat.
     pub async fn reply_to_heartbeat(&self, heartbeat: Heartbeat, body: &[u8]) -> Reply {
         match self.response(NodeRequest::Heartbeat { heartbeat, relayed: false }).await {
-            Ok(Response::Relay { leader }) => {
-                self.relay(&leader, body).await.unwrap_or_else(|| encode_response(&NO_LEADER))
+            Ok(Response::Relay { host }) => {
+                self.relay(&host, body).await.unwrap_or_else(|| encode_response(&NO_LEADER))
             }
             Ok(response) => encode_response(&response),
             Err(error_reply) => error_reply,
