--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -13,7 +13,7 @@
 
 use world::deployment::FLEET;
 use world::Fault::*;
-use world::{ms, secs, Clock, Deployment, Effects, Faults, SimEvent, Trigger, World, SMALL, TRUE_CLOCK};
+use world::{ms, secs, Clock, CloudEffects, Deployment, Faults, SimEvent, Trigger, World, SMALL, TRUE_CLOCK};
 
 /// A few machines that come and go, under leaders that record what they ask for.
 const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
@@ -30,9 +30,9 @@
     world
 }
 
-fn sum(all: &mut Effects, one: Effects) {
+fn sum(all: &mut CloudEffects, one: CloudEffects) {
     all.all += one.all;
-    all.of_former += one.of_former;
+    all.by_former_leaders += one.by_former_leaders;
     all.stale += one.stale;
     all.compelled += one.compelled;
     all.compelled_stale += one.compelled_stale;
@@ -43,14 +43,26 @@
     for n in 0..10u64 {
         let at = ms(4_000 + 8_300 * n + 97 * (seed * 7 + n) % 4_000);
         let node = ((seed + n) % 3) as usize;
-        world.schedule_at(at, SimEvent::PauseProcess { node, last: ms(500 + 1_100 * ((seed + n) % 7)) });
+        world.schedule_at(at, SimEvent::PauseProcess { node, duration: ms(500 + 1_100 * ((seed + n) % 7)) });
     }
     let pause = ms(PAUSE + 800 * (seed % 5));
     for n in 0..5u32 {
         let nth = 1 + (seed as u32 + 2 * n) % 9;
-        world.when(Trigger::DutySent, nth, vec![(ms(u64::from(n)), SimEvent::FaultLeader(Freeze(pause)))]);
-        world.when(Trigger::DutyWritten, nth, vec![(ms(u64::from(n)), SimEvent::FaultLeader(Freeze(pause)))]);
-        world.when(Trigger::CloudCalled, nth, vec![(ms(0), SimEvent::FaultLeader(FreezeHolding(pause)))]);
+        world.on_trigger(
+            Trigger::DutySent,
+            nth,
+            vec![(ms(u64::from(n)), SimEvent::FaultLeader(Pause(pause)))],
+        );
+        world.on_trigger(
+            Trigger::DutyWritten,
+            nth,
+            vec![(ms(u64::from(n)), SimEvent::FaultLeader(Pause(pause)))],
+        );
+        world.on_trigger(
+            Trigger::CloudActionSent,
+            nth,
+            vec![(ms(0), SimEvent::FaultLeader(PauseBeforeSending(pause)))],
+        );
     }
 }
 
@@ -62,24 +74,24 @@
 /// A thousand pauses, and not one stale effect.
 #[test]
 fn a_thousand_pauses() {
-    let (mut pauses, mut effects) = (0, Effects::default());
+    let (mut pauses, mut effects) = (0, CloudEffects::default());
     for seed in 0..60 {
         let world = play("pauses", FENCED, slow(), seed, |world| freezes(world, seed));
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
         pauses += world.pauses;
-        sum(&mut effects, world.effects);
+        sum(&mut effects, world.cloud_effects);
     }
     assert!(pauses >= 1_000, "{pauses} pauses");
-    assert!(effects.of_former > 20, "{effects:?}");
+    assert!(effects.by_former_leaders > 20, "{effects:?}");
     assert_eq!(effects.compelled, 0, "the state service never failed a leader: {effects:?}");
 }
 
 /// The same with the gate open: the check finds stale effects.
 #[test]
 fn without_the_gate_there_are_stale_effects() {
-    let mut effects = Effects::default();
+    let mut effects = CloudEffects::default();
     for seed in 0..20 {
-        sum(&mut effects, play("open", UNFENCED, slow(), seed, |world| freezes(world, seed)).effects);
+        sum(&mut effects, play("open", UNFENCED, slow(), seed, |world| freezes(world, seed)).cloud_effects);
     }
     assert!(effects.stale > 20, "{effects:?}");
 }
@@ -91,28 +103,28 @@
     let freeze = |blow| move |after| (after, SimEvent::FaultLeader(blow));
     let pause = ms(PAUSE);
     for (moment, after, blow) in [
-        (Trigger::DutySent, ms(0), FreezeHolding(pause)),
-        (Trigger::DutySent, ms(1), Freeze(pause)),
-        (Trigger::DutyWritten, ms(0), Freeze(pause)),
-        (Trigger::DutyWritten, ms(3), Freeze(pause)),
-        (Trigger::CloudCalled, ms(0), FreezeHolding(pause)),
-        (Trigger::CloudCalled, ms(1), Freeze(pause)),
-        (Trigger::CloudCalled, ms(90), Freeze(pause)),
+        (Trigger::DutySent, ms(0), PauseBeforeSending(pause)),
+        (Trigger::DutySent, ms(1), Pause(pause)),
+        (Trigger::DutyWritten, ms(0), Pause(pause)),
+        (Trigger::DutyWritten, ms(3), Pause(pause)),
+        (Trigger::CloudActionSent, ms(0), PauseBeforeSending(pause)),
+        (Trigger::CloudActionSent, ms(1), Pause(pause)),
+        (Trigger::CloudActionSent, ms(90), Pause(pause)),
     ] {
         let (mut of_former, mut pauses) = (0, 0);
         for seed in 0..8 {
             let world = play("steps", FENCED, Faults::default(), seed, |world| {
                 for nth in 1..=5 {
-                    world.when(moment, nth, vec![freeze(blow)(after)]);
+                    world.on_trigger(moment, nth, vec![freeze(blow)(after)]);
                 }
             });
-            assert_eq!(world.effects.stale, 0, "{moment:?}, seed {seed}: {:?}", world.effects);
-            of_former += world.effects.of_former;
+            assert_eq!(world.cloud_effects.stale, 0, "{moment:?}, seed {seed}: {:?}", world.cloud_effects);
+            of_former += world.cloud_effects.by_former_leaders;
             pauses += world.pauses;
         }
         assert!(pauses >= 24, "{moment:?}: {pauses} pauses");
         // A call that is under way when its holder is paused is carried out under it.
-        let held_back = matches!((moment, blow), (Trigger::CloudCalled, FreezeHolding(_)));
+        let held_back = matches!((moment, blow), (Trigger::CloudActionSent, PauseBeforeSending(_)));
         assert!(!held_back || of_former > 0, "nothing came of calls held back");
     }
 }
@@ -124,10 +136,14 @@
     for seed in 0..15 {
         let world = play("late", FENCED, faults, seed, |world| {
             for nth in 1..=6 {
-                world.when(Trigger::DutySent, nth, vec![(ms(0), SimEvent::FaultLeader(Freeze(ms(PAUSE))))]);
+                world.on_trigger(
+                    Trigger::DutySent,
+                    nth,
+                    vec![(ms(0), SimEvent::FaultLeader(Pause(ms(PAUSE))))],
+                );
             }
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
     }
 }
 
@@ -137,15 +153,15 @@
     for seed in 0..10 {
         let world = play("back", FENCED, Faults::default(), seed, |world| {
             for node in [1, 2] {
-                world.schedule_at(ms(300), SimEvent::PauseProcess { node, last: secs(100) });
+                world.schedule_at(ms(300), SimEvent::PauseProcess { node, duration: secs(100) });
             }
             for nth in 1..=4 {
-                let blow = if nth % 2 == 0 { Freeze(ms(PAUSE)) } else { FreezeHolding(ms(PAUSE)) };
-                world.when(Trigger::CloudCalled, nth, vec![(ms(0), SimEvent::FaultLeader(blow))]);
+                let blow = if nth % 2 == 0 { Pause(ms(PAUSE)) } else { PauseBeforeSending(ms(PAUSE)) };
+                world.on_trigger(Trigger::CloudActionSent, nth, vec![(ms(0), SimEvent::FaultLeader(blow))]);
             }
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        assert!(world.effects.of_former > 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
+        assert!(world.cloud_effects.by_former_leaders > 0, "seed {seed}: {:?}", world.cloud_effects);
     }
 }
 
@@ -157,10 +173,14 @@
     for seed in 0..10 {
         let world = play("three", FENCED, Faults::default(), seed, |world| {
             for nth in 1..=3 {
-                world.when(Trigger::DutyWritten, nth, vec![(ms(0), SimEvent::FaultLeader(Freeze(secs(25))))]);
+                world.on_trigger(
+                    Trigger::DutyWritten,
+                    nth,
+                    vec![(ms(0), SimEvent::FaultLeader(Pause(secs(25))))],
+                );
             }
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
         inherited += world.inherited_intents;
     }
     assert!(inherited >= 20, "{inherited} records were inherited");
@@ -175,13 +195,13 @@
         let world = play("refused", FENCED, Faults::default(), seed, |world| {
             for n in 0..4 {
                 let at = secs(12 + 18 * n) + ms(211 * seed);
-                world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(12))));
-                world.schedule_at(at + ms(700), SimEvent::CancelNow { count: 6, hang: secs(30) });
-                world.schedule_at(at + ms(1_300), SimEvent::FaultLeader(Freeze(ms(PAUSE))));
+                world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(12))));
+                world.schedule_at(at + ms(700), SimEvent::CancelRunningJobs { count: 6, hang: secs(30) });
+                world.schedule_at(at + ms(1_300), SimEvent::FaultLeader(Pause(ms(PAUSE))));
             }
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        assert_eq!(world.effects.compelled_stale, 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
+        assert_eq!(world.cloud_effects.compelled_stale, 0, "seed {seed}: {:?}", world.cloud_effects);
     }
 }
 
@@ -197,13 +217,13 @@
                 job.spec.tasks = job.spec.tasks.min(4);
             }
             let at = secs(30) + ms(137 * seed);
-            world.schedule_at(at, SimEvent::CancelNow { count: 12, hang: secs(70) });
+            world.schedule_at(at, SimEvent::CancelRunningJobs { count: 12, hang: secs(70) });
             let until = world.now + at + SMALL.cancel_within + secs(18);
             world.schedule_at(at + ms(1_400), SimEvent::Outage { until });
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        assert_eq!(world.effects.compelled_stale, 0, "seed {seed}: {:?}", world.effects);
-        compelled += world.effects.compelled;
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
+        assert_eq!(world.cloud_effects.compelled_stale, 0, "seed {seed}: {:?}", world.cloud_effects);
+        compelled += world.cloud_effects.compelled;
     }
     assert!(compelled > 0, "no return was forced");
 }
@@ -216,13 +236,17 @@
     for (rates, jumps) in [([1.0005, 0.9995, 1.0], ms(100)), ([1.25, 0.8, 1.0], hour)] {
         for seed in 0..10 {
             let world = play("clocks", FENCED, slow(), seed, |world| {
-                world.without_cancellations();
+                world.drop_cancellations();
                 for (clock, rate) in world.clocks.iter_mut().zip(rates) {
                     *clock = Clock { rate, jumps };
                 }
                 freezes(world, seed);
             });
-            assert_eq!(world.effects.stale, 0, "rates {rates:?}, seed {seed}: {:?}", world.effects);
+            assert_eq!(
+                world.cloud_effects.stale, 0,
+                "rates {rates:?}, seed {seed}: {:?}",
+                world.cloud_effects
+            );
         }
     }
     assert_eq!(TRUE_CLOCK.rate, 1.0);
@@ -240,10 +264,10 @@
                     world.schedule_at(at, SimEvent::RestartWithFencing { node, fenced });
                 }
             }
-            world.when(Trigger::DutyWritten, 2, vec![(ms(0), SimEvent::FaultLeader(Freeze(secs(20))))]);
+            world.on_trigger(Trigger::DutyWritten, 2, vec![(ms(0), SimEvent::FaultLeader(Pause(secs(20))))]);
         });
         assert!(world.fencing.iter().all(|fenced| *fenced));
-        assert!(world.records() <= 2, "seed {seed}: {} records are left", world.records());
+        assert!(world.open_records() <= 2, "seed {seed}: {} records are left", world.open_records());
     }
 }
 
@@ -267,12 +291,12 @@
     ];
     for seed in 0..4 {
         let world = play("strange", FENCED, slow(), seed, |world| {
-            strange.iter().for_each(|(key, value)| world.put(key, value));
-            world.schedule_at(secs(20), SimEvent::FaultLeader(End(secs(5))));
+            strange.iter().for_each(|(key, value)| world.write_key(key, value));
+            world.schedule_at(secs(20), SimEvent::FaultLeader(Restart(secs(5))));
         });
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
         for (key, _) in &strange {
-            assert_eq!(world.keys(key), 1, "{key} is gone");
+            assert_eq!(world.count_keys(key), 1, "{key} is gone");
         }
     }
 }
@@ -290,11 +314,11 @@
         );
         world.plan(60, secs(120));
         for at in [20, 50, 80] {
-            world.schedule_at(secs(at), SimEvent::FaultLeader(Freeze(ms(PAUSE))));
+            world.schedule_at(secs(at), SimEvent::FaultLeader(Pause(ms(PAUSE))));
         }
         world.run(secs(900));
-        assert!(world.settled(), "seed {seed}");
-        assert_eq!(world.effects.stale, 0, "seed {seed}: {:?}", world.effects);
-        assert!(world.effects.all > 100, "seed {seed}: {:?}", world.effects);
+        assert!(world.all_jobs_ended(), "seed {seed}");
+        assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
+        assert!(world.cloud_effects.all > 100, "seed {seed}: {:?}", world.cloud_effects);
     }
 }
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -35,10 +35,11 @@
         world.plan(jobs, secs(90));
         world.run(secs(1500));
         let left: Vec<_> =
-            world.jobs.iter().filter(|j| !j.has_ended()).map(|j| (j.id.clone(), j.last_answer)).collect();
+            world.jobs.iter().filter(|j| !j.has_ended()).map(|j| (j.id.clone(), j.last_status)).collect();
         assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
-            let (since, began) = (job.accepted_at.unwrap().max(world.calm_at), job.started_at.unwrap());
+            let (since, began) =
+                (job.accepted_at.unwrap().max(world.faults_over_at), job.started_at.unwrap());
             assert!(began <= since + secs(240), "seed {seed}: the large {:?} began late", job.id);
         }
         assert!(world.starts > 0, "nothing_ran");
@@ -120,7 +121,7 @@
 
 #[test]
 fn everything_fails() {
-    play(0..40, Faults::of_everything());
+    play(0..40, Faults::all_kinds());
 }
 
 /// Copies of reports, up to more than three leases old, come to old and new
@@ -154,7 +155,7 @@
         let mut world = World::new(seed, Faults { worker_partitions: 1, ..Faults::default() });
         world.plan(24, secs(90));
         world.run(secs(1500));
-        assert!(world.settled(), "seed {seed}");
+        assert!(world.all_jobs_ended(), "seed {seed}");
         assert_eq!(world.killed_by_release, 0, "seed {seed}");
         relayed += world.relayed;
     }
@@ -178,7 +179,7 @@
             let mut world = World::new(seed, faults);
             world.plan(24, secs(90));
             world.run(secs(1500));
-            longest = longest.max(world.longest_heeded);
+            longest = longest.max(world.longest_stale_acceptance);
         }
         assert!(longest > Duration::ZERO && longest < secs(most), "held for {longest:?}");
     }
@@ -192,7 +193,7 @@
         let mut world = World::new(seed, Faults { node_cuts: 4, ..Faults::default() });
         world.plan(24, secs(90));
         world.run(secs(1500));
-        assert!(world.settled(), "seed {seed}");
+        assert!(world.all_jobs_ended(), "seed {seed}");
         assert!(world.killed_by_release < 8, "seed {seed}: {} tasks killed", world.killed_by_release);
     }
 }
@@ -235,7 +236,7 @@
                 );
                 world.plan(jobs, secs(90));
                 world.run(secs(1500));
-                assert!(world.settled(), "seed {seed}");
+                assert!(world.all_jobs_ended(), "seed {seed}");
                 (world.killed_by_release, world.machines)
             };
             let (quiet, rough) = (play(0), play(6));
@@ -285,7 +286,7 @@
             (job.runtime_s, job.spec.estimated_runtime_s, job.spec.allows_spot) = (30.0, 30.0, true);
         }
         world.run(secs(1500));
-        assert!(world.settled(), "seed {seed}");
+        assert!(world.all_jobs_ended(), "seed {seed}");
         (saves, spoilt) = (saves + world.checkpoints_saved, spoilt + world.checkpoints_lost);
     }
     assert!(saves > 20 && spoilt == 0, "{saves} saved, {spoilt} could not");
@@ -310,8 +311,9 @@
 /// shifts that have not begun, or answers reach nobody.
 #[test]
 fn false_evidence_is_caught() {
-    let cloud = Faults { machine_hangs: 10, machine_cuts: 6, lying_cloud: true, ..Faults::default() };
-    let copies = Faults { duplicate_heartbeats: 0.2, lying_copies: true, ..Faults::default() };
+    let cloud =
+        Faults { machine_hangs: 10, machine_cuts: 6, unperformed_releases: true, ..Faults::default() };
+    let copies = Faults { duplicate_heartbeats: 0.2, falsified_duplicates: true, ..Faults::default() };
     let mute = Faults { unanswered_first_job: true, ..Faults::default() };
     for (faults, rules) in
         [(cloud, vec!["ran_twice", "quota"]), (copies, vec!["ran_twice"]), (mute, vec!["forgotten"])]
@@ -330,14 +332,14 @@
     let mut world = World::new(1, Faults::default());
     world.plan(6, secs(20));
     world.run(secs(300));
-    assert!(world.settled());
-    let (writes, at) = (world.writes(), world.now);
-    world.idle(secs(300));
+    assert!(world.all_jobs_ended());
+    let (writes, at) = (world.kv_revision(), world.now);
+    world.run_for(secs(300));
     assert!(world.now >= at + secs(250));
     // One round in 20 s, and at first the jobs that are over are put away, so that
     // a new leader reads none of them.
-    assert!(world.writes() - writes <= 300 / 20 + 3, "{} writes", world.writes() - writes);
-    assert_eq!((world.keys("job/"), world.keys("run/"), world.keys("over/")), (0, 0, 6));
+    assert!(world.kv_revision() - writes <= 300 / 20 + 3, "{} writes", world.kv_revision() - writes);
+    assert_eq!((world.count_keys("job/"), world.count_keys("run/"), world.count_keys("over/")), (0, 0, 6));
 }
 
 /// Urgent tasks found every machine full of standard work and waited for it. That
@@ -362,8 +364,8 @@
             (job.spec.checkpoint_interval_s, job.spec.checkpoint_duration_s) = (100.0, 1.0);
             job.spec.gang = if n == 0 { lesser } else { urgent };
         }
-        world.arrive(0, secs(1));
-        world.arrive(1, secs(30));
+        world.reschedule_submission(0, secs(1));
+        world.reschedule_submission(1, secs(30));
         world.run(secs(90));
         let which = format!("gangs: {lesser}, {urgent}");
         assert!(world.jobs[1].has_ended(), "the urgent job waits behind a standard one; {which}");
@@ -393,12 +395,12 @@
             (job.spec.allows_spot, job.spec.zone, job.spec.spread) = (true, None, false);
             (job.spec.estimated_runtime_s, job.runtime_s) = (8.0, 8.0);
         }
-        world.arrive(0, secs(20));
+        world.reschedule_submission(0, secs(20));
         for job in 1..90 {
-            world.arrive(job, Duration::from_millis(job as u64 * 1500));
+            world.reschedule_submission(job, Duration::from_millis(job as u64 * 1500));
         }
         world.run(secs(1500));
-        assert!(world.settled(), "seed {seed}");
+        assert!(world.all_jobs_ended(), "seed {seed}");
         let wide = &world.jobs[0];
         let (since, began) = (wide.accepted_at.unwrap(), wide.started_at.unwrap());
         assert!(began <= since + secs(75), "seed {seed}: began after {:?}", began - since);
@@ -424,14 +426,14 @@
             (job.spec.allows_spot, job.spec.zone, job.spec.single_zone, job.spec.spread) =
                 (true, None, false, false);
         }
-        world.arrive(0, secs(40));
+        world.reschedule_submission(0, secs(40));
         for job in 1..260 {
-            world.arrive(job, Duration::from_millis(job as u64 * 1450));
+            world.reschedule_submission(job, Duration::from_millis(job as u64 * 1450));
         }
         world.run(secs(1500));
         let wide = &world.jobs[0];
         assert!(wide.started_at.unwrap() <= wide.accepted_at.unwrap() + secs(240), "seed {seed}: began late");
-        assert!(world.settled(), "seed {seed}");
+        assert!(world.all_jobs_ended(), "seed {seed}");
     }
 }
 
@@ -445,8 +447,11 @@
         world.plan(1, secs(5));
         let job = &mut world.jobs[0];
         (job.spec.tasks, job.spec.spread, job.runtime_s) = (2, false, 40.0);
-        let ends =
-            if seed % 2 == 0 { SimEvent::KillMachine } else { SimEvent::PreemptionNotice { left: secs(0) } };
+        let ends = if seed % 2 == 0 {
+            SimEvent::KillMachine
+        } else {
+            SimEvent::PreemptionNotice { notice: secs(0) }
+        };
         world.schedule_at(secs(25), ends);
         world.run(secs(600));
         let left: Vec<_> = world.jobs.iter().filter(|j| !j.has_ended()).map(|j| &j.id).collect();
--- a/crates/plankhead-core/tests/large_fleet.rs
+++ b/crates/plankhead-core/tests/large_fleet.rs
@@ -32,7 +32,7 @@
     // Twice as many tasks as machines: the replays ask for the whole fleet.
     let jobs = (MACHINES * 2 / TASKS) as usize;
     world.plan(jobs, secs(1));
-    world.without_cancellations();
+    world.drop_cancellations();
     for job in world.jobs.iter_mut() {
         (job.runtime_s, job.spec.estimated_runtime_s) = (40.0, 40.0);
         let spec = &mut job.spec;
@@ -40,16 +40,16 @@
         (spec.zone, spec.single_zone, spec.allows_spot) = (None, false, true);
     }
     // All run when the leader ends: the next one must take up every machine.
-    world.schedule_at(secs(55), SimEvent::FaultLeader(Fault::End(secs(8))));
-    world.idle(secs(50));
+    world.schedule_at(secs(55), SimEvent::FaultLeader(Fault::Restart(secs(8))));
+    world.run_for(secs(50));
     let running = world.workers.len();
     world.run(secs(600));
-    assert!(world.settled(), "jobs are left over");
+    assert!(world.all_jobs_ended(), "jobs are left over");
     println!("{running} machines after 50 s, {} starts, {} machines rented", world.starts, world.machines);
     assert!(running as u32 * 100 >= MACHINES * 90, "{running} machines after 50 s");
     assert_eq!(world.killed_by_release, 0, "machines with tasks were given back");
     // Whatever is not wanted any more goes back, recorded and in as many calls as it takes.
-    world.idle(secs(90));
+    world.run_for(secs(90));
     assert!(world.workers.len() < 40, "{} machines are left", world.workers.len());
-    assert_eq!(world.effects.stale, 0, "{:?}", world.effects);
+    assert_eq!(world.cloud_effects.stale, 0, "{:?}", world.cloud_effects);
 }
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -38,7 +38,8 @@
         // The longest of the scripted troubles is over by then.
         world.run_to_end(name, seed, secs(90));
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
-            let (since, began) = (job.accepted_at.unwrap().max(world.calm_at), job.started_at.unwrap());
+            let (since, began) =
+                (job.accepted_at.unwrap().max(world.faults_over_at), job.started_at.unwrap());
             assert!(began <= since + secs(240), "{name}, seed {seed}: the large {:?} began late", job.id);
         }
     }
@@ -70,8 +71,8 @@
         play("gap", SMALL, Faults::default(), 6, |world, seed| {
             long(world, 70.0);
             let at = secs(30) + ms(137 * seed);
-            world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(14))));
-            world.schedule_at(at + ms(refused), SimEvent::CancelNow { count: 12, hang: secs(hang) });
+            world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(14))));
+            world.schedule_at(at + ms(refused), SimEvent::CancelRunningJobs { count: 12, hang: secs(hang) });
             let until = world.now + at + SMALL.cancel_within + secs(18);
             world.schedule_at(at + ms(outage), SimEvent::Outage { until });
         });
@@ -86,9 +87,9 @@
             long(world, 50.0);
             let until = |w: &World| w.now + secs(40) + SMALL.cancel_within + secs(18);
             let outage = SimEvent::Outage { until: until(world) };
-            let refuse = SimEvent::FaultLeader(Refuse(secs(14)));
-            world.when(Trigger::Cancelled, 1 + seed as u32, vec![(ms(after), refuse)]);
-            world.schedule_at(secs(38), SimEvent::CancelNow { count: 6, hang: Duration::ZERO });
+            let refuse = SimEvent::FaultLeader(RefuseKv(secs(14)));
+            world.on_trigger(Trigger::Cancelled, 1 + seed as u32, vec![(ms(after), refuse)]);
+            world.schedule_at(secs(38), SimEvent::CancelRunningJobs { count: 6, hang: Duration::ZERO });
             world.schedule_at(secs(40), outage);
         });
     }
@@ -106,15 +107,18 @@
             long(&mut world, 100.0);
             // From here on the jobs can't be read, while elections go on.
             world.schedule_at(secs(30), SimEvent::RefuseLists { until: world.now + secs(90) });
-            world.schedule_at(secs(30) + ms(200), SimEvent::CancelNow { count: 8, hang: Duration::ZERO });
-            world.schedule_at(secs(30) + ms(600), SimEvent::FaultLeader(End(secs(3))));
+            world.schedule_at(
+                secs(30) + ms(200),
+                SimEvent::CancelRunningJobs { count: 8, hang: Duration::ZERO },
+            );
+            world.schedule_at(secs(30) + ms(600), SimEvent::FaultLeader(Restart(secs(3))));
             for n in 1..14u64 {
-                world.schedule_at(secs(30) + ms(600 + n * pause), SimEvent::FaultLeader(End(secs(3))));
+                world.schedule_at(secs(30) + ms(600 + n * pause), SimEvent::FaultLeader(Restart(secs(3))));
             }
-            world.calm_at += secs(120);
+            world.faults_over_at += secs(120);
             world.run(secs(1500));
-            assert!(world.settled(), "seed {seed}");
-            lost += world.cancelled_running();
+            assert!(world.all_jobs_ended(), "seed {seed}");
+            lost += world.cancelled_while_running();
         }
     }
     assert!(lost > 20, "{lost} jobs were cancelled while they ran: the test says nothing");
@@ -128,9 +132,9 @@
         play("adrift", SMALL, Faults::default(), 8, |world, seed| {
             long(world, 60.0);
             let at = secs(30) + ms(210 * seed);
-            world.schedule_at(at, SimEvent::FaultLeader(Adrift(secs(last))));
+            world.schedule_at(at, SimEvent::FaultLeader(CutFromKvAndPeers(secs(last))));
             for n in 0..4 {
-                let cancel = SimEvent::CancelNow { count: 3, hang: secs(hang) };
+                let cancel = SimEvent::CancelRunningJobs { count: 3, hang: secs(hang) };
                 world.schedule_at(at + ms(700 + 1700 * n), cancel);
             }
         });
@@ -147,11 +151,11 @@
             play("handover", deployment, Faults { slow_kv: slow, ..Faults::default() }, 12, |world, seed| {
                 long(world, 40.0);
                 narrow(world);
-                world.schedule_at(secs(30), SimEvent::FaultLeader(End(end)));
-                world.schedule_at(secs(30) + ms(200 * seed), SimEvent::CancelNow { count: 2, hang });
-                let cancel = |n| (ms(n + seed), SimEvent::CancelNow { count: 1, hang });
+                world.schedule_at(secs(30), SimEvent::FaultLeader(Restart(end)));
+                world.schedule_at(secs(30) + ms(200 * seed), SimEvent::CancelRunningJobs { count: 2, hang });
+                let cancel = |n| (ms(n + seed), SimEvent::CancelRunningJobs { count: 1, hang });
                 let steps = [1, 20, 60, 150, 300, 400, 550, 700, 900, 1200, 1600, 2500];
-                world.when(Trigger::Won, 2, steps.map(cancel).into());
+                world.on_trigger(Trigger::LeaderElected, 2, steps.map(cancel).into());
             });
         }
     }
@@ -172,8 +176,8 @@
                 narrow(world);
                 for n in 0..5 {
                     let at = secs(20 + 14 * n) + ms(333 * seed);
-                    world.schedule_at(at, SimEvent::CancelNow { count: 3, hang: secs(25) });
-                    world.schedule_at(at + ms(150 * seed), SimEvent::FaultLeader(End(end)));
+                    world.schedule_at(at, SimEvent::CancelRunningJobs { count: 3, hang: secs(25) });
+                    world.schedule_at(at + ms(150 * seed), SimEvent::FaultLeader(Restart(end)));
                 }
             },
         );
@@ -184,14 +188,14 @@
 /// written; late and lost writes beside it.
 #[test]
 fn the_leader_ends_at_every_step() {
-    let moments = [Trigger::Placed, Trigger::RunSent, Trigger::KillSent, Trigger::Finished];
+    let moments = [Trigger::PlacementsWritten, Trigger::RunSent, Trigger::KillSent, Trigger::JobDoneWritten];
     for moment in moments {
         for back in [ms(60), secs(5)] {
             let faults = Faults { lost_replies: 0.08, late_requests: 0.7, ..Faults::default() };
             play("steps", SMALL, faults, 8, |world, seed| {
                 for nth in [1, 4, 9, 20, 40] {
-                    let end = SimEvent::FaultLeader(End(back));
-                    world.when(moment, nth + seed as u32, vec![(ms(seed % 3 * 2), end)]);
+                    let end = SimEvent::FaultLeader(Restart(back));
+                    world.on_trigger(moment, nth + seed as u32, vec![(ms(seed % 3 * 2), end)]);
                 }
             });
         }
@@ -218,12 +222,13 @@
 /// with no other trouble, and then while the leader changes.
 #[test]
 fn requests_meet_the_end() {
-    let faults = Faults { cancel_at_end: 1.0, immediate_polls: true, odd_requests: 40, ..Faults::default() };
+    let faults =
+        Faults { cancel_at_end: 1.0, immediate_polls: true, invalid_requests: 40, ..Faults::default() };
     play("end", SMALL, faults, 10, |_, _| {});
     play("end and leader", SMALL, faults, 10, |world, seed| {
         for nth in [2, 5, 9] {
-            let end = SimEvent::FaultLeader(End(ms(400)));
-            world.when(Trigger::Finished, nth, vec![(ms(3 * seed), end)]);
+            let end = SimEvent::FaultLeader(Restart(ms(400)));
+            world.on_trigger(Trigger::JobDoneWritten, nth, vec![(ms(3 * seed), end)]);
         }
     });
 }
@@ -233,7 +238,7 @@
 #[test]
 fn odd_requests_at_any_time() {
     let faults =
-        Faults { odd_requests: 200, node_crashes: 6, kv_outages: 2, kv_refusals: 2, ..Faults::default() };
+        Faults { invalid_requests: 200, node_crashes: 6, kv_outages: 2, kv_refusals: 2, ..Faults::default() };
     play("odd", SMALL, faults, 12, |_, _| {});
 }
 
@@ -250,8 +255,8 @@
     };
     play("quick", SMALL, faults, 12, |world, seed| {
         for nth in [1, 3, 8, 20] {
-            let end = SimEvent::FaultLeader(End(if seed % 2 == 0 { ms(200) } else { secs(5) }));
-            world.when(Trigger::Placed, nth + seed as u32, vec![(ms(seed * 7), end)]);
+            let end = SimEvent::FaultLeader(Restart(if seed % 2 == 0 { ms(200) } else { secs(5) }));
+            world.on_trigger(Trigger::PlacementsWritten, nth + seed as u32, vec![(ms(seed * 7), end)]);
         }
     });
 }
@@ -271,7 +276,7 @@
     let held = Faults { duplicate_heartbeats: 0.2, machine_cuts: 6, machine_hangs: 3, ..Faults::default() };
     play("held back", SMALL, held, 12, |world, seed| {
         for n in 0..4 {
-            world.schedule_at(secs(15 + 18 * n) + ms(100 * seed), SimEvent::FaultLeader(Refuse(secs(4))));
+            world.schedule_at(secs(15 + 18 * n) + ms(100 * seed), SimEvent::FaultLeader(RefuseKv(secs(4))));
         }
     });
 }
@@ -292,7 +297,7 @@
             for n in 0..8 {
                 world.schedule_at(
                     secs(8 + 9 * n) + ms(190 * seed),
-                    SimEvent::FaultLeader(End(ms(100 + 900 * (n % 3)))),
+                    SimEvent::FaultLeader(Restart(ms(100 + 900 * (n % 3)))),
                 );
             }
         },
@@ -307,7 +312,7 @@
     play("mute", SMALL, faults, 12, |world, seed| {
         long(world, 20.0);
         if seed % 2 == 0 {
-            world.schedule_at(secs(40), SimEvent::FaultLeader(End(secs(4))));
+            world.schedule_at(secs(40), SimEvent::FaultLeader(Restart(secs(4))));
         }
     });
 }
@@ -329,7 +334,7 @@
             for n in 0..3 {
                 world.schedule_at(
                     secs(20 + 22 * n) + ms(300 * seed),
-                    SimEvent::FaultLeader(End(secs(1 + 2 * n))),
+                    SimEvent::FaultLeader(Restart(secs(1 + 2 * n))),
                 );
             }
         });
@@ -370,15 +375,15 @@
 /// second; jobs are called off just before and after.
 #[test]
 fn all_nodes_away() {
-    let faults = Faults { all_nodes_away: 2, cancel_bursts: 4, ..Faults::default() };
+    let faults = Faults { all_nodes_stopped: 2, cancel_bursts: 4, ..Faults::default() };
     play("away", SMALL, faults, 12, |world, _| long(world, 25.0));
     play("one is back", SMALL, Faults { cancel_bursts: 3, ..Faults::default() }, 12, |world, seed| {
         for n in 0..3 {
             let at = secs(15 + 25 * n) + ms(170 * seed);
             // The leader is back at once, the others seconds later.
-            world.schedule_at(at, SimEvent::FaultLeader(End(ms(80 + 120 * n))));
-            world.schedule_at(at + ms(40), SimEvent::StopAllNodes { last: secs(5) });
-            world.schedule_at(at + ms(600), SimEvent::FaultLeader(End(ms(100))));
+            world.schedule_at(at, SimEvent::FaultLeader(Restart(ms(80 + 120 * n))));
+            world.schedule_at(at + ms(40), SimEvent::StopAllNodes { duration: secs(5) });
+            world.schedule_at(at + ms(600), SimEvent::FaultLeader(Restart(ms(100))));
         }
     });
 }
@@ -391,7 +396,7 @@
         play("ten leaders", SMALL, faults, 10, |world, seed| {
             for n in 0..10 {
                 let back = if n % 2 == 0 { ms(100) } else { secs(6) };
-                world.schedule_at(secs(10 + 12 * n) + ms(250 * seed), SimEvent::FaultLeader(End(back)));
+                world.schedule_at(secs(10 + 12 * n) + ms(250 * seed), SimEvent::FaultLeader(Restart(back)));
             }
             if outage {
                 for at in [33, 80] {
@@ -417,7 +422,7 @@
     play("slow", SMALL, faults, 8, |world, seed| {
         long(world, 20.0);
         let at = secs(35) + ms(400 * seed);
-        world.schedule_at(at, SimEvent::FaultLeader(Refuse(secs(14))));
+        world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(14))));
         let until = world.now + at + SMALL.cancel_within + secs(12);
         world.schedule_at(at + ms(500 + 300 * seed), SimEvent::Outage { until });
     });
@@ -443,7 +448,7 @@
                     job.spec.demand.cpus = if n % 4 == 0 { 4.0 } else { 1.0 };
                 }
                 for n in 0..480 {
-                    world.arrive(n, ms(500 + 250 * n as u64));
+                    world.reschedule_submission(n, ms(500 + 250 * n as u64));
                     if n % 4 == 1 {
                         world.schedule_at(
                             ms(500 + 250 * n as u64 + 90 * (n as u64 % 50)),
@@ -511,16 +516,16 @@
                 9 => t.dropped_heartbeats = 3,
                 10 => t.cut_from_kv_and_peers = 2,
                 11 => t.zone_cuts = 1,
-                12 => (t.immediate_polls, t.odd_requests, t.cancel_at_end) = (true, 30, 0.5),
+                12 => (t.immediate_polls, t.invalid_requests, t.cancel_at_end) = (true, 30, 0.5),
                 13 => (t.quick_boots, t.slow_kv, t.delayed_commands) = (true, true, 0.2),
-                _ => (t.all_nodes_away, t.worker_partitions) = (1, 2),
+                _ => (t.all_nodes_stopped, t.worker_partitions) = (1, 2),
             }
         }
         let mut world = World::new(seed, t);
         world.plan(24, secs(90));
-        world.faults_end = true;
+        world.stop_call_faults = true;
         world.run(secs(1500));
-        assert!(world.settled(), "seed {seed}: {t:?}");
+        assert!(world.all_jobs_ended(), "seed {seed}: {t:?}");
     }
 }
 
@@ -533,8 +538,8 @@
         play("just before", SMALL, Faults::default(), 6, |world, seed| {
             long(world, 70.0);
             let at = secs(30) + ms(137 * seed);
-            world.schedule_at(at, SimEvent::CancelNow { count: 12, hang: secs(60) });
-            world.schedule_at(at + ms(50), SimEvent::StopAllNodes { last: ms(away) });
+            world.schedule_at(at, SimEvent::CancelRunningJobs { count: 12, hang: secs(60) });
+            world.schedule_at(at + ms(50), SimEvent::StopAllNodes { duration: ms(away) });
         });
     }
 }
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -7,12 +7,12 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-const TURN: u32 = 4;
+const TASKS_PER_TURN: u32 = 4;
 
-struct Held {
-    holds: Vec<(usize, Resources)>,
+struct Reservation {
+    reserved: Vec<(usize, Resources)>,
     at: Duration,
-    breakable: Option<Priority>,
+    breakable_above: Option<Priority>,
     owner: Option<usize>,
 }
 
@@ -24,7 +24,7 @@
     free
 }
 
-fn opens(slot: &Slot, each: &Resources, now: Duration) -> Option<Duration> {
+fn earliest_fit(slot: &Slot, each: &Resources, now: Duration) -> Option<Duration> {
     let ends = slot.running.iter().map(|t| t.ends_at.max(now));
     let mut moments: Vec<Duration> = ends.chain([now]).collect();
     moments.sort();
@@ -41,32 +41,50 @@
     )
 }
 
-fn suits(slot: &Slot, work: &Work) -> bool {
+fn is_eligible(slot: &Slot, work: &Work) -> bool {
     work.allows(slot.pool) && work.admits_zone(slot.zone)
 }
 
-fn spares(slot: &Slot, index: usize, work: &Work, now: Duration, held: Option<&Held>) -> bool {
-    spares_many(slot, index, work, now, held, 1)
+fn respects_reservation(
+    slot: &Slot,
+    index: usize,
+    work: &Work,
+    now: Duration,
+    reservation: Option<&Reservation>,
+) -> bool {
+    respects_reservation_for(slot, index, work, now, reservation, 1)
 }
 
-fn spares_many(slot: &Slot, index: usize, work: &Work, now: Duration, held: Option<&Held>, n: u32) -> bool {
+fn respects_reservation_for(
+    slot: &Slot,
+    index: usize,
+    work: &Work,
+    now: Duration,
+    reservation: Option<&Reservation>,
+    n: u32,
+) -> bool {
     if !work.demand.times(n).fits(&slot.free) {
         return false;
     }
-    let Some(held) = held else { return true };
-    let Some((_, kept)) = held.holds.iter().find(|(s, _)| *s == index) else { return true };
-    let mut left = free_at(slot, held.at);
+    let Some(reservation) = reservation else { return true };
+    let Some((_, kept)) = reservation.reserved.iter().find(|(s, _)| *s == index) else { return true };
+    let mut left = free_at(slot, reservation.at);
     left.sub(&work.demand.times(n));
-    now + fetch(slot, work) + work.estimated_runtime <= held.at || kept.fits(&left)
+    now + fetch(slot, work) + work.estimated_runtime <= reservation.at || kept.fits(&left)
 }
 
 /// Every way to give a gang machines from a list, the first ones first, as many as
 /// each takes, in one zone or in all.
-fn fill(order: &[(usize, u32)], slots: &[Slot], work: &Work, zone: Option<usize>) -> Option<Vec<usize>> {
+fn choose_slots(
+    order: &[(usize, u32)],
+    slots: &[Slot],
+    work: &Work,
+    zone: Option<usize>,
+) -> Option<Vec<usize>> {
     let mut chosen: Vec<usize> = Vec::new();
-    for (slot, many) in order {
+    for (slot, max_tasks) in order {
         let here = slots[*slot].zone;
-        for _ in 0..*many {
+        for _ in 0..*max_tasks {
             let in_zone = chosen.iter().filter(|s| slots[**s].zone == here).count() as u32;
             let fits = zone.is_none_or(|z| z == here) && in_zone < work.max_per_zone;
             if fits && (chosen.len() as u32) < work.pending {
@@ -77,7 +95,7 @@
     (chosen.len() as u32 == work.pending).then_some(chosen)
 }
 
-fn places(work: &Work) -> Vec<Option<usize>> {
+fn candidate_zones(work: &Work) -> Vec<Option<usize>> {
     if work.single_zone {
         vec![Some(0), Some(1), Some(2)]
     } else {
@@ -85,19 +103,24 @@
     }
 }
 
-fn together(slots: &[Slot], work: &Work, now: Duration, held: Option<&Held>) -> Option<Vec<usize>> {
+fn place_gang(
+    slots: &[Slot],
+    work: &Work,
+    now: Duration,
+    reservation: Option<&Reservation>,
+) -> Option<Vec<usize>> {
     let price = |s: usize| if now > work.latest_restart { -slots[s].price } else { slots[s].price };
-    let usable = |s: &usize| slots[*s].ready_at <= now && suits(&slots[*s], work);
-    let many = |s: usize| {
-        let fits = |n: &u32| spares_many(&slots[s], s, work, now, held, *n);
+    let usable = |s: &usize| slots[*s].ready_at <= now && is_eligible(&slots[*s], work);
+    let max_tasks = |s: usize| {
+        let fits = |n: &u32| respects_reservation_for(&slots[s], s, work, now, reservation, *n);
         (1..=work.pending).filter(fits).max().unwrap_or(0)
     };
-    let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(usable).map(|s| (s, many(s))).collect();
+    let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(usable).map(|s| (s, max_tasks(s))).collect();
     order.sort_by(|(a, n), (b, m)| {
         let key = |s: usize, n: u32| (fetch(&slots[s], work), price(s), -f64::from(n), slots[s].free.cpus, s);
         key(*a, *n).partial_cmp(&key(*b, *m)).unwrap()
     });
-    let found = places(work).into_iter().filter_map(|zone| fill(&order, slots, work, zone));
+    let found = candidate_zones(work).into_iter().filter_map(|zone| choose_slots(&order, slots, work, zone));
     found.min_by_key(|chosen| {
         let last = chosen.iter().map(|s| fetch(&slots[*s], work)).max();
         let mut machines = chosen.clone();
@@ -107,7 +130,13 @@
 }
 
 /// The first moment at which all of a gang finds room in some zone.
-fn keep_all(slots: &[Slot], work: &Work, now: Duration, warm: bool, held: Option<&Held>) -> Option<Held> {
+fn reserve_for_gang(
+    slots: &[Slot],
+    work: &Work,
+    now: Duration,
+    warm: bool,
+    reservation: Option<&Reservation>,
+) -> Option<Reservation> {
     let ends = slots
         .iter()
         .flat_map(|s| s.running.iter().map(|t| t.ends_at))
@@ -115,43 +144,45 @@
     let mut moments: Vec<Duration> = ends.map(|at| at.max(now)).collect();
     moments.sort();
     for at in moments {
-        for zone in places(work) {
-            let image = |s: usize| !warm || slots[s].images.contains(&work.image) && !kept(held, s);
-            let suits = |s: &usize| slots[*s].ready_at <= at && suits(&slots[*s], work) && image(*s);
-            let many = |s: usize| {
+        for zone in candidate_zones(work) {
+            let image =
+                |s: usize| !warm || slots[s].images.contains(&work.image) && !is_reserved(reservation, s);
+            let eligible = |s: &usize| slots[*s].ready_at <= at && is_eligible(&slots[*s], work) && image(*s);
+            let max_tasks = |s: usize| {
                 let fits = |n: &u32| work.demand.times(*n).fits(&free_at(&slots[s], at));
                 (1..=work.pending).filter(fits).max().unwrap_or(0)
             };
-            let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(suits).map(|s| (s, many(s))).collect();
+            let mut order: Vec<(usize, u32)> =
+                (0..slots.len()).filter(eligible).map(|s| (s, max_tasks(s))).collect();
             order.sort_by_key(|(s, n)| (Reverse(*n), *s));
-            let Some(chosen) = fill(&order, slots, work, zone) else { continue };
-            let mut holds: Vec<(usize, Resources)> = Vec::new();
+            let Some(chosen) = choose_slots(&order, slots, work, zone) else { continue };
+            let mut reserved: Vec<(usize, Resources)> = Vec::new();
             for s in chosen {
-                match holds.iter_mut().find(|(held, _)| *held == s) {
+                match reserved.iter_mut().find(|(slot, _)| *slot == s) {
                     Some((_, kept)) => kept.add(&work.demand),
-                    None => holds.push((s, work.demand)),
+                    None => reserved.push((s, work.demand)),
                 }
             }
-            return Some(Held { holds, at, breakable: None, owner: None });
+            return Some(Reservation { reserved, at, breakable_above: None, owner: None });
         }
     }
     None
 }
 
 /// Whether room on the machine is kept for others.
-fn kept(held: Option<&Held>, slot: usize) -> bool {
-    held.is_some_and(|h| h.holds.iter().any(|(s, _)| *s == slot))
+fn is_reserved(reservation: Option<&Reservation>, slot: usize) -> bool {
+    reservation.is_some_and(|h| h.reserved.iter().any(|(s, _)| *s == slot))
 }
 
-fn ratio(team: &TeamUsage) -> f64 {
+fn usage_ratio(team: &TeamUsage) -> f64 {
     team.used.cpus / team.guaranteed.cpus
 }
 
-fn next(work: &[Work], teams: &[TeamUsage], open: &[bool]) -> Option<usize> {
+fn next_work(work: &[Work], teams: &[TeamUsage], open: &[bool]) -> Option<usize> {
     let order = |a: &usize, b: &usize| {
         let (x, y) = (&work[*a], &work[*b]);
         let tier = |w: &Work| (Reverse(w.priority), !w.guaranteed);
-        let shares = ratio(&teams[x.team]).total_cmp(&ratio(&teams[y.team]));
+        let shares = usage_ratio(&teams[x.team]).total_cmp(&usage_ratio(&teams[y.team]));
         tier(x).cmp(&tier(y)).then(shares).then((x.latest_start, x.accepted_at, a).cmp(&(
             y.latest_start,
             y.accepted_at,
@@ -161,14 +192,14 @@
     (0..work.len()).filter(|i| open[*i] && work[*i].pending > 0).min_by(order)
 }
 
-fn run(slot: &mut Slot, work: &Work, end: Duration, booked: bool) {
+fn start_task(slot: &mut Slot, work: &Work, end: Duration, is_reservation: bool) {
     slot.free.sub(&work.demand);
     slot.running.push(Running {
         ends_at: end,
         grace: work.estimated_runtime / 5,
         demand: work.demand,
         team: work.team,
-        is_reservation: booked,
+        is_reservation,
     });
     slot.running.sort_by_key(|t| t.ends_at);
 }
@@ -182,23 +213,24 @@
     let whole = |w: &Work| if w.gang { w.pending } else { 1 };
     let admitted = |(_, w): &(usize, &Work)| teams[w.team].admits_all(&w.demand, whole(w));
     let aged = work.iter().enumerate().filter(old).filter(admitted);
-    let mut held = aged
+    let mut reservation = aged
         .min_by_key(|(_, w)| {
             (w.has_started || now <= w.accepted_at + Duration::from_secs(150), w.accepted_at)
         })
         .and_then(|(i, w)| {
             let young = now <= w.accepted_at + Duration::from_secs(150);
-            let breakable = young.then_some(w.priority);
+            let breakable_above = young.then_some(w.priority);
             if w.gang {
-                let held = keep_all(slots, w, now, false, None)?;
-                return Some(Held { breakable, owner: Some(i), ..held });
+                let reservation = reserve_for_gang(slots, w, now, false, None)?;
+                return Some(Reservation { breakable_above, owner: Some(i), ..reservation });
             }
-            let all = slots.iter().enumerate().filter(|(_, s)| suits(s, w));
-            let (at, slot) = all.filter_map(|(i, s)| opens(s, &w.demand, now).map(|at| (at, i))).min()?;
-            Some(Held { holds: vec![(slot, w.demand)], at, breakable, owner: Some(i) })
+            let all = slots.iter().enumerate().filter(|(_, s)| is_eligible(s, w));
+            let (at, slot) =
+                all.filter_map(|(i, s)| earliest_fit(s, &w.demand, now).map(|at| (at, i))).min()?;
+            Some(Reservation { reserved: vec![(slot, w.demand)], at, breakable_above, owner: Some(i) })
         });
-    while let Some(i) = next(work, teams, &open) {
-        for _ in 0..TURN {
+    while let Some(i) = next_work(work, teams, &open) {
+        for _ in 0..TASKS_PER_TURN {
             if work[i].pending == 0 {
                 break;
             }
@@ -206,11 +238,14 @@
                 open[i] = false;
                 break;
             }
-            let find = |held: Option<&Held>| {
+            let find = |reservation: Option<&Reservation>| {
                 let mut best: Option<(Duration, f64, f64, usize)> = None;
                 for (s, slot) in slots.iter().enumerate() {
                     let room = slot.ready_at <= now && work[i].demand.fits(&slot.free);
-                    if !room || !suits(slot, &work[i]) || !spares(slot, s, &work[i], now, held) {
+                    if !room
+                        || !is_eligible(slot, &work[i])
+                        || !respects_reservation(slot, s, &work[i], now, reservation)
+                    {
                         continue;
                     }
                     let price = if now > work[i].latest_restart { -slot.price } else { slot.price };
@@ -221,26 +256,26 @@
                 }
                 best
             };
-            let binding = held.as_ref().filter(|h| h.owner != Some(i));
-            let may_break = binding.and_then(|h| h.breakable).is_some_and(|u| work[i].priority > u);
+            let binding = reservation.as_ref().filter(|h| h.owner != Some(i));
+            let may_break = binding.and_then(|h| h.breakable_above).is_some_and(|u| work[i].priority > u);
             if work[i].gang {
-                let all = together(slots, &work[i], now, binding);
-                let all = all.or_else(|| may_break.then(|| together(slots, &work[i], now, None)).flatten());
+                let all = place_gang(slots, &work[i], now, binding);
+                let all = all.or_else(|| may_break.then(|| place_gang(slots, &work[i], now, None)).flatten());
                 let Some(all) = all else {
                     open[i] = false;
-                    held = held.or_else(|| keep_all(slots, &work[i], now, false, None));
+                    reservation = reservation.or_else(|| reserve_for_gang(slots, &work[i], now, false, None));
                     break;
                 };
                 let cold = all.iter().map(|s| fetch(&slots[*s], &work[i])).max().unwrap();
                 let late = now + cold > work[i].latest_start;
-                let warm = keep_all(slots, &work[i], now, true, binding)
+                let warm = reserve_for_gang(slots, &work[i], now, true, binding)
                     .filter(|h| late && h.at <= work[i].latest_start);
                 if let Some(warm) = warm {
                     let at = warm.at.max(now + Duration::from_millis(1));
-                    for (s, kept) in warm.holds {
+                    for (s, kept) in warm.reserved {
                         for _ in 0..(kept.cpus / work[i].demand.cpus).round() as u32 {
                             starts.push(Start { work_index: i, slot_index: s, at });
-                            run(&mut slots[s], &work[i], at + work[i].estimated_runtime, true);
+                            start_task(&mut slots[s], &work[i], at + work[i].estimated_runtime, true);
                         }
                     }
                     work[i].pending = 0;
@@ -248,7 +283,7 @@
                 }
                 for s in all {
                     let end = now + fetch(&slots[s], &work[i]) + work[i].estimated_runtime;
-                    run(&mut slots[s], &work[i], end, false);
+                    start_task(&mut slots[s], &work[i], end, false);
                     if !slots[s].images.contains(&work[i].image) {
                         slots[s].images.push(work[i].image);
                         slots[s].fetches_in_progress += 1;
@@ -265,34 +300,36 @@
                 None if may_break => find(None),
                 best => best,
             };
-            let all = || slots.iter().enumerate().filter(|(_, s)| suits(s, &work[i]));
-            let opening = |(s, slot): (usize, &Slot)| opens(slot, &work[i].demand, now).map(|at| (at, s));
+            let all = || slots.iter().enumerate().filter(|(_, s)| is_eligible(s, &work[i]));
+            let opening =
+                |(s, slot): (usize, &Slot)| earliest_fit(slot, &work[i].demand, now).map(|at| (at, s));
             let Some((cold, _, _, s)) = best else {
                 open[i] = false;
-                if held.is_none() {
+                if reservation.is_none() {
                     let first = all().filter_map(opening).min();
-                    held = first.map(|(at, slot)| Held {
-                        holds: vec![(slot, work[i].demand)],
+                    reservation = first.map(|(at, slot)| Reservation {
+                        reserved: vec![(slot, work[i].demand)],
                         at,
-                        breakable: None,
+                        breakable_above: None,
                         owner: None,
                     });
                 }
                 break;
             };
             // Machines kept for others are not waited for: the plain pass had the fault, too.
-            let warm =
-                |(s, slot): &(usize, &Slot)| slot.images.contains(&work[i].image) && !kept(binding, *s);
+            let warm = |(s, slot): &(usize, &Slot)| {
+                slot.images.contains(&work[i].image) && !is_reserved(binding, *s)
+            };
             let warm = all().filter(warm).filter_map(opening).min();
             work[i].pending -= 1;
             if let Some((at, w)) = warm.filter(|(at, _)| *at < now + cold) {
                 let at = at.max(now + Duration::from_millis(1));
                 starts.push(Start { work_index: i, slot_index: w, at });
-                run(&mut slots[w], &work[i], at + work[i].estimated_runtime, true);
+                start_task(&mut slots[w], &work[i], at + work[i].estimated_runtime, true);
                 continue;
             }
             let end = now + cold + work[i].estimated_runtime;
-            run(&mut slots[s], &work[i], end, false);
+            start_task(&mut slots[s], &work[i], end, false);
             if !slots[s].images.contains(&work[i].image) {
                 slots[s].images.push(work[i].image);
                 slots[s].fetches_in_progress += 1;
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -104,7 +104,7 @@
 fn half_of_the_workers_beyond_each_of_two_nodes() {
     for seed in 0..8 {
         let world = play("beyond", REACH, Faults::default(), seed, |world| {
-            world.other_half[1] = true;
+            world.partitions_odd_machines[1] = true;
             for node in 0..2 {
                 world.schedule_at(secs(20), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
             }
@@ -120,15 +120,15 @@
     for seed in 0..10 {
         let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(24, secs(90));
-        world.idle(secs(30));
+        world.run_for(secs(30));
         let before = world.leader().unwrap();
         let (cut_at, first) = (world.now, world.terms);
         world.schedule_at(ms(0), SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(60))));
         while world.leader().is_none_or(|node| node == before) && world.now < cut_at + secs(40) {
-            world.idle(ms(50));
+            world.run_for(ms(50));
         }
         longest = longest.max(world.now - cut_at);
-        world.idle(cut_at + secs(45) - world.now);
+        world.run_for(cut_at + secs(45) - world.now);
         terms = terms.max(world.terms - first);
     }
     (longest, terms)
@@ -153,7 +153,11 @@
                 SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(40))),
             );
             for nth in 2..=3 {
-                world.when(Trigger::Won, nth, vec![(ms(2), SimEvent::FaultLeader(End(secs(5))))]);
+                world.on_trigger(
+                    Trigger::LeaderElected,
+                    nth,
+                    vec![(ms(2), SimEvent::FaultLeader(Restart(secs(5))))],
+                );
             }
         });
     }
@@ -168,7 +172,11 @@
             for nth in 1..=6 {
                 for after in [0, 40, 400] {
                     let blow = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
-                    world.when(Trigger::Won, nth, vec![(ms(after), SimEvent::FaultLeader(blow))]);
+                    world.on_trigger(
+                        Trigger::LeaderElected,
+                        nth,
+                        vec![(ms(after), SimEvent::FaultLeader(blow))],
+                    );
                 }
             }
         });
@@ -181,18 +189,18 @@
     for seed in 0..6 {
         let mut world = World::with_deployment(REACH, seed, Faults::default());
         world.plan(24, secs(90));
-        world.idle(secs(30));
+        world.run_for(secs(30));
         for node in 0..3 {
             world.schedule_at(
                 ms(100 * node as u64),
-                SimEvent::PauseProcess { node, last: secs(4 + 3 * node as u64) },
+                SimEvent::PauseProcess { node, duration: secs(4 + 3 * node as u64) },
             );
         }
-        world.idle(secs(13));
+        world.run_for(secs(13));
         let modes: Vec<_> = (0..3).map(|node| world.mode_of(node)).collect();
         assert_eq!(modes, [Some(Mode::Whole); 3], "seed {seed}");
         world.run(secs(1500));
-        assert!(world.settled());
+        assert!(world.all_jobs_ended());
     }
 }
 
@@ -209,7 +217,7 @@
         for how in CUT_MODES {
             let mut world = World::with_deployment(REACH, 4, Faults::default());
             world.plan(24, secs(90));
-            world.idle(secs(40));
+            world.run_for(secs(40));
             let leader = world.leader().unwrap();
             for link in links {
                 let until = world.now + secs(4);
@@ -218,7 +226,7 @@
             }
             let mut seen = Vec::new();
             for _ in 0..40 {
-                world.idle(ms(100));
+                world.run_for(ms(100));
                 seen.extend(world.mode_of(leader));
             }
             println!("{links:?} {how:?}: {:?} tenths", seen.iter().position(|other| *other == mode));
@@ -235,7 +243,7 @@
         world.plan(24, secs(90));
         let mut modes = [Some(Mode::Whole); 3];
         for _ in 0..1_200 {
-            world.idle(ms(100));
+            world.run_for(ms(100));
             for (node, before) in modes.iter_mut().enumerate() {
                 let mode = world.mode_of(node).or(*before);
                 changes += u32::from(mode != *before);
@@ -275,7 +283,7 @@
             world.schedule_at(secs(30), SimEvent::FaultLeader(CutLinks(&BLIND, how, secs(45))));
             for n in 0..4 {
                 let hang = if n % 2 == 0 { secs(0) } else { secs(20) };
-                world.schedule_at(secs(31 + 2 * n), SimEvent::CancelNow { count: 2, hang });
+                world.schedule_at(secs(31 + 2 * n), SimEvent::CancelRunningJobs { count: 2, hang });
             }
         });
     }
@@ -285,7 +293,7 @@
 #[test]
 fn open_duties_of_a_half_blind_holder() {
     let deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
-    for moment in [Trigger::DutySent, Trigger::DutyWritten, Trigger::CloudCalled] {
+    for moment in [Trigger::DutySent, Trigger::DutyWritten, Trigger::CloudActionSent] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
                 let how = CUT_MODES[(seed % 3) as usize];
@@ -297,11 +305,15 @@
                     |world| {
                         for nth in [2, 4, 6] {
                             let blow = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
-                            world.when(moment, nth, vec![(ms(0), blow)]);
+                            world.on_trigger(moment, nth, vec![(ms(0), blow)]);
                         }
                     },
                 );
-                assert_eq!(world.effects.stale, 0, "{moment:?} {links:?}, seed {seed}: {:?}", world.effects);
+                assert_eq!(
+                    world.cloud_effects.stale, 0,
+                    "{moment:?} {links:?}, seed {seed}: {:?}",
+                    world.cloud_effects
+                );
             }
         }
     }
@@ -344,7 +356,7 @@
     let deployment = Deployment { reachability: true, ..FLEET };
     for seed in 0..2 {
         play("fleet", deployment, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
-            world.other_half[2] = true;
+            world.partitions_odd_machines[2] = true;
             for node in [0, 2] {
                 world.schedule_at(secs(30), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
             }
@@ -384,13 +396,13 @@
         let table = table.clone();
         std::panic::catch_unwind(move || {
             play("gap", REACH, Faults::default(), seed, |world| {
-                world.table = table.clone();
+                world.permissions = table.clone();
                 for job in world.jobs.iter_mut() {
                     (job.runtime_s, job.spec.estimated_runtime_s) = (60.0, 60.0);
                     job.spec.tasks = job.spec.tasks.min(4);
                 }
-                world.schedule_at(secs(30), SimEvent::FaultLeader(Refuse(secs(70))));
-                world.schedule_at(ms(30_300), SimEvent::CancelNow { count: 3, hang: secs(0) });
+                world.schedule_at(secs(30), SimEvent::FaultLeader(RefuseKv(secs(70))));
+                world.schedule_at(ms(30_300), SimEvent::CancelRunningJobs { count: 3, hang: secs(0) });
                 world.schedule_at(secs(31), SimEvent::Outage { until: world.now + secs(90) });
             });
         })
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -100,7 +100,7 @@
                 let node = (n % 3) as usize;
                 world.schedule_at(
                     secs(20 + 17 * n),
-                    SimEvent::PauseProcess { node, last: ms(1_000 + 700 * n) },
+                    SimEvent::PauseProcess { node, duration: ms(1_000 + 700 * n) },
                 );
             }
         });
@@ -122,7 +122,7 @@
                     }
                 }
             };
-            play_one("urgent", deployment, Faults::default(), seed, steady).urgent_wait
+            play_one("urgent", deployment, Faults::default(), seed, steady).longest_urgent_wait
         });
         waits.max().unwrap()
     };
@@ -148,7 +148,7 @@
         for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
             (job.spec.spread, job.spec.tasks, job.runtime_s) = (false, job.spec.tasks.min(4), 2.0);
         }
-        world.idle(secs(60));
+        world.run_for(secs(60));
         let leader = world.leader().unwrap();
         let holders = || (0..3).filter(|node| *node != leader);
         let node = match ends {
@@ -158,7 +158,7 @@
         let machines = world.machines_held_by(node);
         let end = world.now;
         world.schedule_at(Duration::ZERO, SimEvent::Crash { node });
-        world.idle(secs(40));
+        world.run_for(secs(40));
         let there = |machine| ends == Ends::Leader || machines.contains(machine);
         let next = world.start_times.iter().find(|(at, machine)| *at > end && there(machine));
         next.map_or(secs(40), |(at, _)| *at - end)
@@ -185,7 +185,7 @@
     }
     assert!(middle(&divided) <= middle(&undivided) + secs(1), "{divided:?}, {undivided:?}");
     assert!(middle(&holder) < secs(12), "{holder:?}");
-    let gap = |deployment| play_one("gap", deployment, Faults::default(), 4, |_| {}).longest_gap;
+    let gap = |deployment| play_one("gap", deployment, Faults::default(), 4, |_| {}).longest_renewal_gap;
     let (resting, moving) = (gap(RESTING), gap(MOVING));
     println!("the longest time between two answers: {resting:?} resting, {moving:?} moving");
     assert!(moving <= MOVING.heartbeat_interval.mul_f64(1.25) + secs(4), "{moving:?}");
@@ -193,12 +193,12 @@
 
 /// What may befall a controller, shorter and longer than its lease.
 const BLOWS: [Fault; 9] = [
-    End(ms(300)),
-    End(secs(6)),
-    Freeze(secs(4)),
-    FreezeHolding(secs(3)),
-    Cut(secs(9)),
-    Adrift(secs(12)),
+    Restart(ms(300)),
+    Restart(secs(6)),
+    Pause(secs(4)),
+    PauseBeforeSending(secs(3)),
+    CutNetwork(secs(9)),
+    CutFromKvAndPeers(secs(12)),
     CutLinks(&PEER_LINKS, CutMode::Stall, secs(10)),
     CutLinks(&STATE_LINKS, CutMode::LoseAnswers, secs(8)),
     CutLinks(&WORKER_LINKS, CutMode::Stall, secs(10)),
@@ -208,10 +208,10 @@
 #[test]
 fn holders_fail_at_each_step_of_a_handover() {
     for (moment, whom) in [
-        (Trigger::MoveBegun, OldHolder),
-        (Trigger::MoveBegun, NextHolder),
-        (Trigger::HolderNamed, OldHolder),
-        (Trigger::HolderNamed, NextHolder),
+        (Trigger::MoveStarted, OldHolder),
+        (Trigger::MoveStarted, NextHolder),
+        (Trigger::HolderAssigned, OldHolder),
+        (Trigger::HolderAssigned, NextHolder),
     ] {
         for (n, blow) in BLOWS.into_iter().enumerate() {
             let moves = play("steps", MOVING, Faults::default(), 1, |world| {
@@ -227,7 +227,7 @@
 fn strike(world: &mut World, moment: Trigger, whom: ShardParty, blow: Fault, n: u64) {
     for (nth, after) in [(4, 0), (9, 3), (15, 40), (22, 400)] {
         let after = ms(after + n % 3);
-        world.when(moment, nth, vec![(after, SimEvent::FaultAtMove(whom, blow))]);
+        world.on_trigger(moment, nth, vec![(after, SimEvent::FaultMoveParty(whom, blow))]);
     }
 }
 
@@ -239,14 +239,18 @@
         for back in [ms(200), secs(4)] {
             play("leader ends", MOVING, Faults::default(), 2, |world| {
                 for nth in [3, 7, 12, 18] {
-                    world.when(Trigger::MoveBegun, nth, vec![(ms(after), SimEvent::FaultLeader(End(back)))]);
+                    world.on_trigger(
+                        Trigger::MoveStarted,
+                        nth,
+                        vec![(ms(after), SimEvent::FaultLeader(Restart(back)))],
+                    );
                 }
             });
         }
     }
     play("ten leaders", MOVING, Faults::default(), 4, |world| {
         for n in 0..10 {
-            world.schedule_at(secs(10 + 11 * n), SimEvent::FaultLeader(End(secs(3))));
+            world.schedule_at(secs(10 + 11 * n), SimEvent::FaultLeader(Restart(secs(3))));
         }
     });
 }
@@ -261,7 +265,11 @@
         let moves = play("placing", deployment, held, 4, |world| {
             for nth in [2, 5, 9] {
                 let cut = CutLinks(&WORKER_LINKS, CutMode::LoseAnswers, secs(3));
-                world.when(Trigger::RunSent, nth * 7, vec![(ms(0), SimEvent::FaultAtMove(OldHolder, cut))]);
+                world.on_trigger(
+                    Trigger::RunSent,
+                    nth * 7,
+                    vec![(ms(0), SimEvent::FaultMoveParty(OldHolder, cut))],
+                );
             }
         });
         assert!(moves > 40, "{moves} moves");
@@ -326,17 +334,19 @@
 /// that a cancellation has.
 #[test]
 fn cancellations_while_a_shard_changes_hands() {
-    for (moment, hang) in [(Trigger::MoveBegun, 0), (Trigger::MoveBegun, 50), (Trigger::HolderNamed, 44)] {
+    for (moment, hang) in
+        [(Trigger::MoveStarted, 0), (Trigger::MoveStarted, 50), (Trigger::HolderAssigned, 44)]
+    {
         let mut cut_short = 0;
         for seed in 0..more(4) {
             let world = play_one("cancelled", MOVING, Faults::default(), seed, |world| {
                 long(world, 40.0);
                 for nth in [8, 14, 20] {
-                    let cancel = SimEvent::CancelNow { count: 4, hang: secs(hang) };
-                    world.when(moment, nth, vec![(ms(2), cancel)]);
+                    let cancel = SimEvent::CancelRunningJobs { count: 4, hang: secs(hang) };
+                    world.on_trigger(moment, nth, vec![(ms(2), cancel)]);
                 }
             });
-            cut_short += world.cancelled_running();
+            cut_short += world.cancelled_while_running();
         }
         assert!(cut_short > 4, "{cut_short} jobs were cancelled while they ran");
     }
@@ -365,10 +375,12 @@
                     }
                 }
                 if ends {
-                    world.schedule_at(secs(30) + ms(outage - 30), SimEvent::FaultLeader(End(secs(70))));
+                    world.schedule_at(secs(30) + ms(outage - 30), SimEvent::FaultLeader(Restart(secs(70))));
                 }
-                world
-                    .schedule_at(secs(30) + ms(refused), SimEvent::CancelNow { count: 12, hang: secs(hang) });
+                world.schedule_at(
+                    secs(30) + ms(refused),
+                    SimEvent::CancelRunningJobs { count: 12, hang: secs(hang) },
+                );
                 let until = world.now + secs(30) + SMALL.cancel_within + secs(18);
                 world.schedule_at(secs(30) + ms(outage), SimEvent::Outage { until });
             });
@@ -383,10 +395,10 @@
     let mut world = divided();
     let begin = world.now;
     world.schedule_at(Duration::ZERO, SimEvent::Outage { until: begin + secs(70) });
-    world.schedule_at(ms(10), SimEvent::FaultLeader(End(secs(80))));
-    world.idle(secs(65));
+    world.schedule_at(ms(10), SimEvent::FaultLeader(Restart(secs(80))));
+    world.run_for(secs(65));
     let bound = SMALL.cancel_within - SMALL.worker_lease - secs(2);
-    let answered = world.last_answer - begin;
+    let answered = world.last_heartbeat_response_at - begin;
     assert!(answered <= bound, "a worker was answered {answered:?} after the last sight");
     assert!(answered > bound - secs(4), "only until {answered:?}");
 }
@@ -397,8 +409,8 @@
 fn a_holder_starts_nothing_of_a_cancelled_job() {
     let mut world = divided();
     long(&mut world, 60.0);
-    world.schedule_at(secs(10), SimEvent::CancelNow { count: 1, hang: secs(20) });
-    world.idle(secs(13));
+    world.schedule_at(secs(10), SimEvent::CancelRunningJobs { count: 1, hang: secs(20) });
+    world.run_for(secs(13));
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
     let here = |machine: &plankhead_core::protocol::MachineName| {
@@ -409,13 +421,14 @@
     let runs = |world: &mut World, cancelled: bool| {
         let of = |job: &&world::Job| job.accepted && job.cancelled_at.is_some() == cancelled;
         let job = world.jobs.iter().find(of).unwrap().id.clone();
-        let (token, answers) = (world.lease(), world.latest_report(node));
+        let (token, answers) = (world.leader_token(), world.latest_sequence(node));
         let mut commands = orders(token, answers, vec![(shard.clone(), epoch)]);
         commands.stamp.sequence += u64::from(!cancelled);
         commands.machines[0].machine = machine.clone();
         commands.machines[0].commands =
             vec![WorkerCommand::Run { task: TaskId { job, index: 90 }, attempt: 9 }];
-        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(commands)));
+        let (delivery, effects) =
+            world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Accepted);
         let run =
             |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if task.index == 90);
@@ -472,7 +485,7 @@
     let mut world = World::with_deployment(deployment, 3, faults);
     world.plan(150, secs(90));
     world.run(secs(1500));
-    assert!(world.settled());
+    assert!(world.all_jobs_ended());
     assert!(world.shard_moves >= 20, "{} moves", world.shard_moves);
 }
 
@@ -487,7 +500,7 @@
 fn divided() -> World {
     let mut world = World::with_deployment(RESTING, 5, Faults::default());
     world.plan(6, secs(20));
-    world.idle(secs(15));
+    world.run_for(secs(15));
     assert_eq!(world.leader(), Some(0));
     assert!(world.holders().values().any(|(node, _)| *node != 0));
     world
@@ -522,7 +535,7 @@
     let mut world = divided();
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
-    let (token, sent) = (world.lease(), world.latest_report(node));
+    let (token, sent) = (world.leader_token(), world.latest_sequence(node));
     let other = ShardId { zone: "nowhere".into(), index: 0 };
     let bad = [
         ("a token that is over", orders(token - 1, sent, vec![(shard.clone(), epoch)])),
@@ -532,7 +545,8 @@
         ("a message of long ago", orders(token, 1, vec![(shard.clone(), epoch)])),
     ];
     for (what, commands) in bad {
-        let (delivery, effects) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(commands)));
+        let (delivery, effects) =
+            world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Rejected, "{what}");
         assert!(
             !effects.iter().any(|effect| matches!(effect, Effect::SendCommands { .. })),
@@ -540,13 +554,13 @@
         );
     }
     let stranger = LeaderCommands { host: "plank-9".into(), ..orders(token, sent, Vec::new()) };
-    let (delivery, _) = world.deliver(node, ShardMessage::LeaderCommands(Box::new(stranger)));
+    let (delivery, _) = world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(stranger)));
     assert_eq!(delivery, Delivery::Rejected, "somebody else's name");
-    let (delivery, _) =
-        world.deliver(0, ShardMessage::LeaderCommands(Box::new(orders(token, sent, Vec::new()))));
+    let (delivery, _) = world
+        .deliver_shard_message(0, ShardMessage::LeaderCommands(Box::new(orders(token, sent, Vec::new()))));
     assert_eq!(delivery, Delivery::Rejected, "the leader itself takes none");
     world.run(secs(1500));
-    assert!(world.settled());
+    assert!(world.all_jobs_ended());
 }
 
 /// Messages that a leader refuses: of a term that is over, of an unknown controller, late
@@ -554,7 +568,7 @@
 #[test]
 fn a_leader_refuses_bad_reports() {
     let mut world = divided();
-    let token = world.lease();
+    let token = world.leader_token();
     let report = |machine: &str, term, sequence| HolderStatus {
         host: machine.into(),
         stamp: MessageStamp { boot: 1, sequence },
@@ -574,13 +588,14 @@
     };
     let before = world.holders();
     let stale = world.latest_stamp(1);
-    let mut told = |report: HolderStatus| world.deliver(0, ShardMessage::HolderStatus(Box::new(report))).0;
+    let mut told =
+        |report: HolderStatus| world.deliver_shard_message(0, ShardMessage::HolderStatus(Box::new(report))).0;
     assert_eq!(told(report("plank-1", token - 1, 1)), Delivery::Rejected, "a term that is over");
     assert_eq!(told(report("plank-9", token, 1)), Delivery::Rejected, "an unknown controller");
     let copy = HolderStatus { stamp: stale, ..report("plank-1", token, 0) };
     assert_eq!(told(copy), Delivery::Rejected, "a copy of what came already");
-    world.idle(secs(3));
+    world.run_for(secs(3));
     assert_eq!(world.holders(), before, "a shard that was said to be released under another epoch");
     world.run(secs(1500));
-    assert!(world.settled());
+    assert!(world.all_jobs_ended());
 }
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -26,7 +26,7 @@
 
 /// Failures of machines, nodes and links.
 fn failures() -> Faults {
-    Faults { preemption_notices: 3, ..Faults::of_everything() }
+    Faults { preemption_notices: 3, ..Faults::all_kinds() }
 }
 
 /// Users and messages that come at odd times.
@@ -39,7 +39,7 @@
         delayed_commands: 0.05,
         cancel_at_end: 0.1,
         immediate_polls: true,
-        odd_requests: 12,
+        invalid_requests: 12,
         cancel_bursts: 2,
         quick_boots: true,
         slow_kv: true,
@@ -73,8 +73,8 @@
 
 fn leaders_paused(world: &mut World) {
     for nth in 1..5 {
-        let pause = SimEvent::FaultLeader(Fault::Freeze(secs(4)));
-        world.when(Trigger::DutyWritten, 3 * nth, vec![(ms(1), pause)]);
+        let pause = SimEvent::FaultLeader(Fault::Pause(secs(4)));
+        world.on_trigger(Trigger::DutyWritten, 3 * nth, vec![(ms(1), pause)]);
     }
 }
 
@@ -137,10 +137,10 @@
             job.runtime_s = 30.0;
         }
         for second in (10..90).step_by(10) {
-            world.idle(secs(10));
+            world.run_for(secs(10));
             for prefix in ["job/", "over/", "run/", "lead", "target", "node/", "duty/", "shard/", "machines/"]
             {
-                let mut rows = world.stored(prefix);
+                let mut rows = world.stored_rows(prefix);
                 // Chunks are read with the records of their jobs.
                 if !matches!(prefix, "job/" | "run/") {
                     rows.truncate(ROWS_OF_A_KIND);
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -2,7 +2,7 @@
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
-use super::requests::PendingQuestion;
+use super::requests::PendingRequest;
 use super::{fencing, World};
 use plankhead_core::protocol::{CallError, CommandReply, Effect, Event, KvRequest, MachineName, Response};
 use plankhead_reachability::coverage::Coverage;
@@ -53,9 +53,9 @@
 }
 
 /// Until a call without an answer is given up, by whom it is made.
-const STATE_PATIENCE: Duration = ms(1200);
-const CLOUD_PATIENCE: Duration = secs(3);
-const COMMAND_PATIENCE: Duration = secs(2);
+const KV_CALL_TIMEOUT: Duration = ms(1200);
+const CLOUD_CALL_TIMEOUT: Duration = secs(3);
+const COMMAND_TIMEOUT: Duration = secs(2);
 
 fn link_of(request: &KvRequest) -> Link {
     match request {
@@ -68,7 +68,7 @@
 
 impl World {
     /// How the link fails just now, if it does.
-    pub(super) fn cut_of(&self, node: usize, link: Link) -> Option<CutMode> {
+    pub(super) fn cut_mode_of(&self, node: usize, link: Link) -> Option<CutMode> {
         let here = |cut: &&LinkCut| cut.node == node && cut.link == link && self.now < cut.until;
         self.link_cuts.iter().find(here).map(|cut| cut.how)
     }
@@ -97,19 +97,19 @@
     }
 
     /// What becomes of an effect over a link that fails; gives it back where it passes.
-    pub(super) fn pass_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
+    pub(super) fn apply_link_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
         let fencing::Actor { node, boot, .. } = actor;
         let link = match &effect {
             Effect::CallKv { request, .. } => link_of(request),
             Effect::CallCloud { .. } => Link::Cloud,
             Effect::SendCommands { .. } => Link::Commands,
-            Effect::Respond { request, .. } => match self.questions.get(&(node, boot, *request)) {
-                Some((_, PendingQuestion::Heartbeat { .. })) => Link::Answers,
+            Effect::Respond { request, .. } => match self.pending_requests.get(&(node, boot, *request)) {
+                Some((_, PendingRequest::Heartbeat { .. })) => Link::Answers,
                 _ => return Some(effect),
             },
             _ => return Some(effect),
         };
-        let Some(how) = self.cut_of(node, link) else { return Some(effect) };
+        let Some(how) = self.cut_mode_of(node, link) else { return Some(effect) };
         let carried_out = how == CutMode::LoseAnswers;
         let (patience, reply) = match effect {
             Effect::CallKv { call, request } => {
@@ -122,7 +122,7 @@
                 }
                 let error =
                     if how == CutMode::Refuse { CallError::Refused } else { CallError::OutcomeUnknown };
-                (STATE_PATIENCE, Event::KvReply { call, reply: Err(error) })
+                (KV_CALL_TIMEOUT, Event::KvReply { call, reply: Err(error) })
             }
             Effect::CallCloud { call, request } => {
                 if carried_out {
@@ -131,7 +131,7 @@
                         SimEvent::CloudRequestArrives { actor, call, request, answered: false },
                     );
                 }
-                (CLOUD_PATIENCE, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
+                (CLOUD_CALL_TIMEOUT, Event::CloudReply { call, reply: Err(CallError::OutcomeUnknown) })
             }
             Effect::SendCommands { call, address, token, incarnation, commands } => {
                 self.check_commands(token, &commands);
@@ -150,13 +150,13 @@
                 }
                 let reply =
                     if how == CutMode::Refuse { CommandReply::NotSent } else { CommandReply::Unanswered };
-                (COMMAND_PATIENCE, Event::CommandReply { call, reply })
+                (COMMAND_TIMEOUT, Event::CommandReply { call, reply })
             }
-            Effect::Respond { request, response: answer } => {
-                if let Response::Commands { token, commands } = &answer {
+            Effect::Respond { request, response } => {
+                if let Response::Commands { token, commands } = &response {
                     self.check_commands(*token, commands);
                 }
-                self.questions.remove(&(node, boot, request));
+                self.pending_requests.remove(&(node, boot, request));
                 return None;
             }
             other => return Some(other),
@@ -167,15 +167,15 @@
     }
 
     /// Whether what one node tells another arrives.
-    pub(super) fn peers_reach(&self, from: usize, to: usize) -> bool {
-        self.cut_of(from, Link::PeersOut).is_none() && self.cut_of(to, Link::PeersIn).is_none()
+    pub(super) fn peer_reachable(&self, from: usize, to: usize) -> bool {
+        self.cut_mode_of(from, Link::PeersOut).is_none() && self.cut_mode_of(to, Link::PeersIn).is_none()
     }
 
     /// What a node tells all others of its reach.
-    pub(super) fn tell_coverage(&mut self, node: usize, boot: u64, coverage: Box<Coverage>) {
+    pub(super) fn send_coverage(&mut self, node: usize, boot: u64, coverage: Box<Coverage>) {
         for other in (0..3).filter(|other| *other != node) {
-            let alone = self.alone_until[node].max(self.alone_until[other]);
-            let open = self.now >= self.node_cut_until[other].max(alone) && self.peers_reach(node, other);
+            let alone = self.peers_cut_until[node].max(self.peers_cut_until[other]);
+            let open = self.now >= self.node_cut_until[other].max(alone) && self.peer_reachable(node, other);
             let target = self.nodes[other].as_ref().filter(|_| open).map(|(boot, _)| *boot);
             if let Some(boot) = target {
                 let event = Event::Coverage(Ok(coverage.clone()));
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -77,20 +77,20 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Respond { request, response: answer } => {
+            Effect::Respond { request, response } => {
                 self.tag(1);
                 self.number(*request);
-                self.answer(answer);
+                self.response(response);
             }
             Effect::CallKv { call, request } => {
                 self.tag(2);
                 self.number(*call);
-                self.state_op(request);
+                self.kv_request(request);
             }
             Effect::CallCloud { call, request } => {
                 self.tag(3);
                 self.number(*call);
-                self.cloud_op(request);
+                self.cloud_request(request);
             }
             Effect::SendCommands { call, address, token, incarnation, commands } => {
                 self.tag(4);
@@ -98,7 +98,7 @@
                 self.text(address);
                 self.number(*token);
                 self.number(*incarnation);
-                self.orders(commands);
+                self.commands(commands);
             }
             Effect::SendPeerHeartbeat(peer_heartbeat) => {
                 self.tag(5);
@@ -121,19 +121,19 @@
                 self.number(*call);
                 self.text(to);
                 match message {
-                    ShardMessage::HolderStatus(report) => self.holder_report(report),
-                    ShardMessage::LeaderCommands(commands) => self.leader_orders(commands),
+                    ShardMessage::HolderStatus(status) => self.holder_status(status),
+                    ShardMessage::LeaderCommands(commands) => self.leader_commands(commands),
                 }
             }
             Effect::Log(..) => {}
         }
     }
 
-    fn answer(&mut self, answer: &Response) {
-        match answer {
-            Response::Job { created: fresh, id, status, done, running } => {
+    fn response(&mut self, response: &Response) {
+        match response {
+            Response::Job { created, id, status, done, running } => {
                 self.tag(1);
-                self.flag(*fresh);
+                self.flag(*created);
                 self.text(id.as_str());
                 self.tag(match status {
                     JobStatus::Queued => 0,
@@ -147,22 +147,22 @@
             Response::BadRequest(_) => self.tag(2),
             Response::Unprocessable(_) => self.tag(3),
             Response::NotFound => self.tag(4),
-            Response::Unavailable { retry_after: retry } => {
+            Response::Unavailable { retry_after } => {
                 self.tag(5);
-                self.duration(*retry);
+                self.duration(*retry_after);
             }
             Response::Commands { token, commands } => {
                 self.tag(6);
                 self.number(*token);
-                self.orders(commands);
+                self.commands(commands);
             }
-            Response::Redirect { leader: foreman } => {
+            Response::Redirect { leader } => {
                 self.tag(7);
-                self.optional(foreman.as_deref(), Self::text);
+                self.optional(leader.as_deref(), Self::text);
             }
-            Response::Relay { leader: foreman } => {
+            Response::Relay { leader } => {
                 self.tag(8);
-                self.text(foreman);
+                self.text(leader);
             }
             Response::View(_) => self.tag(9),
             Response::ShardMessageDelivery(delivery) => {
@@ -172,18 +172,18 @@
         }
     }
 
-    fn orders(&mut self, commands: &[WorkerCommand]) {
+    fn commands(&mut self, commands: &[WorkerCommand]) {
         self.number(commands.len() as u64);
-        for order in commands {
-            match order {
+        for command in commands {
+            match command {
                 WorkerCommand::Run { task, attempt } => {
                     self.tag(1);
                     self.attempt(task, *attempt);
                 }
-                WorkerCommand::Kill { task, attempt, grace: leeway } => {
+                WorkerCommand::Kill { task, attempt, grace } => {
                     self.tag(2);
                     self.attempt(task, *attempt);
-                    self.duration(*leeway);
+                    self.duration(*grace);
                 }
                 WorkerCommand::Acknowledge { task, attempt } => {
                     self.tag(3);
@@ -199,7 +199,7 @@
         self.number(attempt);
     }
 
-    fn state_op(&mut self, request: &KvRequest) {
+    fn kv_request(&mut self, request: &KvRequest) {
         match request {
             KvRequest::Get { key } => {
                 self.tag(1);
@@ -220,17 +220,17 @@
                 self.number(changes.len() as u64);
                 changes.iter().for_each(|change| self.change(change));
             }
-            KvRequest::GrantLease { ttl: life } => {
+            KvRequest::GrantLease { ttl } => {
                 self.tag(4);
-                self.duration(*life);
+                self.duration(*ttl);
             }
-            KvRequest::RenewLease { lease: hold } => {
+            KvRequest::RenewLease { lease } => {
                 self.tag(5);
-                self.number(*hold);
+                self.number(*lease);
             }
-            KvRequest::RevokeLease { lease: hold } => {
+            KvRequest::RevokeLease { lease } => {
                 self.tag(6);
-                self.number(*hold);
+                self.number(*lease);
             }
             KvRequest::Watch { prefix, after, wait } => {
                 self.tag(7);
@@ -243,11 +243,11 @@
 
     fn change(&mut self, change: &KvChange) {
         match change {
-            KvChange::Put { key, value, lease: hold } => {
+            KvChange::Put { key, value, lease } => {
                 self.tag(1);
                 self.text(key);
                 self.text(value);
-                self.optional(*hold, Self::number);
+                self.optional(*lease, Self::number);
             }
             KvChange::Delete { key } => {
                 self.tag(2);
@@ -256,7 +256,7 @@
         }
     }
 
-    fn cloud_op(&mut self, request: &CloudRequest) {
+    fn cloud_request(&mut self, request: &CloudRequest) {
         match request {
             CloudRequest::ListMachineTypes => self.tag(1),
             CloudRequest::ListInstances { after } => {
@@ -298,36 +298,36 @@
         }
     }
 
-    fn holder_report(&mut self, report: &HolderStatus) {
+    fn holder_status(&mut self, status: &HolderStatus) {
         self.tag(1);
-        self.text(&report.host);
-        self.number(report.stamp.boot);
-        self.number(report.stamp.sequence);
-        self.text(&report.zone);
-        self.number(report.term);
-        self.flag(report.sees_records);
-        self.number(report.shards.len() as u64);
-        for held in &report.shards {
+        self.text(&status.host);
+        self.number(status.stamp.boot);
+        self.number(status.stamp.sequence);
+        self.text(&status.zone);
+        self.number(status.term);
+        self.flag(status.sees_records);
+        self.number(status.shards.len() as u64);
+        for held in &status.shards {
             self.text(&held.shard.to_string());
             self.number(held.epoch);
             self.flag(held.released);
         }
-        self.number(report.stream);
-        self.flag(report.first);
-        self.number(report.updates.len() as u64);
-        for news in &report.updates {
-            self.number(u64::from(news.number));
-            self.report(&news.heartbeat);
-            self.flag(news.confirmed);
-            self.flag(news.ignores_commands);
-            self.number(u64::from(news.unanswered_commands));
-            self.duration(news.age);
+        self.number(status.stream);
+        self.flag(status.first);
+        self.number(status.updates.len() as u64);
+        for update in &status.updates {
+            self.number(u64::from(update.number));
+            self.heartbeat(&update.heartbeat);
+            self.flag(update.confirmed);
+            self.flag(update.ignores_commands);
+            self.number(u64::from(update.unanswered_commands));
+            self.duration(update.age);
         }
-        self.bitmap(&report.alive);
-        self.duration(report.alive_age);
+        self.bitmap(&status.alive);
+        self.duration(status.alive_age);
     }
 
-    fn leader_orders(&mut self, commands: &LeaderCommands) {
+    fn leader_commands(&mut self, commands: &LeaderCommands) {
         self.tag(2);
         self.text(&commands.host);
         self.number(commands.stamp.boot);
@@ -345,26 +345,26 @@
             self.text(&machine.machine);
             self.number(machine.shard as u64);
             self.number(machine.incarnation);
-            self.orders(&machine.commands);
+            self.commands(&machine.commands);
         }
         self.number(commands.removed.len() as u64);
         commands.removed.iter().for_each(|machine| self.text(machine));
         self.number(commands.snapshot.len() as u64);
-        commands.snapshot.iter().for_each(|report| self.report(report));
+        commands.snapshot.iter().for_each(|heartbeat| self.heartbeat(heartbeat));
     }
 
-    fn report(&mut self, report: &Heartbeat) {
-        self.text(&report.machine);
-        self.text(&report.address);
-        self.text(&report.machine_type);
-        self.text(&report.zone);
-        self.flag(report.spot);
-        self.number(report.incarnation);
-        self.number(report.sequence);
-        self.number(report.token);
-        self.optional(report.preemption_notice, Self::duration);
-        self.number(report.tasks.len() as u64);
-        for listed in report.tasks.iter() {
+    fn heartbeat(&mut self, heartbeat: &Heartbeat) {
+        self.text(&heartbeat.machine);
+        self.text(&heartbeat.address);
+        self.text(&heartbeat.machine_type);
+        self.text(&heartbeat.zone);
+        self.flag(heartbeat.spot);
+        self.number(heartbeat.incarnation);
+        self.number(heartbeat.sequence);
+        self.number(heartbeat.token);
+        self.optional(heartbeat.preemption_notice, Self::duration);
+        self.number(heartbeat.tasks.len() as u64);
+        for listed in heartbeat.tasks.iter() {
             self.attempt(&listed.task, listed.attempt);
             match listed.status {
                 TaskStatus::FetchingImage => self.tag(1),
@@ -372,9 +372,9 @@
                 TaskStatus::Running => self.tag(3),
                 TaskStatus::Checkpointing => self.tag(4),
                 TaskStatus::Unrecognized => self.tag(5),
-                TaskStatus::Exited(cause) => {
+                TaskStatus::Exited(reason) => {
                     self.tag(6);
-                    self.tag(cause as u8);
+                    self.tag(reason as u8);
                 }
             }
         }
--- a/crates/plankhead-core/tests/world/effects.rs
+++ b/crates/plankhead-core/tests/world/effects.rs
@@ -2,7 +2,7 @@
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
-use super::requests::{PendingQuestion, Watch};
+use super::requests::{PendingRequest, Watch};
 use super::script::Trigger;
 use super::{cuts, fencing, World, SIM_START};
 use plankhead_core::protocol::{
@@ -12,7 +12,7 @@
 use plankhead_core::shards::messages::Delivery;
 use std::time::Duration;
 
-pub(super) fn touches(request: &KvRequest, prefix: &str) -> bool {
+pub(super) fn involves_prefix(request: &KvRequest, prefix: &str) -> bool {
     match request {
         KvRequest::List { prefix: p, .. } => p == prefix,
         KvRequest::Txn { changes, .. } => {
@@ -25,7 +25,7 @@
 impl World {
     /// What a cut node sends is held, carried out when the cut ends, and never
     /// answered.
-    pub(super) fn perform_cut(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
+    pub(super) fn delay_effect(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
             Effect::CallKv { call, request } => {
@@ -52,7 +52,7 @@
                 Event::CommandReply { call, reply: CommandReply::Unanswered }
             }
             Effect::SendShardMessage { call, to, message } => {
-                self.late_shard_message(held, &to, message);
+                self.deliver_shard_message_late(held, &to, message);
                 Event::ShardMessageDelivery { call, delivery: Delivery::NoResponse }
             }
             _ => return,
@@ -63,19 +63,21 @@
     pub(super) fn perform(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let inside = match &effect {
-            Effect::Respond { request, .. } => match self.questions.get(&(node, boot, *request)) {
-                Some((_, PendingQuestion::Heartbeat { machine, .. })) => self.inside(node, machine),
+            Effect::Respond { request, .. } => match self.pending_requests.get(&(node, boot, *request)) {
+                Some((_, PendingRequest::Heartbeat { machine, .. })) => self.within_cut_zone(node, machine),
                 _ => false,
             },
-            Effect::SendCommands { address, .. } => self.inside(node, address.trim_start_matches("at-")),
+            Effect::SendCommands { address, .. } => {
+                self.within_cut_zone(node, address.trim_start_matches("at-"))
+            }
             Effect::Log(..) => true,
             _ => false,
         };
         if self.now < self.node_cut_until[node] && !inside {
             let held = self.node_cut_until[node] - self.now;
-            return self.perform_cut(actor, effect, held);
+            return self.delay_effect(actor, effect, held);
         }
-        if self.faults_end && self.now > self.calm_at {
+        if self.stop_call_faults && self.now > self.faults_over_at {
             let t = &mut self.faults;
             (
                 t.lost_replies,
@@ -85,18 +87,19 @@
                 t.duplicates_for_next_leader,
             ) = (0.0, false, 0.0, 0.0, 0.0);
         }
-        let Some(effect) = self.pass_cuts(actor, effect) else { return };
+        let Some(effect) = self.apply_link_cuts(actor, effect) else { return };
         match effect {
-            Effect::Respond { request, response: answer } => self.respond(actor, request, answer),
+            Effect::Respond { request, response } => self.respond(actor, request, response),
             // The version before knows nothing of this.
-            Effect::CallKv { request, .. } if self.runs_old_version[node] && touches(&request, "node/") => {}
+            Effect::CallKv { request, .. }
+                if self.runs_old_version[node] && involves_prefix(&request, "node/") => {}
             Effect::CallKv { call, request } => self.call_kv(actor, call, request),
             Effect::CallCloud { call, request } => self.call_cloud(actor, call, request),
             effect @ Effect::SendCommands { .. } => self.send_commands(actor, effect),
             Effect::SendPeerHeartbeat(peer_heartbeat) => self.send_peer_heartbeat(node, peer_heartbeat),
-            Effect::SendCoverage(coverage) => self.tell_coverage(node, boot, coverage),
+            Effect::SendCoverage(coverage) => self.send_coverage(node, boot, coverage),
             Effect::SendShardMessage { call, to, message } => {
-                self.shard_message((node, boot, call), &to, message)
+                self.send_shard_message((node, boot, call), &to, message)
             }
             Effect::Log(_, text) => {
                 if self.log {
@@ -107,37 +110,37 @@
     }
 
     /// A user, worker or peer gets its answer.
-    fn respond(&mut self, actor: fencing::Actor, request: RequestId, answer: Response) {
+    fn respond(&mut self, actor: fencing::Actor, request: RequestId, response: Response) {
         let fencing::Actor { node, boot, .. } = actor;
-        if let Response::Commands { token, commands } = &answer {
-            if let Some((_, PendingQuestion::Heartbeat { machine, .. })) =
-                self.questions.get(&(node, boot, request))
+        if let Response::Commands { token, commands } = &response {
+            if let Some((_, PendingRequest::Heartbeat { machine, .. })) =
+                self.pending_requests.get(&(node, boot, request))
             {
                 let machine = machine.clone();
-                self.last_answer = self.now;
-                self.acts(actor, machine, *token);
+                self.last_heartbeat_response_at = self.now;
+                self.check_command_source(actor, machine, *token);
             }
             self.check_commands(*token, commands);
         }
-        if let Some((since, question)) = self.questions.remove(&(node, boot, request)) {
-            self.asked_at = since;
-            self.answered(question, answer);
+        if let Some((since, pending_request)) = self.pending_requests.remove(&(node, boot, request)) {
+            self.answered_request_sent_at = since;
+            self.handle_response(pending_request, response);
         }
     }
 
     /// A request to the state service, which may be refused, lost, late or slow.
     fn call_kv(&mut self, actor: fencing::Actor, call: CallId, request: KvRequest) {
         let fencing::Actor { node, boot, .. } = actor;
-        self.duty_sent(&request);
+        self.trigger_on_duty_write(&request);
         let listed = matches!(request, KvRequest::List { .. }) && self.now < self.lists_refused_until;
         let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
         if refused && !matches!(request, KvRequest::Watch { .. }) {
-            return self.reply_state(node, boot, call, Err(CallError::Refused));
+            return self.reply_kv(node, boot, call, Err(CallError::Refused));
         }
         let lost = self.chance(self.faults.lost_replies);
         let late = lost && self.chance(self.faults.late_requests);
         let slowest = if self.faults.slow_kv { 900 } else { 15 };
-        let delay = if late { self.between(2000, 20_000) } else { self.between(2, slowest) };
+        let delay = if late { self.random_ms(2000, 20_000) } else { self.random_ms(2, slowest) };
         if lost {
             self.schedule_in(
                 ms(1200),
@@ -158,14 +161,14 @@
     fn call_cloud(&mut self, actor: fencing::Actor, call: CallId, request: CloudRequest) {
         let node = actor.node;
         if matches!(request, CloudRequest::Execute(_)) {
-            self.trigger(Trigger::CloudCalled);
+            self.trigger(Trigger::CloudActionSent);
         }
-        if self.holding[node] && self.now < self.paused_until[node] {
+        if self.holds_effects[node] && self.now < self.paused_until[node] {
             let effect = Box::new(Effect::CallCloud { call, request });
             return self.schedule_in(self.paused_until[node] - self.now, SimEvent::Perform { actor, effect });
         }
         let answered = !self.chance(self.faults.lost_replies);
-        let delay = if answered { ms(100) } else { self.between(100, 20_000) };
+        let delay = if answered { ms(100) } else { self.random_ms(100, 20_000) };
         self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request, answered });
     }
 
@@ -179,9 +182,9 @@
         assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
         self.check_commands(token, &commands);
         let machine: MachineName = address.as_ref().trim_start_matches("at-").into();
-        self.acts(actor, machine.clone(), token);
+        self.check_command_source(actor, machine.clone(), token);
         let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
-        let delay = if held { self.between(1000, 9000) } else { self.between(1, 5) };
+        let delay = if held { self.random_ms(1000, 9000) } else { self.random_ms(1, 5) };
         if delay > secs(2) {
             // Given up by the sender, and carried out all the same.
             let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
@@ -199,9 +202,9 @@
     /// A heartbeat to the peers that the node reaches.
     fn send_peer_heartbeat(&mut self, node: usize, peer_heartbeat: PeerHeartbeat) {
         for other in (0..3).filter(|n| *n != node) {
-            let alone = self.alone_until[node].max(self.alone_until[other]);
+            let alone = self.peers_cut_until[node].max(self.peers_cut_until[other]);
             let open = self.now >= self.node_cut_until[other].max(alone);
-            let reached = open && self.peers_reach(node, other);
+            let reached = open && self.peer_reachable(node, other);
             if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
                 let (boot, event) = (*boot, Event::PeerHeartbeat(peer_heartbeat.clone()));
                 self.schedule_in(ms(2), SimEvent::DeliverToNode { node: other, boot, event });
@@ -209,7 +212,7 @@
         }
     }
 
-    pub(super) fn reply_state(
+    pub(super) fn reply_kv(
         &mut self,
         node: usize,
         boot: u64,
@@ -217,24 +220,31 @@
         reply: Result<KvReply, CallError>,
     ) {
         // A slow service answers late, too, what it has read long before.
-        let way = if self.faults.slow_kv { self.between(2, 600) } else { ms(2) };
+        let way = if self.faults.slow_kv { self.random_ms(2, 600) } else { ms(2) };
         self.schedule_in(way, SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } });
     }
 
-    pub(super) fn state(&mut self, node: usize, boot: u64, call: CallId, request: KvRequest, answered: bool) {
+    pub(super) fn handle_kv_request(
+        &mut self,
+        node: usize,
+        boot: u64,
+        call: CallId,
+        request: KvRequest,
+        answered: bool,
+    ) {
         if self.now < self.outage_until && !matches!(request, KvRequest::Watch { .. }) {
             if answered {
-                self.reply_state(node, boot, call, Err(CallError::Refused));
+                self.reply_kv(node, boot, call, Err(CallError::Refused));
             }
             return;
         }
         if let KvRequest::Watch { prefix, after, wait } = request {
-            if answered && self.alive(node, boot) {
+            if answered && self.is_running(node, boot) {
                 self.sequence += 1;
                 let id = self.sequence;
                 self.watches.push(Watch { id, node, boot, call, prefix, after });
                 self.schedule_in(wait, SimEvent::WatchEnds { watch: id });
-                self.notify();
+                self.answer_watches();
             }
             return;
         }
@@ -247,43 +257,43 @@
             self.on_committed(&changes);
         }
         if answered {
-            self.reply_state(node, boot, call, reply);
+            self.reply_kv(node, boot, call, reply);
         }
-        self.notify();
+        self.answer_watches();
     }
 
-    pub(super) fn notify(&mut self) {
+    pub(super) fn answer_watches(&mut self) {
         if self.now < self.outage_until {
             return;
         }
         let (now, refused, kv) = (self.now, self.refused_until.clone(), &self.kv);
         let cut = self.node_cut_until.clone();
         let watch_cut: Vec<bool> =
-            (0..3).map(|node| self.cut_of(node, cuts::Link::Watch).is_some()).collect();
+            (0..3).map(|node| self.cut_mode_of(node, cuts::Link::Watch).is_some()).collect();
         let open = |node: usize| now >= refused[node].max(cut[node]) && !watch_cut[node];
-        let news = |w: &Watch| open(w.node) && kv.news(&w.prefix, w.after);
+        let news = |w: &Watch| open(w.node) && kv.has_changes(&w.prefix, w.after);
         let (ready, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.watches).into_iter().partition(news);
         self.watches = waiting;
         for watch in ready {
             let reply = Ok(self.kv.changes(&watch.prefix, watch.after));
-            self.reply_state(watch.node, watch.boot, watch.call, reply);
+            self.reply_kv(watch.node, watch.boot, watch.call, reply);
         }
     }
 
     /// What passes with time alone: grants and workers' leases.
-    pub(super) fn expire(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         if self.now < self.outage_until {
-            self.kv.postpone(self.now);
-        } else if self.kv.expire(self.now) {
-            self.notify();
+            self.kv.extend_leases(self.now);
+        } else if self.kv.expire_leases(self.now) {
+            self.answer_watches();
         }
         for worker in self.workers.values_mut() {
-            worker.dead |= worker.taken_at.is_some_and(|at| self.now >= at);
+            worker.dead |= worker.preempted_at.is_some_and(|at| self.now >= at);
             if worker.dead {
                 worker.died_at.get_or_insert(self.now);
             }
-            worker.expire(self.now);
+            worker.expire_lease(self.now);
         }
     }
 }
--- a/crates/plankhead-core/tests/world/events.rs
+++ b/crates/plankhead-core/tests/world/events.rs
@@ -1,8 +1,8 @@
 //! The events of a simulation, in the order of their times.
 
 use super::deployment::{ms, secs, settings, zone_of};
-use super::requests::PendingQuestion;
-use super::script::{Fault, OddRequest, Trigger};
+use super::requests::PendingRequest;
+use super::script::{Fault, InvalidRequest, Trigger};
 use super::worker::Worker;
 use super::{cuts, fencing, shards, World};
 use plankhead_core::node::Node;
@@ -51,7 +51,7 @@
     /// A process is paused, and goes on.
     PauseProcess {
         node: usize,
-        last: Duration,
+        duration: Duration,
     },
     ResumeProcess {
         node: usize,
@@ -88,7 +88,7 @@
         sent: Duration,
         incarnation: u64,
         sequence: u64,
-        answer: Response,
+        response: Response,
     },
     HeartbeatTimedOut {
         machine: MachineName,
@@ -108,7 +108,7 @@
     },
     /// A machine is about to be taken.
     PreemptionNotice {
-        left: Duration,
+        notice: Duration,
     },
     CheckGang {
         job: usize,
@@ -177,12 +177,12 @@
     /// Something befalls the leader.
     FaultLeader(Fault),
     /// Something befalls a controller that has to do with the latest move.
-    FaultAtMove(shards::ShardParty, Fault),
+    FaultMoveParty(shards::ShardParty, Fault),
     /// All nodes are away for this time.
     StopAllNodes {
-        last: Duration,
+        duration: Duration,
     },
-    CancelNow {
+    CancelRunningJobs {
         count: usize,
         hang: Duration,
     },
@@ -197,8 +197,8 @@
     RefuseLists {
         until: Duration,
     },
-    SendOddRequest {
-        odd: OddRequest,
+    SendInvalidRequest {
+        invalid: InvalidRequest,
         known: Option<usize>,
     },
     PollAt {
@@ -220,71 +220,71 @@
             SimEvent::Crash { node } => self.crash_node(node),
             SimEvent::Upgrade { node } => {
                 self.runs_old_version[node] = false;
-                self.kv.mixed = self.runs_old_version.contains(&true);
+                self.kv.mixed_versions = self.runs_old_version.contains(&true);
                 self.handle(SimEvent::Crash { node });
             }
-            SimEvent::LowerLimits => self.kv.lower(),
-            SimEvent::CheckGang { job, attempt } => self.gang_look(job, attempt),
+            SimEvent::LowerLimits => self.kv.lower_limits(),
+            SimEvent::CheckGang { job, attempt } => self.check_gang(job, attempt),
             SimEvent::GangTimedOut { machine, task, attempt, incarnation } => {
-                self.incomplete(machine, task, attempt, incarnation);
+                self.gang_wait_timed_out(machine, task, attempt, incarnation);
             }
-            SimEvent::PreemptionNotice { left } => {
-                let at = self.now + left;
-                self.change_some_machines(|w| w.taken_at = w.taken_at.or(Some(at)));
+            SimEvent::PreemptionNotice { notice } => {
+                let at = self.now + notice;
+                self.change_some_machines(|w| w.preempted_at = w.preempted_at.or(Some(at)));
             }
             SimEvent::Tick { node, boot } => {
                 // An earlier wake may have been asked for since.
-                if self.alive(node, boot) && self.now == self.next_wakes[node] {
+                if self.is_running(node, boot) && self.now == self.next_wakes[node] {
                     self.step(node, Vec::new());
                 }
             }
             SimEvent::DeliverToNode { node, boot, event } => {
-                if self.alive(node, boot) {
+                if self.is_running(node, boot) {
                     self.step(node, vec![event]);
                 }
             }
             SimEvent::KvRequestArrives { node, boot, call, request, answered } => {
-                self.state(node, boot, call, request, answered);
+                self.handle_kv_request(node, boot, call, request, answered);
             }
             SimEvent::WatchEnds { watch } => self.watch_ends(watch),
             SimEvent::CloudRequestArrives { actor, call, request, answered } => {
                 self.cloud_request_arrives(actor, call, request, answered)
             }
             SimEvent::CommandsArrive { node, boot, call, machine, token, incarnation, commands } => {
-                self.orders_arrive(node, boot, call, machine, token, incarnation, commands);
+                self.commands_arrive(node, boot, call, machine, token, incarnation, commands);
             }
             SimEvent::RestartWithFencing { node, fenced } => {
                 self.fencing[node] = fenced;
                 self.handle(SimEvent::Crash { node });
             }
-            SimEvent::PauseProcess { node, last } => self.freeze(node, last, false),
-            SimEvent::ResumeProcess { node, boot } => self.thaw(node, boot),
+            SimEvent::PauseProcess { node, duration } => self.pause_process(node, duration, false),
+            SimEvent::ResumeProcess { node, boot } => self.resume_process(node, boot),
             SimEvent::Perform { actor, effect } => {
-                if self.alive(actor.node, actor.boot) {
+                if self.is_running(actor.node, actor.boot) {
                     self.perform(actor, *effect);
                 }
             }
-            SimEvent::Heartbeat { machine } => self.beat(machine),
-            SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, answer } => {
-                self.beat_answered(machine, sent, incarnation, sequence, answer);
+            SimEvent::Heartbeat { machine } => self.send_heartbeat(machine),
+            SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, response } => {
+                self.heartbeat_answered(machine, sent, incarnation, sequence, response);
             }
             SimEvent::HeartbeatTimedOut { machine, sequence } => self.heartbeat_timed_out(machine, sequence),
             SimEvent::ImageFetched { machine, task, attempt, incarnation } => {
-                self.pulled(machine, task, attempt, incarnation)
+                self.image_fetched(machine, task, attempt, incarnation)
             }
             SimEvent::TaskEnds { machine, task, attempt, incarnation } => {
                 self.task_ends(machine, task, attempt, incarnation)
             }
             SimEvent::RetryUnanswered { node, boot, request, again } => {
-                if self.questions.remove(&(node, boot, request)).is_some() {
+                if self.pending_requests.remove(&(node, boot, request)).is_some() {
                     self.handle(*again);
                 }
             }
             SimEvent::Submit { job } => self.submit(job),
             SimEvent::Poll { job } => {
                 let id = self.jobs[job].id.clone();
-                self.ask(
-                    PendingQuestion::Poll(job),
+                self.send_request(
+                    PendingRequest::Poll(job),
                     |request| Event::Poll { request, id },
                     SimEvent::Poll { job },
                 );
@@ -292,22 +292,27 @@
             SimEvent::Cancel { job } => self.cancel(job),
             SimEvent::Outage { until } => self.outage_until = self.outage_until.max(until),
             SimEvent::RefuseNode { node, until } => self.refused_until[node] = until,
-            SimEvent::FaultLeader(blow) => self.fault_leader(blow),
-            SimEvent::FaultAtMove(whom, blow) => self.blow_at_move(whom, blow),
-            SimEvent::StopAllNodes { last } => self.away(last),
-            SimEvent::CancelNow { count, hang } => self.cancel_now(count, hang),
+            SimEvent::FaultLeader(fault) => self.fault_leader(fault),
+            SimEvent::FaultMoveParty(party, fault) => self.fault_move_party(party, fault),
+            SimEvent::StopAllNodes { duration } => self.stop_all_nodes(duration),
+            SimEvent::CancelRunningJobs { count, hang } => self.cancel_running_jobs(count, hang),
             SimEvent::CutZone { zone, until } => self.cut_zone(zone, until),
             SimEvent::DropHeartbeats { until } => {
                 self.change_some_machines(|w| w.heartbeats_dropped_until = until)
             }
             SimEvent::RefuseLists { until } => self.lists_refused_until = until,
-            SimEvent::SendOddRequest { odd, known } => self.ask_oddly(odd, known),
+            SimEvent::SendInvalidRequest { invalid, known } => self.send_invalid_request(invalid, known),
             SimEvent::PollAt { job, node } => {
                 let id = self.jobs[job].id.clone();
-                self.ask_at(node, PendingQuestion::Poll(job), |request| Event::Poll { request, id }, None);
+                self.send_request_to(
+                    node,
+                    PendingRequest::Poll(job),
+                    |request| Event::Poll { request, id },
+                    None,
+                );
             }
             SimEvent::SubmitAt { job, node } => self.submit_at(job, node),
-            SimEvent::DuplicateHeartbeatTo { node, heartbeat: report } => self.copy_to(node, report),
+            SimEvent::DuplicateHeartbeatTo { node, heartbeat } => self.deliver_duplicate(node, heartbeat),
             SimEvent::CutMachine { until } => self.change_some_machines(|w| w.cut_until = until),
             SimEvent::CutNode { node, until } => self.node_cut_until[node] = until,
             SimEvent::CutLink(cut) => self.cut_link(cut),
@@ -318,13 +323,13 @@
             }
             SimEvent::CutFromKvAndPeers { node, until } => {
                 self.refused_until[node] = until;
-                self.alone_until[node] = until;
+                self.peers_cut_until[node] = until;
             }
             SimEvent::PartitionWorkers { node, until } => self.partitioned_until[node] = until,
-            SimEvent::DuplicateHeartbeat { heartbeat: mut report } => {
-                report.incarnation += u64::from(self.faults.lying_copies);
+            SimEvent::DuplicateHeartbeat { mut heartbeat } => {
+                heartbeat.incarnation += u64::from(self.faults.falsified_duplicates);
                 let node = self.rng.random_range(0..3);
-                self.copy_to(node, report);
+                self.deliver_duplicate(node, heartbeat);
             }
         }
         self.after_event();
@@ -336,7 +341,7 @@
         let kinds = (self.runs_old_version[node], self.fencing[node]);
         self.nodes[node] = Some((
             boot,
-            Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.table)),
+            Node::new(settings(&self.deployment, node, boot, self.capacity, kinds, &self.permissions)),
         ));
         self.next_wakes[node] = self.now + ms(1);
         self.paused_until[node] = Duration::ZERO;
@@ -347,7 +352,7 @@
     fn crash_node(&mut self, node: usize) {
         if self.nodes[node].take().is_some() {
             self.watches.retain(|w| w.node != node);
-            let pause = if self.chance(0.3) { self.between(20, 300) } else { self.between(3000, 6000) };
+            let pause = if self.chance(0.3) { self.random_ms(20, 300) } else { self.random_ms(3000, 6000) };
             self.schedule_in(pause, SimEvent::Start { node });
         }
     }
@@ -356,13 +361,13 @@
         if let Some(at) = self.watches.iter().position(|w| w.id == watch) {
             let watch = self.watches.swap_remove(at);
             let cut = self.node_cut_until[watch.node].max(self.refused_until[watch.node]);
-            let watch_cut = self.cut_of(watch.node, cuts::Link::Watch).is_some();
+            let watch_cut = self.cut_mode_of(watch.node, cuts::Link::Watch).is_some();
             let down = watch_cut || self.now < self.outage_until.max(cut);
             let reply = match down {
                 true => Err(CallError::OutcomeUnknown),
                 false => Ok(self.kv.changes(&watch.prefix, watch.after)),
             };
-            self.reply_state(watch.node, watch.boot, watch.call, reply);
+            self.reply_kv(watch.node, watch.boot, watch.call, reply);
         }
     }
 
@@ -374,8 +379,8 @@
         answered: bool,
     ) {
         let fencing::Actor { node, boot, .. } = actor;
-        self.count_effects(actor, &request);
-        let reply = self.cloud(request);
+        self.count_cloud_effects(actor, &request);
+        let reply = self.handle_cloud_request(request);
         let event =
             Event::CloudReply { call, reply: if answered { reply } else { Err(CallError::OutcomeUnknown) } };
         let pause = if answered { ms(50) } else { secs(3) };
@@ -394,8 +399,8 @@
         let j = &mut self.jobs[job];
         j.submitted = true;
         let (id, spec) = (j.id.clone(), j.spec.clone());
-        self.ask(
-            PendingQuestion::Submit(job),
+        self.send_request(
+            PendingRequest::Submit(job),
             |request| Event::Submit { request, id, job: Ok(spec) },
             SimEvent::Submit { job },
         );
@@ -407,15 +412,15 @@
         }
         let known = self.jobs[job].accepted;
         let id = self.jobs[job].id.clone();
-        self.ask(
-            PendingQuestion::Cancel { job, known },
+        self.send_request(
+            PendingRequest::Cancel { job, known },
             |request| Event::Cancel { request, id },
             SimEvent::Cancel { job },
         );
     }
 
     fn cut_zone(&mut self, zone: &'static str, until: Duration) {
-        self.zone_cut.insert(zone, until);
+        self.zone_cut_until.insert(zone, until);
         for node in (0..3).filter(|n| zone_of(*n) == zone) {
             self.node_cut_until[node] = self.node_cut_until[node].max(until);
         }
@@ -423,9 +428,9 @@
 
     fn submit_at(&mut self, job: usize, node: usize) {
         let (id, spec) = (self.jobs[job].id.clone(), self.jobs[job].spec.clone());
-        self.ask_at(
+        self.send_request_to(
             node,
-            PendingQuestion::Submit(job),
+            PendingRequest::Submit(job),
             |request| Event::Submit { request, id, job: Ok(spec) },
             None,
         );
@@ -433,22 +438,22 @@
 
     /// What follows from time alone, and the checks of the rules.
     fn after_event(&mut self) {
-        self.expire();
-        match self.kv.stamp("lead") {
+        self.expire_leases();
+        match self.kv.mod_revision("lead") {
             Some(token) if token > self.latest_leader.0 => {
                 self.latest_leader = (token, self.now);
                 self.terms += 1;
-                self.inherited_intents += self.records();
-                self.deliver_kept();
-                self.trigger(Trigger::Won);
+                self.inherited_intents += self.open_records();
+                self.deliver_kept_heartbeats();
+                self.trigger(Trigger::LeaderElected);
             }
             _ => {}
         }
         if self.now >= self.last_check_at + self.deployment.check_interval {
             self.last_check_at = self.now;
-            self.check();
-            self.check_waits();
-            self.look_at_urgent_waits();
+            self.check_rules();
+            self.check_waiting_jobs();
+            self.measure_urgent_waits();
         }
     }
 
--- a/crates/plankhead-core/tests/world/faults.rs
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -3,7 +3,7 @@
 use super::deployment::secs;
 use super::events::SimEvent;
 use super::jobs::Job;
-use super::script::OddRequest;
+use super::script::InvalidRequest;
 use super::World;
 use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
 use rand::RngExt;
@@ -36,9 +36,9 @@
     pub worker_partitions: u32,
     pub task_errors: f64,
     /// A cloud that lies: confirmed releases leave the machine running.
-    pub lying_cloud: bool,
+    pub unperformed_releases: bool,
     /// Late copies that lie: they tell of a shift that has not begun.
-    pub lying_copies: bool,
+    pub falsified_duplicates: bool,
     /// Nobody hears the answers to questions about the first job.
     pub unanswered_first_job: bool,
     /// Machines that are taken some seconds after a notice.
@@ -57,7 +57,7 @@
     /// Users ask all nodes within milliseconds of whatever they are told.
     pub immediate_polls: bool,
     /// Odd requests of users.
-    pub odd_requests: u32,
+    pub invalid_requests: u32,
     /// Zones cut off with their machines and nodes, for longer than a lease.
     pub zone_cuts: u32,
     /// Machines are up within two seconds.
@@ -67,12 +67,12 @@
     /// Times at which jobs that run are called off and machines of theirs hang.
     pub cancel_bursts: u32,
     /// All nodes are away for longer than a lease.
-    pub all_nodes_away: u32,
+    pub all_nodes_stopped: u32,
 }
 
 impl Faults {
     /// Some of each that machines, nodes, links and the state service can have.
-    pub fn of_everything() -> Self {
+    pub fn all_kinds() -> Self {
         Self {
             lost_replies: 0.03,
             late_requests: 0.5,
@@ -103,7 +103,7 @@
         }
         self.plan_faults(jobs, span);
         // The longest fault, and what a process needs to be back.
-        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
+        self.faults_over_at = self.now + Duration::from_millis(span) + secs(60 + 6);
     }
 
     /// The n-th job: its kind follows from its number, its size and times from the seed.
@@ -147,8 +147,8 @@
             submitted: false,
             cancelling: false,
             cancelled_at: None,
-            last_answer: None,
-            told_ended_at: Duration::ZERO,
+            last_status: None,
+            ended_reported_at: Duration::ZERO,
             done: BTreeSet::new(),
             runtime_s: runs,
             runtime_spread_s: 0.0,
@@ -163,11 +163,11 @@
             urgent_waiting_since: None,
         };
         self.jobs.push(job);
-        let at = self.between(500, span);
+        let at = self.random_ms(500, span);
         let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
         self.schedule_in(at, SimEvent::Submit { job: n });
         if n % 4 == 1 || n % 24 == 2 {
-            let later = at + self.between(0, 15_000);
+            let later = at + self.random_ms(0, 15_000);
             self.schedule_in(later, SimEvent::Cancel { job: n });
         }
     }
@@ -175,92 +175,93 @@
     fn plan_faults(&mut self, jobs: usize, span: u64) {
         let t = self.faults;
         for _ in 0..t.node_crashes {
-            let (at, node) = (self.between(1000, span), self.rng.random_range(0..3));
+            let (at, node) = (self.random_ms(1000, span), self.rng.random_range(0..3));
             self.schedule_in(at, SimEvent::Crash { node });
         }
         for _ in 0..t.all_nodes_crash {
-            let at = self.between(1000, span);
+            let at = self.random_ms(1000, span);
             for node in 0..3 {
                 self.schedule_in(at, SimEvent::Crash { node });
             }
         }
         for _ in 0..t.kv_outages {
-            let (at, last) = (self.between(1000, span), self.between(3000, 25_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(1000, span), self.random_ms(3000, 25_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::Outage { until });
         }
         for _ in 0..t.kv_refusals {
-            let (at, last, node) =
-                (self.between(1000, span), self.between(3000, 25_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(1000, span), self.random_ms(3000, 25_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::RefuseNode { node, until });
         }
         for _ in 0..t.machine_cuts {
-            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(3000, 40_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutMachine { until });
         }
         for _ in 0..t.machine_hangs {
-            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(3000, 40_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::HangMachine { until });
         }
         for _ in 0..t.node_cuts {
-            let (at, last, node) =
-                (self.between(10_000, span), self.between(15_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(10_000, span), self.random_ms(15_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutNode { node, until });
         }
         for _ in 0..t.machine_deaths {
-            let at = self.between(10_000, span);
+            let at = self.random_ms(10_000, span);
             self.schedule_in(at, SimEvent::KillMachine);
         }
         for _ in 0..t.dropped_responses {
-            let (at, last) = (self.between(10_000, span), self.between(5000, 60_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(5000, 60_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::DropResponses { until });
         }
         for _ in 0..t.cut_from_kv_and_peers {
-            let (at, last, node) =
-                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(5000, span), self.random_ms(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutFromKvAndPeers { node, until });
         }
         for _ in 0..t.worker_partitions {
-            let (at, last, node) =
-                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(5000, span), self.random_ms(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::PartitionWorkers { node, until });
         }
         for _ in 0..t.preemption_notices {
-            let (at, left) = (self.between(5000, span), self.between(5000, 20_000));
-            self.schedule_in(at, SimEvent::PreemptionNotice { left });
+            let (at, notice) = (self.random_ms(5000, span), self.random_ms(5000, 20_000));
+            self.schedule_in(at, SimEvent::PreemptionNotice { notice });
         }
         for _ in 0..t.dropped_heartbeats {
-            let (at, last) = (self.between(5000, span), self.between(5000, 60_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(5000, span), self.random_ms(5000, 60_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::DropHeartbeats { until });
         }
-        for n in 0..t.odd_requests {
-            let (at, job) = (self.between(500, span), self.rng.random_range(0..jobs));
-            let odd = [OddRequest::Malformed, OddRequest::Impossible, OddRequest::Unknown][n as usize % 3];
-            let known = (n % 2 == 0 && !matches!(odd, OddRequest::Unknown)).then_some(job);
-            self.schedule_in(at, SimEvent::SendOddRequest { odd, known });
+        for n in 0..t.invalid_requests {
+            let (at, job) = (self.random_ms(500, span), self.rng.random_range(0..jobs));
+            let invalid = [InvalidRequest::Malformed, InvalidRequest::Impossible, InvalidRequest::Unknown]
+                [n as usize % 3];
+            let known = (n % 2 == 0 && !matches!(invalid, InvalidRequest::Unknown)).then_some(job);
+            self.schedule_in(at, SimEvent::SendInvalidRequest { invalid, known });
         }
         for _ in 0..t.zone_cuts {
-            let at = self.between(5000, span);
-            let until = self.now + at + self.deployment.worker_lease + self.between(1000, 30_000);
+            let at = self.random_ms(5000, span);
+            let until = self.now + at + self.deployment.worker_lease + self.random_ms(1000, 30_000);
             let zone = if self.chance(0.5) { "x" } else { "y" };
             self.schedule_in(at, SimEvent::CutZone { zone, until });
         }
         for _ in 0..t.cancel_bursts {
-            let (at, hang) = (self.between(5000, span), self.between(0, 40_000));
-            self.schedule_in(at, SimEvent::CancelNow { count: 4, hang });
+            let (at, hang) = (self.random_ms(5000, span), self.random_ms(0, 40_000));
+            self.schedule_in(at, SimEvent::CancelRunningJobs { count: 4, hang });
         }
-        for _ in 0..t.all_nodes_away {
-            let at = self.between(5000, span);
-            let last = self.deployment.worker_lease + self.between(1000, 10_000);
-            self.schedule_in(at, SimEvent::StopAllNodes { last });
+        for _ in 0..t.all_nodes_stopped {
+            let at = self.random_ms(5000, span);
+            let duration = self.deployment.worker_lease + self.random_ms(1000, 10_000);
+            self.schedule_in(at, SimEvent::StopAllNodes { duration });
         }
         if t.upgrade {
             for node in 0..3 {
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -23,11 +23,11 @@
 
 /// What the cloud did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Effects {
+pub struct CloudEffects {
     /// Rentals and returns that changed something.
     pub all: u32,
     /// Of these, the ones whose actor held the lease no more.
-    pub of_former: u32,
+    pub by_former_leaders: u32,
     /// Of these, the ones that no open record in the state service names: stale ones.
     pub stale: u32,
     /// Effects without a record, since a rule forced them; and the stale ones of them.
@@ -49,32 +49,32 @@
 impl World {
     /// Pauses a process. `holding`: also what it has decided in this very moment leaves
     /// only when it goes on.
-    pub(super) fn freeze(&mut self, node: usize, last: Duration, holding: bool) {
+    pub(super) fn pause_process(&mut self, node: usize, duration: Duration, holds_effects: bool) {
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
         self.pauses += 1;
-        self.paused_until[node] = self.paused_until[node].max(self.now + last);
-        self.holding[node] = holding;
+        self.paused_until[node] = self.paused_until[node].max(self.now + duration);
+        self.holds_effects[node] = holds_effects;
         self.schedule_in(self.paused_until[node] - self.now, SimEvent::ResumeProcess { node, boot });
     }
 
-    pub(super) fn thaw(&mut self, node: usize, boot: u64) {
+    pub(super) fn resume_process(&mut self, node: usize, boot: u64) {
         if self.now < self.paused_until[node] {
             return;
         }
-        self.holding[node] = false;
+        self.holds_effects[node] = false;
         let batch = std::mem::take(&mut self.backlog[node]);
-        if self.alive(node, boot) {
+        if self.is_running(node, boot) {
             self.step(node, batch);
         }
     }
 
     /// The times that a node's clocks show.
-    pub(super) fn times(&mut self, node: usize) -> StepTime {
+    pub(super) fn clock_times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
         let now = SIM_START + (self.now - SIM_START).mul_f64(rate);
         let jumps = jumps.as_millis() as u64;
-        let jump = if jumps > 0 { self.between(0, jumps) } else { Duration::ZERO };
+        let jump = if jumps > 0 { self.random_ms(0, jumps) } else { Duration::ZERO };
         StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
     }
 
@@ -88,12 +88,12 @@
         let holds = self.kv.value("lead").and_then(|text| serde_json::from_str::<Value>(text).ok());
         let holds = holds
             .is_some_and(|lease| lease["host"] == format!("plank-{node}").as_str() && lease["boot"] == boot);
-        let term = if holds { self.kv.stamp("lead").unwrap_or(0) } else { 0 };
+        let term = if holds { self.kv.mod_revision("lead").unwrap_or(0) } else { 0 };
         Actor { node, boot, term }
     }
 
     /// Counts what the cloud is about to do for an actor.
-    pub(super) fn count_effects(&mut self, actor: Actor, request: &CloudRequest) {
+    pub(super) fn count_cloud_effects(&mut self, actor: Actor, request: &CloudRequest) {
         let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             CloudAction::Rent(rental) => {
@@ -109,27 +109,27 @@
                 there.map(|machine| (machine.as_ref(), false)).collect()
             }
         };
-        let holder = actor.term > 0 && self.kv.stamp("lead") == Some(actor.term);
+        let holder = actor.term > 0 && self.kv.mod_revision("lead") == Some(actor.term);
         let compelled = permitted.basis() == Basis::Compelled;
         let covered: Vec<bool> =
-            subjects.iter().map(|(subject, rental)| self.recorded(subject, *rental)).collect();
+            subjects.iter().map(|(subject, rental)| self.has_open_record(subject, *rental)).collect();
         for covered in covered {
-            self.effects.all += 1;
-            self.effects.compelled += u32::from(compelled);
+            self.cloud_effects.all += 1;
+            self.cloud_effects.compelled += u32::from(compelled);
             if holder {
                 continue;
             }
-            self.effects.of_former += 1;
+            self.cloud_effects.by_former_leaders += 1;
             match (covered, compelled) {
                 (true, _) => {}
-                (false, true) => self.effects.compelled_stale += 1,
-                (false, false) => self.effects.stale += 1,
+                (false, true) => self.cloud_effects.compelled_stale += 1,
+                (false, false) => self.cloud_effects.stale += 1,
             }
         }
     }
 
     /// Whether an open record in the state service names the rental or the machine.
-    fn recorded(&self, subject: &str, rental: bool) -> bool {
+    fn has_open_record(&self, subject: &str, rental: bool) -> bool {
         let pages = self.kv.values("duty/").map(|text| serde_json::from_str::<Value>(text).unwrap());
         let duties = pages.flat_map(|page| page["duties"].as_array().cloned().unwrap_or_default());
         let names = |duty: &Value| match (rental, duty["kind"].as_str()) {
@@ -143,19 +143,19 @@
     }
 
     /// Nobody calls a job off: clocks far beyond their bounds can't keep its time.
-    pub fn without_cancellations(&mut self) {
-        self.happenings.retain(|_, happening| !matches!(happening, SimEvent::Cancel { .. }));
+    pub fn drop_cancellations(&mut self) {
+        self.scheduled_events.retain(|_, event| !matches!(event, SimEvent::Cancel { .. }));
     }
 
     /// Something writes into the state service.
-    pub fn put(&mut self, key: &str, value: &str) {
+    pub fn write_key(&mut self, key: &str, value: &str) {
         let changes = vec![KvChange::Put { key: key.into(), value: value.into(), lease: None }];
         let reply = self.kv.apply(self.now, KvRequest::Txn { conditions: Vec::new(), changes });
         assert!(matches!(reply, Ok(KvReply::Committed { .. })));
     }
 
     /// Open records in the state service.
-    pub fn records(&self) -> usize {
+    pub fn open_records(&self) -> usize {
         let pages = self.kv.values("duty/").filter_map(|text| serde_json::from_str::<Value>(text).ok());
         pages.map(|page| page["duties"].as_array().map_or(0, Vec::len)).sum()
     }
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -9,26 +9,26 @@
 
 /// The attempt of a gang that all its tasks have begun.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct GangRun {
     attempt: u64,
-    began: Duration,
+    started_at: Duration,
     /// When the first task was told to stop, and who was told in time to save.
     stop: Option<(Duration, BTreeSet<u32>)>,
     /// Since when a task of it has been missing.
-    torn: Option<Duration>,
+    member_missing_since: Option<Duration>,
 }
 
 /// How often the tasks of a gang look for each other.
-const LOOK: Duration = ms(250);
+const GANG_CHECK_INTERVAL: Duration = ms(250);
 
 impl World {
     /// The machines on which the tasks of the attempt are in this state and go on.
-    fn mates(&self, job: usize, attempt: u64, states: &[TaskStatus]) -> BTreeMap<u32, MachineName> {
+    fn members(&self, job: usize, attempt: u64, states: &[TaskStatus]) -> BTreeMap<u32, MachineName> {
         let id = &self.jobs[job].id;
         let mut found = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead && self.now >= w.hung_until) {
-            for ((task, number), seen) in &worker.tasks {
-                if task.job == *id && *number == attempt && states.contains(seen) {
+            for ((task, number), status) in &worker.tasks {
+                if task.job == *id && *number == attempt && states.contains(status) {
                     found.insert(task.index, worker.name.clone());
                 }
             }
@@ -37,9 +37,9 @@
     }
 
     /// The leader tells tasks to run: of a gang, no task before all are durably placed.
-    pub(super) fn gang_sent(&mut self, token: u64, commands: &[WorkerCommand]) {
-        for order in commands {
-            let WorkerCommand::Run { task, attempt } = order else { continue };
+    pub(super) fn check_gang_placed(&mut self, token: u64, commands: &[WorkerCommand]) {
+        for command in commands {
+            let WorkerCommand::Run { task, attempt } = command else { continue };
             let job = &mut self.jobs[self.by_id[&task.job]];
             if !job.spec.gang || *attempt <= job.latest_started_attempt || token < self.latest_leader.0 {
                 continue;
@@ -51,33 +51,45 @@
     }
 
     /// A task has its image: it waits, and the gang starts once nobody is missing.
-    pub(super) fn gang_waits(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
+    pub(super) fn wait_for_gang(
+        &mut self,
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    ) {
         let job = self.by_id[&task.job];
         self.schedule_in(
             self.deployment.gang_wait,
             SimEvent::GangTimedOut { machine, task, attempt, incarnation },
         );
-        self.gang_starts(job, attempt);
+        self.start_gang_if_complete(job, attempt);
     }
 
-    fn gang_starts(&mut self, job: usize, attempt: u64) {
-        let waiting = self.mates(job, attempt, &[TaskStatus::WaitingForGang]);
+    fn start_gang_if_complete(&mut self, job: usize, attempt: u64) {
+        let waiting = self.members(job, attempt, &[TaskStatus::WaitingForGang]);
         if (waiting.len() as u32) < self.jobs[job].spec.tasks {
             return;
         }
-        self.set_gang(job, attempt, &waiting, TaskStatus::Running);
+        self.set_gang_status(job, attempt, &waiting, TaskStatus::Running);
         let j = &mut self.jobs[job];
         assert!(j.run.is_none(), "two attempts of {:?} run at once", j.id);
         j.started_at.get_or_insert(self.now);
-        j.run = Some(Run { attempt, began: self.now, stop: None, torn: None });
-        self.schedule_in(LOOK, SimEvent::CheckGang { job, attempt });
+        j.run = Some(GangRun { attempt, started_at: self.now, stop: None, member_missing_since: None });
+        self.schedule_in(GANG_CHECK_INTERVAL, SimEvent::CheckGang { job, attempt });
     }
 
-    fn set_gang(&mut self, job: usize, attempt: u64, mates: &BTreeMap<u32, MachineName>, seen: TaskStatus) {
+    fn set_gang_status(
+        &mut self,
+        job: usize,
+        attempt: u64,
+        members: &BTreeMap<u32, MachineName>,
+        status: TaskStatus,
+    ) {
         let id = self.jobs[job].id.clone();
-        for (index, machine) in mates {
+        for (index, machine) in members {
             if let Some(worker) = self.workers.get_mut(machine) {
-                worker.tasks.insert((TaskId { job: id.clone(), index: *index }, attempt), seen);
+                worker.tasks.insert((TaskId { job: id.clone(), index: *index }, attempt), status);
             }
         }
     }
@@ -85,61 +97,61 @@
     /// Progress up to now, and the last checkpoint at or below it.
     fn progress(&self, job: usize, until: Duration) -> (f64, f64) {
         let j = &self.jobs[job];
-        let ran = j.run.as_ref().map_or(0.0, |r| until.saturating_sub(r.began).as_secs_f64());
+        let ran = j.run.as_ref().map_or(0.0, |r| until.saturating_sub(r.started_at).as_secs_f64());
         let all = j.progress + ran;
         let checkpoint = j.spec.checkpoint_interval_s;
         (all, if checkpoint > 0.0 { (all / checkpoint).floor() * checkpoint } else { 0.0 })
     }
 
     /// What the tasks of a running gang notice of each other.
-    pub(super) fn gang_look(&mut self, job: usize, attempt: u64) {
+    pub(super) fn check_gang(&mut self, job: usize, attempt: u64) {
         let now = self.now;
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
         let (tasks, save, runs) =
             (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runtime_s);
-        let peer = self.deployment.gang_peer;
-        let mates = self.mates(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
-        let whole = mates.len() as u32 == tasks;
+        let peer = self.deployment.gang_peer_timeout;
+        let members = self.members(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
+        let whole = members.len() as u32 == tasks;
         if let Some((first, told)) = &run.stop {
             let saved = told.len() as u32 == tasks && whole;
             let due = now >= *first + Duration::from_secs_f64(save);
             if saved && due {
                 self.jobs[job].progress = self.progress(job, *first).0;
                 self.checkpoints_saved += 1;
-                return self.gang_over(job, attempt, ExitReason::Stopped);
+                return self.end_gang(job, attempt, ExitReason::Stopped);
             }
-            if now >= *first + peer + Duration::from_secs_f64(save) || mates.is_empty() {
+            if now >= *first + peer + Duration::from_secs_f64(save) || members.is_empty() {
                 self.jobs[job].progress = self.progress(job, *first).1;
                 // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
                 self.checkpoints_lost += u32::from((told.len() as u32) < tasks && !self.jobs[job].cancelling);
-                return self.gang_over(job, attempt, ExitReason::GangMemberLost);
+                return self.end_gang(job, attempt, ExitReason::GangMemberLost);
             }
         } else if whole {
-            run.torn = None;
+            run.member_missing_since = None;
             if self.progress(job, now).0 >= runs {
                 for index in 0..tasks {
                     self.jobs[job].done.insert(index);
                 }
-                return self.gang_over(job, attempt, ExitReason::Completed);
+                return self.end_gang(job, attempt, ExitReason::Completed);
             }
         } else {
-            let since = *run.torn.get_or_insert(now);
-            if now >= since + peer || mates.is_empty() {
+            let since = *run.member_missing_since.get_or_insert(now);
+            if now >= since + peer || members.is_empty() {
                 self.jobs[job].progress = self.progress(job, since).1;
-                return self.gang_over(job, attempt, ExitReason::GangMemberLost);
+                return self.end_gang(job, attempt, ExitReason::GangMemberLost);
             }
         }
         self.jobs[job].run = Some(run);
-        self.schedule_in(LOOK, SimEvent::CheckGang { job, attempt });
+        self.schedule_in(GANG_CHECK_INTERVAL, SimEvent::CheckGang { job, attempt });
     }
 
     /// Who hangs notices when it goes on, and ends then, too.
-    fn gang_over(&mut self, job: usize, attempt: u64, cause: ExitReason) {
+    fn end_gang(&mut self, job: usize, attempt: u64, reason: ExitReason) {
         let id = self.jobs[job].id.clone();
         for worker in self.workers.values_mut() {
-            for ((task, number), seen) in &mut worker.tasks {
-                if task.job == id && *number == attempt && !matches!(seen, TaskStatus::Exited(_)) {
-                    *seen = TaskStatus::Exited(cause);
+            for ((task, number), status) in &mut worker.tasks {
+                if task.job == id && *number == attempt && !matches!(status, TaskStatus::Exited(_)) {
+                    *status = TaskStatus::Exited(reason);
                 }
             }
         }
@@ -147,28 +159,35 @@
     }
 
     /// A task of a gang is told to stop: whether it saves.
-    pub(super) fn gang_told(&mut self, task: &TaskId, attempt: u64, leeway: Duration) -> bool {
+    pub(super) fn stop_gang_task(&mut self, task: &TaskId, attempt: u64, grace: Duration) -> bool {
         let now = self.now;
         let job = &mut self.jobs[self.by_id[&task.job]];
         let enough = job.spec.checkpoint_interval_s > 0.0
-            && leeway >= Duration::from_secs_f64(job.spec.checkpoint_duration_s);
-        let Some(run) = job.run.as_mut().filter(|r| r.attempt == attempt && r.torn.is_none()) else {
+            && grace >= Duration::from_secs_f64(job.spec.checkpoint_duration_s);
+        let Some(run) = job.run.as_mut().filter(|r| r.attempt == attempt && r.member_missing_since.is_none())
+        else {
             return false;
         };
         let (first, told) = run.stop.get_or_insert((now, BTreeSet::new()));
-        if enough && now <= *first + self.deployment.gang_peer {
+        if enough && now <= *first + self.deployment.gang_peer_timeout {
             told.insert(task.index);
         }
         enough
     }
 
-    pub(super) fn incomplete(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
+    pub(super) fn gang_wait_timed_out(
+        &mut self,
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    ) {
         let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
         else {
             return;
         };
-        if let Some(seen @ TaskStatus::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
-            *seen = TaskStatus::Exited(ExitReason::GangIncomplete);
+        if let Some(status @ TaskStatus::WaitingForGang) = worker.tasks.get_mut(&(task, attempt)) {
+            *status = TaskStatus::Exited(ExitReason::GangIncomplete);
         }
     }
 }
--- a/crates/plankhead-core/tests/world/jobs.rs
+++ b/crates/plankhead-core/tests/world/jobs.rs
@@ -15,9 +15,9 @@
     pub submitted: bool,
     pub cancelling: bool,
     pub cancelled_at: Option<Duration>,
-    pub last_answer: Option<JobStatus>,
+    pub last_status: Option<JobStatus>,
     /// When the user first heard that it is over.
-    pub(super) told_ended_at: Duration,
+    pub(super) ended_reported_at: Duration,
     pub done: BTreeSet<u32>,
     pub runtime_s: f64,
     /// How much longer than the first its last task runs.
@@ -26,7 +26,7 @@
     pub(super) ran_when_cancelled: bool,
     /// Of a gang: what is saved, in seconds, and the attempt that runs.
     pub(super) progress: f64,
-    pub(super) run: Option<gang::Run>,
+    pub(super) run: Option<gang::GangRun>,
     /// The latest attempt of which a task was told to run.
     pub(super) latest_started_attempt: u64,
     /// When a question about it was last answered.
@@ -42,6 +42,6 @@
 
 impl Job {
     pub fn has_ended(&self) -> bool {
-        matches!(self.last_answer, Some(JobStatus::Done | JobStatus::Cancelled))
+        matches!(self.last_status, Some(JobStatus::Done | JobStatus::Cancelled))
     }
 }
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -6,32 +6,32 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-struct Value {
+struct StoredValue {
     text: String,
-    stamp: u64,
-    hold: Option<u64>,
+    mod_revision: u64,
+    lease: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 pub struct Kv {
-    keys: BTreeMap<String, Value>,
-    epoch: u64,
+    keys: BTreeMap<String, StoredValue>,
+    revision: u64,
     log: Vec<(u64, WatchEvent)>,
-    grants: HashMap<u64, (Duration, Duration)>,
-    last_grant: u64,
+    leases: HashMap<u64, (Duration, Duration)>,
+    last_lease: u64,
     /// Some node has the version before: it must be able to read all that is stored.
-    pub mixed: bool,
+    pub mixed_versions: bool,
     /// What may be written, in bytes a value and changes a transaction.
     limits: Option<(usize, usize)>,
 }
 
 impl Kv {
-    pub fn new(mixed: bool) -> Self {
-        Self { mixed, ..Self::default() }
+    pub fn new(mixed_versions: bool) -> Self {
+        Self { mixed_versions, ..Self::default() }
     }
 
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     pub fn count(&self, prefix: &str) -> usize {
@@ -39,8 +39,8 @@
     }
 
     /// The stamp of a key, if it is there.
-    pub fn stamp(&self, key: &str) -> Option<u64> {
-        self.keys.get(key).map(|v| v.stamp)
+    pub fn mod_revision(&self, key: &str) -> Option<u64> {
+        self.keys.get(key).map(|v| v.mod_revision)
     }
 
     pub fn value(&self, key: &str) -> Option<&str> {
@@ -56,7 +56,7 @@
     /// Keys that begin so, with their values and revisions.
     pub fn rows(&self, prefix: &str) -> Vec<(String, String, u64)> {
         let here = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
-        here.map(|(key, v)| (key.clone(), v.text.clone(), v.stamp)).collect()
+        here.map(|(key, v)| (key.clone(), v.text.clone(), v.mod_revision)).collect()
     }
 
     /// How many tasks of the job have a placement in this attempt.
@@ -73,7 +73,7 @@
             KvRequest::Get { key } => KvReply::Value(self.keys.get(&key).map(|v| KeyValue {
                 key,
                 value: v.text.clone(),
-                mod_revision: v.stamp,
+                mod_revision: v.mod_revision,
             })),
             KvRequest::List { prefix, after } => {
                 let from = after.unwrap_or_default();
@@ -81,27 +81,31 @@
                     .keys
                     .iter()
                     .filter(|(k, _)| k.starts_with(&prefix) && **k > from)
-                    .map(|(k, v)| KeyValue { key: k.clone(), value: v.text.clone(), mod_revision: v.stamp })
+                    .map(|(k, v)| KeyValue {
+                        key: k.clone(),
+                        value: v.text.clone(),
+                        mod_revision: v.mod_revision,
+                    })
                     .collect();
                 let truncated = rows.len() > 20;
                 rows.truncate(20);
-                KvReply::Page { rows, truncated, revision: self.epoch }
+                KvReply::Page { rows, truncated, revision: self.revision }
             }
             KvRequest::Txn { conditions, changes } => return self.txn(conditions, changes),
-            KvRequest::GrantLease { ttl: life } => {
-                self.last_grant += 1;
-                self.grants.insert(self.last_grant, (life, now + life));
-                KvReply::LeaseGranted { lease: self.last_grant }
+            KvRequest::GrantLease { ttl } => {
+                self.last_lease += 1;
+                self.leases.insert(self.last_lease, (ttl, now + ttl));
+                KvReply::LeaseGranted { lease: self.last_lease }
             }
-            KvRequest::RenewLease { lease: hold } => match self.grants.get_mut(&hold) {
-                Some((life, until)) => {
-                    *until = now + *life;
+            KvRequest::RenewLease { lease } => match self.leases.get_mut(&lease) {
+                Some((ttl, until)) => {
+                    *until = now + *ttl;
                     KvReply::LeaseRenewed
                 }
                 None => KvReply::NoSuchLease,
             },
-            KvRequest::RevokeLease { lease: hold } => {
-                self.end(hold);
+            KvRequest::RevokeLease { lease } => {
+                self.revoke(lease);
                 KvReply::LeaseRenewed
             }
             KvRequest::Watch { prefix, after, .. } => self.changes(&prefix, after),
@@ -109,13 +113,13 @@
     }
 
     /// From now on less is taken.
-    pub fn lower(&mut self) {
+    pub fn lower_limits(&mut self) {
         self.limits = Some((1024, 4));
     }
 
     fn txn(&mut self, conditions: Vec<Condition>, changes: Vec<KvChange>) -> Result<KvReply, CallError> {
         let unknown =
-            |c: &KvChange| matches!(c, KvChange::Put { lease: Some(h), .. } if !self.grants.contains_key(h));
+            |c: &KvChange| matches!(c, KvChange::Put { lease: Some(h), .. } if !self.leases.contains_key(h));
         if changes.iter().any(unknown) {
             return Ok(KvReply::NoSuchLease);
         }
@@ -124,71 +128,78 @@
         if changes.len() > txn_ops || changes.iter().any(|c| size(c) > value_bytes) {
             panic!("a transaction over the limits");
         }
-        let stamp = |k: &str| self.keys.get(k).map_or(0, |v| v.stamp);
-        let failed: Vec<String> =
-            conditions.iter().filter(|c| stamp(&c.key) != c.mod_revision).map(|c| c.key.clone()).collect();
+        let mod_revision = |k: &str| self.keys.get(k).map_or(0, |v| v.mod_revision);
+        let failed: Vec<String> = conditions
+            .iter()
+            .filter(|c| mod_revision(&c.key) != c.mod_revision)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return Ok(KvReply::Conflict { failed });
         }
         assert!(conditions.len() <= 4 * txn_ops, "a transaction over the limits");
-        self.epoch += 1;
+        self.revision += 1;
         for change in changes {
             match change {
-                KvChange::Put { key, value, lease: hold } => {
-                    assert!(!self.mixed || before::reads(&key, &value), "older nodes misread {key}: {value}");
-                    let row = KeyValue { key: key.clone(), value: value.clone(), mod_revision: self.epoch };
-                    self.log.push((self.epoch, WatchEvent::Put(row)));
-                    self.keys.insert(key, Value { text: value, stamp: self.epoch, hold });
+                KvChange::Put { key, value, lease } => {
+                    assert!(
+                        !self.mixed_versions || before::reads(&key, &value),
+                        "older nodes misread {key}: {value}"
+                    );
+                    let row =
+                        KeyValue { key: key.clone(), value: value.clone(), mod_revision: self.revision };
+                    self.log.push((self.revision, WatchEvent::Put(row)));
+                    self.keys.insert(key, StoredValue { text: value, mod_revision: self.revision, lease });
                 }
-                KvChange::Delete { key } => self.drop_key(key),
+                KvChange::Delete { key } => self.delete_key(key),
             }
         }
-        Ok(KvReply::Committed { revision: self.epoch })
+        Ok(KvReply::Committed { revision: self.revision })
     }
 
-    fn drop_key(&mut self, key: String) {
+    fn delete_key(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            self.log.push((self.epoch, WatchEvent::Delete { key, revision: self.epoch }));
+            self.log.push((self.revision, WatchEvent::Delete { key, revision: self.revision }));
         }
     }
 
-    fn end(&mut self, hold: u64) {
-        self.grants.remove(&hold);
+    fn revoke(&mut self, lease: u64) {
+        self.leases.remove(&lease);
         let held: Vec<String> =
-            self.keys.iter().filter(|(_, v)| v.hold == Some(hold)).map(|(k, _)| k.clone()).collect();
+            self.keys.iter().filter(|(_, v)| v.lease == Some(lease)).map(|(k, _)| k.clone()).collect();
         if !held.is_empty() {
-            self.epoch += 1;
+            self.revision += 1;
         }
         for key in held {
-            self.drop_key(key);
+            self.delete_key(key);
         }
     }
 
     /// Grants run out; true if some did.
-    pub fn expire(&mut self, now: Duration) -> bool {
+    pub fn expire_leases(&mut self, now: Duration) -> bool {
         let over: Vec<u64> =
-            self.grants.iter().filter(|(_, (_, until))| *until <= now).map(|(h, _)| *h).collect();
-        for hold in &over {
-            self.end(*hold);
+            self.leases.iter().filter(|(_, (_, until))| *until <= now).map(|(h, _)| *h).collect();
+        for lease in &over {
+            self.revoke(*lease);
         }
         !over.is_empty()
     }
 
     /// During an outage no grant runs out, and each has its full time after.
-    pub fn postpone(&mut self, now: Duration) {
-        for (life, until) in self.grants.values_mut() {
-            *until = now + *life;
+    pub fn extend_leases(&mut self, now: Duration) {
+        for (ttl, until) in self.leases.values_mut() {
+            *until = now + *ttl;
         }
     }
 
-    pub fn news(&self, prefix: &str, after: u64) -> bool {
+    pub fn has_changes(&self, prefix: &str, after: u64) -> bool {
         self.log.iter().rev().take_while(|(at, _)| *at > after).any(|(_, e)| matches(e, prefix))
     }
 
     pub fn changes(&self, prefix: &str, after: u64) -> KvReply {
         let events =
             self.log.iter().filter(|(at, e)| *at > after && matches(e, prefix)).map(|(_, e)| e.clone());
-        KvReply::Events { revision: self.epoch, events: events.collect() }
+        KvReply::Events { revision: self.revision, events: events.collect() }
     }
 }
 
--- a/crates/plankhead-core/tests/world/requests.rs
+++ b/crates/plankhead-core/tests/world/requests.rs
@@ -2,14 +2,14 @@
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
-use super::script::OddRequest;
+use super::script::InvalidRequest;
 use super::World;
 use plankhead_core::protocol::{CallId, Event, Heartbeat, MachineName, RequestId};
 use rand::RngExt;
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-pub(super) enum PendingQuestion {
+pub(super) enum PendingRequest {
     Submit(usize),
     Poll(usize),
     /// `known`: the job was accepted when the user asked.
@@ -17,8 +17,8 @@
         job: usize,
         known: bool,
     },
-    SendOddRequest {
-        odd: OddRequest,
+    SendInvalidRequest {
+        invalid: InvalidRequest,
         known: Option<usize>,
     },
     Heartbeat {
@@ -45,36 +45,36 @@
 }
 
 impl World {
-    pub(super) fn copy_to(&mut self, node: usize, report: Heartbeat) {
+    pub(super) fn deliver_duplicate(&mut self, node: usize, heartbeat: Heartbeat) {
         if let Some((boot, _)) = &self.nodes[node] {
             let boot = *boot;
             self.last_request += 1;
-            let event = Event::Heartbeat { request: self.last_request, heartbeat: report, relayed: false };
+            let event = Event::Heartbeat { request: self.last_request, heartbeat, relayed: false };
             self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
-    pub(super) fn alive(&self, node: usize, boot: u64) -> bool {
+    pub(super) fn is_running(&self, node: usize, boot: u64) -> bool {
         self.nodes[node].as_ref().is_some_and(|(b, _)| *b == boot)
     }
 
     /// Puts a user's or worker's request to a random living node; `again` is
     /// what the user does if nobody answers.
-    pub(super) fn ask(
+    pub(super) fn send_request(
         &mut self,
-        question: PendingQuestion,
+        pending_request: PendingRequest,
         event: impl FnOnce(RequestId) -> Event,
         again: SimEvent,
     ) {
         let node = self.rng.random_range(0..3);
-        self.ask_at(node, question, event, Some(again));
+        self.send_request_to(node, pending_request, event, Some(again));
     }
 
     /// The same of a certain node; without `again` the user leaves it at that.
-    pub(super) fn ask_at(
+    pub(super) fn send_request_to(
         &mut self,
         node: usize,
-        question: PendingQuestion,
+        pending_request: PendingRequest,
         event: impl FnOnce(RequestId) -> Event,
         again: Option<SimEvent>,
     ) {
@@ -88,7 +88,7 @@
         let boot = *boot;
         self.last_request += 1;
         let request = self.last_request;
-        self.questions.insert((node, boot, request), (self.now, question));
+        self.pending_requests.insert((node, boot, request), (self.now, pending_request));
         self.step(node, vec![event(request)]);
         if let Some(again) = again.map(Box::new) {
             self.schedule_in(secs(3), SimEvent::RetryUnanswered { node, boot, request, again });
@@ -100,14 +100,14 @@
         if now < self.paused_until[node] {
             return self.backlog[node].extend(batch);
         }
-        let times = self.times(node);
+        let times = self.clock_times(node);
         let Some((boot, core)) = &mut self.nodes[node] else { return };
         let boot = *boot;
         core.set_timer_lag(self.timer_lag);
         let effects = core.step(times, batch);
         self.trace.absorb(now, node, &effects);
-        let question = core.next_wake(times.now);
-        let wake = if self.on_demand { self.true_time(node, question) } else { now + ms(100) };
+        let next_wake = core.next_wake(times.now);
+        let wake = if self.on_demand { self.true_time(node, next_wake) } else { now + ms(100) };
         let due = self.next_wakes[node] <= now;
         if due || (self.on_demand && wake < self.next_wakes[node]) {
             self.next_wakes[node] = wake;
@@ -115,7 +115,7 @@
         }
         let actor = self.actor(node, boot);
         for effect in effects {
-            if self.holding[node] && now < self.paused_until[node] {
+            if self.holds_effects[node] && now < self.paused_until[node] {
                 let effect = Box::new(effect);
                 self.schedule_in(self.paused_until[node] - now, SimEvent::Perform { actor, effect });
             } else {
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -4,7 +4,7 @@
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
 use super::jobs::Job;
-use super::requests::PendingQuestion;
+use super::requests::PendingRequest;
 use super::worker::Worker;
 use super::{cuts, World, SIM_START};
 use plankhead_core::jobs::job::{JobId, Priority};
@@ -19,15 +19,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trigger {
     /// A node has won the leader's key.
-    Won,
+    LeaderElected,
     /// The leader told a worker to run something.
     RunSent,
     /// The leader told a worker to end something.
     KillSent,
     /// The state service wrote placements.
-    Placed,
+    PlacementsWritten,
     /// The state service wrote that a job is done.
-    Finished,
+    JobDoneWritten,
     /// A user heard that the job is accepted.
     Accepted,
     /// A user heard that the job is cancelled.
@@ -37,11 +37,11 @@
     /// The state service wrote a record of duties.
     DutyWritten,
     /// A leader asks the cloud for what can't be taken back.
-    CloudCalled,
+    CloudActionSent,
     /// The state service wrote that a shard is to move.
-    MoveBegun,
+    MoveStarted,
     /// The state service wrote who holds a shard.
-    HolderNamed,
+    HolderAssigned,
 }
 
 /// A moment, how many more of them until it counts, and what happens so long after.
@@ -51,24 +51,24 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// The state service refuses it alone.
-    Refuse(Duration),
+    RefuseKv(Duration),
     /// It loses the state service and the other nodes, not its workers or users.
-    Adrift(Duration),
+    CutFromKvAndPeers(Duration),
     /// It is paused.
-    Freeze(Duration),
+    Pause(Duration),
     /// It is paused with what it has just decided unsent.
-    FreezeHolding(Duration),
+    PauseBeforeSending(Duration),
     /// It loses the network.
-    Cut(Duration),
+    CutNetwork(Duration),
     /// Some of its links fail.
     CutLinks(&'static [cuts::Link], cuts::CutMode, Duration),
     /// It ends and is back after this time.
-    End(Duration),
+    Restart(Duration),
 }
 
 /// A user's odd request, and what may be answered beside "later".
 #[derive(Debug, Clone, Copy)]
-pub enum OddRequest {
+pub enum InvalidRequest {
     Malformed,
     Impossible,
     Unknown,
@@ -76,26 +76,26 @@
 
 /// A start is counted against a command given so long after a confirmed cancellation:
 /// a leader hears of it within a watch, or notices that it hears nothing.
-const UNSEEN: Duration = ms(3000);
+const CANCEL_NOTICE_DELAY: Duration = ms(3000);
 
 /// How often the waits of urgent tasks are looked at.
-const URGENT_LOOK: Duration = ms(100);
+const URGENT_CHECK_INTERVAL: Duration = ms(100);
 
 /// Who could run the waiting task may be left idle for so long once troubles are over.
 const MAX_WAIT: Duration = secs(90);
 
 impl World {
     /// Has something happen when the moment comes for the `nth` time.
-    pub fn when(&mut self, moment: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
+    pub fn on_trigger(&mut self, moment: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
         self.scripts.push((moment, nth, then));
     }
 
     /// Has something happen at a time of the history.
-    pub fn schedule_at(&mut self, at: Duration, happening: SimEvent) {
-        self.schedule_in(at, happening);
+    pub fn schedule_at(&mut self, at: Duration, event: SimEvent) {
+        self.schedule_in(at, event);
     }
 
-    pub(super) fn duty_sent(&mut self, request: &KvRequest) {
+    pub(super) fn trigger_on_duty_write(&mut self, request: &KvRequest) {
         let KvRequest::Txn { changes, .. } = request else { return };
         let duty =
             |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
@@ -114,27 +114,27 @@
                 }
             }
         }
-        for (after, happening) in due {
+        for (after, event) in due {
             // Between a decision and its call there is no later moment.
-            if let (true, SimEvent::FaultLeader(blow @ Fault::FreezeHolding(_))) =
-                (after.is_zero(), &happening)
+            if let (true, SimEvent::FaultLeader(fault @ Fault::PauseBeforeSending(_))) =
+                (after.is_zero(), &event)
             {
-                self.fault_leader(*blow);
+                self.fault_leader(*fault);
                 continue;
             }
-            self.schedule_in(after, happening);
+            self.schedule_in(after, event);
         }
     }
 
     /// What the leader tells its workers.
     pub(super) fn check_commands(&mut self, token: u64, commands: &[WorkerCommand]) {
-        self.gang_sent(token, commands);
-        for order in commands {
-            match order {
+        self.check_gang_placed(token, commands);
+        for command in commands {
+            match command {
                 WorkerCommand::Run { task, attempt } => {
                     let job = &self.jobs[self.by_id[&task.job]];
                     let killed = |o: &WorkerCommand| matches!(o, WorkerCommand::Kill { task: t, attempt: n, .. } if t == task && n == attempt);
-                    let late = job.cancelled_at.is_some_and(|at| self.now > at + UNSEEN);
+                    let late = job.cancelled_at.is_some_and(|at| self.now > at + CANCEL_NOTICE_DELAY);
                     assert!(
                         !late || commands.iter().any(killed),
                         "ran_cancelled: {task:?} is told to run under {token} at {:?}, cancelled at {:?}",
@@ -155,44 +155,48 @@
             let KvChange::Put { key, value, .. } = change else { continue };
             if key.starts_with("duty/") {
                 let holder = key.split('/').nth(1).and_then(|token| token.parse().ok());
-                assert_eq!(self.kv.stamp("lead"), holder, "{key} was written without its holder's lease");
+                assert_eq!(
+                    self.kv.mod_revision("lead"),
+                    holder,
+                    "{key} was written without its holder's lease"
+                );
                 self.trigger(Trigger::DutyWritten);
             } else if key.starts_with("shard/") {
-                self.record_written(key, value);
+                self.shard_record_written(key, value);
             } else if key.starts_with("run/") {
-                self.trigger(Trigger::Placed);
+                self.trigger(Trigger::PlacementsWritten);
             } else if key.starts_with("job/") && value.contains("\"phase\":\"done\"") {
-                self.trigger(Trigger::Finished);
+                self.trigger(Trigger::JobDoneWritten);
             }
         }
     }
 
-    pub(super) fn fault_leader(&mut self, blow: Fault) {
+    pub(super) fn fault_leader(&mut self, fault: Fault) {
         if let Some(node) = self.leader() {
-            self.apply_fault(node, blow);
+            self.apply_fault(node, fault);
         }
     }
 
-    pub(super) fn apply_fault(&mut self, node: usize, blow: Fault) {
+    pub(super) fn apply_fault(&mut self, node: usize, fault: Fault) {
         let now = self.now;
-        match blow {
-            Fault::Refuse(last) => self.refused_until[node] = now + last,
-            Fault::Adrift(last) => {
-                self.refused_until[node] = now + last;
-                self.alone_until[node] = now + last;
+        match fault {
+            Fault::RefuseKv(duration) => self.refused_until[node] = now + duration,
+            Fault::CutFromKvAndPeers(duration) => {
+                self.refused_until[node] = now + duration;
+                self.peers_cut_until[node] = now + duration;
             }
-            Fault::Freeze(last) => self.freeze(node, last, false),
-            Fault::FreezeHolding(last) => self.freeze(node, last, true),
-            Fault::Cut(last) => self.node_cut_until[node] = now + last,
-            Fault::CutLinks(links, how, last) => {
+            Fault::Pause(duration) => self.pause_process(node, duration, false),
+            Fault::PauseBeforeSending(duration) => self.pause_process(node, duration, true),
+            Fault::CutNetwork(duration) => self.node_cut_until[node] = now + duration,
+            Fault::CutLinks(links, how, duration) => {
                 for link in links {
-                    self.cut_link(cuts::LinkCut { node, link: *link, how, until: now + last });
+                    self.cut_link(cuts::LinkCut { node, link: *link, how, until: now + duration });
                 }
             }
-            Fault::End(last) => {
+            Fault::Restart(duration) => {
                 if self.nodes[node].take().is_some() {
                     self.watches.retain(|w| w.node != node);
-                    self.schedule_in(last, SimEvent::Start { node });
+                    self.schedule_in(duration, SimEvent::Start { node });
                 }
             }
         }
@@ -206,10 +210,10 @@
     }
 
     /// All nodes end, and are back after this time.
-    pub(super) fn away(&mut self, last: Duration) {
+    pub(super) fn stop_all_nodes(&mut self, duration: Duration) {
         for node in 0..3 {
             if self.nodes[node].take().is_some() {
-                self.schedule_in(last, SimEvent::Start { node });
+                self.schedule_in(duration, SimEvent::Start { node });
             }
         }
         self.watches.clear();
@@ -217,7 +221,7 @@
 
     /// Users call off jobs that run, within a fifth of a second; machines of theirs
     /// hang at that moment.
-    pub(super) fn cancel_now(&mut self, count: usize, hang: Duration) {
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: Duration) {
         let runs = |j: &Job| {
             let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == j.id);
             j.accepted && !j.cancelling && !j.has_ended() && self.workers.values().any(here)
@@ -225,7 +229,7 @@
         let jobs: Vec<usize> = (0..self.jobs.len()).filter(|n| runs(&self.jobs[*n])).take(count).collect();
         let ids: Vec<JobId> = jobs.iter().map(|n| self.jobs[*n].id.clone()).collect();
         for job in jobs {
-            let within = self.between(0, 200);
+            let within = self.random_ms(0, 200);
             self.schedule_in(within, SimEvent::Cancel { job });
         }
         let until = self.now + hang;
@@ -236,18 +240,18 @@
     }
 
     /// Copies kept for the next leader reach every node.
-    pub(super) fn deliver_kept(&mut self) {
-        for report in std::mem::take(&mut self.kept_heartbeats) {
-            let late = self.between(0, 1500);
+    pub(super) fn deliver_kept_heartbeats(&mut self) {
+        for heartbeat in std::mem::take(&mut self.kept_heartbeats) {
+            let late = self.random_ms(0, 1500);
             for node in 0..3 {
-                self.schedule_in(late, SimEvent::DuplicateHeartbeatTo { node, heartbeat: report.clone() });
+                self.schedule_in(late, SimEvent::DuplicateHeartbeatTo { node, heartbeat: heartbeat.clone() });
             }
         }
     }
 
     /// Users ask every node within milliseconds, some repeat the submission, and some
     /// call off what was accepted just now.
-    pub(super) fn look_closely(&mut self, job: usize, status: JobStatus) {
+    pub(super) fn poll_all_nodes(&mut self, job: usize, status: JobStatus) {
         if !self.faults.immediate_polls {
             return;
         }
@@ -257,13 +261,13 @@
             }
             self.schedule_in(ms(2 + node as u64), SimEvent::SubmitAt { job, node });
         }
-        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].last_answer.is_none() {
+        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].last_status.is_none() {
             self.schedule_in(ms(3), SimEvent::Cancel { job });
         }
     }
 
     /// Submissions that can't be taken, and questions about jobs that nobody knows.
-    pub(super) fn ask_oddly(&mut self, odd: OddRequest, known: Option<usize>) {
+    pub(super) fn send_invalid_request(&mut self, invalid: InvalidRequest, known: Option<usize>) {
         let node = self.rng.random_range(0..3);
         let job = known.unwrap_or(0);
         let id = match known {
@@ -273,40 +277,50 @@
         let accepted = known.is_some_and(|j| self.jobs[j].accepted);
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
-        let event = |request| match odd {
-            OddRequest::Malformed => {
+        let event = |request| match invalid {
+            InvalidRequest::Malformed => {
                 Event::Submit { request, id, job: Err(SpecRejection::Malformed("a field is missing".into())) }
             }
-            OddRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
-            OddRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
-            OddRequest::Unknown => Event::Cancel { request, id },
+            InvalidRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
+            InvalidRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
+            InvalidRequest::Unknown => Event::Cancel { request, id },
         };
-        let question = PendingQuestion::SendOddRequest { odd, known: known.filter(|_| accepted) };
-        self.ask_at(node, question, event, None);
+        let pending_request =
+            PendingRequest::SendInvalidRequest { invalid, known: known.filter(|_| accepted) };
+        self.send_request_to(node, pending_request, event, None);
     }
 
-    pub(super) fn odd_answered(&mut self, odd: OddRequest, known: Option<usize>, answer: Response) {
-        match (odd, known, answer) {
+    pub(super) fn check_invalid_request_response(
+        &mut self,
+        invalid: InvalidRequest,
+        known: Option<usize>,
+        response: Response,
+    ) {
+        match (invalid, known, response) {
             (_, _, Response::Unavailable { .. }) => {}
             // A known id is answered with the job's state, whatever else was sent.
-            (OddRequest::Malformed | OddRequest::Impossible, Some(job), Response::Job { status, .. }) => {
-                self.tell(job, status);
+            (
+                InvalidRequest::Malformed | InvalidRequest::Impossible,
+                Some(job),
+                Response::Job { status, .. },
+            ) => {
+                self.record_status(job, status);
             }
-            (OddRequest::Malformed, None, Response::BadRequest(_)) => {}
-            (OddRequest::Impossible, None, Response::Unprocessable(_)) => {}
-            (OddRequest::Unknown, None, Response::NotFound) => {}
-            (odd, known, answer) => panic!("{odd:?} of {known:?} gets {answer:?}"),
+            (InvalidRequest::Malformed, None, Response::BadRequest(_)) => {}
+            (InvalidRequest::Impossible, None, Response::Unprocessable(_)) => {}
+            (InvalidRequest::Unknown, None, Response::NotFound) => {}
+            (invalid, known, response) => panic!("{invalid:?} of {known:?} gets {response:?}"),
         }
     }
 
     /// Once troubles are over, no job waits while a machine that fits has room and its
     /// team may use it.
-    pub(super) fn check_waits(&mut self) {
-        if self.now < self.calm_at {
+    pub(super) fn check_waiting_jobs(&mut self) {
+        if self.now < self.faults_over_at {
             return;
         }
         let now = self.now;
-        for (n, waiting) in self.waits() {
+        for (n, waiting) in self.waiting_jobs() {
             let job = &mut self.jobs[n];
             if !waiting {
                 job.waiting_since = None;
@@ -318,33 +332,33 @@
     }
 
     /// How long urgent tasks wait although a machine has room.
-    pub(super) fn look_at_urgent_waits(&mut self) {
-        if self.now < self.urgent_look {
+    pub(super) fn measure_urgent_waits(&mut self) {
+        if self.now < self.next_urgent_check {
             return;
         }
         let now = self.now;
-        self.urgent_look = now + URGENT_LOOK;
-        for (n, waiting) in self.waits() {
+        self.next_urgent_check = now + URGENT_CHECK_INTERVAL;
+        for (n, waiting) in self.waiting_jobs() {
             let job = &mut self.jobs[n];
             if job.spec.priority < Priority::Urgent || !waiting {
                 job.urgent_waiting_since = None;
                 continue;
             }
             let since = *job.urgent_waiting_since.get_or_insert(now);
-            self.urgent_wait = self.urgent_wait.max(now - since);
+            self.longest_urgent_wait = self.longest_urgent_wait.max(now - since);
         }
     }
 
     /// Which jobs have tasks that could run on a machine that has room.
-    fn waits(&self) -> Vec<(usize, bool)> {
+    fn waiting_jobs(&self) -> Vec<(usize, bool)> {
         let now = self.now;
         let mut used: HashMap<&str, f64> = HashMap::new();
         let mut room: Vec<(&Worker, f64)> = Vec::new();
         let mut on: BTreeSet<&TaskId> = BTreeSet::new();
         for worker in self.workers.values().filter(|w| w.is_up(now) && !w.faulty) {
             let mut free = 8.0;
-            for ((task, _), seen) in &worker.tasks {
-                if !matches!(seen, TaskStatus::Exited(_)) {
+            for ((task, _), status) in &worker.tasks {
+                if !matches!(status, TaskStatus::Exited(_)) {
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
                     free -= spec.demand.cpus;
                     *used.entry(&spec.team).or_default() += spec.demand.cpus;
