--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -3,7 +3,7 @@
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
-use super::requests::PendingQuestion;
+use super::requests::PendingRequest;
 use super::script::Trigger;
 use super::{cuts, World, SIM_START};
 use plankhead_core::protocol::{
@@ -34,12 +34,12 @@
     /// Until when it can't open connections to any node.
     pub heartbeats_dropped_until: Duration,
     /// When the cloud takes it away.
-    pub taken_at: Option<Duration>,
+    pub preempted_at: Option<Duration>,
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
     /// When the last answered report was sent; the lease ends so long after.
-    pub leased_at: Duration,
+    pub lease_renewed_at: Duration,
     lease: Duration,
     pub tasks: BTreeMap<(TaskId, u64), TaskStatus>,
     pub node: usize,
@@ -63,16 +63,17 @@
     }
 
     /// A hanging worker notices only when it goes on.
-    pub fn expire(&mut self, now: Duration) {
-        if self.dead || now < self.hung_until || now < self.up_at || now <= self.leased_at + self.lease {
+    pub fn expire_lease(&mut self, now: Duration) {
+        if self.dead || now < self.hung_until || now < self.up_at || now <= self.lease_renewed_at + self.lease
+        {
             return;
         }
         self.tasks.clear();
         self.incarnation += 1;
-        self.leased_at = now;
+        self.lease_renewed_at = now;
     }
 
-    fn report(&mut self, now: Duration) -> Heartbeat {
+    fn heartbeat(&mut self, now: Duration) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -83,14 +84,14 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            preemption_notice: self.taken_at.map(|at| at.saturating_sub(now)),
+            preemption_notice: self.preempted_at.map(|at| at.saturating_sub(now)),
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), seen)| ReportedTask {
+                .map(|((task, attempt), status)| ReportedTask {
                     task: task.clone(),
                     attempt: *attempt,
-                    status: *seen,
+                    status: *status,
                 })
                 .collect(),
         }
@@ -100,7 +101,7 @@
 impl World {
     // ----- the cloud -----
 
-    pub(super) fn cloud(&mut self, request: CloudRequest) -> Result<CloudReply, CallError> {
+    pub(super) fn handle_cloud_request(&mut self, request: CloudRequest) -> Result<CloudReply, CallError> {
         Ok(match request {
             CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![MachineType {
                 name: "r".into(),
@@ -120,10 +121,11 @@
                 let now = self.now;
                 let from = |w: &&Worker| after.as_ref().is_none_or(|a| w.name > *a);
                 // Machines that were taken are listed no more; others that ended stay listed.
-                let there = |w: &&Worker| w.taken_at.is_none() || w.died_at.is_none_or(|at| now < at + lag);
+                let there =
+                    |w: &&Worker| w.preempted_at.is_none() || w.died_at.is_none_or(|at| now < at + lag);
                 let known = self.workers.values().filter(|w| w.rented_at + lag <= now).filter(there);
-                let seen = known.filter(from);
-                let mut hosts: Vec<Instance> = seen
+                let listed = known.filter(from);
+                let mut hosts: Vec<Instance> = listed
                     .map(|w| Instance {
                         name: w.name.clone(),
                         address: format!("at-{}", w.name).into(),
@@ -142,11 +144,11 @@
                 hosts.truncate(self.deployment.inventory_page);
                 CloudReply::Instances { instances: hosts, truncated }
             }
-            CloudRequest::Execute(permitted) => return self.act(permitted.action().clone()),
+            CloudRequest::Execute(permitted) => return self.execute_action(permitted.action().clone()),
         })
     }
 
-    fn act(&mut self, action: CloudAction) -> Result<CloudReply, CallError> {
+    fn execute_action(&mut self, action: CloudAction) -> Result<CloudReply, CallError> {
         Ok(match action {
             CloudAction::Rent(Rental { name, zone, spot, count, .. }) => {
                 if let Some(hosts) = self.rentals.get(&name) {
@@ -162,7 +164,7 @@
                     self.machines += 1;
                     let machine: MachineName = format!("i-{:06}", self.machines).into();
                     let slowest = if self.faults.quick_boots { 2000 } else { 9000 };
-                    let boot = if self.chance(0.05) { secs(100_000) } else { self.between(300, slowest) };
+                    let boot = if self.chance(0.05) { secs(100_000) } else { self.random_ms(300, slowest) };
                     let up_at = self.now + boot;
                     let worker = Worker {
                         name: machine.clone(),
@@ -175,11 +177,11 @@
                         hung_until: Duration::ZERO,
                         responses_dropped_until: Duration::ZERO,
                         heartbeats_dropped_until: Duration::ZERO,
-                        taken_at: None,
+                        preempted_at: None,
                         incarnation: 1,
                         sequence: 0,
                         token: 0,
-                        leased_at: up_at,
+                        lease_renewed_at: up_at,
                         lease: self.deployment.worker_lease,
                         tasks: BTreeMap::new(),
                         node: self.rng.random_range(0..3),
@@ -195,7 +197,7 @@
                 CloudReply::Rented(hosts)
             }
             CloudAction::Return(back) => {
-                for machine in back.machines.iter().filter(|_| !self.faults.lying_cloud) {
+                for machine in back.machines.iter().filter(|_| !self.faults.unperformed_releases) {
                     let worker = self.workers.remove(machine).filter(|w| w.is_up(self.now));
                     self.killed_by_release += worker.map_or(0, |w| w.running_tasks().count());
                 }
@@ -206,7 +208,7 @@
 
     // ----- workers -----
 
-    pub(super) fn beat(&mut self, machine: MachineName) {
+    pub(super) fn send_heartbeat(&mut self, machine: MachineName) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         if worker.dead || worker.awaited_response.is_some() {
@@ -216,51 +218,51 @@
             let pause = worker.hung_until - now;
             return self.schedule_in(pause, SimEvent::Heartbeat { machine });
         }
-        worker.expire(now);
-        let report = worker.report(now);
+        worker.expire_lease(now);
+        let heartbeat = worker.heartbeat(now);
         let (node, sequence, cut) = (worker.node, worker.sequence, now < worker.cut_until);
         worker.awaited_response = Some(sequence);
         if self.chance(self.faults.duplicate_heartbeats) {
-            let late = self.between(500, 40_000);
-            self.schedule_in(late, SimEvent::DuplicateHeartbeat { heartbeat: report.clone() });
+            let late = self.random_ms(500, 40_000);
+            self.schedule_in(late, SimEvent::DuplicateHeartbeat { heartbeat: heartbeat.clone() });
         }
         if self.faults.duplicates_for_next_leader > 0.0 && self.chance(self.faults.duplicates_for_next_leader)
         {
-            self.kept_heartbeats.push(report.clone());
+            self.kept_heartbeats.push(heartbeat.clone());
         }
         self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: machine.clone(), sequence });
-        let mute = self.workers.get(&machine).is_some_and(|w| now < w.heartbeats_dropped_until);
-        let mute = mute || self.cut_of(node, cuts::Link::Reports).is_some();
-        if mute || now < self.node_cut_until[node] && !self.inside(node, &machine) {
+        let dropped = self.workers.get(&machine).is_some_and(|w| now < w.heartbeats_dropped_until);
+        let dropped = dropped || self.cut_mode_of(node, cuts::Link::Reports).is_some();
+        if dropped || now < self.node_cut_until[node] && !self.within_cut_zone(node, &machine) {
             return;
         }
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
         self.last_request += 1;
         let request = self.last_request;
-        let again = Box::new(report.clone());
-        let event = Event::Heartbeat { request, heartbeat: report, relayed: false };
+        let again = Box::new(heartbeat.clone());
+        let event = Event::Heartbeat { request, heartbeat, relayed: false };
         let held = if cut { self.workers[&machine].cut_until - now } else { Duration::ZERO };
-        if !self.zones_connected(node, &machine) {
+        if !self.machine_reachable(node, &machine) {
             return;
         }
-        self.questions.insert(
+        self.pending_requests.insert(
             (node, boot, request),
-            (now, PendingQuestion::Heartbeat { machine, sent: now, heartbeat: again }),
+            (now, PendingRequest::Heartbeat { machine, sent: now, heartbeat: again }),
         );
         // A cut holds the report back and delivers it late.
         self.schedule_in(held + ms(1), SimEvent::DeliverToNode { node, boot, event });
     }
 
-    pub(super) fn answered(&mut self, question: PendingQuestion, answer: Response) {
-        match question {
-            PendingQuestion::Heartbeat { sent, heartbeat: report, .. }
-                if matches!(answer, Response::Relay { .. }) =>
+    pub(super) fn handle_response(&mut self, pending_request: PendingRequest, response: Response) {
+        match pending_request {
+            PendingRequest::Heartbeat { sent, heartbeat, .. }
+                if matches!(response, Response::Relay { .. }) =>
             {
-                self.relay(sent, report, answer);
+                self.relay_heartbeat(sent, heartbeat, response);
             }
-            PendingQuestion::Heartbeat { machine, sent, heartbeat: report } => {
-                let (incarnation, sequence) = (report.incarnation, report.sequence);
+            PendingRequest::Heartbeat { machine, sent, heartbeat } => {
+                let (incarnation, sequence) = (heartbeat.incarnation, heartbeat.sequence);
                 let away = self
                     .workers
                     .get(&machine)
@@ -268,51 +270,55 @@
                 if !away {
                     self.schedule_in(
                         ms(1),
-                        SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, answer },
+                        SimEvent::HeartbeatAnswered { machine, sent, incarnation, sequence, response },
                     );
                 }
             }
-            PendingQuestion::Shard { node, boot, call } => self.shard_answered((node, boot, call), answer),
-            PendingQuestion::Submit(job) => self.submit_answered(job, answer),
-            PendingQuestion::SendOddRequest { odd, known } => self.odd_answered(odd, known, answer),
-            PendingQuestion::Poll(0) if self.faults.unanswered_first_job => {
+            PendingRequest::Shard { node, boot, call } => {
+                self.handle_shard_response((node, boot, call), response)
+            }
+            PendingRequest::Submit(job) => self.submit_answered(job, response),
+            PendingRequest::SendInvalidRequest { invalid, known } => {
+                self.check_invalid_request_response(invalid, known, response)
+            }
+            PendingRequest::Poll(0) if self.faults.unanswered_first_job => {
                 self.schedule_in(secs(2), SimEvent::Poll { job: 0 })
             }
-            PendingQuestion::Poll(job) => self.poll_answered(job, answer),
-            PendingQuestion::Cancel { job, known } => self.abort_answered(job, known, answer),
+            PendingRequest::Poll(job) => self.poll_answered(job, response),
+            PendingRequest::Cancel { job, known } => self.cancel_answered(job, known, response),
         }
     }
 
     /// One node passes a report on to another, if it can.
-    fn relay(&mut self, sent: Duration, report: Box<Heartbeat>, answer: Response) {
-        let Response::Relay { leader: foreman } = answer else { return };
-        let node: usize = foreman.trim_start_matches("plank-").parse().unwrap();
-        let machine = report.machine.clone();
-        let cut = self.cut_of(node, cuts::Link::PeersIn).is_some();
-        let reached = !cut && self.now >= self.node_cut_until[node].max(self.alone_until[node]);
+    fn relay_heartbeat(&mut self, sent: Duration, heartbeat: Box<Heartbeat>, response: Response) {
+        let Response::Relay { leader } = response else { return };
+        let node: usize = leader.trim_start_matches("plank-").parse().unwrap();
+        let machine = heartbeat.machine.clone();
+        let cut = self.cut_mode_of(node, cuts::Link::PeersIn).is_some();
+        let reached = !cut && self.now >= self.node_cut_until[node].max(self.peers_cut_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
             let nobody = Response::Redirect { leader: None };
-            return self.answered(PendingQuestion::Heartbeat { machine, sent, heartbeat: report }, nobody);
+            return self.handle_response(PendingRequest::Heartbeat { machine, sent, heartbeat }, nobody);
         };
         let boot = *boot;
         self.last_request += 1;
         let request = self.last_request;
-        let event = Event::Heartbeat { request, heartbeat: (*report).clone(), relayed: true };
-        self.questions.insert(
+        let event = Event::Heartbeat { request, heartbeat: (*heartbeat).clone(), relayed: true };
+        self.pending_requests.insert(
             (node, boot, request),
-            (self.now, PendingQuestion::Heartbeat { machine, sent, heartbeat: report }),
+            (self.now, PendingRequest::Heartbeat { machine, sent, heartbeat }),
         );
         self.relayed += 1;
         self.schedule_in(ms(2), SimEvent::DeliverToNode { node, boot, event });
     }
 
-    pub(super) fn beat_answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         machine: MachineName,
         sent: Duration,
         incarnation: u64,
         sequence: u64,
-        answer: Response,
+        response: Response,
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&machine) else { return };
@@ -320,23 +326,25 @@
             return;
         }
         worker.awaited_response = None;
-        let pause = match answer {
+        let pause = match response {
             Response::Commands { token, commands } => {
                 if token < self.latest_leader.0 && token >= worker.token {
-                    self.longest_heeded = self.longest_heeded.max(now.saturating_sub(self.latest_leader.1));
+                    self.longest_stale_acceptance =
+                        self.longest_stale_acceptance.max(now.saturating_sub(self.latest_leader.1));
                 }
-                worker.expire(now);
+                worker.expire_lease(now);
                 if worker.incarnation == incarnation && token >= worker.token {
                     worker.token = token;
-                    self.longest_gap = self.longest_gap.max(sent.saturating_sub(worker.leased_at));
-                    worker.leased_at = worker.leased_at.max(sent);
-                    for order in commands {
-                        self.obey(&machine, order);
+                    self.longest_renewal_gap =
+                        self.longest_renewal_gap.max(sent.saturating_sub(worker.lease_renewed_at));
+                    worker.lease_renewed_at = worker.lease_renewed_at.max(sent);
+                    for command in commands {
+                        self.execute_command(&machine, command);
                     }
                 }
                 // Give or take a quarter.
-                let report = self.deployment.heartbeat_interval.as_millis() as u64;
-                self.between(report * 3 / 4, report * 5 / 4)
+                let interval_ms = self.deployment.heartbeat_interval.as_millis() as u64;
+                self.random_ms(interval_ms * 3 / 4, interval_ms * 5 / 4)
             }
             Response::Redirect { leader: Some(name) } => {
                 worker.node = name.trim_start_matches("plank-").parse().unwrap();
@@ -351,7 +359,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn orders_arrive(
+    pub(super) fn commands_arrive(
         &mut self,
         node: usize,
         boot: u64,
@@ -368,7 +376,7 @@
         };
         let Some(worker) = self.workers.get_mut(&machine) else { return unanswered(self) };
         let away = worker.dead || now < worker.responses_dropped_until;
-        if away || !self.zones_connected(node, &machine) {
+        if away || !self.machine_reachable(node, &machine) {
             return unanswered(self);
         }
         let Some(worker) = self.workers.get_mut(&machine) else { return };
@@ -380,24 +388,24 @@
                 SimEvent::CommandsArrive { node, boot: 0, call, machine, token, incarnation, commands };
             return self.schedule_in(held - now, late);
         }
-        worker.expire(now);
+        worker.expire_lease(now);
         if token >= worker.token && incarnation == worker.incarnation {
             worker.token = token;
-            for order in commands {
-                self.obey(&machine, order);
+            for command in commands {
+                self.execute_command(&machine, command);
             }
         }
         let Some(worker) = self.workers.get_mut(&machine) else { return };
-        let report = worker.report(now);
+        let heartbeat = worker.heartbeat(now);
         if boot != 0 {
-            let event = Event::CommandReply { call, reply: CommandReply::Answered(report) };
+            let event = Event::CommandReply { call, reply: CommandReply::Answered(heartbeat) };
             self.schedule_in(ms(1), SimEvent::DeliverToNode { node, boot, event });
         }
     }
 
-    fn obey(&mut self, machine: &MachineName, order: WorkerCommand) {
+    fn execute_command(&mut self, machine: &MachineName, command: WorkerCommand) {
         let Some(worker) = self.workers.get_mut(machine) else { return };
-        match order {
+        match command {
             WorkerCommand::Run { task, attempt } => {
                 let key = (task.clone(), attempt);
                 if worker.tasks.contains_key(&key) {
@@ -408,36 +416,36 @@
                 let live = worker.tasks.iter().filter(|(_, s)| !matches!(s, TaskStatus::Exited(_)));
                 let cpus: f64 = live.map(|((t, _), _)| self.jobs[self.by_id[&t.job]].spec.demand.cpus).sum();
                 let need = self.jobs[self.by_id[&task.job]].spec.demand.cpus;
-                let seen = match (busy, cpus + need > 8.0) {
+                let status = match (busy, cpus + need > 8.0) {
                     (true, _) => TaskStatus::Exited(ExitReason::AttemptConflict),
                     (_, true) => TaskStatus::Exited(ExitReason::InsufficientResources),
                     _ => TaskStatus::FetchingImage,
                 };
-                worker.tasks.insert(key, seen);
+                worker.tasks.insert(key, status);
                 let incarnation = worker.incarnation;
-                if seen == TaskStatus::FetchingImage {
-                    let pull = self.between(0, 1500);
+                if status == TaskStatus::FetchingImage {
+                    let pull = self.random_ms(0, 1500);
                     self.schedule_in(
                         pull,
                         SimEvent::ImageFetched { machine: machine.clone(), task, attempt, incarnation },
                     );
                 }
             }
-            WorkerCommand::Kill { task, attempt, grace: leeway } => {
+            WorkerCommand::Kill { task, attempt, grace } => {
                 let there = worker.tasks.get(&(task.clone(), attempt));
                 if self.jobs[self.by_id[&task.job]].spec.gang && there == Some(&TaskStatus::Running) {
-                    let saves = self.gang_told(&task, attempt, leeway);
+                    let saves = self.stop_gang_task(&task, attempt, grace);
                     if let Some(worker) = self.workers.get_mut(machine).filter(|_| saves) {
                         worker.tasks.insert((task, attempt), TaskStatus::Checkpointing);
                         return;
                     }
-                } else if there == Some(&TaskStatus::Checkpointing) && leeway > Duration::ZERO {
+                } else if there == Some(&TaskStatus::Checkpointing) && grace > Duration::ZERO {
                     return;
                 }
                 let Some(worker) = self.workers.get_mut(machine) else { return };
-                if let Some(seen) = worker.tasks.get_mut(&(task, attempt)) {
-                    if !matches!(seen, TaskStatus::Exited(_)) {
-                        *seen = TaskStatus::Exited(ExitReason::Stopped);
+                if let Some(status) = worker.tasks.get_mut(&(task, attempt)) {
+                    if !matches!(status, TaskStatus::Exited(_)) {
+                        *status = TaskStatus::Exited(ExitReason::Stopped);
                     }
                 }
             }
@@ -451,7 +459,13 @@
     }
 
     /// The image is there: the task starts, and the rules apply.
-    pub(super) fn pulled(&mut self, machine: MachineName, task: TaskId, attempt: u64, incarnation: u64) {
+    pub(super) fn image_fetched(
+        &mut self,
+        machine: MachineName,
+        task: TaskId,
+        attempt: u64,
+        incarnation: u64,
+    ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&machine).filter(|w| w.incarnation == incarnation && !w.dead)
         else {
@@ -461,7 +475,7 @@
             let pause = worker.hung_until - now;
             return self.schedule_in(pause, SimEvent::ImageFetched { machine, task, attempt, incarnation });
         }
-        worker.expire(now);
+        worker.expire_lease(now);
         let key = (task.clone(), attempt);
         if worker.incarnation != incarnation || worker.tasks.get(&key) != Some(&TaskStatus::FetchingImage) {
             return;
@@ -491,7 +505,7 @@
         self.starts += 1;
         self.start_times.push((now, machine.clone()));
         if gang && !faulty {
-            return self.gang_waits(machine, task, attempt, incarnation);
+            return self.wait_for_gang(machine, task, attempt, incarnation);
         }
         let began = &mut self.jobs[self.by_id[&task.job]].started_at;
         began.get_or_insert(now);
@@ -510,18 +524,18 @@
             return self.schedule_in(pause, SimEvent::TaskEnds { machine, task, attempt, incarnation });
         }
         let faulty = worker.faulty;
-        let Some(seen) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
-        if *seen != TaskStatus::Running {
+        let Some(status) = worker.tasks.get_mut(&(task.clone(), attempt)) else { return };
+        if *status != TaskStatus::Running {
             return;
         }
-        *seen = TaskStatus::Exited(if faulty { ExitReason::Failed } else { ExitReason::Completed });
+        *status = TaskStatus::Exited(if faulty { ExitReason::Failed } else { ExitReason::Completed });
         if !faulty {
             let job = self.by_id[&task.job];
             self.jobs[job].done.insert(task.index);
             let last = self.jobs[job].done.len() as u32 == self.jobs[job].spec.tasks;
             let share = self.faults.cancel_at_end;
             if last && share > 0.0 && self.chance(share) {
-                let around = self.between(0, 400);
+                let around = self.random_ms(0, 400);
                 self.schedule_in(around, SimEvent::Cancel { job });
             }
         }
@@ -529,40 +543,40 @@
 
     // ----- users -----
 
-    fn submit_answered(&mut self, job: usize, answer: Response) {
-        match answer {
+    fn submit_answered(&mut self, job: usize, response: Response) {
+        match response {
             Response::Job { status, .. } => {
                 let first = !self.jobs[job].accepted;
                 if first {
-                    self.look_closely(job, status);
+                    self.poll_all_nodes(job, status);
                     self.trigger(Trigger::Accepted);
                 }
                 self.jobs[job].accepted = true;
                 self.jobs[job].accepted_at.get_or_insert(self.now);
-                self.tell(job, status);
+                self.record_status(job, status);
                 if first {
                     self.schedule_in(secs(1), SimEvent::Poll { job });
                     // Some users are not sure that they were understood.
                     if self.chance(0.2) {
-                        let later = self.between(100, 30_000);
+                        let later = self.random_ms(100, 30_000);
                         self.schedule_in(later, SimEvent::Submit { job });
                     }
                 }
             }
-            Response::Unavailable { retry_after: retry } => self.schedule_in(retry, SimEvent::Submit { job }),
+            Response::Unavailable { retry_after } => self.schedule_in(retry_after, SimEvent::Submit { job }),
             other => panic!("forgotten: a good submission gets {other:?}"),
         }
     }
 
-    fn poll_answered(&mut self, job: usize, answer: Response) {
-        match answer {
+    fn poll_answered(&mut self, job: usize, response: Response) {
+        match response {
             Response::Job { status, .. } => {
-                self.tell(job, status);
+                self.record_status(job, status);
                 if !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
                     self.schedule_in(secs(2), SimEvent::Poll { job });
                 } else if self.chance(0.5) {
                     // Users may ask again at any later time.
-                    let later = self.between(100, 60_000);
+                    let later = self.random_ms(100, 60_000);
                     self.schedule_in(later, SimEvent::Poll { job });
                 }
             }
@@ -572,11 +586,11 @@
         }
     }
 
-    fn abort_answered(&mut self, job: usize, known: bool, answer: Response) {
-        match answer {
+    fn cancel_answered(&mut self, job: usize, known: bool, response: Response) {
+        match response {
             Response::Job { status, .. } => {
                 assert!(matches!(status, JobStatus::Done | JobStatus::Cancelled), "an abort gets {status:?}");
-                self.tell(job, status);
+                self.record_status(job, status);
             }
             Response::NotFound => {
                 assert!(!known, "forgotten: {:?}", self.jobs[job].id);
@@ -587,12 +601,12 @@
         }
     }
 
-    pub(super) fn tell(&mut self, job: usize, status: JobStatus) {
+    pub(super) fn record_status(&mut self, job: usize, status: JobStatus) {
         let now = self.now;
         if matches!(status, JobStatus::Done | JobStatus::Cancelled)
-            && self.jobs[job].last_answer != Some(status)
+            && self.jobs[job].last_status != Some(status)
         {
-            self.look_closely(job, status);
+            self.poll_all_nodes(job, status);
             if status == JobStatus::Cancelled {
                 let id = &self.jobs[job].id;
                 let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == *id);
@@ -603,14 +617,16 @@
         let j = &mut self.jobs[job];
         j.last_answered_at = now;
         assert!(j.submitted, "invented: {:?}", j.id);
-        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_answer {
+        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_status {
             // What was asked before may have been read before.
-            if self.asked_at < j.told_ended_at && !matches!(status, JobStatus::Done | JobStatus::Cancelled) {
+            if self.answered_request_sent_at < j.ended_reported_at
+                && !matches!(status, JobStatus::Done | JobStatus::Cancelled)
+            {
                 return;
             }
             assert_eq!(told, status, "went_back: {:?}", j.id);
         } else if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
-            j.told_ended_at = now;
+            j.ended_reported_at = now;
         }
         match status {
             JobStatus::Done => assert_eq!(j.done.len() as u32, j.spec.tasks, "not_done: {:?}", j.id),
@@ -620,12 +636,12 @@
             }
             _ => {}
         }
-        j.last_answer = Some(status);
+        j.last_status = Some(status);
     }
 
     // ----- rules that hold at every moment -----
 
-    pub(super) fn check(&self) {
+    pub(super) fn check_rules(&self) {
         let mut cpus: HashMap<&str, f64> = HashMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
             for (task, _) in worker.running_tasks() {
@@ -644,7 +660,7 @@
             }
         }
         for job in self.jobs.iter().filter(|j| j.accepted && !j.cancelling && !j.has_ended()) {
-            let silent = self.now.saturating_sub(job.last_answered_at.max(self.calm_at));
+            let silent = self.now.saturating_sub(job.last_answered_at.max(self.faults_over_at));
             assert!(silent <= secs(75), "forgotten: nothing is told of {:?}", job.id);
         }
         for (team, used) in cpus {
