--- a/crates/plankhead-core/tests/before/mod.rs
+++ b/crates/plankhead-core/tests/before/mod.rs
@@ -1,10 +1,11 @@
-//! The readers of the version in production before gangs, frozen: what it makes of
-//! the state service's values. A later upgrade puts the version before it here.
+//! The types with which the production version before gangs reads the values of the state
+//! service, copied unchanged. Before a later upgrade, they are replaced by those of the version that
+//! precedes it.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Copied from the version of 2026-12-02 as it was. It ignores unknown fields.
+/// Copied unchanged from the version of 2026-12-02, whose readers ignore unknown fields.
 #[derive(Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -91,12 +92,12 @@
     pub ordinary: u32,
 }
 
-/// Whether that version understands the key as it is meant, or never looks at it.
+/// Returns whether that version reads the value correctly or never reads the key.
 pub fn reads(key: &str, value: &str) -> bool {
     let (kind, rest) = key.split_once('/').unwrap_or((key, ""));
     match kind {
         "job" | "over" => {
-            // It would run the tasks of a gang one by one.
+            // That version would run a gang as an array of independent tasks.
             let gang = serde_json::from_str::<Value>(value).is_ok_and(|v| v["spec"]["gang"] == true);
             let live = |r: &JobRecord| r.phase != Phase::Live || r.spec.is_some() && r.per_chunk > 0;
             !gang && serde_json::from_str::<JobRecord>(value).is_ok_and(|r| live(&r))
@@ -107,8 +108,8 @@
         }
         "target" => serde_json::from_str::<Target>(value).is_ok(),
         "lead" => serde_json::from_str::<Holder>(value).is_ok(),
-        // It lists `job/` and `run/`, follows `job/` and `lead`, and reads the rest by
-        // name.
+        // That version lists `job/` and `run/`, watches `job/` and `lead`, and reads other keys only by
+        // their full names.
         "node" | "duty" | "machines" | "shard" => true,
         _ => false,
     }
--- a/crates/plankhead-core/tests/common/mod.rs
+++ b/crates/plankhead-core/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A plain job and plain settings for the tests that don't play whole histories.
+//! A simple job and simple settings for tests without simulated histories.
 
 use plankhead_core::jobs::job::{JobSpec, Priority, Resources};
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An array of small tasks that may run anywhere.
+/// Returns an array job of small tasks that may run anywhere.
 pub fn spec(team: &str, tasks: u32, estimated_runtime_s: f64) -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A node with one peer and one team, `a`, with all of its quota guaranteed.
+/// Returns the settings of a node with one peer and one team, `a`, whose whole quota is guaranteed.
 pub fn settings() -> Settings {
     let team = Team { guaranteed_cpus: 16.0, max_cpus: 16.0, guaranteed_gpus: 0.0, max_gpus: 0.0 };
     Settings {
--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -49,12 +49,12 @@
     for n in 0..5u32 {
         let nth = 1 + (seed as u32 + 2 * n) % 9;
         world.on_trigger(
-            Trigger::DutySent,
+            Trigger::IntentSent,
             nth,
             vec![(ms(u64::from(n)), SimEvent::FaultLeader(Pause(pause)))],
         );
         world.on_trigger(
-            Trigger::DutyWritten,
+            Trigger::IntentWritten,
             nth,
             vec![(ms(u64::from(n)), SimEvent::FaultLeader(Pause(pause)))],
         );
@@ -103,10 +103,10 @@
     let freeze = |blow| move |after| (after, SimEvent::FaultLeader(blow));
     let pause = ms(PAUSE);
     for (moment, after, blow) in [
-        (Trigger::DutySent, ms(0), PauseBeforeSending(pause)),
-        (Trigger::DutySent, ms(1), Pause(pause)),
-        (Trigger::DutyWritten, ms(0), Pause(pause)),
-        (Trigger::DutyWritten, ms(3), Pause(pause)),
+        (Trigger::IntentSent, ms(0), PauseBeforeSending(pause)),
+        (Trigger::IntentSent, ms(1), Pause(pause)),
+        (Trigger::IntentWritten, ms(0), Pause(pause)),
+        (Trigger::IntentWritten, ms(3), Pause(pause)),
         (Trigger::CloudActionSent, ms(0), PauseBeforeSending(pause)),
         (Trigger::CloudActionSent, ms(1), Pause(pause)),
         (Trigger::CloudActionSent, ms(90), Pause(pause)),
@@ -137,7 +137,7 @@
         let world = play("late", FENCED, faults, seed, |world| {
             for nth in 1..=6 {
                 world.on_trigger(
-                    Trigger::DutySent,
+                    Trigger::IntentSent,
                     nth,
                     vec![(ms(0), SimEvent::FaultLeader(Pause(ms(PAUSE))))],
                 );
@@ -174,7 +174,7 @@
         let world = play("three", FENCED, Faults::default(), seed, |world| {
             for nth in 1..=3 {
                 world.on_trigger(
-                    Trigger::DutyWritten,
+                    Trigger::IntentWritten,
                     nth,
                     vec![(ms(0), SimEvent::FaultLeader(Pause(secs(25))))],
                 );
@@ -264,10 +264,14 @@
                     world.schedule_at(at, SimEvent::RestartWithFencing { node, fenced });
                 }
             }
-            world.on_trigger(Trigger::DutyWritten, 2, vec![(ms(0), SimEvent::FaultLeader(Pause(secs(20))))]);
+            world.on_trigger(
+                Trigger::IntentWritten,
+                2,
+                vec![(ms(0), SimEvent::FaultLeader(Pause(secs(20))))],
+            );
         });
         assert!(world.fencing.iter().all(|fenced| *fenced));
-        assert!(world.open_records() <= 2, "seed {seed}: {} records are left", world.open_records());
+        assert!(world.open_intents() <= 2, "seed {seed}: {} records are left", world.open_intents());
     }
 }
 
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn everything_fails() {
-    play(0..40, Faults::all_kinds());
+    play(0..40, Faults::mixed());
 }
 
 /// Copies of reports, up to more than three leases old, come to old and new
--- a/crates/plankhead-core/tests/plain/mod.rs
+++ b/crates/plankhead-core/tests/plain/mod.rs
@@ -1,5 +1,5 @@
-//! The pass as EASY is told: every machine is looked at for every task. Slow,
-//! and what the real one must give.
+//! A plain implementation of the EASY backfill pass, which examines every machine for every task.
+//! It is slow, and is the reference for the results of the real pass.
 
 use plankhead_core::jobs::job::{Priority, Resources};
 use plankhead_core::placement::backfill::{Running, Slot, Start};
@@ -10,9 +10,13 @@
 const TASKS_PER_TURN: u32 = 4;
 
 struct Reservation {
+    /// The slots and the resources that are reserved on each.
     reserved: Vec<(usize, Resources)>,
+    /// The start of the reserved time.
     at: Duration,
+    /// Work of a higher priority than this may ignore the reservation.
     breakable_above: Option<Priority>,
+    /// The index of the work that the reservation does not bind.
     owner: Option<usize>,
 }
 
@@ -24,6 +28,7 @@
     free
 }
 
+/// Returns the earliest time at which the slot has room for the demand.
 fn earliest_fit(slot: &Slot, each: &Resources, now: Duration) -> Option<Duration> {
     let ends = slot.running.iter().map(|t| t.ends_at.max(now));
     let mut moments: Vec<Duration> = ends.chain([now]).collect();
@@ -32,7 +37,8 @@
     moments.into_iter().find(fits).map(|at| at.max(slot.ready_at))
 }
 
-fn fetch(slot: &Slot, work: &Work) -> Duration {
+/// Returns how long the slot takes to fetch the image of the work.
+fn fetch_time(slot: &Slot, work: &Work) -> Duration {
     if slot.images.contains(&work.image) {
         return Duration::ZERO;
     }
@@ -55,6 +61,7 @@
     respects_reservation_for(slot, index, work, now, reservation, 1)
 }
 
+/// Returns whether the slot has room for `n` tasks of the work that do not delay the reservation.
 fn respects_reservation_for(
     slot: &Slot,
     index: usize,
@@ -70,11 +77,11 @@
     let Some((_, kept)) = reservation.reserved.iter().find(|(s, _)| *s == index) else { return true };
     let mut left = free_at(slot, reservation.at);
     left.sub(&work.demand.times(n));
-    now + fetch(slot, work) + work.estimated_runtime <= reservation.at || kept.fits(&left)
+    now + fetch_time(slot, work) + work.estimated_runtime <= reservation.at || kept.fits(&left)
 }
 
-/// Every way to give a gang machines from a list, the first ones first, as many as
-/// each takes, in one zone or in all.
+/// Chooses slots for all pending tasks of a gang in one zone, or in all: the slots are taken in the
+/// given order, each with as many tasks as it accepts.
 fn choose_slots(
     order: &[(usize, u32)],
     slots: &[Slot],
@@ -103,6 +110,7 @@
     }
 }
 
+/// Returns the best slots on which all pending tasks of the gang can start now.
 fn place_gang(
     slots: &[Slot],
     work: &Work,
@@ -117,19 +125,20 @@
     };
     let mut order: Vec<(usize, u32)> = (0..slots.len()).filter(usable).map(|s| (s, max_tasks(s))).collect();
     order.sort_by(|(a, n), (b, m)| {
-        let key = |s: usize, n: u32| (fetch(&slots[s], work), price(s), -f64::from(n), slots[s].free.cpus, s);
+        let key =
+            |s: usize, n: u32| (fetch_time(&slots[s], work), price(s), -f64::from(n), slots[s].free.cpus, s);
         key(*a, *n).partial_cmp(&key(*b, *m)).unwrap()
     });
     let found = candidate_zones(work).into_iter().filter_map(|zone| choose_slots(&order, slots, work, zone));
     found.min_by_key(|chosen| {
-        let last = chosen.iter().map(|s| fetch(&slots[*s], work)).max();
+        let last = chosen.iter().map(|s| fetch_time(&slots[*s], work)).max();
         let mut machines = chosen.clone();
         machines.dedup();
         (last, machines.len())
     })
 }
 
-/// The first moment at which all of a gang finds room in some zone.
+/// Returns a reservation for the first time at which all tasks of a gang find room in some zone.
 fn reserve_for_gang(
     slots: &[Slot],
     work: &Work,
@@ -169,7 +178,7 @@
     None
 }
 
-/// Whether room on the machine is kept for others.
+/// Returns whether room on the machine is reserved.
 fn is_reserved(reservation: Option<&Reservation>, slot: usize) -> bool {
     reservation.is_some_and(|h| h.reserved.iter().any(|(s, _)| *s == slot))
 }
@@ -204,14 +213,14 @@
     slot.running.sort_by_key(|t| t.ends_at);
 }
 
-// The whole pass in one place, to be compared with the real one.
+// The whole pass is in one function so that it is easy to compare with the real one.
 #[allow(clippy::too_many_lines)]
 pub fn pass(now: Duration, slots: &mut [Slot], work: &mut [Work], teams: &mut [TeamUsage]) -> Vec<Start> {
     let mut starts = Vec::new();
     let mut open = vec![true; work.len()];
     let old = |(_, w): &(usize, &Work)| w.pending > 0 && now > w.accepted_at + Duration::from_secs(60);
-    let whole = |w: &Work| if w.gang { w.pending } else { 1 };
-    let admitted = |(_, w): &(usize, &Work)| teams[w.team].admits_all(&w.demand, whole(w));
+    let tasks_to_admit = |w: &Work| if w.gang { w.pending } else { 1 };
+    let admitted = |(_, w): &(usize, &Work)| teams[w.team].admits_all(&w.demand, tasks_to_admit(w));
     let aged = work.iter().enumerate().filter(old).filter(admitted);
     let mut reservation = aged
         .min_by_key(|(_, w)| {
@@ -234,7 +243,7 @@
             if work[i].pending == 0 {
                 break;
             }
-            if !teams[work[i].team].admits_all(&work[i].demand, whole(&work[i])) {
+            if !teams[work[i].team].admits_all(&work[i].demand, tasks_to_admit(&work[i])) {
                 open[i] = false;
                 break;
             }
@@ -249,7 +258,7 @@
                         continue;
                     }
                     let price = if now > work[i].latest_restart { -slot.price } else { slot.price };
-                    let score = (fetch(slot, &work[i]), price, slot.free.cpus, s);
+                    let score = (fetch_time(slot, &work[i]), price, slot.free.cpus, s);
                     if best.is_none_or(|b| score.partial_cmp(&b).unwrap().is_lt()) {
                         best = Some(score);
                     }
@@ -266,7 +275,7 @@
                     reservation = reservation.or_else(|| reserve_for_gang(slots, &work[i], now, false, None));
                     break;
                 };
-                let cold = all.iter().map(|s| fetch(&slots[*s], &work[i])).max().unwrap();
+                let cold = all.iter().map(|s| fetch_time(&slots[*s], &work[i])).max().unwrap();
                 let late = now + cold > work[i].latest_start;
                 let warm = reserve_for_gang(slots, &work[i], now, true, binding)
                     .filter(|h| late && h.at <= work[i].latest_start);
@@ -282,7 +291,7 @@
                     break;
                 }
                 for s in all {
-                    let end = now + fetch(&slots[s], &work[i]) + work[i].estimated_runtime;
+                    let end = now + fetch_time(&slots[s], &work[i]) + work[i].estimated_runtime;
                     start_task(&mut slots[s], &work[i], end, false);
                     if !slots[s].images.contains(&work[i].image) {
                         slots[s].images.push(work[i].image);
@@ -316,7 +325,8 @@
                 }
                 break;
             };
-            // Machines kept for others are not waited for: the plain pass had the fault, too.
+            // A task does not wait for a machine that is reserved for others. Both this pass and the
+            // real one once had this fault.
             let warm = |(s, slot): &(usize, &Slot)| {
                 slot.images.contains(&work[i].image) && !is_reserved(binding, *s)
             };
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -22,8 +22,8 @@
     Link::Writes,
     Link::Watch,
     Link::Renewal,
-    Link::Reports,
-    Link::Answers,
+    Link::Heartbeats,
+    Link::HeartbeatResponses,
     Link::Commands,
     Link::PeersIn,
     Link::PeersOut,
@@ -35,8 +35,8 @@
     &[Link::Writes],
     &[Link::Watch],
     &[Link::Renewal],
-    &[Link::Reports],
-    &[Link::Answers],
+    &[Link::Heartbeats],
+    &[Link::HeartbeatResponses],
     &[Link::Commands],
     &[Link::PeersIn],
     &[Link::PeersOut],
@@ -210,7 +210,7 @@
     let cases = [
         (&STATE_LINKS[..], Mode::WorkersOnly),
         (&[Link::Writes, Link::Renewal][..], Mode::WorkersOnly),
-        (&[Link::Reports][..], Mode::StateOnly),
+        (&[Link::Heartbeats][..], Mode::StateOnly),
         (&ALL_LINKS[..7], Mode::Isolated),
     ];
     for (links, mode) in cases {
@@ -293,7 +293,7 @@
 #[test]
 fn open_duties_of_a_half_blind_holder() {
     let deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
-    for moment in [Trigger::DutySent, Trigger::DutyWritten, Trigger::CloudActionSent] {
+    for moment in [Trigger::IntentSent, Trigger::IntentWritten, Trigger::CloudActionSent] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
                 let how = CUT_MODES[(seed % 3) as usize];
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -200,7 +200,7 @@
     CutNetwork(secs(9)),
     CutFromKvAndPeers(secs(12)),
     CutLinks(&PEER_LINKS, CutMode::Stall, secs(10)),
-    CutLinks(&STATE_LINKS, CutMode::LoseAnswers, secs(8)),
+    CutLinks(&STATE_LINKS, CutMode::LoseResponses, secs(8)),
     CutLinks(&WORKER_LINKS, CutMode::Stall, secs(10)),
 ];
 
@@ -264,7 +264,7 @@
         let deployment = Deployment { rotate_shards: Some(ms(rotate)), ..MOVING };
         let moves = play("placing", deployment, held, 4, |world| {
             for nth in [2, 5, 9] {
-                let cut = CutLinks(&WORKER_LINKS, CutMode::LoseAnswers, secs(3));
+                let cut = CutLinks(&WORKER_LINKS, CutMode::LoseResponses, secs(3));
                 world.on_trigger(
                     Trigger::RunSent,
                     nth * 7,
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -26,7 +26,7 @@
 
 /// Failures of machines, nodes and links.
 fn failures() -> Faults {
-    Faults { preemption_notices: 3, ..Faults::all_kinds() }
+    Faults { preemption_notices: 3, ..Faults::mixed() }
 }
 
 /// Users and messages that come at odd times.
@@ -74,7 +74,7 @@
 fn leaders_paused(world: &mut World) {
     for nth in 1..5 {
         let pause = SimEvent::FaultLeader(Fault::Pause(secs(4)));
-        world.on_trigger(Trigger::DutyWritten, 3 * nth, vec![(ms(1), pause)]);
+        world.on_trigger(Trigger::IntentWritten, 3 * nth, vec![(ms(1), pause)]);
     }
 }
 
--- a/crates/plankhead-core/tests/world/cuts.rs
+++ b/crates/plankhead-core/tests/world/cuts.rs
@@ -1,4 +1,4 @@
-//! Half-open cuts: one link of one node fails in one direction, while the others hold.
+//! Link faults: single links of a node that fail while its other links work.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -9,18 +9,18 @@
 use plankhead_reachability::mode::Mode;
 use std::time::Duration;
 
-/// Which link of a node.
+/// A link of a node, in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
     Reads,
     Writes,
     Watch,
     Renewal,
-    /// Reports of workers to the node.
-    Reports,
-    /// The node's answers to them.
-    Answers,
-    /// Its commands to workers.
+    /// Heartbeats of workers to the node.
+    Heartbeats,
+    /// The node's responses to heartbeats.
+    HeartbeatResponses,
+    /// Commands that the node sends to workers directly.
     Commands,
     PeersIn,
     PeersOut,
@@ -28,21 +28,21 @@
 }
 
 pub const STATE_LINKS: [Link; 4] = [Link::Reads, Link::Writes, Link::Watch, Link::Renewal];
-pub const WORKER_LINKS: [Link; 3] = [Link::Reports, Link::Answers, Link::Commands];
+pub const WORKER_LINKS: [Link; 3] = [Link::Heartbeats, Link::HeartbeatResponses, Link::Commands];
 pub const PEER_LINKS: [Link; 2] = [Link::PeersIn, Link::PeersOut];
 
-/// How it fails.
+/// How a link fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutMode {
     /// Connections are refused at once.
     Refuse,
-    /// Accepted and never carried out.
+    /// Requests are accepted and never carried out.
     Stall,
-    /// Carried out, and never answered.
-    LoseAnswers,
+    /// Requests are carried out, but their responses are lost.
+    LoseResponses,
 }
 
-pub const CUT_MODES: [CutMode; 3] = [CutMode::Refuse, CutMode::Stall, CutMode::LoseAnswers];
+pub const CUT_MODES: [CutMode; 3] = [CutMode::Refuse, CutMode::Stall, CutMode::LoseResponses];
 
 #[derive(Debug, Clone, Copy)]
 pub struct LinkCut {
@@ -52,7 +52,7 @@
     pub until: Duration,
 }
 
-/// Until a call without an answer is given up, by whom it is made.
+// The times after which callers give up calls without a reply.
 const KV_CALL_TIMEOUT: Duration = ms(1200);
 const CLOUD_CALL_TIMEOUT: Duration = secs(3);
 const COMMAND_TIMEOUT: Duration = secs(2);
@@ -67,7 +67,7 @@
 }
 
 impl World {
-    /// How the link fails just now, if it does.
+    /// Returns how the link fails at present, or `None` if it works.
     pub(super) fn cut_mode_of(&self, node: usize, link: Link) -> Option<CutMode> {
         let here = |cut: &&LinkCut| cut.node == node && cut.link == link && self.now < cut.until;
         self.link_cuts.iter().find(here).map(|cut| cut.how)
@@ -79,7 +79,8 @@
         self.link_cuts.push(cut);
     }
 
-    /// Cuts the links of a node again and again: down for the first half of each period.
+    /// Cuts the links periodically within the span, given in seconds: each period starts with the
+    /// links down for half of it.
     pub fn flap(&mut self, node: usize, links: &[Link], how: CutMode, period: Duration, span: (u64, u64)) {
         let (mut at, end) = (secs(span.0), secs(span.1));
         while at < end {
@@ -91,12 +92,13 @@
         }
     }
 
-    /// Cuts links of a node for some time.
+    /// Cuts the links of a node for the span, given in seconds.
     pub fn cut_links(&mut self, node: usize, links: &[Link], how: CutMode, span: (u64, u64)) {
         self.flap(node, links, how, secs(2 * (span.1 - span.0)), span);
     }
 
-    /// What becomes of an effect over a link that fails; gives it back where it passes.
+    /// Handles an effect whose link is cut, and returns `None`. Returns the effect if its link
+    /// works.
     pub(super) fn apply_link_cuts(&mut self, actor: fencing::Actor, effect: Effect) -> Option<Effect> {
         let fencing::Actor { node, boot, .. } = actor;
         let link = match &effect {
@@ -104,17 +106,17 @@
             Effect::CallCloud { .. } => Link::Cloud,
             Effect::SendCommands { .. } => Link::Commands,
             Effect::Respond { request, .. } => match self.pending_requests.get(&(node, boot, *request)) {
-                Some((_, PendingRequest::Heartbeat { .. })) => Link::Answers,
+                Some((_, PendingRequest::Heartbeat { .. })) => Link::HeartbeatResponses,
                 _ => return Some(effect),
             },
             _ => return Some(effect),
         };
         let Some(how) = self.cut_mode_of(node, link) else { return Some(effect) };
-        let carried_out = how == CutMode::LoseAnswers;
-        let (patience, reply) = match effect {
+        let carried_out = how == CutMode::LoseResponses;
+        let (timeout, reply) = match effect {
             Effect::CallKv { call, request } => {
-                let follow = matches!(request, KvRequest::Watch { .. });
-                if carried_out && !follow {
+                let is_watch = matches!(request, KvRequest::Watch { .. });
+                if carried_out && !is_watch {
                     self.schedule_in(
                         ms(2),
                         SimEvent::KvRequestArrives { node, boot, call, request, answered: false },
@@ -161,21 +163,22 @@
             }
             other => return Some(other),
         };
-        let pause = if how == CutMode::Refuse { ms(2) } else { patience };
+        let pause = if how == CutMode::Refuse { ms(2) } else { timeout };
         self.schedule_in(pause, SimEvent::DeliverToNode { node, boot, event: reply });
         None
     }
 
-    /// Whether what one node tells another arrives.
+    /// Returns whether messages from one node to another arrive.
     pub(super) fn peer_reachable(&self, from: usize, to: usize) -> bool {
         self.cut_mode_of(from, Link::PeersOut).is_none() && self.cut_mode_of(to, Link::PeersIn).is_none()
     }
 
-    /// What a node tells all others of its reach.
+    /// Sends a node's coverage report to its peers, and tells the node which of them received it.
     pub(super) fn send_coverage(&mut self, node: usize, boot: u64, coverage: Box<Coverage>) {
         for other in (0..3).filter(|other| *other != node) {
-            let alone = self.peers_cut_until[node].max(self.peers_cut_until[other]);
-            let open = self.now >= self.node_cut_until[other].max(alone) && self.peer_reachable(node, other);
+            let peers_cut_until = self.peers_cut_until[node].max(self.peers_cut_until[other]);
+            let open = self.now >= self.node_cut_until[other].max(peers_cut_until)
+                && self.peer_reachable(node, other);
             let target = self.nodes[other].as_ref().filter(|_| open).map(|(boot, _)| *boot);
             if let Some(boot) = target {
                 let event = Event::Coverage(Ok(coverage.clone()));
@@ -186,7 +189,7 @@
         }
     }
 
-    /// The mode that a node is in.
+    /// Returns the reachability mode of a node.
     pub fn mode_of(&self, node: usize) -> Option<Mode> {
         let (_, core) = self.nodes[node].as_ref()?;
         core.mode()
--- a/crates/plankhead-core/tests/world/deployment.rs
+++ b/crates/plankhead-core/tests/world/deployment.rs
@@ -1,4 +1,4 @@
-//! What kind of deployment a history plays in, and the settings of its nodes.
+//! The deployments that are simulated, and the settings of their nodes.
 
 use plankhead_core::settings::{Fencing, Settings, Sizing, Team};
 use plankhead_reachability::permission::PermissionTable;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What kind of deployment a world is.
+/// The parameters of a simulated deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Deployment {
     pub heartbeat_interval: Duration,
@@ -17,29 +17,29 @@
     pub cancel_within: Duration,
     /// The CPUs that each team may use.
     pub cpu_limit: f64,
-    /// Machines of each of the four pools.
+    /// The number of machines in each of the four pools: two zones, spot and on-demand.
     pub machines_per_pool: u32,
-    /// U for the nodes.
+    /// The maximum number of machines in the settings of the nodes.
     pub max_machines: u32,
     pub kv_changes_per_s: f64,
     pub cloud_requests_per_s: f64,
-    /// Machines that one page of the cloud's list holds.
+    /// The number of machines on one page of the cloud's instance list.
     pub inventory_page: usize,
-    /// Machines that each trouble of machines befalls.
+    /// The number of machines that each machine fault affects.
     pub machines_per_fault: u32,
-    /// How often the rules about all that runs are looked at.
+    /// The interval between checks of the invariants.
     pub check_interval: Duration,
-    /// Whether the nodes fence their duties.
+    /// Whether the nodes record intents before they act on the cloud.
     pub fencing: bool,
-    /// Whether the nodes judge what they reach.
+    /// Whether the nodes evaluate which links and peers they can reach.
     pub reachability: bool,
-    /// Whether the nodes divide the machines.
+    /// Whether the machines are divided into shards.
     pub sharding: bool,
-    /// How often a shard is moved whatever the balance.
+    /// The interval at which shards are moved regardless of their balance.
     pub rotate_shards: Option<Duration>,
 }
 
-/// A few machines that report every second.
+/// A few machines that send a heartbeat every second.
 pub const SMALL: Deployment = Deployment {
     heartbeat_interval: secs(1),
     worker_lease: secs(11),
@@ -60,7 +60,7 @@
     rotate_shards: None,
 };
 
-/// Hundreds of machines that report seldom and fail by the dozen.
+/// Hundreds of machines that send a heartbeat every 5 s and fail 40 at a time.
 pub const FLEET: Deployment = Deployment {
     heartbeat_interval: secs(5),
     worker_lease: Duration::from_millis(26_500),
@@ -89,7 +89,7 @@
     Duration::from_secs(n)
 }
 
-/// The zone of a node.
+/// Returns the zone of a node.
 pub(super) fn zone_of(node: usize) -> &'static str {
     ["x", "y", "x"][node]
 }
--- a/crates/plankhead-core/tests/world/digest.rs
+++ b/crates/plankhead-core/tests/world/digest.rs
@@ -1,8 +1,8 @@
-//! A digest over everything that the nodes decide in a history.
+//! A digest of all decisions of the nodes in a simulated history.
 //!
-//! It absorbs the values of each effect under tags of its own, never the names of types or
-//! fields, so that renaming and moving code leaves it as it is. Left out are what people
-//! read: the text of log lines, reasons of refusals, and the operators' view.
+//! It covers the values of each effect under tags of its own, never the names of types or fields,
+//! so that renamed or moved code leaves the digest unchanged. Texts for people are left out: log
+//! lines, reasons of rejections, and the operators' view.
 
 use plankhead_core::protocol::{
     CloudRequest, Effect, Heartbeat, JobStatus, KvChange, KvRequest, Response, TaskId, TaskStatus,
@@ -13,7 +13,7 @@
 use plankhead_reachability::coverage::Coverage;
 use std::time::Duration;
 
-/// The digest so far; nothing is absorbed until it is switched on.
+/// The digest of the effects so far. It is empty until it is enabled.
 #[derive(Debug, Default)]
 pub struct TraceDigest {
     hasher: Option<blake3::Hasher>,
@@ -25,13 +25,13 @@
         self.hasher = Some(blake3::Hasher::new());
     }
 
-    /// The digest in hexadecimal digits, with the number of effects.
+    /// Returns the number of effects and the digest in hexadecimal.
     pub fn finish(&self) -> String {
-        let hasher = self.hasher.as_ref().expect("the digest was not switched on");
+        let hasher = self.hasher.as_ref().expect("the digest is not enabled");
         format!("{} effects {}", self.effects, hasher.finalize().to_hex())
     }
 
-    /// Absorbs the effects of one step of a node.
+    /// Adds the effects of one step of a node to the digest.
     pub fn absorb(&mut self, now: Duration, node: usize, effects: &[Effect]) {
         let Some(hasher) = &mut self.hasher else { return };
         let mut sink = Sink(hasher);
--- a/crates/plankhead-core/tests/world/effects.rs
+++ b/crates/plankhead-core/tests/world/effects.rs
@@ -1,4 +1,4 @@
-//! What the nodes decide, carried out on the model: calls, answers, messages.
+//! Carries out the effects of the nodes: calls, responses and messages.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -23,8 +23,9 @@
 }
 
 impl World {
-    /// What a cut node sends is held, carried out when the cut ends, and never
-    /// answered.
+    /// Handles an effect of a node that is cut off from the network. Calls, commands and messages
+    /// about shards arrive when the cut ends, but the node gets no reply. Everything else is lost,
+    /// watches included.
     pub(super) fn delay_effect(&mut self, actor: fencing::Actor, effect: Effect, held: Duration) {
         let fencing::Actor { node, boot, .. } = actor;
         let reply = match effect {
@@ -90,7 +91,7 @@
         let Some(effect) = self.apply_link_cuts(actor, effect) else { return };
         match effect {
             Effect::Respond { request, response } => self.respond(actor, request, response),
-            // The version before knows nothing of this.
+            // The previous version does not use the `node/` keys.
             Effect::CallKv { request, .. }
                 if self.runs_old_version[node] && involves_prefix(&request, "node/") => {}
             Effect::CallKv { call, request } => self.call_kv(actor, call, request),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A user, worker or peer gets its answer.
+    /// Delivers a response to a user, worker or peer.
     fn respond(&mut self, actor: fencing::Actor, request: RequestId, response: Response) {
         let fencing::Actor { node, boot, .. } = actor;
         if let Response::Commands { token, commands } = &response {
@@ -128,12 +129,12 @@
         }
     }
 
-    /// A request to the state service, which may be refused, lost, late or slow.
+    /// Sends a request to the state service, which may be refused, lost, late or slow.
     fn call_kv(&mut self, actor: fencing::Actor, call: CallId, request: KvRequest) {
         let fencing::Actor { node, boot, .. } = actor;
-        self.trigger_on_duty_write(&request);
-        let listed = matches!(request, KvRequest::List { .. }) && self.now < self.lists_refused_until;
-        let refused = self.now < self.outage_until || self.now < self.refused_until[node] || listed;
+        self.trigger_on_intent_write(&request);
+        let list_refused = matches!(request, KvRequest::List { .. }) && self.now < self.lists_refused_until;
+        let refused = self.now < self.outage_until || self.now < self.refused_until[node] || list_refused;
         if refused && !matches!(request, KvRequest::Watch { .. }) {
             return self.reply_kv(node, boot, call, Err(CallError::Refused));
         }
@@ -157,7 +158,7 @@
         self.schedule_in(delay, SimEvent::KvRequestArrives { node, boot, call, request, answered: !lost });
     }
 
-    /// A request to the cloud, which may be lost or late.
+    /// Sends a request to the cloud, which may be lost or late.
     fn call_cloud(&mut self, actor: fencing::Actor, call: CallId, request: CloudRequest) {
         let node = actor.node;
         if matches!(request, CloudRequest::Execute(_)) {
@@ -172,21 +173,24 @@
         self.schedule_in(delay, SimEvent::CloudRequestArrives { actor, call, request, answered });
     }
 
-    /// Commands straight to a worker, which may be held up on the way.
+    /// Sends commands directly to a worker; they may be delayed.
     fn send_commands(&mut self, actor: fencing::Actor, effect: Effect) {
         let fencing::Actor { node, boot, .. } = actor;
         let Effect::SendCommands { call, address, token, incarnation, commands } = effect else {
             return;
         };
         let starts = commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-        assert!(!starts || self.timer_lag.is_zero(), "a start of its own while behind");
+        assert!(
+            !starts || self.timer_lag.is_zero(),
+            "a start command was sent directly while the timers lag"
+        );
         self.check_commands(token, &commands);
         let machine: MachineName = address.as_ref().trim_start_matches("at-").into();
         self.check_command_source(actor, machine.clone(), token);
         let held = self.faults.delayed_commands > 0.0 && self.chance(self.faults.delayed_commands);
         let delay = if held { self.random_ms(1000, 9000) } else { self.random_ms(1, 5) };
         if delay > secs(2) {
-            // Given up by the sender, and carried out all the same.
+            // The sender gives up, but the commands are executed nevertheless.
             let event = Event::CommandReply { call, reply: CommandReply::Unanswered };
             self.schedule_in(secs(2), SimEvent::DeliverToNode { node, boot, event });
             let boot = 0;
@@ -199,11 +203,11 @@
         );
     }
 
-    /// A heartbeat to the peers that the node reaches.
+    /// Sends a heartbeat to the peers that the node reaches.
     fn send_peer_heartbeat(&mut self, node: usize, peer_heartbeat: PeerHeartbeat) {
         for other in (0..3).filter(|n| *n != node) {
-            let alone = self.peers_cut_until[node].max(self.peers_cut_until[other]);
-            let open = self.now >= self.node_cut_until[other].max(alone);
+            let peers_cut_until = self.peers_cut_until[node].max(self.peers_cut_until[other]);
+            let open = self.now >= self.node_cut_until[other].max(peers_cut_until);
             let reached = open && self.peer_reachable(node, other);
             if let Some((boot, _)) = self.nodes[other].as_ref().filter(|_| reached) {
                 let (boot, event) = (*boot, Event::PeerHeartbeat(peer_heartbeat.clone()));
@@ -219,9 +223,12 @@
         call: CallId,
         reply: Result<KvReply, CallError>,
     ) {
-        // A slow service answers late, too, what it has read long before.
-        let way = if self.faults.slow_kv { self.random_ms(2, 600) } else { ms(2) };
-        self.schedule_in(way, SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } });
+        // If the service is slow, replies are delayed as well and may contain outdated values.
+        let delay = if self.faults.slow_kv { self.random_ms(2, 600) } else { ms(2) };
+        self.schedule_in(
+            delay,
+            SimEvent::DeliverToNode { node, boot, event: Event::KvReply { call, reply } },
+        );
     }
 
     pub(super) fn handle_kv_request(
@@ -271,9 +278,9 @@
         let watch_cut: Vec<bool> =
             (0..3).map(|node| self.cut_mode_of(node, cuts::Link::Watch).is_some()).collect();
         let open = |node: usize| now >= refused[node].max(cut[node]) && !watch_cut[node];
-        let news = |w: &Watch| open(w.node) && kv.has_changes(&w.prefix, w.after);
+        let changed = |w: &Watch| open(w.node) && kv.has_changes(&w.prefix, w.after);
         let (ready, waiting): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.watches).into_iter().partition(news);
+            std::mem::take(&mut self.watches).into_iter().partition(changed);
         self.watches = waiting;
         for watch in ready {
             let reply = Ok(self.kv.changes(&watch.prefix, watch.after));
@@ -281,7 +288,8 @@
         }
     }
 
-    /// What passes with time alone: grants and workers' leases.
+    /// Applies the effects of time alone: leases of keys and workers expire, and preempted machines
+    /// end.
     pub(super) fn expire_leases(&mut self) {
         if self.now < self.outage_until {
             self.kv.extend_leases(self.now);
--- a/crates/plankhead-core/tests/world/events.rs
+++ b/crates/plankhead-core/tests/world/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, in the order of their times.
+//! The events of a simulation and their handling.
 
 use super::deployment::{ms, secs, settings, zone_of};
 use super::requests::PendingRequest;
@@ -20,7 +20,7 @@
         until: Duration,
     },
     CutLink(cuts::LinkCut),
-    /// Whoever got no answer by then asks again.
+    /// Handles the event `again` if the request has not been answered by then.
     RetryUnanswered {
         node: usize,
         boot: u64,
@@ -43,12 +43,12 @@
         request: KvRequest,
         answered: bool,
     },
-    /// A node comes back with fencing on or off.
+    /// Restarts a node with fencing on or off.
     RestartWithFencing {
         node: usize,
         fenced: bool,
     },
-    /// A process is paused, and goes on.
+    /// Pauses a process for the duration.
     PauseProcess {
         node: usize,
         duration: Duration,
@@ -57,7 +57,7 @@
         node: usize,
         boot: u64,
     },
-    /// What a process had decided when it was paused.
+    /// Performs an effect that was decided before the process was paused.
     Perform {
         actor: fencing::Actor,
         effect: Box<Effect>,
@@ -106,7 +106,7 @@
         attempt: u64,
         incarnation: u64,
     },
-    /// A machine is about to be taken.
+    /// Gives machines notice that the cloud will take them after this time.
     PreemptionNotice {
         notice: Duration,
     },
@@ -120,11 +120,11 @@
         attempt: u64,
         incarnation: u64,
     },
-    /// A node of the version before comes back with this one.
+    /// Upgrades a node of the previous version by a restart.
     Upgrade {
         node: usize,
     },
-    /// The state service takes no more than it said it would.
+    /// Lowers the limits of the state service to those in the settings of the current version.
     LowerLimits,
     Submit {
         job: usize,
@@ -166,7 +166,7 @@
         node: usize,
         until: Duration,
     },
-    /// A late copy of a report, to whichever node.
+    /// Delivers a late copy of a heartbeat to a random node.
     DuplicateHeartbeat {
         heartbeat: Heartbeat,
     },
@@ -174,11 +174,11 @@
         node: usize,
         heartbeat: Heartbeat,
     },
-    /// Something befalls the leader.
+    /// Applies a fault to the current leader.
     FaultLeader(Fault),
-    /// Something befalls a controller that has to do with the latest move.
+    /// Applies a fault to a node that takes part in the latest shard move.
     FaultMoveParty(shards::ShardParty, Fault),
-    /// All nodes are away for this time.
+    /// Stops all nodes for the duration.
     StopAllNodes {
         duration: Duration,
     },
@@ -193,7 +193,7 @@
     DropHeartbeats {
         until: Duration,
     },
-    /// The state service refuses lists of keys.
+    /// The state service refuses to list keys until this time.
     RefuseLists {
         until: Duration,
     },
@@ -212,7 +212,7 @@
 }
 
 impl World {
-    // One arm an event.
+    // One match arm for each event.
     #[allow(clippy::too_many_lines)]
     pub(super) fn handle(&mut self, event: SimEvent) {
         match event {
@@ -233,7 +233,7 @@
                 self.change_some_machines(|w| w.preempted_at = w.preempted_at.or(Some(at)));
             }
             SimEvent::Tick { node, boot } => {
-                // An earlier wake may have been asked for since.
+                // Outdated if the node has since asked for an earlier wake-up.
                 if self.is_running(node, boot) && self.now == self.next_wakes[node] {
                     self.step(node, Vec::new());
                 }
@@ -436,14 +436,14 @@
         );
     }
 
-    /// What follows from time alone, and the checks of the rules.
+    /// Applies the effects of time alone, and checks the invariants.
     fn after_event(&mut self) {
         self.expire_leases();
         match self.kv.mod_revision("lead") {
             Some(token) if token > self.latest_leader.0 => {
                 self.latest_leader = (token, self.now);
                 self.terms += 1;
-                self.inherited_intents += self.open_records();
+                self.inherited_intents += self.open_intents();
                 self.deliver_kept_heartbeats();
                 self.trigger(Trigger::LeaderElected);
             }
--- a/crates/plankhead-core/tests/world/faults.rs
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a history, and the jobs that come meanwhile.
+//! Randomly planned faults of a history, and its jobs.
 
 use super::deployment::secs;
 use super::events::SimEvent;
@@ -10,12 +10,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What goes wrong in a history.
+/// The number or probability of each kind of fault in a history.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Share of state and cloud replies that are lost.
+    /// The share of replies of the state service and the cloud that are lost.
     pub lost_replies: f64,
-    /// Share of lost state requests that are carried out seconds later.
+    /// The share of the state service requests with lost replies that arrive seconds late.
     pub late_requests: f64,
     pub node_crashes: u32,
     pub all_nodes_crash: u32,
@@ -24,55 +24,56 @@
     pub machine_cuts: u32,
     pub machine_hangs: u32,
     pub machine_deaths: u32,
-    /// A node loses the whole network; what it sends arrives when that ends.
+    /// A node loses its whole network; what it sends arrives when the cut ends.
     pub node_cuts: u32,
-    /// Machines whose reports arrive while they hear nothing.
+    /// Machines whose heartbeats arrive while they receive neither responses nor commands.
     pub dropped_responses: u32,
-    /// Share of reports of which a copy comes late.
+    /// The share of heartbeats of which a copy arrives late.
     pub duplicate_heartbeats: f64,
-    /// A node loses the state service and its siblings, not its workers.
+    /// A node loses the state service and its peers, but not its workers.
     pub cut_from_kv_and_peers: u32,
-    /// Half of the machines and a node can't reach each other.
+    /// A node and half of the machines can't reach each other.
     pub worker_partitions: u32,
     pub task_errors: f64,
-    /// A cloud that lies: confirmed releases leave the machine running.
+    /// The cloud confirms releases of machines, but leaves them running.
     pub unperformed_releases: bool,
-    /// Late copies that lie: they tell of a shift that has not begun.
+    /// Late copies of heartbeats name an incarnation that has not begun.
     pub falsified_duplicates: bool,
-    /// Nobody hears the answers to questions about the first job.
+    /// Responses to status requests for the first job are ignored.
     pub unanswered_first_job: bool,
-    /// Machines that are taken some seconds after a notice.
+    /// Machines that the cloud takes some seconds after a notice.
     pub preemption_notices: u32,
-    /// The nodes begin with the version before and come back with this one, one after
-    /// the other; later the state service lowers its limits. No gang comes before.
+    /// The nodes start with the previous version and are upgraded one after another; later the
+    /// state service lowers its limits. Gangs are submitted only after the upgrades.
     pub upgrade: bool,
-    /// Machines whose reports reach no node, while direct commands reach them.
+    /// Machines whose heartbeats reach no node, while direct commands reach them.
     pub dropped_heartbeats: u32,
-    /// Share of reports of which a copy reaches every node as a new leader begins.
+    /// The share of heartbeats of which a copy reaches every node when the next leader is elected.
     pub duplicates_for_next_leader: f64,
-    /// Share of direct commands, and of their answers, that are held up for seconds.
+    /// The share of direct commands and of messages about shards that are delayed by seconds.
     pub delayed_commands: f64,
-    /// Share of the jobs that are called off at the moment of their end.
+    /// The share of jobs that are cancelled within 400 ms after their last task ends.
     pub cancel_at_end: f64,
-    /// Users ask all nodes within milliseconds of whatever they are told.
+    /// Users send requests to all nodes within milliseconds after they learn that a job was
+    /// accepted or has ended.
     pub immediate_polls: bool,
-    /// Odd requests of users.
+    /// Requests that are invalid or name an unknown job.
     pub invalid_requests: u32,
-    /// Zones cut off with their machines and nodes, for longer than a lease.
+    /// Zones that are cut off with their machines and nodes for longer than a worker's lease.
     pub zone_cuts: u32,
-    /// Machines are up within two seconds.
+    /// Machines boot within two seconds.
     pub quick_boots: bool,
-    /// Every state reply takes up to a second.
+    /// Requests to the state service take up to 900 ms, and their replies up to 600 ms.
     pub slow_kv: bool,
-    /// Times at which jobs that run are called off and machines of theirs hang.
+    /// The number of times that running jobs are cancelled while some of their machines hang.
     pub cancel_bursts: u32,
-    /// All nodes are away for longer than a lease.
+    /// All nodes are stopped for longer than a worker's lease.
     pub all_nodes_stopped: u32,
 }
 
 impl Faults {
-    /// Some of each that machines, nodes, links and the state service can have.
-    pub fn all_kinds() -> Self {
+    /// Returns a mix of faults of machines, nodes, links and the state service.
+    pub fn mixed() -> Self {
         Self {
             lost_replies: 0.03,
             late_requests: 0.5,
@@ -95,25 +96,25 @@
 }
 
 impl World {
-    /// Jobs and troubles at random times within the given span.
+    /// Plans jobs and faults at random times within the span.
     pub fn plan(&mut self, jobs: usize, span: Duration) {
         let span = span.as_millis() as u64;
         for n in 0..jobs {
             self.plan_job(n, span);
         }
         self.plan_faults(jobs, span);
-        // The longest fault, and what a process needs to be back.
+        // The longest fault takes 60 s, and a process needs up to 6 s to restart.
         self.faults_over_at = self.now + Duration::from_millis(span) + secs(60 + 6);
     }
 
-    /// The n-th job: its kind follows from its number, its size and times from the seed.
+    /// Plans the n-th job. Its kind follows from its number, its size and times from the seed.
     fn plan_job(&mut self, n: usize, span: u64) {
         let gang = n % 4 == 2;
-        // Some gangs are wider than a chunk of placements.
+        // Some gangs have more tasks than a chunk of placements holds.
         let wide = n % 12 == 2;
-        let many = if n.is_multiple_of(9) && !gang { 120 } else { 6 };
-        let many = if wide { 22 } else { many };
-        let tasks = self.rng.random_range(1..=many);
+        let max_tasks = if n.is_multiple_of(9) && !gang { 120 } else { 6 };
+        let max_tasks = if wide { 22 } else { max_tasks };
+        let tasks = self.rng.random_range(1..=max_tasks);
         let spec = JobSpec {
             class: format!("c{}", n % 3),
             team: if n.is_multiple_of(2) { "a".into() } else { "b".into() },
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -1,7 +1,7 @@
-//! Processes that are paused, clocks that disagree, and what the cloud did for whom.
+//! Process pauses, clock drift, and counts of what the cloud did for which process.
 //!
-//! The check is independent of the code under test: it reads the stored records as plain
-//! JSON, and knows from the model itself who held the lease when.
+//! The check is independent of the code under test: it reads the stored records as plain JSON, and
+//! takes the holder of the lease from the state service of the model.
 
 use super::events::SimEvent;
 use super::{World, SIM_START};
@@ -12,43 +12,45 @@
 use serde_json::Value;
 use std::time::{Duration, SystemTime};
 
-/// Who decided on a call: which process, and the lease's revision that it held then.
+/// The process that decided on a call, and its lease at that time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Actor {
     pub node: usize,
     pub boot: u64,
-    /// 0: it held no lease.
+    /// The revision of the lease, or 0 if the process did not hold it.
     pub term: u64,
 }
 
-/// What the cloud did.
+/// Counts of what the cloud did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CloudEffects {
-    /// Rentals and returns that changed something.
+    /// The number of rentals and machine returns that reached the cloud, without repeated ones.
     pub all: u32,
-    /// Of these, the ones whose actor held the lease no more.
+    /// Those whose actor no longer held the lease.
     pub by_former_leaders: u32,
-    /// Of these, the ones that no open record in the state service names: stale ones.
+    /// Those by former leaders that no open intent in the state service covered, without forced
+    /// returns.
     pub stale: u32,
-    /// Effects without a record, since a rule forced them; and the stale ones of them.
+    /// Forced returns that were allowed without a stored intent.
     pub compelled: u32,
+    /// Forced returns by former leaders that no open intent covered.
     pub compelled_stale: u32,
 }
 
 /// How a node's clocks run.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Seconds of its steady clock in a second.
+    /// The seconds that its monotonic clock advances in a second.
     pub rate: f64,
-    /// How far its time of day jumps about.
+    /// The largest random offset of its wall clock.
     pub jumps: Duration,
 }
 
 pub const TRUE_CLOCK: Clock = Clock { rate: 1.0, jumps: Duration::ZERO };
 
 impl World {
-    /// Pauses a process. `holding`: also what it has decided in this very moment leaves
-    /// only when it goes on.
+    /// Pauses a process. With `holds_effects`, effects that it decides at this very time are sent
+    /// only when it resumes.
     pub(super) fn pause_process(&mut self, node: usize, duration: Duration, holds_effects: bool) {
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The times that a node's clocks show.
+    /// Returns the times that a node's clocks show.
     pub(super) fn clock_times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
         let now = SIM_START + (self.now - SIM_START).mul_f64(rate);
@@ -78,12 +80,12 @@
         StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
     }
 
-    /// When a time on a node's clock is.
+    /// Converts a time on a node's clock to the time of the simulation.
     pub(super) fn true_time(&self, node: usize, at: Duration) -> Duration {
         SIM_START + at.saturating_sub(SIM_START).div_f64(self.clocks[node].rate)
     }
 
-    /// Who acts, if the node does so now.
+    /// Returns the actor for a call that the node decides on now.
     pub(super) fn actor(&self, node: usize, boot: u64) -> Actor {
         let holds = self.kv.value("lead").and_then(|text| serde_json::from_str::<Value>(text).ok());
         let holds = holds
@@ -92,7 +94,7 @@
         Actor { node, boot, term }
     }
 
-    /// Counts what the cloud is about to do for an actor.
+    /// Counts the effects that a request is about to have in the cloud.
     pub(super) fn count_cloud_effects(&mut self, actor: Actor, request: &CloudRequest) {
         let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
@@ -112,7 +114,7 @@
         let holder = actor.term > 0 && self.kv.mod_revision("lead") == Some(actor.term);
         let compelled = permitted.basis() == Basis::Compelled;
         let covered: Vec<bool> =
-            subjects.iter().map(|(subject, rental)| self.has_open_record(subject, *rental)).collect();
+            subjects.iter().map(|(subject, rental)| self.has_open_intent(subject, *rental)).collect();
         for covered in covered {
             self.cloud_effects.all += 1;
             self.cloud_effects.compelled += u32::from(compelled);
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Whether an open record in the state service names the rental or the machine.
-    fn has_open_record(&self, subject: &str, rental: bool) -> bool {
+    /// Returns whether an open intent in the state service names the rental or the machine.
+    fn has_open_intent(&self, subject: &str, rental: bool) -> bool {
         let pages = self.kv.values("duty/").map(|text| serde_json::from_str::<Value>(text).unwrap());
         let duties = pages.flat_map(|page| page["duties"].as_array().cloned().unwrap_or_default());
         let names = |duty: &Value| match (rental, duty["kind"].as_str()) {
@@ -142,20 +144,21 @@
         duties.into_iter().any(|duty| names(&duty))
     }
 
-    /// Nobody calls a job off: clocks far beyond their bounds can't keep its time.
+    /// Removes all cancellations. Clocks far beyond their bounds can't keep the time limit of a
+    /// cancellation.
     pub fn drop_cancellations(&mut self) {
         self.scheduled_events.retain(|_, event| !matches!(event, SimEvent::Cancel { .. }));
     }
 
-    /// Something writes into the state service.
+    /// Writes a key into the state service.
     pub fn write_key(&mut self, key: &str, value: &str) {
         let changes = vec![KvChange::Put { key: key.into(), value: value.into(), lease: None }];
         let reply = self.kv.apply(self.now, KvRequest::Txn { conditions: Vec::new(), changes });
         assert!(matches!(reply, Ok(KvReply::Committed { .. })));
     }
 
-    /// Open records in the state service.
-    pub fn open_records(&self) -> usize {
+    /// Returns the number of open intents in the state service.
+    pub fn open_intents(&self) -> usize {
         let pages = self.kv.values("duty/").filter_map(|text| serde_json::from_str::<Value>(text).ok());
         pages.map(|page| page["duties"].as_array().map_or(0, Vec::len)).sum()
     }
--- a/crates/plankhead-core/tests/world/gang.rs
+++ b/crates/plankhead-core/tests/world/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs, as the model's workers run them.
+//! Gangs on the workers of the model.
 
 use super::deployment::ms;
 use super::events::SimEvent;
@@ -7,22 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The attempt of a gang that all its tasks have begun.
+/// An attempt of a gang whose tasks have all started.
 #[derive(Debug, Clone)]
 pub struct GangRun {
     attempt: u64,
     started_at: Duration,
-    /// When the first task was told to stop, and who was told in time to save.
+    /// When the first task was told to stop, and the tasks that were told in time to save a
+    /// checkpoint.
     stop: Option<(Duration, BTreeSet<u32>)>,
-    /// Since when a task of it has been missing.
+    /// Since when a task of the gang has been missing.
     member_missing_since: Option<Duration>,
 }
 
-/// How often the tasks of a gang look for each other.
+/// The interval at which the tasks of a gang check each other.
 const GANG_CHECK_INTERVAL: Duration = ms(250);
 
 impl World {
-    /// The machines on which the tasks of the attempt are in this state and go on.
+    /// Returns the tasks of the attempt that are in these states, with their machines. Dead and hung
+    /// machines are left out.
     fn members(&self, job: usize, attempt: u64, states: &[TaskStatus]) -> BTreeMap<u32, MachineName> {
         let id = &self.jobs[job].id;
         let mut found = BTreeMap::new();
@@ -36,7 +38,8 @@
         found
     }
 
-    /// The leader tells tasks to run: of a gang, no task before all are durably placed.
+    /// Checks that the leader tells no task of a gang to run before all of them have stored
+    /// placements.
     pub(super) fn check_gang_placed(&mut self, token: u64, commands: &[WorkerCommand]) {
         for command in commands {
             let WorkerCommand::Run { task, attempt } = command else { continue };
@@ -46,11 +49,16 @@
             }
             job.latest_started_attempt = *attempt;
             let placed = self.kv.placed(job.id.as_str(), *attempt);
-            assert_eq!(placed, job.spec.tasks, "some of a gang: {:?} is told to run", job.id);
+            assert_eq!(
+                placed, job.spec.tasks,
+                "some of a gang: {:?} is told to run before all its tasks are placed",
+                job.id
+            );
         }
     }
 
-    /// A task has its image: it waits, and the gang starts once nobody is missing.
+    /// Handles a task that has fetched its image: it waits, and the gang starts once all its tasks
+    /// are waiting.
     pub(super) fn wait_for_gang(
         &mut self,
         machine: MachineName,
@@ -94,7 +102,7 @@
         }
     }
 
-    /// Progress up to now, and the last checkpoint at or below it.
+    /// Returns the progress at a time, and the last checkpoint up to then, both in seconds.
     fn progress(&self, job: usize, until: Duration) -> (f64, f64) {
         let j = &self.jobs[job];
         let ran = j.run.as_ref().map_or(0.0, |r| until.saturating_sub(r.started_at).as_secs_f64());
@@ -103,32 +111,33 @@
         (all, if checkpoint > 0.0 { (all / checkpoint).floor() * checkpoint } else { 0.0 })
     }
 
-    /// What the tasks of a running gang notice of each other.
+    /// Ends a running gang if it has finished, has been stopped, or has lost a task for too long.
     pub(super) fn check_gang(&mut self, job: usize, attempt: u64) {
         let now = self.now;
         let Some(mut run) = self.jobs[job].run.clone().filter(|r| r.attempt == attempt) else { return };
-        let (tasks, save, runs) =
+        let (tasks, checkpoint_s, runtime_s) =
             (self.jobs[job].spec.tasks, self.jobs[job].spec.checkpoint_duration_s, self.jobs[job].runtime_s);
-        let peer = self.deployment.gang_peer_timeout;
+        let peer_timeout = self.deployment.gang_peer_timeout;
         let members = self.members(job, attempt, &[TaskStatus::Running, TaskStatus::Checkpointing]);
-        let whole = members.len() as u32 == tasks;
+        let complete = members.len() as u32 == tasks;
         if let Some((first, told)) = &run.stop {
-            let saved = told.len() as u32 == tasks && whole;
-            let due = now >= *first + Duration::from_secs_f64(save);
+            let saved = told.len() as u32 == tasks && complete;
+            let due = now >= *first + Duration::from_secs_f64(checkpoint_s);
             if saved && due {
                 self.jobs[job].progress = self.progress(job, *first).0;
                 self.checkpoints_saved += 1;
                 return self.end_gang(job, attempt, ExitReason::Stopped);
             }
-            if now >= *first + peer + Duration::from_secs_f64(save) || members.is_empty() {
+            if now >= *first + peer_timeout + Duration::from_secs_f64(checkpoint_s) || members.is_empty() {
                 self.jobs[job].progress = self.progress(job, *first).1;
-                // Whoever is cancelled, or loses a machine meanwhile, was told all the same.
+                // A gang that was cancelled, or lost a machine after all its tasks were told in
+                // time, does not count as a lost checkpoint.
                 self.checkpoints_lost += u32::from((told.len() as u32) < tasks && !self.jobs[job].cancelling);
                 return self.end_gang(job, attempt, ExitReason::GangMemberLost);
             }
-        } else if whole {
+        } else if complete {
             run.member_missing_since = None;
-            if self.progress(job, now).0 >= runs {
+            if self.progress(job, now).0 >= runtime_s {
                 for index in 0..tasks {
                     self.jobs[job].done.insert(index);
                 }
@@ -136,7 +145,7 @@
             }
         } else {
             let since = *run.member_missing_since.get_or_insert(now);
-            if now >= since + peer || members.is_empty() {
+            if now >= since + peer_timeout || members.is_empty() {
                 self.jobs[job].progress = self.progress(job, since).1;
                 return self.end_gang(job, attempt, ExitReason::GangMemberLost);
             }
@@ -145,7 +154,7 @@
         self.schedule_in(GANG_CHECK_INTERVAL, SimEvent::CheckGang { job, attempt });
     }
 
-    /// Who hangs notices when it goes on, and ends then, too.
+    /// Ends all tasks of the attempt. A hung worker reports this when it resumes.
     fn end_gang(&mut self, job: usize, attempt: u64, reason: ExitReason) {
         let id = self.jobs[job].id.clone();
         for worker in self.workers.values_mut() {
@@ -158,7 +167,7 @@
         self.jobs[job].run = None;
     }
 
-    /// A task of a gang is told to stop: whether it saves.
+    /// Tells a task of a gang to stop, and returns whether it writes a checkpoint.
     pub(super) fn stop_gang_task(&mut self, task: &TaskId, attempt: u64, grace: Duration) -> bool {
         let now = self.now;
         let job = &mut self.jobs[self.by_id[&task.job]];
--- a/crates/plankhead-core/tests/world/jobs.rs
+++ b/crates/plankhead-core/tests/world/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as their users know them, and what the model knows of them.
+//! Jobs as their users know them, and the model's knowledge of them.
 
 use super::gang;
 use plankhead_core::jobs::job::{JobId, JobSpec};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a user asked for and was told.
+/// A user's job, the responses to its user, and its actual state.
 #[derive(Debug)]
 pub struct Job {
     pub id: JobId,
@@ -16,27 +16,29 @@
     pub cancelling: bool,
     pub cancelled_at: Option<Duration>,
     pub last_status: Option<JobStatus>,
-    /// When the user first heard that it is over.
+    /// When the user first learned that the job has ended.
     pub(super) ended_reported_at: Duration,
     pub done: BTreeSet<u32>,
     pub runtime_s: f64,
-    /// How much longer than the first its last task runs.
+    /// The difference of run time between the last task and the first one.
     pub runtime_spread_s: f64,
-    /// It ran when its user was told that it is cancelled.
+    /// Whether the job was running when its user learned that it is cancelled.
     pub(super) ran_when_cancelled: bool,
-    /// Of a gang: what is saved, in seconds, and the attempt that runs.
+    /// The saved progress of a gang, in seconds.
     pub(super) progress: f64,
+    /// The running attempt of a gang.
     pub(super) run: Option<gang::GangRun>,
     /// The latest attempt of which a task was told to run.
     pub(super) latest_started_attempt: u64,
-    /// When a question about it was last answered.
+    /// When a request about the job was last answered.
     pub(super) last_answered_at: Duration,
-    /// When it was accepted, and when its first task started.
+    /// When the job was accepted.
     pub accepted_at: Option<Duration>,
+    /// When its first task started.
     pub started_at: Option<Duration>,
-    /// Since when it waits although a machine has room for it.
+    /// Since when the job has been waiting although a machine has room for it.
     pub(super) waiting_since: Option<Duration>,
-    /// The same for urgent jobs, also while troubles last.
+    /// The same as `waiting_since` for urgent jobs, measured during faults as well.
     pub(super) urgent_waiting_since: Option<Duration>,
 }
 
--- a/crates/plankhead-core/tests/world/kv.rs
+++ b/crates/plankhead-core/tests/world/kv.rs
@@ -17,11 +17,12 @@
     keys: BTreeMap<String, StoredValue>,
     revision: u64,
     log: Vec<(u64, WatchEvent)>,
+    /// The time to live and the expiry of each lease.
     leases: HashMap<u64, (Duration, Duration)>,
     last_lease: u64,
-    /// Some node has the version before: it must be able to read all that is stored.
+    /// Whether some node runs the previous version, which must be able to read all stored values.
     pub mixed_versions: bool,
-    /// What may be written, in bytes a value and changes a transaction.
+    /// The limits on the bytes of a value and the changes of a transaction, once they are lowered.
     limits: Option<(usize, usize)>,
 }
 
@@ -38,7 +39,7 @@
         self.keys.keys().filter(|k| k.starts_with(prefix)).count()
     }
 
-    /// The stamp of a key, if it is there.
+    /// Returns the revision of the last change to a key, if the key exists.
     pub fn mod_revision(&self, key: &str) -> Option<u64> {
         self.keys.get(key).map(|v| v.mod_revision)
     }
@@ -47,19 +48,19 @@
         self.keys.get(key).map(|v| v.text.as_str())
     }
 
-    /// The values of the keys that begin so.
+    /// Returns the values of the keys with this prefix.
     pub fn values(&self, prefix: &str) -> impl Iterator<Item = &str> {
         let prefix = prefix.to_owned();
         self.keys.iter().filter(move |(key, _)| key.starts_with(&prefix)).map(|(_, v)| v.text.as_str())
     }
 
-    /// Keys that begin so, with their values and revisions.
+    /// Returns the keys with this prefix, with their values and revisions.
     pub fn rows(&self, prefix: &str) -> Vec<(String, String, u64)> {
         let here = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         here.map(|(key, v)| (key.clone(), v.text.clone(), v.mod_revision)).collect()
     }
 
-    /// How many tasks of the job have a placement in this attempt.
+    /// Returns the number of tasks of the job that have a stored placement in this attempt.
     pub fn placed(&self, id: &str, attempt: u64) -> u32 {
         let prefix = format!("run/{id}/");
         let rows = self.keys.iter().filter(|(k, _)| k.starts_with(&prefix));
@@ -112,7 +113,7 @@
         })
     }
 
-    /// From now on less is taken.
+    /// Lowers the limits on values and transactions.
     pub fn lower_limits(&mut self) {
         self.limits = Some((1024, 4));
     }
@@ -126,7 +127,7 @@
         let (value_bytes, txn_ops) = self.limits.unwrap_or((8192, 8));
         let size = |c: &KvChange| if let KvChange::Put { value, .. } = c { value.len() } else { 0 };
         if changes.len() > txn_ops || changes.iter().any(|c| size(c) > value_bytes) {
-            panic!("a transaction over the limits");
+            panic!("transaction exceeds the limits");
         }
         let mod_revision = |k: &str| self.keys.get(k).map_or(0, |v| v.mod_revision);
         let failed: Vec<String> = conditions
@@ -137,14 +138,14 @@
         if !failed.is_empty() {
             return Ok(KvReply::Conflict { failed });
         }
-        assert!(conditions.len() <= 4 * txn_ops, "a transaction over the limits");
+        assert!(conditions.len() <= 4 * txn_ops, "transaction exceeds the limits");
         self.revision += 1;
         for change in changes {
             match change {
                 KvChange::Put { key, value, lease } => {
                     assert!(
                         !self.mixed_versions || before::reads(&key, &value),
-                        "older nodes misread {key}: {value}"
+                        "the previous version misreads {key}: {value}"
                     );
                     let row =
                         KeyValue { key: key.clone(), value: value.clone(), mod_revision: self.revision };
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Grants run out; true if some did.
+    /// Revokes the expired leases, and returns whether there were any.
     pub fn expire_leases(&mut self, now: Duration) -> bool {
         let over: Vec<u64> =
             self.leases.iter().filter(|(_, (_, until))| *until <= now).map(|(h, _)| *h).collect();
@@ -185,7 +186,7 @@
         !over.is_empty()
     }
 
-    /// During an outage no grant runs out, and each has its full time after.
+    /// Restarts the full time of each lease. It is called during outages, in which no lease expires.
     pub fn extend_leases(&mut self, now: Duration) {
         for (ttl, until) in self.leases.values_mut() {
             *until = now + *ttl;
--- a/crates/plankhead-core/tests/world/mod.rs
+++ b/crates/plankhead-core/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A slow plain model of everything round the core: the state service, the
-//! cloud, workers and users, as the protocol describes them, with their
-//! troubles. It knows all, and asserts the rules at every step.
+//! A simulation of the environment of the core: the state service, the cloud, workers and users, as
+//! the protocol describes them, with faults. It knows the true state of everything, and checks the
+//! invariants after every event.
 
 pub mod cuts;
 pub mod deployment;
@@ -45,108 +45,117 @@
     pub now: Duration,
     rng: StdRng,
     faults: Faults,
+    /// The times and numbers of the scheduled events.
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     scheduled_events: HashMap<u64, SimEvent>,
     sequence: u64,
+    /// The boot number and the core of each running node.
     nodes: Vec<Option<(u64, Node)>>,
-    /// When each node is to be called next.
+    /// When each node is called next.
     next_wakes: Vec<Duration>,
-    /// Nodes are called when they asked to be, and not ten times a second: what they
-    /// forget to ask for never happens.
+    /// Whether nodes are called only when they asked for it, instead of every 100 ms. Work that a
+    /// node does not ask for is then never done.
     pub on_demand: bool,
     boots: u64,
     kv: Kv,
     outage_until: Duration,
     refused_until: Vec<Duration>,
     node_cut_until: Vec<Duration>,
-    /// Until when a node has neither the state service nor siblings.
+    /// Until when a node can't reach its peers.
     peers_cut_until: Vec<Duration>,
     /// Until when a node and half of the machines can't reach each other.
     partitioned_until: Vec<Duration>,
-    /// The latest leader's token, and since when it leads.
+    /// The latest leader's token, and when it was elected.
     latest_leader: (u64, Duration),
-    /// The longest time after which a former leader was still heeded.
+    /// The longest time after an election at which a worker still obeyed a former leader.
     pub longest_stale_acceptance: Duration,
-    /// Reports that reached their leader through another node.
+    /// The number of heartbeats that reached their leader through another node.
     pub relayed: usize,
-    /// When the last trouble is over.
+    /// When the last planned fault is over.
     pub faults_over_at: Duration,
-    /// Tasks that ran on machines when the cloud was told to release them.
+    /// The number of tasks that ran on machines when these were released.
     pub killed_by_release: usize,
     watches: Vec<Watch>,
     pub workers: BTreeMap<MachineName, Worker>,
+    /// The machines of each rental, by its name.
     rentals: HashMap<String, Vec<MachineName>>,
-    /// Machines rented so far.
+    /// The number of machines rented so far.
     pub machines: u64,
     pub jobs: Vec<Job>,
     by_id: HashMap<JobId, usize>,
+    /// The unanswered requests by node, boot number and request, and when each was sent.
     pending_requests: HashMap<(usize, u64, RequestId), (Duration, PendingRequest)>,
-    /// When the request was made whose answer is taken in.
+    /// When the request was sent whose response is being handled.
     answered_request_sent_at: Duration,
     last_request: RequestId,
     pub starts: u32,
-    /// Gangs that saved when they were stopped, and that could not.
+    /// The number of stopped gangs that saved a checkpoint.
     pub checkpoints_saved: u32,
+    /// The number of stopped gangs that could not save a checkpoint.
     pub checkpoints_lost: u32,
-    /// Nodes of the version before.
+    /// Which nodes run the previous version.
     runs_old_version: [bool; 3],
     pub deployment: Deployment,
-    /// U for the nodes.
+    /// The maximum number of machines in the settings of the nodes.
     pub capacity: u32,
     last_check_at: Duration,
     log: bool,
-    /// What is to happen at which moment, after how many more of them.
+    /// Events that are scheduled when a trigger has fired often enough.
     scripts: Vec<script::Script>,
-    /// Copies of reports for the next leader.
+    /// Copies of heartbeats that are delivered when the next leader is elected.
     kept_heartbeats: Vec<Heartbeat>,
-    /// Whether calls are lost, slow or held up only until the last trouble is over.
+    /// Whether calls stop being lost, slow, delayed or duplicated once the last planned fault is
+    /// over.
     pub stop_call_faults: bool,
-    /// How far behind all nodes are.
+    /// How late the timers of all nodes fire.
     pub timer_lag: Duration,
-    /// Until when no keys can be listed.
+    /// Until when the state service refuses to list keys.
     lists_refused_until: Duration,
-    /// Until when a zone is cut off.
+    /// Until when each zone is cut off.
     zone_cut_until: BTreeMap<&'static str, Duration>,
-    /// Until when each process is paused, and what came for it meanwhile.
+    /// Until when each process is paused.
     paused_until: [Duration; 3],
+    /// Whether a paused process also holds back the effects that it decided when it was paused.
     holds_effects: [bool; 3],
+    /// The events that arrived for each paused process.
     backlog: [Vec<Event>; 3],
     pub pauses: u32,
-    /// Open records that stood there when another term began.
+    /// The sum of the open intents that each new leader found.
     pub inherited_intents: usize,
-    /// Which nodes fence their duties, from their next start on.
+    /// Which nodes use fencing, from their next start on.
     pub fencing: [bool; 3],
-    /// What nodes may do, from their next start on.
+    /// The permission table of the nodes, from their next start on.
     pub permissions: PermissionTable,
     link_cuts: Vec<cuts::LinkCut>,
-    /// How often the key changed hands.
+    /// How often the leader's key changed hands.
     pub terms: u32,
-    /// Messages about shards that were sent.
+    /// The number of messages about shards that were sent.
     pub shard_messages: u32,
     /// How often a shard changed hands.
     pub shard_moves: u32,
-    /// When a node last gave an answer that renews a lease.
+    /// When a node last sent a response that renews a worker's lease.
     pub last_heartbeat_response_at: Duration,
-    /// When tasks started, and where.
+    /// When and where tasks started.
     pub start_times: Vec<(Duration, MachineName)>,
-    /// The longest time between two answers that renewed a lease.
+    /// The longest time between two renewals of a worker's lease.
     pub longest_renewal_gap: Duration,
-    /// The longest time for which urgent tasks waited although a machine had room.
+    /// The longest time for which an urgent task waited although a machine had room.
     pub longest_urgent_wait: Duration,
     next_urgent_check: Duration,
+    /// The stamp of the latest message that each node sent as a holder.
     latest_stamps: HashMap<usize, plankhead_sharding::sequence::MessageStamp>,
-    /// The latest move: the holder before, and the next one.
+    /// The old and the next holder of the latest shard move.
     latest_move: Option<(usize, usize)>,
-    /// By whom each shard was last held.
+    /// The last holder of each shard.
     shard_holders: BTreeMap<String, String>,
-    /// Which start of which node told each machine something under each token.
+    /// The node and its process start that sent each machine commands under each token.
     commanded_by: HashMap<(MachineName, u64), (usize, u64)>,
-    /// Nodes whose `apart` concerns the other half of the machines.
+    /// For which nodes a partition concerns the machines with odd numbers instead of even ones.
     pub partitions_odd_machines: [bool; 3],
     pub clocks: [Clock; 3],
     /// What the cloud did, and for whom.
     pub cloud_effects: CloudEffects,
-    /// All that the nodes decide, as one digest.
+    /// The digest of all decisions of the nodes.
     pub trace: digest::TraceDigest,
 }
 
@@ -252,14 +261,16 @@
         ms(self.rng.random_range(low..=high))
     }
 
-    /// Runs until the time, or until every user has a final answer.
+    /// Runs until the end of the span, which counts from the start of the history, or until all
+    /// jobs have ended for their users.
     pub fn run(&mut self, span: Duration) {
         let end = SIM_START + span;
         while !self.all_jobs_ended() && self.step_event(end) {}
     }
 
-    /// Runs until every job has ended for its user, at the latest a while after `settle`
-    /// has passed since the last planned fault; fails with the jobs that have not.
+    /// Runs until every job has ended for its user, and fails with the jobs that have not ended
+    /// after 1500 s. Scripted faults may last `settle` longer than the planned ones; after that,
+    /// calls are no longer disturbed.
     pub fn run_to_end(&mut self, name: &str, seed: u64, settle: Duration) {
         self.faults_over_at += settle;
         self.stop_call_faults = true;
@@ -272,14 +283,14 @@
         assert!(self.starts > 0, "{name}, seed {seed}: nothing_ran");
     }
 
-    /// Goes on for the given time, whatever the users have.
+    /// Runs for this time, even if all jobs have ended.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.step_event(end) {}
         self.now = end;
     }
 
-    /// The next happening, if it is not after `end`.
+    /// Handles the next event if it is due by `end`, and returns whether there was one.
     fn step_event(&mut self, end: Duration) -> bool {
         let Some(Reverse((at, id))) = self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end) else {
             return false;
@@ -292,7 +303,8 @@
         true
     }
 
-    /// Has a planned job come at this time instead, and not be cancelled.
+    /// Replaces the planned submission of a job by one after this time, and removes its
+    /// cancellation.
     pub fn reschedule_submission(&mut self, job: usize, after: Duration) {
         let of = |h: &SimEvent| match h {
             SimEvent::Submit { job } | SimEvent::Cancel { job } => Some(*job),
@@ -302,27 +314,28 @@
         self.schedule_in(after, SimEvent::Submit { job });
     }
 
-    /// Changes that the state service has carried out.
+    /// Returns the revision of the state service, which grows with every committed change.
     pub fn kv_revision(&self) -> u64 {
         self.kv.revision()
     }
 
-    /// Keys in the state service that begin so.
+    /// Returns the number of stored keys with this prefix.
     pub fn count_keys(&self, prefix: &str) -> usize {
         self.kv.count(prefix)
     }
 
-    /// Keys in the state service that begin so, with their values and revisions.
+    /// Returns the stored keys with this prefix, with their values and revisions.
     pub fn stored_rows(&self, prefix: &str) -> Vec<(String, String, u64)> {
         self.kv.rows(prefix)
     }
 
-    /// Jobs that ran when their users were told that they are cancelled.
+    /// Returns the number of jobs that were running when their users learned that they are
+    /// cancelled.
     pub fn cancelled_while_running(&self) -> usize {
         self.jobs.iter().filter(|j| j.ran_when_cancelled).count()
     }
 
-    /// Whether all jobs are over for their users.
+    /// Returns whether all jobs have ended for their users.
     pub fn all_jobs_ended(&self) -> bool {
         !self.jobs.is_empty() && self.jobs.iter().all(Job::has_ended)
     }
--- a/crates/plankhead-core/tests/world/network.rs
+++ b/crates/plankhead-core/tests/world/network.rs
@@ -1,10 +1,10 @@
-//! Who reaches whom.
+//! The network between nodes and machines.
 
 use super::deployment::zone_of;
 use super::World;
 
 impl World {
-    /// Whether the node and the machine reach each other.
+    /// Returns whether the node and the machine can reach each other.
     pub(super) fn machine_reachable(&self, node: usize, machine: &str) -> bool {
         let odd = machine.ends_with(['1', '3', '5', '7', '9']);
         let apart = self.now < self.partitioned_until[node] && odd == self.partitions_odd_machines[node];
@@ -20,7 +20,7 @@
         cut(zone_of(node)) || self.workers.get(machine).is_some_and(|w| cut(&w.zone))
     }
 
-    /// Whether what passes between them stays inside of a zone that is cut off.
+    /// Returns whether messages between them stay within a zone that is cut off.
     pub(super) fn within_cut_zone(&self, node: usize, machine: &str) -> bool {
         self.either_zone_cut(node, machine) && self.same_zone(node, machine)
     }
--- a/crates/plankhead-core/tests/world/requests.rs
+++ b/crates/plankhead-core/tests/world/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users and workers to nodes, and the nodes' steps.
+//! Requests of users and workers to nodes, and the steps of the nodes.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -8,11 +8,12 @@
 use rand::RngExt;
 use std::time::Duration;
 
+/// A request whose sender waits for the response.
 #[derive(Debug, Clone)]
 pub(super) enum PendingRequest {
     Submit(usize),
     Poll(usize),
-    /// `known`: the job was accepted when the user asked.
+    /// `known`: the job had been accepted when the user sent the request.
     Cancel {
         job: usize,
         known: bool,
@@ -26,7 +27,7 @@
         sent: Duration,
         heartbeat: Box<Heartbeat>,
     },
-    /// Another node's message about shards.
+    /// A message of another node about shards.
     Shard {
         node: usize,
         boot: u64,
@@ -34,6 +35,7 @@
     },
 }
 
+/// A watch that waits for changes after a revision.
 #[derive(Debug)]
 pub(super) struct Watch {
     pub(super) id: u64,
@@ -58,8 +60,8 @@
         self.nodes[node].as_ref().is_some_and(|(b, _)| *b == boot)
     }
 
-    /// Puts a user's or worker's request to a random living node; `again` is
-    /// what the user does if nobody answers.
+    /// Sends a request to a random node. `again` is scheduled if that node is down or does not
+    /// answer.
     pub(super) fn send_request(
         &mut self,
         pending_request: PendingRequest,
@@ -70,7 +72,7 @@
         self.send_request_to(node, pending_request, event, Some(again));
     }
 
-    /// The same of a certain node; without `again` the user leaves it at that.
+    /// Sends a request to a certain node. Without `again`, it is not repeated.
     pub(super) fn send_request_to(
         &mut self,
         node: usize,
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -1,5 +1,5 @@
-//! Troubles set at the instant that hurts: scripted histories, and what users do
-//! beyond asking for their jobs.
+//! Faults that are scripted to happen at critical moments, and requests of users beyond submission,
+//! status and cancellation.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -15,99 +15,103 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// An instant inside a history, seen by the model alone.
+/// A moment in a history that the model can observe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trigger {
-    /// A node has won the leader's key.
+    /// A node has acquired the leader's key.
     LeaderElected,
     /// The leader told a worker to run something.
     RunSent,
-    /// The leader told a worker to end something.
+    /// The leader told a worker to kill an attempt.
     KillSent,
     /// The state service wrote placements.
     PlacementsWritten,
     /// The state service wrote that a job is done.
     JobDoneWritten,
-    /// A user heard that the job is accepted.
+    /// A user learned that a job was accepted.
     Accepted,
-    /// A user heard that the job is cancelled.
+    /// A user learned that a job is cancelled.
     Cancelled,
-    /// A leader sends the record of a duty.
-    DutySent,
-    /// The state service wrote a record of duties.
-    DutyWritten,
-    /// A leader asks the cloud for what can't be taken back.
+    /// A leader sent the state service an intent.
+    IntentSent,
+    /// The state service wrote an intent.
+    IntentWritten,
+    /// A leader asked the cloud to rent or release machines.
     CloudActionSent,
     /// The state service wrote that a shard is to move.
     MoveStarted,
-    /// The state service wrote who holds a shard.
+    /// The state service wrote the holder of a shard.
     HolderAssigned,
 }
 
-/// A moment, how many more of them until it counts, and what happens so long after.
+/// A trigger, the number of times that it must still fire, and the events that are then scheduled
+/// after these delays.
 pub type Script = (Trigger, u32, Vec<(Duration, SimEvent)>);
 
-/// What befalls the node that leads just then.
+/// A fault of the current leader or of another node.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// The state service refuses it alone.
+    /// The state service refuses the node's requests.
     RefuseKv(Duration),
-    /// It loses the state service and the other nodes, not its workers or users.
+    /// The node loses the state service and its peers, but not its workers or users.
     CutFromKvAndPeers(Duration),
-    /// It is paused.
+    /// The node's process is paused.
     Pause(Duration),
-    /// It is paused with what it has just decided unsent.
+    /// The node's process is paused before it sends its latest decisions.
     PauseBeforeSending(Duration),
-    /// It loses the network.
+    /// The node loses its whole network.
     CutNetwork(Duration),
-    /// Some of its links fail.
+    /// Some of the node's links fail.
     CutLinks(&'static [cuts::Link], cuts::CutMode, Duration),
-    /// It ends and is back after this time.
+    /// The node's process stops and restarts after this time.
     Restart(Duration),
 }
 
-/// A user's odd request, and what may be answered beside "later".
+/// An invalid request of a user. Apart from `Unavailable`, each has one correct response.
 #[derive(Debug, Clone, Copy)]
 pub enum InvalidRequest {
+    /// A job specification that can't be decoded.
     Malformed,
+    /// A job of an unknown team.
     Impossible,
+    /// A status request or cancellation for an unknown job.
     Unknown,
 }
 
-/// A start is counted against a command given so long after a confirmed cancellation:
-/// a leader hears of it within a watch, or notices that it hears nothing.
+/// For this long after a confirmed cancellation, a leader may still tell a task of the job to run:
+/// it learns of the cancellation through its watch, or notices by then that the watch is silent.
 const CANCEL_NOTICE_DELAY: Duration = ms(3000);
 
-/// How often the waits of urgent tasks are looked at.
+/// The interval at which the waits of urgent tasks are measured.
 const URGENT_CHECK_INTERVAL: Duration = ms(100);
 
-/// Who could run the waiting task may be left idle for so long once troubles are over.
+/// The longest time for which a job may wait after the faults although a machine has room for it.
 const MAX_WAIT: Duration = secs(90);
 
 impl World {
-    /// Has something happen when the moment comes for the `nth` time.
-    pub fn on_trigger(&mut self, moment: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
-        self.scripts.push((moment, nth, then));
+    /// Schedules events for the `nth` time that a trigger fires.
+    pub fn on_trigger(&mut self, trigger: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
+        self.scripts.push((trigger, nth, then));
     }
 
-    /// Has something happen at a time of the history.
+    /// Schedules an event after this time.
     pub fn schedule_at(&mut self, at: Duration, event: SimEvent) {
         self.schedule_in(at, event);
     }
 
-    pub(super) fn trigger_on_duty_write(&mut self, request: &KvRequest) {
+    pub(super) fn trigger_on_intent_write(&mut self, request: &KvRequest) {
         let KvRequest::Txn { changes, .. } = request else { return };
         let duty =
             |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
-            self.trigger(Trigger::DutySent);
+            self.trigger(Trigger::IntentSent);
         }
     }
 
-    pub(super) fn trigger(&mut self, moment: Trigger) {
+    pub(super) fn trigger(&mut self, trigger: Trigger) {
         let mut due = Vec::new();
         for (which, left, then) in &mut self.scripts {
-            if *which == moment && *left > 0 {
+            if *which == trigger && *left > 0 {
                 *left -= 1;
                 if *left == 0 {
                     due.append(then);
@@ -115,7 +119,8 @@
             }
         }
         for (after, event) in due {
-            // Between a decision and its call there is no later moment.
+            // The pause must begin before the decided call is sent, which happens in this same
+            // step.
             if let (true, SimEvent::FaultLeader(fault @ Fault::PauseBeforeSending(_))) =
                 (after.is_zero(), &event)
             {
@@ -126,7 +131,7 @@
         }
     }
 
-    /// What the leader tells its workers.
+    /// Checks the commands that the leader sends to workers.
     pub(super) fn check_commands(&mut self, token: u64, commands: &[WorkerCommand]) {
         self.check_gang_placed(token, commands);
         for command in commands {
@@ -149,7 +154,7 @@
         }
     }
 
-    /// What a transaction that the state service has carried out means.
+    /// Fires the triggers of a committed transaction, and checks who wrote it.
     pub(super) fn on_committed(&mut self, changes: &[KvChange]) {
         for change in changes {
             let KvChange::Put { key, value, .. } = change else { continue };
@@ -160,7 +165,7 @@
                     holder,
                     "{key} was written without its holder's lease"
                 );
-                self.trigger(Trigger::DutyWritten);
+                self.trigger(Trigger::IntentWritten);
             } else if key.starts_with("shard/") {
                 self.shard_record_written(key, value);
             } else if key.starts_with("run/") {
@@ -202,14 +207,14 @@
         }
     }
 
-    /// The node that holds the key.
+    /// Returns the node that holds the leader's key.
     pub fn leader(&self) -> Option<usize> {
         let value = self.kv.value("lead")?;
         let holder: serde_json::Value = serde_json::from_str(value).ok()?;
         holder["host"].as_str()?.trim_start_matches("plank-").parse().ok()
     }
 
-    /// All nodes end, and are back after this time.
+    /// Stops all nodes, and restarts them after the duration.
     pub(super) fn stop_all_nodes(&mut self, duration: Duration) {
         for node in 0..3 {
             if self.nodes[node].take().is_some() {
@@ -219,8 +224,7 @@
         self.watches.clear();
     }
 
-    /// Users call off jobs that run, within a fifth of a second; machines of theirs
-    /// hang at that moment.
+    /// Cancels running jobs within 200 ms, and makes up to 8 machines that run them hang at once.
     pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: Duration) {
         let runs = |j: &Job| {
             let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == j.id);
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Copies kept for the next leader reach every node.
+    /// Delivers the copies that were kept for the next leader to every node.
     pub(super) fn deliver_kept_heartbeats(&mut self) {
         for heartbeat in std::mem::take(&mut self.kept_heartbeats) {
             let late = self.random_ms(0, 1500);
@@ -249,8 +253,8 @@
         }
     }
 
-    /// Users ask every node within milliseconds, some repeat the submission, and some
-    /// call off what was accepted just now.
+    /// Sends every node status requests within milliseconds and repeats the submission. Some jobs
+    /// that were accepted just now are cancelled.
     pub(super) fn poll_all_nodes(&mut self, job: usize, status: JobStatus) {
         if !self.faults.immediate_polls {
             return;
@@ -266,7 +270,7 @@
         }
     }
 
-    /// Submissions that can't be taken, and questions about jobs that nobody knows.
+    /// Sends a submission that must be rejected, or a request about an unknown job.
     pub(super) fn send_invalid_request(&mut self, invalid: InvalidRequest, known: Option<usize>) {
         let node = self.rng.random_range(0..3);
         let job = known.unwrap_or(0);
@@ -298,7 +302,7 @@
     ) {
         match (invalid, known, response) {
             (_, _, Response::Unavailable { .. }) => {}
-            // A known id is answered with the job's state, whatever else was sent.
+            // A request for a known job is answered with its state, whatever else it contains.
             (
                 InvalidRequest::Malformed | InvalidRequest::Impossible,
                 Some(job),
@@ -309,12 +313,14 @@
             (InvalidRequest::Malformed, None, Response::BadRequest(_)) => {}
             (InvalidRequest::Impossible, None, Response::Unprocessable(_)) => {}
             (InvalidRequest::Unknown, None, Response::NotFound) => {}
-            (invalid, known, response) => panic!("{invalid:?} of {known:?} gets {response:?}"),
+            (invalid, known, response) => {
+                panic!("unexpected response to {invalid:?} of job {known:?}: {response:?}")
+            }
         }
     }
 
-    /// Once troubles are over, no job waits while a machine that fits has room and its
-    /// team may use it.
+    /// Checks that after the faults no job waits for long while a fitting machine has room and its
+    /// team's limit allows it to run.
     pub(super) fn check_waiting_jobs(&mut self) {
         if self.now < self.faults_over_at {
             return;
@@ -331,7 +337,7 @@
         }
     }
 
-    /// How long urgent tasks wait although a machine has room.
+    /// Measures how long urgent tasks wait although a machine has room.
     pub(super) fn measure_urgent_waits(&mut self) {
         if self.now < self.next_urgent_check {
             return;
@@ -349,12 +355,12 @@
         }
     }
 
-    /// Which jobs have tasks that could run on a machine that has room.
+    /// Returns for each job whether one of its tasks is waiting although a machine has room for it.
     fn waiting_jobs(&self) -> Vec<(usize, bool)> {
         let now = self.now;
         let mut used: HashMap<&str, f64> = HashMap::new();
         let mut room: Vec<(&Worker, f64)> = Vec::new();
-        let mut on: BTreeSet<&TaskId> = BTreeSet::new();
+        let mut assigned: BTreeSet<&TaskId> = BTreeSet::new();
         for worker in self.workers.values().filter(|w| w.is_up(now) && !w.faulty) {
             let mut free = 8.0;
             for ((task, _), status) in &worker.tasks {
@@ -362,7 +368,7 @@
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
                     free -= spec.demand.cpus;
                     *used.entry(&spec.team).or_default() += spec.demand.cpus;
-                    on.insert(task);
+                    assigned.insert(task);
                 }
             }
             room.push((worker, free));
@@ -371,29 +377,31 @@
         for (n, job) in self.jobs.iter().enumerate() {
             let spec = &job.spec;
             let open = job.accepted && !job.cancelling && !job.has_ended();
-            let here = (0..spec.tasks).filter(|i| on.contains(&TaskId { job: job.id.clone(), index: *i }));
+            let here =
+                (0..spec.tasks).filter(|i| assigned.contains(&TaskId { job: job.id.clone(), index: *i }));
             let (placed, done) = (here.count() as u32, job.done.len() as u32);
-            // Zones that other tasks of the job decide about are left out.
-            let bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
-            let needs = open && !bound && placed + done < spec.tasks;
-            let most = self.deployment.cpu_limit - used.get(spec.team.as_str()).copied().unwrap_or_default();
+            // Jobs whose zones depend on their other tasks are left out.
+            let zone_bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
+            let has_pending = open && !zone_bound && placed + done < spec.tasks;
+            let team_room =
+                self.deployment.cpu_limit - used.get(spec.team.as_str()).copied().unwrap_or_default();
             let fits = |(w, free): &(&Worker, f64)| {
                 spec.demand.cpus <= *free
                     && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
                     && (spec.allows_spot || !w.spot)
             };
-            waits.push((n, needs && spec.demand.cpus <= most && room.iter().any(fits)));
+            waits.push((n, has_pending && spec.demand.cpus <= team_room && room.iter().any(fits)));
         }
         waits
     }
 }
 
 impl World {
-    /// What every node and machine has, to look into a history that went wrong.
+    /// Prints the state of every machine and node, to diagnose a failed history.
     pub fn dump(&self) {
         for (machine, w) in &self.workers {
             println!(
-                "{machine} {} up {} dead {} shift {} token {} node {} tasks {:?}",
+                "{machine} {} up {} dead {} incarnation {} token {} node {} tasks {:?}",
                 w.zone,
                 w.is_up(self.now),
                 w.dead,
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -1,4 +1,5 @@
-//! Messages between controllers about shards, as the network has them: lost, late, refused.
+//! Messages between nodes about shards, which may be lost, late or refused, and checks of shard
+//! records.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -12,10 +13,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Until a message without an answer is given up.
+/// The time after which the sender gives up a message without a response.
 const MESSAGE_TIMEOUT: Duration = secs(1);
 
-/// A controller that has to do with the latest move.
+/// A node that takes part in the latest shard move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardParty {
     OldHolder,
@@ -27,7 +28,7 @@
 }
 
 impl World {
-    /// A node sends another one a message; what becomes of it comes back.
+    /// Sends a message to another node, and reports its outcome to the sender.
     pub(super) fn send_shard_message(
         &mut self,
         (node, boot, call): (usize, u64, CallId),
@@ -39,44 +40,45 @@
         if let ShardMessage::HolderStatus(status) = &message {
             self.latest_stamps.insert(node, status.stamp);
         }
-        let told = |delivery| SimEvent::DeliverToNode {
+        let outcome = |delivery| SimEvent::DeliverToNode {
             node,
             boot,
             event: Event::ShardMessageDelivery { call, delivery },
         };
-        let alone = self.peers_cut_until[node].max(self.peers_cut_until[other]);
-        let open = self.now >= self.node_cut_until[other].max(alone) && self.peer_reachable(node, other);
+        let peers_cut_until = self.peers_cut_until[node].max(self.peers_cut_until[other]);
+        let open =
+            self.now >= self.node_cut_until[other].max(peers_cut_until) && self.peer_reachable(node, other);
         if !open {
-            return self.schedule_in(MESSAGE_TIMEOUT, told(Delivery::NoResponse));
+            return self.schedule_in(MESSAGE_TIMEOUT, outcome(Delivery::NoResponse));
         }
         let Some((peer_boot, _)) = &self.nodes[other] else {
-            return self.schedule_in(ms(4), told(Delivery::NoResponse));
+            return self.schedule_in(ms(4), outcome(Delivery::NoResponse));
         };
         let peer_boot = *peer_boot;
         if self.runs_old_version[other] {
-            return self.schedule_in(ms(4), told(Delivery::Unsupported));
+            return self.schedule_in(ms(4), outcome(Delivery::Unsupported));
         }
         let faults = self.faults;
         if faults.delayed_commands > 0.0 && self.chance(faults.delayed_commands) {
             let late = self.random_ms(1000, 9000);
             self.deliver_shard_message_late(late, to, message);
-            return self.schedule_in(MESSAGE_TIMEOUT, told(Delivery::NoResponse));
+            return self.schedule_in(MESSAGE_TIMEOUT, outcome(Delivery::NoResponse));
         }
-        let way = if self.chance(faults.lost_replies) { self.random_ms(200, 900) } else { ms(2) };
+        let delay = if self.chance(faults.lost_replies) { self.random_ms(200, 900) } else { ms(2) };
         self.last_request += 1;
         let request = self.last_request;
         self.pending_requests
             .insert((other, peer_boot, request), (self.now, PendingRequest::Shard { node, boot, call }));
         let event = Event::ShardMessage { request, message: Ok(message) };
-        self.schedule_in(way, SimEvent::DeliverToNode { node: other, boot: peer_boot, event });
-        let again = Box::new(told(Delivery::NoResponse));
+        self.schedule_in(delay, SimEvent::DeliverToNode { node: other, boot: peer_boot, event });
+        let again = Box::new(outcome(Delivery::NoResponse));
         self.schedule_in(
             MESSAGE_TIMEOUT,
             SimEvent::RetryUnanswered { node: other, boot: peer_boot, request, again },
         );
     }
 
-    /// A message arrives when its sender has long given it up.
+    /// Delivers a message after its sender has given it up.
     pub(super) fn deliver_shard_message_late(&mut self, late: Duration, to: &str, message: ShardMessage) {
         let other = node_index(to);
         let Some((boot, _)) = &self.nodes[other] else { return };
@@ -92,7 +94,7 @@
         response: Response,
     ) {
         let Response::ShardMessageDelivery(delivery) = response else {
-            panic!("a message about shards gets {response:?}")
+            panic!("unexpected response to a message about shards: {response:?}")
         };
         self.schedule_in(
             ms(2),
@@ -100,7 +102,7 @@
         );
     }
 
-    /// The holders of all shards, by the records, and their epochs.
+    /// Returns the holder and the epoch of each shard, according to the stored records.
     pub fn holders(&self) -> BTreeMap<String, (usize, u64)> {
         let rows = self.kv.rows("shard/");
         let holder = |(key, value, revision): (String, String, u64)| {
@@ -117,7 +119,7 @@
         self.apply_fault(if party == ShardParty::OldHolder { old } else { next }, fault);
     }
 
-    /// The machines of the shards that a node holds, by the records.
+    /// Returns the machines of the shards that a node holds, according to the stored records.
     pub fn machines_held_by(&self, node: usize) -> BTreeSet<MachineName> {
         let holders = self.holders();
         let shards = plankhead_sharding::settings::Settings::default().shards_per_zone;
@@ -128,12 +130,12 @@
         self.workers.values().filter(held).map(|worker| worker.name.clone()).collect()
     }
 
-    /// The token of the leader's lease.
+    /// Returns the fencing token of the leader.
     pub fn leader_token(&self) -> u64 {
         self.kv.mod_revision("lead").unwrap()
     }
 
-    /// The stamp of the latest message that a node sent as a holder, and its number.
+    /// Returns the stamp of the latest message that a node sent as a holder.
     pub fn latest_stamp(&self, node: usize) -> MessageStamp {
         self.latest_stamps[&node]
     }
@@ -142,7 +144,8 @@
         self.latest_stamp(node).sequence
     }
 
-    /// What a node does with a message that it gets from somewhere.
+    /// Delivers a message to a node, and returns the outcome and the effects of the node other than
+    /// responses.
     pub fn deliver_shard_message(&mut self, node: usize, message: ShardMessage) -> (Delivery, Vec<Effect>) {
         let times = self.clock_times(node);
         self.last_request += 1;
@@ -161,14 +164,14 @@
         (response.unwrap(), rest.collect())
     }
 
-    /// A process tells a machine something: under each token, only one ever does.
+    /// Checks that only one process sends a machine commands under the same token.
     pub(super) fn check_command_source(&mut self, actor: fencing::Actor, machine: MachineName, token: u64) {
         let start = (actor.node, actor.boot);
         let first = *self.commanded_by.entry((machine.clone(), token)).or_insert(start);
-        assert_eq!(first, start, "two processes tell {machine} something under {token}");
+        assert_eq!(first, start, "two processes sent {machine} commands under token {token}");
     }
 
-    /// A record of a shard was written: by the holder of the lease alone.
+    /// Handles a stored shard record, which only the holder of the leader's lease may write.
     pub(super) fn shard_record_written(&mut self, key: &str, value: &str) {
         let record = plankhead_sharding::record::ShardRecord::read(value).unwrap();
         assert_eq!(self.kv.mod_revision("lead"), Some(record.term), "{key} was written without the lease");
--- a/crates/plankhead-core/tests/world/worker.rs
+++ b/crates/plankhead-core/tests/world/worker.rs
@@ -1,5 +1,4 @@
-//! Machines, their workers, the cloud that rents them, and users, as the model
-//! has them; and the rules.
+//! Machines and their workers, the cloud that rents them, users, and the invariants.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
@@ -16,7 +15,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long a machine that ended is listed as running.
+/// The time for which a machine that has ended is still listed as running.
 const LISTED_RUNNING: Duration = secs(30);
 
 #[derive(Debug, Clone)]
@@ -26,26 +25,30 @@
     pub spot: bool,
     pub up_at: Duration,
     pub dead: bool,
-    /// Since when it is dead.
+    /// When the machine died.
     pub died_at: Option<Duration>,
+    /// Until when the machine's network is cut. Heartbeats and commands arrive afterwards, responses are
+    /// lost.
     pub cut_until: Duration,
+    /// Until when the worker's process hangs.
     pub hung_until: Duration,
+    /// Until when responses and commands do not reach the machine.
     pub responses_dropped_until: Duration,
-    /// Until when it can't open connections to any node.
+    /// Until when its heartbeats reach no node.
     pub heartbeats_dropped_until: Duration,
-    /// When the cloud takes it away.
+    /// When the cloud takes the machine away.
     pub preempted_at: Option<Duration>,
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
-    /// When the last answered report was sent; the lease ends so long after.
+    /// When the last answered heartbeat was sent, from which the lease counts.
     pub lease_renewed_at: Duration,
     lease: Duration,
     pub tasks: BTreeMap<(TaskId, u64), TaskStatus>,
     pub node: usize,
-    /// The tick of the report that waits for its answer.
+    /// The sequence number of the heartbeat that waits for its response.
     pub awaited_response: Option<u64>,
-    /// Fails every task.
+    /// Whether all tasks fail on the machine.
     pub faulty: bool,
     rented_at: Duration,
 }
@@ -62,7 +65,7 @@
         self.tasks.iter().filter(move |(_, s)| on(s)).map(|(k, _)| k)
     }
 
-    /// A hanging worker notices only when it goes on.
+    /// Ends all tasks if the lease has expired. A hung worker does so only when it resumes.
     pub fn expire_lease(&mut self, now: Duration) {
         if self.dead || now < self.hung_until || now < self.up_at || now <= self.lease_renewed_at + self.lease
         {
@@ -116,11 +119,11 @@
                 zones: vec!["x".into(), "y".into()],
             }]),
             CloudRequest::ListInstances { after } => {
-                // The list is three seconds old.
+                // The list is three seconds out of date.
                 let lag = secs(3);
                 let now = self.now;
                 let from = |w: &&Worker| after.as_ref().is_none_or(|a| w.name > *a);
-                // Machines that were taken are listed no more; others that ended stay listed.
+                // Preempted machines disappear from the list; others that have ended stay listed.
                 let there =
                     |w: &&Worker| w.preempted_at.is_none() || w.died_at.is_none_or(|at| now < at + lag);
                 let known = self.workers.values().filter(|w| w.rented_at + lag <= now).filter(there);
@@ -232,7 +235,7 @@
         }
         self.schedule_in(secs(4), SimEvent::HeartbeatTimedOut { machine: machine.clone(), sequence });
         let dropped = self.workers.get(&machine).is_some_and(|w| now < w.heartbeats_dropped_until);
-        let dropped = dropped || self.cut_mode_of(node, cuts::Link::Reports).is_some();
+        let dropped = dropped || self.cut_mode_of(node, cuts::Link::Heartbeats).is_some();
         if dropped || now < self.node_cut_until[node] && !self.within_cut_zone(node, &machine) {
             return;
         }
@@ -240,7 +243,7 @@
         let boot = *boot;
         self.last_request += 1;
         let request = self.last_request;
-        let again = Box::new(heartbeat.clone());
+        let copy = Box::new(heartbeat.clone());
         let event = Event::Heartbeat { request, heartbeat, relayed: false };
         let held = if cut { self.workers[&machine].cut_until - now } else { Duration::ZERO };
         if !self.machine_reachable(node, &machine) {
@@ -248,9 +251,9 @@
         }
         self.pending_requests.insert(
             (node, boot, request),
-            (now, PendingRequest::Heartbeat { machine, sent: now, heartbeat: again }),
+            (now, PendingRequest::Heartbeat { machine, sent: now, heartbeat: copy }),
         );
-        // A cut holds the report back and delivers it late.
+        // A cut delays the heartbeat until it ends.
         self.schedule_in(held + ms(1), SimEvent::DeliverToNode { node, boot, event });
     }
 
@@ -289,7 +292,7 @@
         }
     }
 
-    /// One node passes a report on to another, if it can.
+    /// Relays a heartbeat to another node, if that node can be reached.
     fn relay_heartbeat(&mut self, sent: Duration, heartbeat: Box<Heartbeat>, response: Response) {
         let Response::Relay { leader } = response else { return };
         let node: usize = leader.trim_start_matches("plank-").parse().unwrap();
@@ -297,8 +300,8 @@
         let cut = self.cut_mode_of(node, cuts::Link::PeersIn).is_some();
         let reached = !cut && self.now >= self.node_cut_until[node].max(self.peers_cut_until[node]);
         let Some((boot, _)) = self.nodes[node].as_ref().filter(|_| reached) else {
-            let nobody = Response::Redirect { leader: None };
-            return self.handle_response(PendingRequest::Heartbeat { machine, sent, heartbeat }, nobody);
+            let no_leader = Response::Redirect { leader: None };
+            return self.handle_response(PendingRequest::Heartbeat { machine, sent, heartbeat }, no_leader);
         };
         let boot = *boot;
         self.last_request += 1;
@@ -342,7 +345,7 @@
                         self.execute_command(&machine, command);
                     }
                 }
-                // Give or take a quarter.
+                // The interval varies by up to a quarter in either direction.
                 let interval_ms = self.deployment.heartbeat_interval.as_millis() as u64;
                 self.random_ms(interval_ms * 3 / 4, interval_ms * 5 / 4)
             }
@@ -382,7 +385,8 @@
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         let held = worker.cut_until.max(worker.hung_until);
         if now < held {
-            // Given up by the sender, and carried out when the worker is back.
+            // The sender gives up, but the commands are executed when the worker can be reached
+            // again.
             unanswered(self);
             let late =
                 SimEvent::CommandsArrive { node, boot: 0, call, machine, token, incarnation, commands };
@@ -424,9 +428,9 @@
                 worker.tasks.insert(key, status);
                 let incarnation = worker.incarnation;
                 if status == TaskStatus::FetchingImage {
-                    let pull = self.random_ms(0, 1500);
+                    let fetch_time = self.random_ms(0, 1500);
                     self.schedule_in(
-                        pull,
+                        fetch_time,
                         SimEvent::ImageFetched { machine: machine.clone(), task, attempt, incarnation },
                     );
                 }
@@ -458,7 +462,7 @@
         }
     }
 
-    /// The image is there: the task starts, and the rules apply.
+    /// Starts a task whose image has been fetched, and checks the rules for starts.
     pub(super) fn image_fetched(
         &mut self,
         machine: MachineName,
@@ -556,7 +560,7 @@
                 self.record_status(job, status);
                 if first {
                     self.schedule_in(secs(1), SimEvent::Poll { job });
-                    // Some users are not sure that they were understood.
+                    // Some users are not sure that their submission was received, and repeat it.
                     if self.chance(0.2) {
                         let later = self.random_ms(100, 30_000);
                         self.schedule_in(later, SimEvent::Submit { job });
@@ -564,7 +568,7 @@
                 }
             }
             Response::Unavailable { retry_after } => self.schedule_in(retry_after, SimEvent::Submit { job }),
-            other => panic!("forgotten: a good submission gets {other:?}"),
+            other => panic!("forgotten: a valid submission gets {other:?}"),
         }
     }
 
@@ -582,19 +586,22 @@
             }
             Response::Unavailable { .. } => self.schedule_in(secs(2), SimEvent::Poll { job }),
             Response::NotFound => assert!(!self.jobs[job].accepted, "forgotten: {:?}", self.jobs[job].id),
-            other => panic!("a poll gets {other:?}"),
+            other => panic!("unexpected response to a status request: {other:?}"),
         }
     }
 
     fn cancel_answered(&mut self, job: usize, known: bool, response: Response) {
         match response {
             Response::Job { status, .. } => {
-                assert!(matches!(status, JobStatus::Done | JobStatus::Cancelled), "an abort gets {status:?}");
+                assert!(
+                    matches!(status, JobStatus::Done | JobStatus::Cancelled),
+                    "a cancellation is answered with {status:?}"
+                );
                 self.record_status(job, status);
             }
             Response::NotFound => {
                 assert!(!known, "forgotten: {:?}", self.jobs[job].id);
-                // Not accepted yet: the user tries again once it is.
+                // The job has not been accepted yet: the user tries again later.
                 self.schedule_in(secs(2), SimEvent::Cancel { job });
             }
             _ => self.schedule_in(secs(1), SimEvent::Cancel { job }),
@@ -617,14 +624,14 @@
         let j = &mut self.jobs[job];
         j.last_answered_at = now;
         assert!(j.submitted, "invented: {:?}", j.id);
-        if let Some(told @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_status {
-            // What was asked before may have been read before.
+        if let Some(final_status @ (JobStatus::Done | JobStatus::Cancelled)) = j.last_status {
+            // The response to an earlier request may be based on an earlier read.
             if self.answered_request_sent_at < j.ended_reported_at
                 && !matches!(status, JobStatus::Done | JobStatus::Cancelled)
             {
                 return;
             }
-            assert_eq!(told, status, "went_back: {:?}", j.id);
+            assert_eq!(final_status, status, "went_back: {:?}", j.id);
         } else if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
             j.ended_reported_at = now;
         }
@@ -639,7 +646,7 @@
         j.last_status = Some(status);
     }
 
-    // ----- rules that hold at every moment -----
+    // ----- invariants -----
 
     pub(super) fn check_rules(&self) {
         let mut cpus: HashMap<&str, f64> = HashMap::new();
@@ -661,7 +668,7 @@
         }
         for job in self.jobs.iter().filter(|j| j.accepted && !j.cancelling && !j.has_ended()) {
             let silent = self.now.saturating_sub(job.last_answered_at.max(self.faults_over_at));
-            assert!(silent <= secs(75), "forgotten: nothing is told of {:?}", job.id);
+            assert!(silent <= secs(75), "forgotten: requests about {:?} are not answered", job.id);
         }
         for (team, used) in cpus {
             assert!(used <= self.deployment.cpu_limit + 1e-9, "quota: {team} uses {used}");
