--- a/crates/plankhead-core/tests/world/faults.rs
+++ b/crates/plankhead-core/tests/world/faults.rs
@@ -1,21 +1,21 @@
-//! What goes wrong in a history, and the jobs that come meanwhile.
+//! Randomly planned faults of a history, and its jobs.
 
 use super::deployment::secs;
 use super::events::SimEvent;
 use super::jobs::Job;
-use super::script::OddRequest;
+use super::script::InvalidRequest;
 use super::World;
 use plankhead_core::jobs::job::{JobId, JobSpec, Priority, Resources};
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What goes wrong in a history.
+/// The number or probability of each kind of fault in a history.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Share of state and cloud replies that are lost.
+    /// The share of replies of the state service and the cloud that are lost.
     pub lost_replies: f64,
-    /// Share of lost state requests that are carried out seconds later.
+    /// The share of the state service requests with lost replies that arrive seconds late.
     pub late_requests: f64,
     pub node_crashes: u32,
     pub all_nodes_crash: u32,
@@ -24,55 +24,56 @@
     pub machine_cuts: u32,
     pub machine_hangs: u32,
     pub machine_deaths: u32,
-    /// A node loses the whole network; what it sends arrives when that ends.
+    /// A node loses its whole network; what it sends arrives when the cut ends.
     pub node_cuts: u32,
-    /// Machines whose reports arrive while they hear nothing.
+    /// Machines whose heartbeats arrive while they receive neither responses nor commands.
     pub dropped_responses: u32,
-    /// Share of reports of which a copy comes late.
+    /// The share of heartbeats of which a copy arrives late.
     pub duplicate_heartbeats: f64,
-    /// A node loses the state service and its siblings, not its workers.
+    /// A node loses the state service and its peers, but not its workers.
     pub cut_from_kv_and_peers: u32,
-    /// Half of the machines and a node can't reach each other.
+    /// A node and half of the machines can't reach each other.
     pub worker_partitions: u32,
     pub task_errors: f64,
-    /// A cloud that lies: confirmed releases leave the machine running.
-    pub lying_cloud: bool,
-    /// Late copies that lie: they tell of a shift that has not begun.
-    pub lying_copies: bool,
-    /// Nobody hears the answers to questions about the first job.
+    /// The cloud confirms releases of machines, but leaves them running.
+    pub unperformed_releases: bool,
+    /// Late copies of heartbeats name an incarnation that has not begun.
+    pub falsified_duplicates: bool,
+    /// Responses to status requests for the first job are ignored.
     pub unanswered_first_job: bool,
-    /// Machines that are taken some seconds after a notice.
+    /// Machines that the cloud takes some seconds after a notice.
     pub preemption_notices: u32,
-    /// The nodes begin with the version before and come back with this one, one after
-    /// the other; later the state service lowers its limits. No gang comes before.
+    /// The nodes start with the previous version and are upgraded one after another; later the
+    /// state service lowers its limits. Gangs are submitted only after the upgrades.
     pub upgrade: bool,
-    /// Machines whose reports reach no node, while direct commands reach them.
+    /// Machines whose heartbeats reach no node, while direct commands reach them.
     pub dropped_heartbeats: u32,
-    /// Share of reports of which a copy reaches every node as a new leader begins.
+    /// The share of heartbeats of which a copy reaches every node when the next leader is elected.
     pub duplicates_for_next_leader: f64,
-    /// Share of direct commands, and of their answers, that are held up for seconds.
+    /// The share of direct commands and of messages about shards that are delayed by seconds.
     pub delayed_commands: f64,
-    /// Share of the jobs that are called off at the moment of their end.
+    /// The share of jobs that are cancelled within 400 ms after their last task ends.
     pub cancel_at_end: f64,
-    /// Users ask all nodes within milliseconds of whatever they are told.
+    /// Users send requests to all nodes within milliseconds after they learn that a job was
+    /// accepted or has ended.
     pub immediate_polls: bool,
-    /// Odd requests of users.
-    pub odd_requests: u32,
-    /// Zones cut off with their machines and nodes, for longer than a lease.
+    /// Requests that are invalid or name an unknown job.
+    pub invalid_requests: u32,
+    /// Zones that are cut off with their machines and nodes for longer than a worker's lease.
     pub zone_cuts: u32,
-    /// Machines are up within two seconds.
+    /// Machines boot within two seconds.
     pub quick_boots: bool,
-    /// Every state reply takes up to a second.
+    /// Requests to the state service take up to 900 ms, and their replies up to 600 ms.
     pub slow_kv: bool,
-    /// Times at which jobs that run are called off and machines of theirs hang.
+    /// The number of times that running jobs are cancelled while some of their machines hang.
     pub cancel_bursts: u32,
-    /// All nodes are away for longer than a lease.
-    pub all_nodes_away: u32,
+    /// All nodes are stopped for longer than a worker's lease.
+    pub all_nodes_stopped: u32,
 }
 
 impl Faults {
-    /// Some of each that machines, nodes, links and the state service can have.
-    pub fn of_everything() -> Self {
+    /// Returns a mix of faults of machines, nodes, links and the state service.
+    pub fn mixed() -> Self {
         Self {
             lost_replies: 0.03,
             late_requests: 0.5,
@@ -95,25 +96,25 @@
 }
 
 impl World {
-    /// Jobs and troubles at random times within the given span.
+    /// Plans jobs and faults at random times within the span.
     pub fn plan(&mut self, jobs: usize, span: Duration) {
         let span = span.as_millis() as u64;
         for n in 0..jobs {
             self.plan_job(n, span);
         }
         self.plan_faults(jobs, span);
-        // The longest fault, and what a process needs to be back.
-        self.calm_at = self.now + Duration::from_millis(span) + secs(60 + 6);
+        // The longest fault takes 60 s, and a process needs up to 6 s to restart.
+        self.faults_over_at = self.now + Duration::from_millis(span) + secs(60 + 6);
     }
 
-    /// The n-th job: its kind follows from its number, its size and times from the seed.
+    /// Plans the n-th job. Its kind follows from its number, its size and times from the seed.
     fn plan_job(&mut self, n: usize, span: u64) {
         let gang = n % 4 == 2;
-        // Some gangs are wider than a chunk of placements.
+        // Some gangs have more tasks than a chunk of placements holds.
         let wide = n % 12 == 2;
-        let many = if n.is_multiple_of(9) && !gang { 120 } else { 6 };
-        let many = if wide { 22 } else { many };
-        let tasks = self.rng.random_range(1..=many);
+        let max_tasks = if n.is_multiple_of(9) && !gang { 120 } else { 6 };
+        let max_tasks = if wide { 22 } else { max_tasks };
+        let tasks = self.rng.random_range(1..=max_tasks);
         let spec = JobSpec {
             class: format!("c{}", n % 3),
             team: if n.is_multiple_of(2) { "a".into() } else { "b".into() },
@@ -147,8 +148,8 @@
             submitted: false,
             cancelling: false,
             cancelled_at: None,
-            last_answer: None,
-            told_ended_at: Duration::ZERO,
+            last_status: None,
+            ended_reported_at: Duration::ZERO,
             done: BTreeSet::new(),
             runtime_s: runs,
             runtime_spread_s: 0.0,
@@ -163,11 +164,11 @@
             urgent_waiting_since: None,
         };
         self.jobs.push(job);
-        let at = self.between(500, span);
+        let at = self.random_ms(500, span);
         let at = if gang && self.faults.upgrade { at.max(secs(45)) } else { at };
         self.schedule_in(at, SimEvent::Submit { job: n });
         if n % 4 == 1 || n % 24 == 2 {
-            let later = at + self.between(0, 15_000);
+            let later = at + self.random_ms(0, 15_000);
             self.schedule_in(later, SimEvent::Cancel { job: n });
         }
     }
@@ -175,92 +176,93 @@
     fn plan_faults(&mut self, jobs: usize, span: u64) {
         let t = self.faults;
         for _ in 0..t.node_crashes {
-            let (at, node) = (self.between(1000, span), self.rng.random_range(0..3));
+            let (at, node) = (self.random_ms(1000, span), self.rng.random_range(0..3));
             self.schedule_in(at, SimEvent::Crash { node });
         }
         for _ in 0..t.all_nodes_crash {
-            let at = self.between(1000, span);
+            let at = self.random_ms(1000, span);
             for node in 0..3 {
                 self.schedule_in(at, SimEvent::Crash { node });
             }
         }
         for _ in 0..t.kv_outages {
-            let (at, last) = (self.between(1000, span), self.between(3000, 25_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(1000, span), self.random_ms(3000, 25_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::Outage { until });
         }
         for _ in 0..t.kv_refusals {
-            let (at, last, node) =
-                (self.between(1000, span), self.between(3000, 25_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(1000, span), self.random_ms(3000, 25_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::RefuseNode { node, until });
         }
         for _ in 0..t.machine_cuts {
-            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(3000, 40_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutMachine { until });
         }
         for _ in 0..t.machine_hangs {
-            let (at, last) = (self.between(10_000, span), self.between(3000, 40_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(3000, 40_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::HangMachine { until });
         }
         for _ in 0..t.node_cuts {
-            let (at, last, node) =
-                (self.between(10_000, span), self.between(15_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(10_000, span), self.random_ms(15_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutNode { node, until });
         }
         for _ in 0..t.machine_deaths {
-            let at = self.between(10_000, span);
+            let at = self.random_ms(10_000, span);
             self.schedule_in(at, SimEvent::KillMachine);
         }
         for _ in 0..t.dropped_responses {
-            let (at, last) = (self.between(10_000, span), self.between(5000, 60_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(10_000, span), self.random_ms(5000, 60_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::DropResponses { until });
         }
         for _ in 0..t.cut_from_kv_and_peers {
-            let (at, last, node) =
-                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(5000, span), self.random_ms(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::CutFromKvAndPeers { node, until });
         }
         for _ in 0..t.worker_partitions {
-            let (at, last, node) =
-                (self.between(5000, span), self.between(10_000, 50_000), self.rng.random_range(0..3));
-            let until = self.now + at + last;
+            let (at, duration, node) =
+                (self.random_ms(5000, span), self.random_ms(10_000, 50_000), self.rng.random_range(0..3));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::PartitionWorkers { node, until });
         }
         for _ in 0..t.preemption_notices {
-            let (at, left) = (self.between(5000, span), self.between(5000, 20_000));
-            self.schedule_in(at, SimEvent::PreemptionNotice { left });
+            let (at, notice) = (self.random_ms(5000, span), self.random_ms(5000, 20_000));
+            self.schedule_in(at, SimEvent::PreemptionNotice { notice });
         }
         for _ in 0..t.dropped_heartbeats {
-            let (at, last) = (self.between(5000, span), self.between(5000, 60_000));
-            let until = self.now + at + last;
+            let (at, duration) = (self.random_ms(5000, span), self.random_ms(5000, 60_000));
+            let until = self.now + at + duration;
             self.schedule_in(at, SimEvent::DropHeartbeats { until });
         }
-        for n in 0..t.odd_requests {
-            let (at, job) = (self.between(500, span), self.rng.random_range(0..jobs));
-            let odd = [OddRequest::Malformed, OddRequest::Impossible, OddRequest::Unknown][n as usize % 3];
-            let known = (n % 2 == 0 && !matches!(odd, OddRequest::Unknown)).then_some(job);
-            self.schedule_in(at, SimEvent::SendOddRequest { odd, known });
+        for n in 0..t.invalid_requests {
+            let (at, job) = (self.random_ms(500, span), self.rng.random_range(0..jobs));
+            let invalid = [InvalidRequest::Malformed, InvalidRequest::Impossible, InvalidRequest::Unknown]
+                [n as usize % 3];
+            let known = (n % 2 == 0 && !matches!(invalid, InvalidRequest::Unknown)).then_some(job);
+            self.schedule_in(at, SimEvent::SendInvalidRequest { invalid, known });
         }
         for _ in 0..t.zone_cuts {
-            let at = self.between(5000, span);
-            let until = self.now + at + self.deployment.worker_lease + self.between(1000, 30_000);
+            let at = self.random_ms(5000, span);
+            let until = self.now + at + self.deployment.worker_lease + self.random_ms(1000, 30_000);
             let zone = if self.chance(0.5) { "x" } else { "y" };
             self.schedule_in(at, SimEvent::CutZone { zone, until });
         }
         for _ in 0..t.cancel_bursts {
-            let (at, hang) = (self.between(5000, span), self.between(0, 40_000));
-            self.schedule_in(at, SimEvent::CancelNow { count: 4, hang });
+            let (at, hang) = (self.random_ms(5000, span), self.random_ms(0, 40_000));
+            self.schedule_in(at, SimEvent::CancelRunningJobs { count: 4, hang });
         }
-        for _ in 0..t.all_nodes_away {
-            let at = self.between(5000, span);
-            let last = self.deployment.worker_lease + self.between(1000, 10_000);
-            self.schedule_in(at, SimEvent::StopAllNodes { last });
+        for _ in 0..t.all_nodes_stopped {
+            let at = self.random_ms(5000, span);
+            let duration = self.deployment.worker_lease + self.random_ms(1000, 10_000);
+            self.schedule_in(at, SimEvent::StopAllNodes { duration });
         }
         if t.upgrade {
             for node in 0..3 {
--- a/crates/plankhead-core/tests/world/fencing.rs
+++ b/crates/plankhead-core/tests/world/fencing.rs
@@ -1,7 +1,7 @@
-//! Processes that are paused, clocks that disagree, and what the cloud did for whom.
+//! Process pauses, clock drift, and counts of what the cloud did for which process.
 //!
-//! The check is independent of the code under test: it reads the stored records as plain
-//! JSON, and knows from the model itself who held the lease when.
+//! The check is independent of the code under test: it reads the stored records as plain JSON, and
+//! takes the holder of the lease from the state service of the model.
 
 use super::events::SimEvent;
 use super::{World, SIM_START};
@@ -12,88 +12,90 @@
 use serde_json::Value;
 use std::time::{Duration, SystemTime};
 
-/// Who decided on a call: which process, and the lease's revision that it held then.
+/// The process that decided on a call, and its lease at that time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Actor {
     pub node: usize,
     pub boot: u64,
-    /// 0: it held no lease.
+    /// The revision of the lease, or 0 if the process did not hold it.
     pub term: u64,
 }
 
-/// What the cloud did.
+/// Counts of what the cloud did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Effects {
-    /// Rentals and returns that changed something.
+pub struct CloudEffects {
+    /// The number of rentals and machine returns that reached the cloud, without repeated ones.
     pub all: u32,
-    /// Of these, the ones whose actor held the lease no more.
-    pub of_former: u32,
-    /// Of these, the ones that no open record in the state service names: stale ones.
+    /// Those whose actor no longer held the lease.
+    pub by_former_leaders: u32,
+    /// Those by former leaders that no open intent in the state service covered, without forced
+    /// returns.
     pub stale: u32,
-    /// Effects without a record, since a rule forced them; and the stale ones of them.
+    /// Forced returns that were allowed without a stored intent.
     pub compelled: u32,
+    /// Forced returns by former leaders that no open intent covered.
     pub compelled_stale: u32,
 }
 
 /// How a node's clocks run.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Seconds of its steady clock in a second.
+    /// The seconds that its monotonic clock advances in a second.
     pub rate: f64,
-    /// How far its time of day jumps about.
+    /// The largest random offset of its wall clock.
     pub jumps: Duration,
 }
 
 pub const TRUE_CLOCK: Clock = Clock { rate: 1.0, jumps: Duration::ZERO };
 
 impl World {
-    /// Pauses a process. `holding`: also what it has decided in this very moment leaves
-    /// only when it goes on.
-    pub(super) fn freeze(&mut self, node: usize, last: Duration, holding: bool) {
+    /// Pauses a process. With `holds_effects`, effects that it decides at this very time are sent
+    /// only when it resumes.
+    pub(super) fn pause_process(&mut self, node: usize, duration: Duration, holds_effects: bool) {
         let Some((boot, _)) = &self.nodes[node] else { return };
         let boot = *boot;
         self.pauses += 1;
-        self.paused_until[node] = self.paused_until[node].max(self.now + last);
-        self.holding[node] = holding;
+        self.paused_until[node] = self.paused_until[node].max(self.now + duration);
+        self.holds_effects[node] = holds_effects;
         self.schedule_in(self.paused_until[node] - self.now, SimEvent::ResumeProcess { node, boot });
     }
 
-    pub(super) fn thaw(&mut self, node: usize, boot: u64) {
+    pub(super) fn resume_process(&mut self, node: usize, boot: u64) {
         if self.now < self.paused_until[node] {
             return;
         }
-        self.holding[node] = false;
+        self.holds_effects[node] = false;
         let batch = std::mem::take(&mut self.backlog[node]);
-        if self.alive(node, boot) {
+        if self.is_running(node, boot) {
             self.step(node, batch);
         }
     }
 
-    /// The times that a node's clocks show.
-    pub(super) fn times(&mut self, node: usize) -> StepTime {
+    /// Returns the times that a node's clocks show.
+    pub(super) fn clock_times(&mut self, node: usize) -> StepTime {
         let Clock { rate, jumps } = self.clocks[node];
         let now = SIM_START + (self.now - SIM_START).mul_f64(rate);
         let jumps = jumps.as_millis() as u64;
-        let jump = if jumps > 0 { self.between(0, jumps) } else { Duration::ZERO };
+        let jump = if jumps > 0 { self.random_ms(0, jumps) } else { Duration::ZERO };
         StepTime { now, wall: SystemTime::UNIX_EPOCH + self.now + jump }
     }
 
-    /// When a time on a node's clock is.
+    /// Converts a time on a node's clock to the time of the simulation.
     pub(super) fn true_time(&self, node: usize, at: Duration) -> Duration {
         SIM_START + at.saturating_sub(SIM_START).div_f64(self.clocks[node].rate)
     }
 
-    /// Who acts, if the node does so now.
+    /// Returns the actor for a call that the node decides on now.
     pub(super) fn actor(&self, node: usize, boot: u64) -> Actor {
         let holds = self.kv.value("lead").and_then(|text| serde_json::from_str::<Value>(text).ok());
         let holds = holds
             .is_some_and(|lease| lease["host"] == format!("plank-{node}").as_str() && lease["boot"] == boot);
-        let term = if holds { self.kv.stamp("lead").unwrap_or(0) } else { 0 };
+        let term = if holds { self.kv.mod_revision("lead").unwrap_or(0) } else { 0 };
         Actor { node, boot, term }
     }
 
-    /// Counts what the cloud is about to do for an actor.
-    pub(super) fn count_effects(&mut self, actor: Actor, request: &CloudRequest) {
+    /// Counts the effects that a request is about to have in the cloud.
+    pub(super) fn count_cloud_effects(&mut self, actor: Actor, request: &CloudRequest) {
         let CloudRequest::Execute(permitted) = request else { return };
         let subjects: Vec<(&str, bool)> = match permitted.action() {
             CloudAction::Rent(rental) => {
@@ -109,27 +111,27 @@
                 there.map(|machine| (machine.as_ref(), false)).collect()
             }
         };
-        let holder = actor.term > 0 && self.kv.stamp("lead") == Some(actor.term);
+        let holder = actor.term > 0 && self.kv.mod_revision("lead") == Some(actor.term);
         let compelled = permitted.basis() == Basis::Compelled;
         let covered: Vec<bool> =
-            subjects.iter().map(|(subject, rental)| self.recorded(subject, *rental)).collect();
+            subjects.iter().map(|(subject, rental)| self.has_open_intent(subject, *rental)).collect();
         for covered in covered {
-            self.effects.all += 1;
-            self.effects.compelled += u32::from(compelled);
+            self.cloud_effects.all += 1;
+            self.cloud_effects.compelled += u32::from(compelled);
             if holder {
                 continue;
             }
-            self.effects.of_former += 1;
+            self.cloud_effects.by_former_leaders += 1;
             match (covered, compelled) {
                 (true, _) => {}
-                (false, true) => self.effects.compelled_stale += 1,
-                (false, false) => self.effects.stale += 1,
+                (false, true) => self.cloud_effects.compelled_stale += 1,
+                (false, false) => self.cloud_effects.stale += 1,
             }
         }
     }
 
-    /// Whether an open record in the state service names the rental or the machine.
-    fn recorded(&self, subject: &str, rental: bool) -> bool {
+    /// Returns whether an open intent in the state service names the rental or the machine.
+    fn has_open_intent(&self, subject: &str, rental: bool) -> bool {
         let pages = self.kv.values("duty/").map(|text| serde_json::from_str::<Value>(text).unwrap());
         let duties = pages.flat_map(|page| page["duties"].as_array().cloned().unwrap_or_default());
         let names = |duty: &Value| match (rental, duty["kind"].as_str()) {
@@ -142,20 +144,21 @@
         duties.into_iter().any(|duty| names(&duty))
     }
 
-    /// Nobody calls a job off: clocks far beyond their bounds can't keep its time.
-    pub fn without_cancellations(&mut self) {
-        self.happenings.retain(|_, happening| !matches!(happening, SimEvent::Cancel { .. }));
+    /// Removes all cancellations. Clocks far beyond their bounds can't keep the time limit of a
+    /// cancellation.
+    pub fn drop_cancellations(&mut self) {
+        self.scheduled_events.retain(|_, event| !matches!(event, SimEvent::Cancel { .. }));
     }
 
-    /// Something writes into the state service.
-    pub fn put(&mut self, key: &str, value: &str) {
+    /// Writes a key into the state service.
+    pub fn write_key(&mut self, key: &str, value: &str) {
         let changes = vec![KvChange::Put { key: key.into(), value: value.into(), lease: None }];
         let reply = self.kv.apply(self.now, KvRequest::Txn { conditions: Vec::new(), changes });
         assert!(matches!(reply, Ok(KvReply::Committed { .. })));
     }
 
-    /// Open records in the state service.
-    pub fn records(&self) -> usize {
+    /// Returns the number of open intents in the state service.
+    pub fn open_intents(&self) -> usize {
         let pages = self.kv.values("duty/").filter_map(|text| serde_json::from_str::<Value>(text).ok());
         pages.map(|page| page["duties"].as_array().map_or(0, Vec::len)).sum()
     }
--- a/crates/plankhead-core/tests/world/script.rs
+++ b/crates/plankhead-core/tests/world/script.rs
@@ -1,10 +1,10 @@
-//! Troubles set at the instant that hurts: scripted histories, and what users do
-//! beyond asking for their jobs.
+//! Faults that are scripted to happen at critical moments, and requests of users beyond submission,
+//! status and cancellation.
 
 use super::deployment::{ms, secs};
 use super::events::SimEvent;
 use super::jobs::Job;
-use super::requests::PendingQuestion;
+use super::requests::PendingRequest;
 use super::worker::Worker;
 use super::{cuts, World, SIM_START};
 use plankhead_core::jobs::job::{JobId, Priority};
@@ -15,126 +15,131 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// An instant inside a history, seen by the model alone.
+/// A moment in a history that the model can observe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trigger {
-    /// A node has won the leader's key.
-    Won,
+    /// A node has acquired the leader's key.
+    LeaderElected,
     /// The leader told a worker to run something.
     RunSent,
-    /// The leader told a worker to end something.
+    /// The leader told a worker to kill an attempt.
     KillSent,
     /// The state service wrote placements.
-    Placed,
+    PlacementsWritten,
     /// The state service wrote that a job is done.
-    Finished,
-    /// A user heard that the job is accepted.
+    JobDoneWritten,
+    /// A user learned that a job was accepted.
     Accepted,
-    /// A user heard that the job is cancelled.
+    /// A user learned that a job is cancelled.
     Cancelled,
-    /// A leader sends the record of a duty.
-    DutySent,
-    /// The state service wrote a record of duties.
-    DutyWritten,
-    /// A leader asks the cloud for what can't be taken back.
-    CloudCalled,
+    /// A leader sent the state service an intent.
+    IntentSent,
+    /// The state service wrote an intent.
+    IntentWritten,
+    /// A leader asked the cloud to rent or release machines.
+    CloudActionSent,
     /// The state service wrote that a shard is to move.
-    MoveBegun,
-    /// The state service wrote who holds a shard.
-    HolderNamed,
+    MoveStarted,
+    /// The state service wrote the holder of a shard.
+    HolderAssigned,
 }
 
-/// A moment, how many more of them until it counts, and what happens so long after.
+/// A trigger, the number of times that it must still fire, and the events that are then scheduled
+/// after these delays.
 pub type Script = (Trigger, u32, Vec<(Duration, SimEvent)>);
 
-/// What befalls the node that leads just then.
+/// A fault of the current leader or of another node.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// The state service refuses it alone.
-    Refuse(Duration),
-    /// It loses the state service and the other nodes, not its workers or users.
-    Adrift(Duration),
-    /// It is paused.
-    Freeze(Duration),
-    /// It is paused with what it has just decided unsent.
-    FreezeHolding(Duration),
-    /// It loses the network.
-    Cut(Duration),
-    /// Some of its links fail.
+    /// The state service refuses the node's requests.
+    RefuseKv(Duration),
+    /// The node loses the state service and its peers, but not its workers or users.
+    CutFromKvAndPeers(Duration),
+    /// The node's process is paused.
+    Pause(Duration),
+    /// The node's process is paused before it sends its latest decisions.
+    PauseBeforeSending(Duration),
+    /// The node loses its whole network.
+    CutNetwork(Duration),
+    /// Some of the node's links fail.
     CutLinks(&'static [cuts::Link], cuts::CutMode, Duration),
-    /// It ends and is back after this time.
-    End(Duration),
+    /// The node's process stops and restarts after this time.
+    Restart(Duration),
 }
 
-/// A user's odd request, and what may be answered beside "later".
+/// An invalid request of a user. Apart from `Unavailable`, each has one correct response.
 #[derive(Debug, Clone, Copy)]
-pub enum OddRequest {
+pub enum InvalidRequest {
+    /// A job specification that can't be decoded.
     Malformed,
+    /// A job of an unknown team.
     Impossible,
+    /// A status request or cancellation for an unknown job.
     Unknown,
 }
 
-/// A start is counted against a command given so long after a confirmed cancellation:
-/// a leader hears of it within a watch, or notices that it hears nothing.
-const UNSEEN: Duration = ms(3000);
+/// For this long after a confirmed cancellation, a leader may still tell a task of the job to run:
+/// it learns of the cancellation through its watch, or notices by then that the watch is silent.
+const CANCEL_NOTICE_DELAY: Duration = ms(3000);
 
-/// How often the waits of urgent tasks are looked at.
-const URGENT_LOOK: Duration = ms(100);
+/// The interval at which the waits of urgent tasks are measured.
+const URGENT_CHECK_INTERVAL: Duration = ms(100);
 
-/// Who could run the waiting task may be left idle for so long once troubles are over.
+/// The longest time for which a job may wait after the faults although a machine has room for it.
 const MAX_WAIT: Duration = secs(90);
 
 impl World {
-    /// Has something happen when the moment comes for the `nth` time.
-    pub fn when(&mut self, moment: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
-        self.scripts.push((moment, nth, then));
+    /// Schedules events for the `nth` time that a trigger fires.
+    pub fn on_trigger(&mut self, trigger: Trigger, nth: u32, then: Vec<(Duration, SimEvent)>) {
+        self.scripts.push((trigger, nth, then));
     }
 
-    /// Has something happen at a time of the history.
-    pub fn schedule_at(&mut self, at: Duration, happening: SimEvent) {
-        self.schedule_in(at, happening);
+    /// Schedules an event after this time.
+    pub fn schedule_at(&mut self, at: Duration, event: SimEvent) {
+        self.schedule_in(at, event);
     }
 
-    pub(super) fn duty_sent(&mut self, request: &KvRequest) {
+    pub(super) fn trigger_on_intent_write(&mut self, request: &KvRequest) {
         let KvRequest::Txn { changes, .. } = request else { return };
         let duty =
             |change: &KvChange| matches!(change, KvChange::Put { key, .. } if key.starts_with("duty/"));
         if changes.iter().any(duty) {
-            self.trigger(Trigger::DutySent);
+            self.trigger(Trigger::IntentSent);
         }
     }
 
-    pub(super) fn trigger(&mut self, moment: Trigger) {
+    pub(super) fn trigger(&mut self, trigger: Trigger) {
         let mut due = Vec::new();
         for (which, left, then) in &mut self.scripts {
-            if *which == moment && *left > 0 {
+            if *which == trigger && *left > 0 {
                 *left -= 1;
                 if *left == 0 {
                     due.append(then);
                 }
             }
         }
-        for (after, happening) in due {
-            // Between a decision and its call there is no later moment.
-            if let (true, SimEvent::FaultLeader(blow @ Fault::FreezeHolding(_))) =
-                (after.is_zero(), &happening)
+        for (after, event) in due {
+            // The pause must begin before the decided call is sent, which happens in this same
+            // step.
+            if let (true, SimEvent::FaultLeader(fault @ Fault::PauseBeforeSending(_))) =
+                (after.is_zero(), &event)
             {
-                self.fault_leader(*blow);
+                self.fault_leader(*fault);
                 continue;
             }
-            self.schedule_in(after, happening);
+            self.schedule_in(after, event);
         }
     }
 
-    /// What the leader tells its workers.
+    /// Checks the commands that the leader sends to workers.
     pub(super) fn check_commands(&mut self, token: u64, commands: &[WorkerCommand]) {
-        self.gang_sent(token, commands);
-        for order in commands {
-            match order {
+        self.check_gang_placed(token, commands);
+        for command in commands {
+            match command {
                 WorkerCommand::Run { task, attempt } => {
                     let job = &self.jobs[self.by_id[&task.job]];
                     let killed = |o: &WorkerCommand| matches!(o, WorkerCommand::Kill { task: t, attempt: n, .. } if t == task && n == attempt);
-                    let late = job.cancelled_at.is_some_and(|at| self.now > at + UNSEEN);
+                    let late = job.cancelled_at.is_some_and(|at| self.now > at + CANCEL_NOTICE_DELAY);
                     assert!(
                         !late || commands.iter().any(killed),
                         "ran_cancelled: {task:?} is told to run under {token} at {:?}, cancelled at {:?}",
@@ -149,75 +154,78 @@
         }
     }
 
-    /// What a transaction that the state service has carried out means.
+    /// Fires the triggers of a committed transaction, and checks who wrote it.
     pub(super) fn on_committed(&mut self, changes: &[KvChange]) {
         for change in changes {
             let KvChange::Put { key, value, .. } = change else { continue };
             if key.starts_with("duty/") {
                 let holder = key.split('/').nth(1).and_then(|token| token.parse().ok());
-                assert_eq!(self.kv.stamp("lead"), holder, "{key} was written without its holder's lease");
-                self.trigger(Trigger::DutyWritten);
+                assert_eq!(
+                    self.kv.mod_revision("lead"),
+                    holder,
+                    "{key} was written without its holder's lease"
+                );
+                self.trigger(Trigger::IntentWritten);
             } else if key.starts_with("shard/") {
-                self.record_written(key, value);
+                self.shard_record_written(key, value);
             } else if key.starts_with("run/") {
-                self.trigger(Trigger::Placed);
+                self.trigger(Trigger::PlacementsWritten);
             } else if key.starts_with("job/") && value.contains("\"phase\":\"done\"") {
-                self.trigger(Trigger::Finished);
+                self.trigger(Trigger::JobDoneWritten);
             }
         }
     }
 
-    pub(super) fn fault_leader(&mut self, blow: Fault) {
+    pub(super) fn fault_leader(&mut self, fault: Fault) {
         if let Some(node) = self.leader() {
-            self.apply_fault(node, blow);
+            self.apply_fault(node, fault);
         }
     }
 
-    pub(super) fn apply_fault(&mut self, node: usize, blow: Fault) {
+    pub(super) fn apply_fault(&mut self, node: usize, fault: Fault) {
         let now = self.now;
-        match blow {
-            Fault::Refuse(last) => self.refused_until[node] = now + last,
-            Fault::Adrift(last) => {
-                self.refused_until[node] = now + last;
-                self.alone_until[node] = now + last;
+        match fault {
+            Fault::RefuseKv(duration) => self.refused_until[node] = now + duration,
+            Fault::CutFromKvAndPeers(duration) => {
+                self.refused_until[node] = now + duration;
+                self.peers_cut_until[node] = now + duration;
             }
-            Fault::Freeze(last) => self.freeze(node, last, false),
-            Fault::FreezeHolding(last) => self.freeze(node, last, true),
-            Fault::Cut(last) => self.node_cut_until[node] = now + last,
-            Fault::CutLinks(links, how, last) => {
+            Fault::Pause(duration) => self.pause_process(node, duration, false),
+            Fault::PauseBeforeSending(duration) => self.pause_process(node, duration, true),
+            Fault::CutNetwork(duration) => self.node_cut_until[node] = now + duration,
+            Fault::CutLinks(links, how, duration) => {
                 for link in links {
-                    self.cut_link(cuts::LinkCut { node, link: *link, how, until: now + last });
+                    self.cut_link(cuts::LinkCut { node, link: *link, how, until: now + duration });
                 }
             }
-            Fault::End(last) => {
+            Fault::Restart(duration) => {
                 if self.nodes[node].take().is_some() {
                     self.watches.retain(|w| w.node != node);
-                    self.schedule_in(last, SimEvent::Start { node });
+                    self.schedule_in(duration, SimEvent::Start { node });
                 }
             }
         }
     }
 
-    /// The node that holds the key.
+    /// Returns the node that holds the leader's key.
     pub fn leader(&self) -> Option<usize> {
         let value = self.kv.value("lead")?;
         let holder: serde_json::Value = serde_json::from_str(value).ok()?;
         holder["host"].as_str()?.trim_start_matches("plank-").parse().ok()
     }
 
-    /// All nodes end, and are back after this time.
-    pub(super) fn away(&mut self, last: Duration) {
+    /// Stops all nodes, and restarts them after the duration.
+    pub(super) fn stop_all_nodes(&mut self, duration: Duration) {
         for node in 0..3 {
             if self.nodes[node].take().is_some() {
-                self.schedule_in(last, SimEvent::Start { node });
+                self.schedule_in(duration, SimEvent::Start { node });
             }
         }
         self.watches.clear();
     }
 
-    /// Users call off jobs that run, within a fifth of a second; machines of theirs
-    /// hang at that moment.
-    pub(super) fn cancel_now(&mut self, count: usize, hang: Duration) {
+    /// Cancels running jobs within 200 ms, and makes up to 8 machines that run them hang at once.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: Duration) {
         let runs = |j: &Job| {
             let here = |w: &Worker| w.running_tasks().any(|(t, _)| t.job == j.id);
             j.accepted && !j.cancelling && !j.has_ended() && self.workers.values().any(here)
@@ -225,7 +233,7 @@
         let jobs: Vec<usize> = (0..self.jobs.len()).filter(|n| runs(&self.jobs[*n])).take(count).collect();
         let ids: Vec<JobId> = jobs.iter().map(|n| self.jobs[*n].id.clone()).collect();
         for job in jobs {
-            let within = self.between(0, 200);
+            let within = self.random_ms(0, 200);
             self.schedule_in(within, SimEvent::Cancel { job });
         }
         let until = self.now + hang;
@@ -235,19 +243,19 @@
         }
     }
 
-    /// Copies kept for the next leader reach every node.
-    pub(super) fn deliver_kept(&mut self) {
-        for report in std::mem::take(&mut self.kept_heartbeats) {
-            let late = self.between(0, 1500);
+    /// Delivers the copies that were kept for the next leader to every node.
+    pub(super) fn deliver_kept_heartbeats(&mut self) {
+        for heartbeat in std::mem::take(&mut self.kept_heartbeats) {
+            let late = self.random_ms(0, 1500);
             for node in 0..3 {
-                self.schedule_in(late, SimEvent::DuplicateHeartbeatTo { node, heartbeat: report.clone() });
+                self.schedule_in(late, SimEvent::DuplicateHeartbeatTo { node, heartbeat: heartbeat.clone() });
             }
         }
     }
 
-    /// Users ask every node within milliseconds, some repeat the submission, and some
-    /// call off what was accepted just now.
-    pub(super) fn look_closely(&mut self, job: usize, status: JobStatus) {
+    /// Sends every node status requests within milliseconds and repeats the submission. Some jobs
+    /// that were accepted just now are cancelled.
+    pub(super) fn poll_all_nodes(&mut self, job: usize, status: JobStatus) {
         if !self.faults.immediate_polls {
             return;
         }
@@ -257,13 +265,13 @@
             }
             self.schedule_in(ms(2 + node as u64), SimEvent::SubmitAt { job, node });
         }
-        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].last_answer.is_none() {
+        if status == JobStatus::Queued && job % 5 == 4 && self.jobs[job].last_status.is_none() {
             self.schedule_in(ms(3), SimEvent::Cancel { job });
         }
     }
 
-    /// Submissions that can't be taken, and questions about jobs that nobody knows.
-    pub(super) fn ask_oddly(&mut self, odd: OddRequest, known: Option<usize>) {
+    /// Sends a submission that must be rejected, or a request about an unknown job.
+    pub(super) fn send_invalid_request(&mut self, invalid: InvalidRequest, known: Option<usize>) {
         let node = self.rng.random_range(0..3);
         let job = known.unwrap_or(0);
         let id = match known {
@@ -273,40 +281,52 @@
         let accepted = known.is_some_and(|j| self.jobs[j].accepted);
         let mut spec = self.jobs[job].spec.clone();
         spec.team = "nobody".into();
-        let event = |request| match odd {
-            OddRequest::Malformed => {
+        let event = |request| match invalid {
+            InvalidRequest::Malformed => {
                 Event::Submit { request, id, job: Err(SpecRejection::Malformed("a field is missing".into())) }
             }
-            OddRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
-            OddRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
-            OddRequest::Unknown => Event::Cancel { request, id },
+            InvalidRequest::Impossible => Event::Submit { request, id, job: Ok(spec) },
+            InvalidRequest::Unknown if request % 2 == 0 => Event::Poll { request, id },
+            InvalidRequest::Unknown => Event::Cancel { request, id },
         };
-        let question = PendingQuestion::SendOddRequest { odd, known: known.filter(|_| accepted) };
-        self.ask_at(node, question, event, None);
+        let pending_request =
+            PendingRequest::SendInvalidRequest { invalid, known: known.filter(|_| accepted) };
+        self.send_request_to(node, pending_request, event, None);
     }
 
-    pub(super) fn odd_answered(&mut self, odd: OddRequest, known: Option<usize>, answer: Response) {
-        match (odd, known, answer) {
+    pub(super) fn check_invalid_request_response(
+        &mut self,
+        invalid: InvalidRequest,
+        known: Option<usize>,
+        response: Response,
+    ) {
+        match (invalid, known, response) {
             (_, _, Response::Unavailable { .. }) => {}
-            // A known id is answered with the job's state, whatever else was sent.
-            (OddRequest::Malformed | OddRequest::Impossible, Some(job), Response::Job { status, .. }) => {
-                self.tell(job, status);
+            // A request for a known job is answered with its state, whatever else it contains.
+            (
+                InvalidRequest::Malformed | InvalidRequest::Impossible,
+                Some(job),
+                Response::Job { status, .. },
+            ) => {
+                self.record_status(job, status);
+            }
+            (InvalidRequest::Malformed, None, Response::BadRequest(_)) => {}
+            (InvalidRequest::Impossible, None, Response::Unprocessable(_)) => {}
+            (InvalidRequest::Unknown, None, Response::NotFound) => {}
+            (invalid, known, response) => {
+                panic!("unexpected response to {invalid:?} of job {known:?}: {response:?}")
             }
-            (OddRequest::Malformed, None, Response::BadRequest(_)) => {}
-            (OddRequest::Impossible, None, Response::Unprocessable(_)) => {}
-            (OddRequest::Unknown, None, Response::NotFound) => {}
-            (odd, known, answer) => panic!("{odd:?} of {known:?} gets {answer:?}"),
         }
     }
 
-    /// Once troubles are over, no job waits while a machine that fits has room and its
-    /// team may use it.
-    pub(super) fn check_waits(&mut self) {
-        if self.now < self.calm_at {
+    /// Checks that after the faults no job waits for long while a fitting machine has room and its
+    /// team's limit allows it to run.
+    pub(super) fn check_waiting_jobs(&mut self) {
+        if self.now < self.faults_over_at {
             return;
         }
         let now = self.now;
-        for (n, waiting) in self.waits() {
+        for (n, waiting) in self.waiting_jobs() {
             let job = &mut self.jobs[n];
             if !waiting {
                 job.waiting_since = None;
@@ -317,38 +337,38 @@
         }
     }
 
-    /// How long urgent tasks wait although a machine has room.
-    pub(super) fn look_at_urgent_waits(&mut self) {
-        if self.now < self.urgent_look {
+    /// Measures how long urgent tasks wait although a machine has room.
+    pub(super) fn measure_urgent_waits(&mut self) {
+        if self.now < self.next_urgent_check {
             return;
         }
         let now = self.now;
-        self.urgent_look = now + URGENT_LOOK;
-        for (n, waiting) in self.waits() {
+        self.next_urgent_check = now + URGENT_CHECK_INTERVAL;
+        for (n, waiting) in self.waiting_jobs() {
             let job = &mut self.jobs[n];
             if job.spec.priority < Priority::Urgent || !waiting {
                 job.urgent_waiting_since = None;
                 continue;
             }
             let since = *job.urgent_waiting_since.get_or_insert(now);
-            self.urgent_wait = self.urgent_wait.max(now - since);
+            self.longest_urgent_wait = self.longest_urgent_wait.max(now - since);
         }
     }
 
-    /// Which jobs have tasks that could run on a machine that has room.
-    fn waits(&self) -> Vec<(usize, bool)> {
+    /// Returns for each job whether one of its tasks is waiting although a machine has room for it.
+    fn waiting_jobs(&self) -> Vec<(usize, bool)> {
         let now = self.now;
         let mut used: HashMap<&str, f64> = HashMap::new();
         let mut room: Vec<(&Worker, f64)> = Vec::new();
-        let mut on: BTreeSet<&TaskId> = BTreeSet::new();
+        let mut assigned: BTreeSet<&TaskId> = BTreeSet::new();
         for worker in self.workers.values().filter(|w| w.is_up(now) && !w.faulty) {
             let mut free = 8.0;
-            for ((task, _), seen) in &worker.tasks {
-                if !matches!(seen, TaskStatus::Exited(_)) {
+            for ((task, _), status) in &worker.tasks {
+                if !matches!(status, TaskStatus::Exited(_)) {
                     let spec = &self.jobs[self.by_id[&task.job]].spec;
                     free -= spec.demand.cpus;
                     *used.entry(&spec.team).or_default() += spec.demand.cpus;
-                    on.insert(task);
+                    assigned.insert(task);
                 }
             }
             room.push((worker, free));
@@ -357,29 +377,31 @@
         for (n, job) in self.jobs.iter().enumerate() {
             let spec = &job.spec;
             let open = job.accepted && !job.cancelling && !job.has_ended();
-            let here = (0..spec.tasks).filter(|i| on.contains(&TaskId { job: job.id.clone(), index: *i }));
+            let here =
+                (0..spec.tasks).filter(|i| assigned.contains(&TaskId { job: job.id.clone(), index: *i }));
             let (placed, done) = (here.count() as u32, job.done.len() as u32);
-            // Zones that other tasks of the job decide about are left out.
-            let bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
-            let needs = open && !bound && placed + done < spec.tasks;
-            let most = self.deployment.cpu_limit - used.get(spec.team.as_str()).copied().unwrap_or_default();
+            // Jobs whose zones depend on their other tasks are left out.
+            let zone_bound = spec.gang || spec.spread || spec.single_zone && placed > 0;
+            let has_pending = open && !zone_bound && placed + done < spec.tasks;
+            let team_room =
+                self.deployment.cpu_limit - used.get(spec.team.as_str()).copied().unwrap_or_default();
             let fits = |(w, free): &(&Worker, f64)| {
                 spec.demand.cpus <= *free
                     && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
                     && (spec.allows_spot || !w.spot)
             };
-            waits.push((n, needs && spec.demand.cpus <= most && room.iter().any(fits)));
+            waits.push((n, has_pending && spec.demand.cpus <= team_room && room.iter().any(fits)));
         }
         waits
     }
 }
 
 impl World {
-    /// What every node and machine has, to look into a history that went wrong.
+    /// Prints the state of every machine and node, to diagnose a failed history.
     pub fn dump(&self) {
         for (machine, w) in &self.workers {
             println!(
-                "{machine} {} up {} dead {} shift {} token {} node {} tasks {:?}",
+                "{machine} {} up {} dead {} incarnation {} token {} node {} tasks {:?}",
                 w.zone,
                 w.is_up(self.now),
                 w.dead,
