--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{
     CommandReply, EffectKind, ExpectedEffect, Heartbeat, MachineName, TaskId, TaskStatus, WorkerCommand,
 };
-use plankhead_sharding::freshness::Freshness;
+use plankhead_sharding::read_times::ReadTimes;
 use plankhead_sharding::shard::ShardId;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -41,11 +41,11 @@
         evidence: HolderEvidence,
         effects: &mut EffectSink,
     ) {
-        let freshness = self.freshness(evidence);
+        let read_times = self.read_times(evidence);
         let Some(epoch) = self.shard_of.get(name).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(name) else { return };
         let Some(incarnation) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
-        let commands: Vec<WorkerCommand> = self.unsent_commands(machine, freshness, now);
+        let commands: Vec<WorkerCommand> = self.unsent_commands(machine, read_times, now);
         if commands.is_empty() {
             return;
         }
@@ -66,8 +66,8 @@
 
     /// Starts and kills that were not sent directly to the worker yet. A start with a kill
     /// of the same attempt goes with the answer to a heartbeat only.
-    fn unsent_commands(&self, machine: &Machine, freshness: Freshness, now: Duration) -> Vec<WorkerCommand> {
-        let commands = self.commands_for(&machine.name, freshness, now);
+    fn unsent_commands(&self, machine: &Machine, read_times: ReadTimes, now: Duration) -> Vec<WorkerCommand> {
+        let commands = self.commands_for(&machine.name, read_times, now);
         let sent = self.commands.get(&machine.name).map(|known| &known.sent);
         let effects: Vec<ExpectedEffect> =
             commands.iter().filter_map(WorkerCommand::expected_effect).collect();
@@ -89,7 +89,7 @@
     pub(super) fn commands_for(
         &self,
         name: &MachineName,
-        freshness: Freshness,
+        read_times: ReadTimes,
         now: Duration,
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(name) else { return Vec::new() };
@@ -97,7 +97,7 @@
         let known = self.commands.get(name).filter(|known| known.incarnation == heartbeat.incarnation);
         let is_due = |command: &&WorkerCommand| match command {
             WorkerCommand::Run { task, attempt } => {
-                freshness.may_start(now)
+                read_times.may_relay_starts(now)
                     && !self.jobs.is_cancelled(&task.job)
                     && !machine.lists(task, *attempt)
             }
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -22,7 +22,7 @@
 use commands::PendingCommands;
 use held_shards::HeldShard;
 use jobs::JobWatch;
-use plankhead_sharding::freshness::Freshness;
+use plankhead_sharding::read_times::ReadTimes;
 use plankhead_sharding::shard::ShardId;
 use reporting::StatusStream;
 use std::collections::{BTreeMap, HashMap};
@@ -140,8 +140,8 @@
         self.jobs.is_loading()
     }
 
-    fn freshness(&self, evidence: HolderEvidence) -> Freshness {
-        Freshness { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
+    fn read_times(&self, evidence: HolderEvidence) -> ReadTimes {
+        ReadTimes { jobs: self.jobs.synced_at(), records: evidence.records_synced_at }
     }
 
     /// Answers a heartbeat of a machine in one of the shards.
@@ -154,14 +154,14 @@
         evidence: HolderEvidence,
     ) -> Response {
         let now = times.now;
-        let freshness = self.freshness(evidence);
+        let read_times = self.read_times(evidence);
         let epoch = shard_epoch.epoch;
         let news = self.observe_machine(now, heartbeat, shard_epoch, false);
         let settings = &self.settings;
-        if !freshness.may_renew(now, settings.worker_lease, settings.cancel_within) {
+        if !read_times.may_renew_leases(now, settings.worker_lease, settings.cancel_within) {
             return Response::Unavailable { retry_after: RETRY_AFTER };
         }
-        let commands = self.commands_for(&heartbeat.machine, freshness, now);
+        let commands = self.commands_for(&heartbeat.machine, read_times, now);
         let Some(machine) =
             self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| news != HeartbeatNews::Stale)
         else {
--- a/crates/plankhead-sharding/src/lib.rs
+++ b/crates/plankhead-sharding/src/lib.rs
@@ -13,14 +13,14 @@
 //! - [`state`]: the states of a shard and the transitions between them;
 //! - [`registry`]: which record the leader writes next;
 //! - [`balance`]: which node should hold which shard;
-//! - [`freshness`]: what a holder may do by what it has seen of the state service;
+//! - [`read_times`]: what a holder may do by what it has seen of the state service;
 //! - [`sequence`] and [`machine_numbers`]: the messages between holders and the leader.
 
 #![warn(missing_docs)]
 
 pub mod balance;
-pub mod freshness;
 pub mod machine_numbers;
+pub mod read_times;
 pub mod record;
 pub mod registry;
 pub mod sequence;
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -4,8 +4,8 @@
 
 use plankhead_reachability::bitmap::{self, BitmapError};
 use plankhead_sharding::balance::{choose, improve, Candidate, ShardLoad, ShardLoads};
-use plankhead_sharding::freshness::Freshness;
 use plankhead_sharding::machine_numbers::{self, MachineNumbers, NumberedMachines};
+use plankhead_sharding::read_times::ReadTimes;
 use plankhead_sharding::record::{PendingMove, RecordError, ShardRecord};
 use plankhead_sharding::sequence::{Admission, MessageStamp, SequenceGuard, StaleMessage};
 use plankhead_sharding::shard::ShardId;
@@ -137,16 +137,16 @@
 #[test]
 fn leases_end_before_an_unseen_cancellation_is_due() {
     let (lease, cancel) = (secs(11), secs(36));
-    let both = |jobs, records| Freshness { jobs: Some(secs(jobs)), records: Some(secs(records)) };
-    assert!(both(100, 100).may_renew(secs(122), lease, cancel));
-    assert!(!both(100, 100).may_renew(secs(123), lease, cancel));
-    assert!(!both(100, 110).may_renew(secs(123), lease, cancel), "the older of the two counts");
-    assert!(!both(110, 100).may_renew(secs(123), lease, cancel));
+    let both = |jobs, records| ReadTimes { jobs: Some(secs(jobs)), records: Some(secs(records)) };
+    assert!(both(100, 100).may_renew_leases(secs(122), lease, cancel));
+    assert!(!both(100, 100).may_renew_leases(secs(123), lease, cancel));
+    assert!(!both(100, 110).may_renew_leases(secs(123), lease, cancel), "the older of the two counts");
+    assert!(!both(110, 100).may_renew_leases(secs(123), lease, cancel));
     assert!(
-        !Freshness { jobs: Some(secs(1)), records: None }.may_renew(secs(1), lease, cancel),
+        !ReadTimes { jobs: Some(secs(1)), records: None }.may_renew_leases(secs(1), lease, cancel),
         "none at all"
     );
-    assert!(both(100, 0).may_start(secs(102)) && !both(100, 0).may_start(secs(103)));
+    assert!(both(100, 0).may_relay_starts(secs(102)) && !both(100, 0).may_relay_starts(secs(103)));
     let latest = secs(123) + lease.mul_f64(1.0005) + Duration::from_millis(100);
     assert!(latest <= secs(100) + cancel.mul_f64(0.9995), "the bound itself");
 }
