--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -131,7 +131,7 @@
                 self.intents.ready.push_back(key);
             }
         }
-        self.intents.log.forget_failures();
+        self.intents.log.clear_recording_failures();
     }
 
     fn retry_returns(&mut self, now: Duration, evidence: LeaderEvidence) {
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -104,7 +104,7 @@
         }
         let durable = self.intents.log.end_write(outcome);
         if !fresh {
-            self.intents.log.forget_failures();
+            self.intents.log.clear_recording_failures();
         }
         self.intents.ready.extend(durable);
         self.send_ready(effects);
@@ -121,12 +121,14 @@
     ) {
         self.intents.reading.remove(&page);
         match reply {
-            Ok(KvReply::Value(row)) => self.intents.log.reread(page, row.map_or(0, |row| row.mod_revision)),
+            Ok(KvReply::Value(row)) => {
+                self.intents.log.page_revision_read(page, row.map_or(0, |row| row.mod_revision))
+            }
             Err(CallError::RateLimited) => self.persistence.pause(now),
             _ => {
                 self.persistence.pause(now);
                 if now.saturating_sub(sent) < MAX_FAILURE_AGE {
-                    self.intents.log.reread_failed();
+                    self.intents.log.page_revision_read_failed();
                 }
             }
         }
@@ -136,7 +138,7 @@
     pub(in crate::leader) fn list_intents(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         if after.is_none() {
-            self.intents.log.begin_reading();
+            self.intents.log.discard_former_pages();
         }
         self.call_kv(
             LeaderCall::ListIntents,
@@ -157,7 +159,7 @@
         };
         self.loading.page_loaded(&rows);
         for row in &rows {
-            for fault in self.intents.log.inherit(&row.key, &row.value, row.mod_revision) {
+            for fault in self.intents.log.load_former_page(&row.key, &row.value, row.mod_revision) {
                 effects.log(LogLevel::Error, format!("intent record unreadable: reason={fault}"));
             }
         }
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -107,7 +107,7 @@
         reason: ReturnReason,
     ) -> InstanceReturn {
         if self.is_fenced() {
-            return self.log.machines_per_return(machines, reason);
+            return self.log.return_within_limits(machines, reason);
         }
         InstanceReturn { machines: machines.iter().take(MAX_RETURN_MACHINES).cloned().collect(), reason }
     }
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -56,7 +56,7 @@
     /// Why it may be issued; `None`: it may not yet.
     basis: Option<Basis>,
     /// The state service failed the latest attempt to record it.
-    unrecordable: bool,
+    recording_failed: bool,
 }
 
 /// The intents of one leader's term.
@@ -91,7 +91,7 @@
     }
 
     /// The return of as many of these machines as fit into one record.
-    pub fn machines_per_return(&self, machines: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
+    pub fn return_within_limits(&self, machines: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
         let mut remaining_bytes = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |machine: &&Arc<str>| {
             let bytes = machine.len() + MACHINE_OVERHEAD;
@@ -124,19 +124,19 @@
             return Err(IntentError::TooLarge { key, bytes });
         }
         let page = self.pages.assign(key.clone(), bytes);
-        self.open.insert(key, TrackedIntent { intent, page, basis: None, unrecordable: false });
+        self.open.insert(key, TrackedIntent { intent, page, basis: None, recording_failed: false });
         Ok(IntentAdmission::New)
     }
 
     /// Forgets what was adopted, since the stored pages are about to be read again.
-    pub fn begin_reading(&mut self) {
-        self.pages.forget_inherited();
+    pub fn discard_former_pages(&mut self) {
+        self.pages.discard_former_pages();
         let (token, pages) = (self.token, &self.pages);
         self.open.retain(|_, tracked| tracked.intent.token == token && pages.contains(tracked.page));
     }
 
     /// Adopts the intents of a former leader's stored page; returns what can't be decoded.
-    pub fn inherit(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordError> {
+    pub fn load_former_page(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordError> {
         let Some(id) = PageId::parse(key) else {
             return vec![RecordError::Key { key: key.into() }];
         };
@@ -148,7 +148,7 @@
             return vec![RecordError::LaterToken { key: key.into() }];
         }
         let (intents, mut faults) = record::decode(key, value);
-        let mut page = PageState { revision, inherited: true, ..PageState::default() };
+        let mut page = PageState { revision, from_former_leader: true, ..PageState::default() };
         for intent in intents {
             if self.open.contains_key(&intent.key) {
                 faults.push(RecordError::ReusedKey { key: key.into(), intent: intent.key });
@@ -157,7 +157,7 @@
             page.open.insert(intent.key.clone());
             page.stored.insert(intent.key.clone());
             let basis = Some(Basis::Recorded { revision });
-            let tracked = TrackedIntent { intent, page: id, basis, unrecordable: false };
+            let tracked = TrackedIntent { intent, page: id, basis, recording_failed: false };
             self.open.insert(tracked.intent.key.clone(), tracked);
         }
         page.unreadable = !faults.is_empty();
@@ -215,11 +215,11 @@
             WriteOutcome::Conflict => self.pages.write_uncertain(),
             WriteOutcome::Refused => {
                 self.pages.write_failed();
-                self.mark_unrecordable();
+                self.mark_recording_failed();
             }
             WriteOutcome::Lost => {
                 self.pages.write_uncertain();
-                self.mark_unrecordable();
+                self.mark_recording_failed();
             }
         }
         Vec::new()
@@ -235,10 +235,10 @@
         recorded
     }
 
-    fn mark_unrecordable(&mut self) {
+    fn mark_recording_failed(&mut self) {
         let intended = |tracked: &&mut TrackedIntent| tracked.intent.state() == IntentState::Intended;
         for tracked in self.open.values_mut().filter(intended) {
-            tracked.unrecordable = true;
+            tracked.recording_failed = true;
         }
     }
 
@@ -248,21 +248,21 @@
     }
 
     /// A page's key was read and has this revision; 0: it does not exist.
-    pub fn reread(&mut self, id: PageId, revision: u64) {
+    pub fn page_revision_read(&mut self, id: PageId, revision: u64) {
         self.pages.revision_read(id, revision);
     }
 
     /// A page's revision could not be read: the state service fails this leader.
-    pub fn reread_failed(&mut self) {
-        self.mark_unrecordable();
+    pub fn page_revision_read_failed(&mut self) {
+        self.mark_recording_failed();
     }
 
     /// Forgets failures to record, which compel nothing from now on: each counts in the step
     /// in which it is known or not at all, so that a leader that was paused after one starts
     /// over with a new attempt.
-    pub fn forget_failures(&mut self) {
+    pub fn clear_recording_failures(&mut self) {
         for tracked in self.open.values_mut() {
-            tracked.unrecordable = false;
+            tracked.recording_failed = false;
         }
     }
 
@@ -285,7 +285,7 @@
             &tracked.intent.action,
             CloudAction::Return(InstanceReturn { reason: ReturnReason::Reclaim, .. })
         );
-        if tracked.basis.is_none() && tracked.unrecordable && is_reclaim {
+        if tracked.basis.is_none() && tracked.recording_failed && is_reclaim {
             tracked.basis = Some(Basis::Compelled);
         }
         tracked.basis == Some(Basis::Compelled)
--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -19,7 +19,7 @@
     /// A write of it got no answer: its revision is to be read.
     pub uncertain: bool,
     /// A former leader wrote it: it is never written again, only deleted.
-    pub inherited: bool,
+    pub from_former_leader: bool,
     /// Some of it can't be decoded and may be of a later version: it is never deleted.
     pub unreadable: bool,
 }
@@ -28,12 +28,12 @@
     /// Whether its stored value holds intents that have ended, and may be changed.
     fn needs_compaction(&self) -> bool {
         let ended = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
-        ended && !self.unreadable && (!self.inherited || self.open.is_empty())
+        ended && !self.unreadable && (!self.from_former_leader || self.open.is_empty())
     }
 
     /// Whether its stored value lacks an open intent.
     fn has_unrecorded(&self) -> bool {
-        !self.inherited && !self.open.is_subset(&self.stored)
+        !self.from_former_leader && !self.open.is_subset(&self.stored)
     }
 }
 
@@ -77,7 +77,7 @@
     }
 
     fn page_with_room(&self, bytes: usize) -> PageId {
-        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.inherited;
+        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.from_former_leader;
         let has_room = |page: &PageState| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
         let found = self.pages.iter().filter(own).find(|(_, page)| has_room(page)).map(|(id, _)| *id);
         let next = self.pages.iter().filter(own).map(|(id, _)| id.number + 1).max();
@@ -100,8 +100,8 @@
         self.pages.insert(id, page);
     }
 
-    pub fn forget_inherited(&mut self) {
-        self.pages.retain(|_, page| !page.inherited);
+    pub fn discard_former_pages(&mut self) {
+        self.pages.retain(|_, page| !page.from_former_leader);
     }
 
     pub fn len(&self) -> usize {
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -98,7 +98,7 @@
         assert_eq!(log.end_write(outcome), Vec::new());
         for page in log.uncertain_pages() {
             assert_eq!(log.begin_write(4, true), None, "written while in doubt");
-            log.reread(page, 0);
+            log.page_revision_read(page, 0);
         }
         assert!(log.begin_write(4, false).is_some(), "{outcome:?}");
     }
@@ -177,7 +177,7 @@
     let (stored, value) = (changes[0].page.key(), changes[0].value.clone().unwrap());
 
     let mut new = IntentLog::new(60, LIMITS);
-    assert_eq!(new.inherit(&stored, &value, 9), Vec::new());
+    assert_eq!(new.load_former_page(&stored, &value, 9), Vec::new());
     let adopted: Vec<&Intent> = new.adopted().collect();
     assert_eq!(adopted.len(), 2);
     assert!(adopted.iter().all(|intent| intent.token == 41 && intent.state() == IntentState::Adopted));
@@ -195,12 +195,12 @@
     // Read once more, since reading failed halfway: nothing is there twice.
     let mut again = IntentLog::new(60, LIMITS);
     for _ in 0..2 {
-        again.begin_reading();
-        assert_eq!(again.inherit(&stored, &value, 9), Vec::new());
+        again.discard_former_pages();
+        assert_eq!(again.load_former_page(&stored, &value, 9), Vec::new());
     }
     assert_eq!(again.adopted().count(), 2);
     // A page of a later holder: this one leads no more.
-    let later = IntentLog::new(40, LIMITS).inherit(&stored, &value, 9);
+    let later = IntentLog::new(40, LIMITS).load_former_page(&stored, &value, 9);
     assert_eq!(later, vec![RecordError::LaterToken { key: stored }]);
 }
 
@@ -213,7 +213,7 @@
     write(&mut log, WriteOutcome::Busy);
     assert!(!log.force_issue(&key("reclaim")), "the state service is only busy");
     write(&mut log, WriteOutcome::Refused);
-    log.forget_failures();
+    log.clear_recording_failures();
     assert!(!log.force_issue(&key("reclaim")), "by a failure that is long past");
     write(&mut log, WriteOutcome::Refused);
     assert!(log.force_issue(&key("reclaim")) && !log.force_issue(&key("surplus")));
@@ -226,7 +226,7 @@
     let mut log = IntentLog::new(41, LIMITS);
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
     let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
-    let fits = log.machines_per_return(&hosts, ReturnReason::Surplus);
+    let fits = log.return_within_limits(&hosts, ReturnReason::Surplus);
     assert!(fits.machines.len() > 50 && fits.machines.len() < 100, "{}", fits.machines.len());
     log.intend(key("1"), CloudAction::Return(fits), 5).unwrap();
     let whole = CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Surplus });
@@ -265,17 +265,17 @@
     ];
     for text in &broken {
         let mut log = IntentLog::new(41, LIMITS);
-        assert_eq!(log.inherit("duty/1/0", text, 9).len(), 1, "{text}");
+        assert_eq!(log.load_former_page("duty/1/0", text, 9).len(), 1, "{text}");
         assert_eq!(log.adopted().count(), 0, "{text}");
         assert_eq!(log.begin_write(4, true), None, "{text} was to be removed");
     }
     let mut log = IntentLog::new(41, LIMITS);
     for name in ["duty/1", "duty/x/0", "duty/1/0/0", "duty/01/0", "duty/-1/0", "other/1/0"] {
-        assert_eq!(log.inherit(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
+        assert_eq!(log.load_former_page(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
     }
     // The same intent in two pages: the first counts.
-    assert_eq!(log.inherit("duty/1/0", &page, 9), Vec::new());
-    assert!(matches!(&log.inherit("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
+    assert_eq!(log.load_former_page("duty/1/0", &page, 9), Vec::new());
+    assert!(matches!(&log.load_former_page("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
     assert_eq!(log.adopted().count(), 1);
     // Fields of later versions are passed over.
     let later = page.replace("\"format\":1", "\"format\":1,\"more\":{}");
@@ -343,7 +343,7 @@
             let mut log = IntentLog::new(token, LIMITS);
             let mut late: Vec<Vec<IntentPageWrite>> = Vec::new();
             for (stored, (value, revision)) in &store.pages {
-                assert_eq!(log.inherit(stored, value, *revision), Vec::new());
+                assert_eq!(log.load_former_page(stored, value, *revision), Vec::new());
             }
             adopted += log.adopted().count();
             let last = holder == 5;
@@ -353,7 +353,7 @@
                     log.intend(next.clone(), rental(&next.to_string(), 1), 5).unwrap();
                 }
                 for page in log.uncertain_pages() {
-                    log.reread(page, store.revision_of(&page));
+                    log.page_revision_read(page, store.revision_of(&page));
                 }
                 if let Some(changes) = log.begin_write(rng.random_range(1..5), rng.random_range(0..4) == 0) {
                     let outcome = match rng.random_range(0..if last { 4 } else { 5 }) {
@@ -390,7 +390,7 @@
                     let outcome = store.apply(&changes);
                     log.end_write(outcome);
                     for page in log.uncertain_pages() {
-                        log.reread(page, store.revision_of(&page));
+                        log.page_revision_read(page, store.revision_of(&page));
                     }
                 }
             }
