--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -54,7 +54,7 @@
         proof: Option<IssueProof>,
         effects: &mut EffectSink,
     ) {
-        match self.intents.gate.pass(action, proof) {
+        match self.intents.gate.permit(action, proof) {
             Ok(permitted) => self.send_action(key, permitted, effects),
             Err(refusal) => {
                 effects.log(LogLevel::Error, format!("fencing gate refused: intent={key} reason={refusal}"))
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -78,7 +78,7 @@
         };
         Self {
             settings: fencing,
-            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::open(token) },
+            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::unfenced(token) },
             log: IntentLog::new(token, limits),
             ready: VecDeque::new(),
             return_retries: Vec::new(),
--- a/crates/plankhead-fencing/src/action.rs
+++ b/crates/plankhead-fencing/src/action.rs
@@ -89,18 +89,18 @@
         let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
         match self {
             CloudAction::Rent(rental) => {
-                absorb(&mut hasher, "rent");
+                hash_text(&mut hasher, "rent");
                 for text in [&rental.name, &rental.machine_type, &rental.zone] {
-                    absorb(&mut hasher, text);
+                    hash_text(&mut hasher, text);
                 }
                 hasher.update(&[u8::from(rental.spot)]);
                 hasher.update(&rental.count.to_le_bytes());
             }
             CloudAction::Return(returned) => {
-                absorb(&mut hasher, self.kind());
+                hash_text(&mut hasher, self.kind());
                 hasher.update(&(returned.machines.len() as u64).to_le_bytes());
                 for machine in &returned.machines {
-                    absorb(&mut hasher, machine);
+                    hash_text(&mut hasher, machine);
                 }
             }
         }
@@ -111,7 +111,7 @@
 }
 
 /// Hashes a text with its length, so that adjacent fields can't be confused.
-fn absorb(hasher: &mut blake3::Hasher, text: &str) {
+fn hash_text(hasher: &mut blake3::Hasher, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
 }
--- a/crates/plankhead-fencing/src/ended_intents.rs
+++ b/crates/plankhead-fencing/src/ended_intents.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many ended intents are remembered; the oldest are forgotten first.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_ENDED_INTENTS: usize = 4_096;
 
 #[derive(Debug, Default)]
 pub(crate) struct EndedIntents {
@@ -18,7 +18,7 @@
 
 /// How an intent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum IntentOutcome {
     Confirmed,
     Abandoned,
 }
@@ -28,14 +28,14 @@
         self.digests.get(key).copied()
     }
 
-    pub fn remember(&mut self, key: IdempotencyKey, digest: ActionDigest, end: End) {
-        match end {
-            End::Confirmed => self.confirmed += 1,
-            End::Abandoned => self.abandoned += 1,
+    pub fn insert(&mut self, key: IdempotencyKey, digest: ActionDigest, outcome: IntentOutcome) {
+        match outcome {
+            IntentOutcome::Confirmed => self.confirmed += 1,
+            IntentOutcome::Abandoned => self.abandoned += 1,
         }
         self.digests.insert(key.clone(), digest);
         self.order.push_back(key);
-        if self.order.len() > MAX_REMEMBERED {
+        if self.order.len() > MAX_ENDED_INTENTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.digests.remove(&oldest);
             }
--- a/crates/plankhead-fencing/src/gate.rs
+++ b/crates/plankhead-fencing/src/gate.rs
@@ -101,7 +101,7 @@
     }
 
     /// A gate that lets everything through, for clusters without fencing.
-    pub fn open(token: u64) -> Self {
+    pub fn unfenced(token: u64) -> Self {
         Self { token, fenced: false, counts: GateCounters::default() }
     }
 
@@ -112,7 +112,7 @@
 
     /// Lets an action through, or refuses it; the proof may be missing only while fencing is
     /// off.
-    pub fn pass(
+    pub fn permit(
         &mut self,
         action: CloudAction,
         proof: Option<IssueProof>,
--- a/crates/plankhead-fencing/src/intent.rs
+++ b/crates/plankhead-fencing/src/intent.rs
@@ -44,7 +44,7 @@
 
 impl IntentState {
     /// Whether the transition to `next` is allowed: the one list of all of them.
-    pub fn may_become(self, next: IntentState) -> bool {
+    pub fn can_transition_to(self, next: IntentState) -> bool {
         use IntentState::*;
         match self {
             // Straight to `Issued`: a forced return while the state service fails.
@@ -124,7 +124,7 @@
 
     /// Enters the next state; entering `Issued` counts an attempt.
     pub fn transition_to(&mut self, next: IntentState) -> Result<(), InvalidTransition> {
-        if !self.state.may_become(next) {
+        if !self.state.can_transition_to(next) {
             return Err(InvalidTransition { key: self.key.clone(), from: self.state, to: next });
         }
         if next == IntentState::Issued {
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -3,7 +3,7 @@
 //! carries them out.
 
 use crate::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
-use crate::ended_intents::{End, EndedIntents};
+use crate::ended_intents::{EndedIntents, IntentOutcome};
 use crate::errors::{IntentError, IssueError};
 use crate::gate::{Basis, IssueProof};
 use crate::intent::{IdempotencyKey, Intent, IntentState, InvalidTransition, MAX_OPEN_INTENTS};
@@ -147,11 +147,11 @@
         if id.token > self.token {
             return vec![RecordError::LaterToken { key: key.into() }];
         }
-        let (intents, mut faults) = record::decode(key, value);
+        let (intents, mut errors) = record::decode(key, value);
         let mut page = PageState { revision, from_former_leader: true, ..PageState::default() };
         for intent in intents {
             if self.open.contains_key(&intent.key) {
-                faults.push(RecordError::ReusedKey { key: key.into(), intent: intent.key });
+                errors.push(RecordError::ReusedKey { key: key.into(), intent: intent.key });
                 continue;
             }
             page.open.insert(intent.key.clone());
@@ -160,9 +160,9 @@
             let tracked = TrackedIntent { intent, page: id, basis, recording_failed: false };
             self.open.insert(tracked.intent.key.clone(), tracked);
         }
-        page.unreadable = !faults.is_empty();
+        page.unreadable = !errors.is_empty();
         self.pages.insert(id, page);
-        faults
+        errors
     }
 
     /// The open intents that former leaders left.
@@ -236,8 +236,8 @@
     }
 
     fn mark_recording_failed(&mut self) {
-        let intended = |tracked: &&mut TrackedIntent| tracked.intent.state() == IntentState::Intended;
-        for tracked in self.open.values_mut().filter(intended) {
+        let is_intended = |tracked: &&mut TrackedIntent| tracked.intent.state() == IntentState::Intended;
+        for tracked in self.open.values_mut().filter(is_intended) {
             tracked.recording_failed = true;
         }
     }
@@ -293,22 +293,22 @@
 
     /// Ends an intent whose effect, or that it has none, is certain.
     pub fn confirm(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, End::Confirmed)
+        self.end_intent(key, IntentOutcome::Confirmed)
     }
 
     /// Ends an intent without a certain effect.
     pub fn abandon(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
-        self.end(key, End::Abandoned)
+        self.end_intent(key, IntentOutcome::Abandoned)
     }
 
-    fn end(&mut self, key: &IdempotencyKey, end: End) -> Result<(), InvalidTransition> {
+    fn end_intent(&mut self, key: &IdempotencyKey, outcome: IntentOutcome) -> Result<(), InvalidTransition> {
         let Some(tracked) = self.open.get_mut(key) else { return Ok(()) };
-        tracked.intent.transition_to(match end {
-            End::Confirmed => IntentState::Confirmed,
-            End::Abandoned => IntentState::Abandoned,
+        tracked.intent.transition_to(match outcome {
+            IntentOutcome::Confirmed => IntentState::Confirmed,
+            IntentOutcome::Abandoned => IntentState::Abandoned,
         })?;
         self.pages.remove_intent(tracked.page, key, record::stored_bytes(&tracked.intent));
-        self.ended.remember(key.clone(), tracked.intent.digest, end);
+        self.ended.insert(key.clone(), tracked.intent.digest, outcome);
         self.open.remove(key);
         Ok(())
     }
@@ -324,7 +324,7 @@
             confirmed: self.ended.confirmed(),
             abandoned: self.ended.abandoned(),
             pages: self.pages.len(),
-            unreadable_pages: self.pages.unreadable(),
+            unreadable_pages: self.pages.unreadable_count(),
         }
     }
 }
--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -77,10 +77,10 @@
     }
 
     fn page_with_room(&self, bytes: usize) -> PageId {
-        let own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.from_former_leader;
+        let is_own = |(id, page): &(&PageId, &PageState)| id.token == self.token && !page.from_former_leader;
         let has_room = |page: &PageState| PAGE_OVERHEAD + page.bytes + bytes <= self.limits.value_bytes;
-        let found = self.pages.iter().filter(own).find(|(_, page)| has_room(page)).map(|(id, _)| *id);
-        let next = self.pages.iter().filter(own).map(|(id, _)| id.number + 1).max();
+        let found = self.pages.iter().filter(is_own).find(|(_, page)| has_room(page)).map(|(id, _)| *id);
+        let next = self.pages.iter().filter(is_own).map(|(id, _)| id.number + 1).max();
         found.unwrap_or(PageId { token: self.token, number: next.unwrap_or(0) })
     }
 
@@ -108,7 +108,7 @@
         self.pages.len()
     }
 
-    pub fn unreadable(&self) -> usize {
+    pub fn unreadable_count(&self) -> usize {
         self.pages.values().filter(|page| page.unreadable).count()
     }
 
--- a/crates/plankhead-fencing/src/record.rs
+++ b/crates/plankhead-fencing/src/record.rs
@@ -133,7 +133,7 @@
 }
 
 impl StoredIntent {
-    fn of(intent: &Intent) -> Self {
+    fn new(intent: &Intent) -> Self {
         let action = match intent.action.clone() {
             CloudAction::Rent(Rental { name, machine_type, zone, spot, count }) => {
                 StoredAction::Rent { name, machine_type, zone, spot, count }
@@ -152,12 +152,12 @@
 }
 
 impl StoredAction {
-    fn action(self) -> Result<CloudAction, &'static str> {
+    fn into_cloud_action(self) -> Result<CloudAction, &'static str> {
         let instance_return = |hosts: Vec<String>, reason| {
             if hosts.is_empty() || hosts.len() > MAX_RETURN_MACHINES {
                 return Err("a return of no machines or of too many");
             }
-            if !hosts.iter().all(|machine| is_name(machine)) {
+            if !hosts.iter().all(|machine| is_valid_name(machine)) {
                 return Err("a machine's name is empty or too long");
             }
             let hosts = hosts.into_iter().map(Arc::from).collect();
@@ -170,7 +170,7 @@
                 if count == 0 || count > MAX_RENTAL_COUNT {
                     return Err("a rental of no machines or of too many");
                 }
-                if ![&name, &machine_type, &zone].into_iter().all(|text| is_name(text)) {
+                if ![&name, &machine_type, &zone].into_iter().all(|text| is_valid_name(text)) {
                     return Err("a name is empty or too long");
                 }
                 Ok(CloudAction::Rent(Rental { name, machine_type, zone, spot, count }))
@@ -179,18 +179,18 @@
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_NAME_BYTES
 }
 
 /// Bytes that an intent takes in a page, with the comma after it.
 pub fn stored_bytes(intent: &Intent) -> usize {
-    serde_json::to_string(&StoredIntent::of(intent)).map_or(usize::MAX, |text| text.len() + 1)
+    serde_json::to_string(&StoredIntent::new(intent)).map_or(usize::MAX, |text| text.len() + 1)
 }
 
 /// Encodes a page for the state service.
 pub fn encode<'a>(intents: impl Iterator<Item = &'a Intent>) -> String {
-    let page = StoredPage { format: FORMAT, duties: intents.map(StoredIntent::of).collect() };
+    let page = StoredPage { format: FORMAT, duties: intents.map(StoredIntent::new).collect() };
     // Texts and numbers under fixed names can always be written.
     serde_json::to_string(&page).unwrap_or_default()
 }
@@ -209,24 +209,24 @@
     if page.format != FORMAT {
         return (Vec::new(), vec![RecordError::Format { key: key.into(), format: page.format }]);
     }
-    let (mut intents, mut faults) = (Vec::new(), Vec::new());
+    let (mut intents, mut errors) = (Vec::new(), Vec::new());
     for (number, value) in page.duties.into_iter().enumerate() {
         match decode_intent(id.token, key, number, value) {
             Ok(intent) => intents.push(intent),
-            Err(fault) => faults.push(fault),
+            Err(error) => errors.push(error),
         }
     }
-    (intents, faults)
+    (intents, errors)
 }
 
 fn decode_intent(token: u64, key: &str, number: usize, value: Value) -> Result<Intent, RecordError> {
-    let fault = |reason: String| RecordError::Intent { key: key.into(), number, reason };
-    let stored: StoredIntent = serde_json::from_value(value).map_err(|error| fault(error.to_string()))?;
-    if !is_name(&stored.key) {
-        return Err(fault("the idempotency key is empty or too long".into()));
+    let invalid = |reason: String| RecordError::Intent { key: key.into(), number, reason };
+    let stored: StoredIntent = serde_json::from_value(value).map_err(|error| invalid(error.to_string()))?;
+    if !is_valid_name(&stored.key) {
+        return Err(invalid("the idempotency key is empty or too long".into()));
     }
     let idempotency_key = IdempotencyKey::new(&stored.key);
-    let action = stored.action.action().map_err(|reason| fault(reason.into()))?;
+    let action = stored.action.into_cloud_action().map_err(|reason| invalid(reason.into()))?;
     let intent = Intent::adopted(idempotency_key.clone(), token, action, stored.intended_ms);
     if intent.digest.to_string() != stored.digest {
         return Err(RecordError::DigestMismatch { key: key.into(), intent: idempotency_key });
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -58,7 +58,7 @@
     ];
     for from in all {
         for to in all {
-            assert_eq!(from.may_become(to), allowed.contains(&(from, to)), "{from:?} to {to:?}");
+            assert_eq!(from.can_transition_to(to), allowed.contains(&(from, to)), "{from:?} to {to:?}");
         }
     }
     let mut intent = Intent::intended(key("k"), 7, rental("r", 1), 0);
@@ -105,7 +105,7 @@
     assert_eq!(log.end_write(WriteOutcome::Committed { revision: 50 }), vec![key("r")]);
     let (action, proof) = log.issue(&key("r")).unwrap();
     let mut gate = FencingGate::fenced(41);
-    let permitted = gate.pass(action, Some(proof)).unwrap();
+    let permitted = gate.permit(action, Some(proof)).unwrap();
     assert_eq!(permitted.basis(), Basis::Recorded { revision: 50 });
     assert_eq!(gate.counts().recorded, 1);
 }
@@ -119,13 +119,13 @@
         log.issue(&key("r")).unwrap().1
     };
     let mut gate = FencingGate::fenced(41);
-    assert_eq!(gate.pass(rental("r", 3), None), Err(GateError::NoProof));
-    let other = gate.pass(rental("r", 3), Some(durable(40))).unwrap_err();
+    assert_eq!(gate.permit(rental("r", 3), None), Err(GateError::NoProof));
+    let other = gate.permit(rental("r", 3), Some(durable(40))).unwrap_err();
     assert_eq!(other, GateError::OtherToken { key: key("r"), given: 40, own: 41 });
-    let changed = gate.pass(rental("r", 4), Some(durable(41))).unwrap_err();
+    let changed = gate.permit(rental("r", 4), Some(durable(41))).unwrap_err();
     assert_eq!(changed, GateError::OtherAction { key: key("r") });
     assert_eq!(gate.counts().refused, 3);
-    assert_eq!(FencingGate::open(41).pass(rental("r", 3), None).unwrap().basis(), Basis::Unfenced);
+    assert_eq!(FencingGate::unfenced(41).permit(rental("r", 3), None).unwrap().basis(), Basis::Unfenced);
 }
 
 #[test]
@@ -184,7 +184,7 @@
     assert!(!new.needs_compaction(), "open intents of a former holder were to be removed");
     for name in ["r", "b"] {
         let (action, proof) = new.issue(&key(name)).unwrap();
-        assert!(FencingGate::fenced(60).pass(action, Some(proof)).is_ok());
+        assert!(FencingGate::fenced(60).permit(action, Some(proof)).is_ok());
         assert_eq!(new.begin_write(4, true), None);
         new.confirm(&key(name)).unwrap();
     }
@@ -218,7 +218,7 @@
     write(&mut log, WriteOutcome::Refused);
     assert!(log.force_issue(&key("reclaim")) && !log.force_issue(&key("surplus")));
     let (action, proof) = log.issue(&key("reclaim")).unwrap();
-    assert_eq!(FencingGate::fenced(41).pass(action, Some(proof)).unwrap().basis(), Basis::Compelled);
+    assert_eq!(FencingGate::fenced(41).permit(action, Some(proof)).unwrap().basis(), Basis::Compelled);
 }
 
 #[test]
