--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -97,9 +97,9 @@
             Ok(KvReply::Conflict { .. }) => WriteOutcome::Conflict,
             Err(CallError::RateLimited) => WriteOutcome::Busy,
             Err(CallError::Refused | CallError::TooLarge) => WriteOutcome::Refused,
-            _ => WriteOutcome::Lost,
+            _ => WriteOutcome::Unknown,
         };
-        if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Lost) {
+        if matches!(outcome, WriteOutcome::Busy | WriteOutcome::Refused | WriteOutcome::Unknown) {
             self.persistence.pause(now);
         }
         let durable = self.intents.log.end_write(outcome);
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -172,7 +172,7 @@
         let shards = self.shards.as_ref()?;
         let held: Vec<(ShardId, u64)> = shards
             .registry
-            .current()
+            .named_shards()
             .filter(|(_, state)| state.holder() == Some(to))
             .map(|(shard, state)| (shard.clone(), state.epoch()))
             .collect();
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -193,7 +193,7 @@
         let input = self.registry_input(now);
         let rows: Vec<serde_json::Value> = shards
             .registry
-            .current()
+            .named_shards()
             .map(|(shard, state)| {
                 serde_json::json!({"shard": shard.to_string(), "state": state.to_string(),
                     "holder": state.holder(), "epoch": state.epoch(), "next": state.next_holder(),
--- a/crates/plankhead-core/src/leader/shards/records.rs
+++ b/crates/plankhead-core/src/leader/shards/records.rs
@@ -108,7 +108,7 @@
             Ok(_) | Err(CallError::Refused | CallError::RateLimited | CallError::TooLarge) => {
                 WriteOutcome::Failed
             }
-            Err(CallError::OutcomeUnknown) => WriteOutcome::Lost,
+            Err(CallError::OutcomeUnknown) => WriteOutcome::Unknown,
         };
         let Some(shards) = &mut self.shards else { return TermStatus::Continues };
         let committed = matches!(outcome, WriteOutcome::Committed { .. });
--- a/crates/plankhead-core/src/leader/shards/statuses.rs
+++ b/crates/plankhead-core/src/leader/shards/statuses.rs
@@ -19,7 +19,7 @@
         self.latest_sequence = status.stamp.sequence;
         self.zone.clone_from(&status.zone);
         self.sees_records = status.sees_records;
-        let restarted = admission == Admission::OtherStart;
+        let restarted = admission == Admission::OtherBoot;
         let is_other_stream = restarted || self.stream != status.stream;
         if is_other_stream {
             self.stream = status.stream;
@@ -30,7 +30,7 @@
             self.due.extend(std::mem::take(&mut self.sent).into_keys());
         }
         for update in &status.updates {
-            self.names.assign(update.number, update.heartbeat.machine.clone());
+            self.names.insert(update.number, update.heartbeat.machine.clone());
         }
         is_other_stream
     }
@@ -59,9 +59,9 @@
         };
         let peer = shards.peers.entry(message.host.clone()).or_default();
         let is_other_stream = peer.status_arrived(&message, admission, now);
-        let alive: Vec<MachineName> = peer.names.of(&message.alive).cloned().collect();
+        let alive: Vec<MachineName> = peer.names.machines(&message.alive).cloned().collect();
         for held in message.shards.iter().filter(|held| held.released) {
-            shards.registry.released(&held.shard, &message.host, held.epoch);
+            shards.registry.release_confirmed(&held.shard, &message.host, held.epoch);
         }
         if !message.updates.is_empty() || !alive.is_empty() {
             self.evidence.direct_heartbeat_arrived();
--- a/crates/plankhead-core/src/shards/records.rs
+++ b/crates/plankhead-core/src/shards/records.rs
@@ -88,7 +88,7 @@
     }
 
     fn apply_record(&mut self, row: &KeyValue, effects: &mut EffectSink) {
-        if let Err(error) = self.table.write(&row.key, &row.value, row.mod_revision) {
+        if let Err(error) = self.table.insert(&row.key, &row.value, row.mod_revision) {
             effects.log(LogLevel::Error, format!("shard record ignored: key={} reason=\"{error}\"", row.key));
         }
     }
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -100,7 +100,7 @@
     pub fn holders(&self) -> BTreeMap<String, (usize, u64)> {
         let rows = self.kv.rows("shard/");
         let holder = |(key, value, revision): (String, String, u64)| {
-            let record = plankhead_sharding::record::ShardRecord::read(&value).unwrap();
+            let record = plankhead_sharding::record::ShardRecord::decode(&value).unwrap();
             (key, (node_of(&record.holder), record.epoch(revision)))
         };
         rows.into_iter().map(holder).collect()
@@ -166,7 +166,7 @@
 
     /// A record of a shard was written: by the holder of the lease alone.
     pub(super) fn record_written(&mut self, key: &str, value: &str) {
-        let record = plankhead_sharding::record::ShardRecord::read(value).unwrap();
+        let record = plankhead_sharding::record::ShardRecord::decode(value).unwrap();
         assert_eq!(self.kv.stamp("lead"), Some(record.term), "{key} was written without the lease");
         if let Some(moving) = &record.moving {
             self.latest_move = Some((node_of(&record.holder), node_of(&moving.to)));
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -217,7 +217,7 @@
                 self.pages.write_failed();
                 self.mark_recording_failed();
             }
-            WriteOutcome::Lost => {
+            WriteOutcome::Unknown => {
                 self.pages.write_uncertain();
                 self.mark_recording_failed();
             }
--- a/crates/plankhead-fencing/src/page_writes.rs
+++ b/crates/plankhead-fencing/src/page_writes.rs
@@ -39,5 +39,5 @@
     /// Certainly not carried out: the state service refuses this leader's writes.
     Refused,
     /// No answer: it may have been carried out, or may be later.
-    Lost,
+    Unknown,
 }
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -93,7 +93,8 @@
     assert_eq!(changes[0].page.key(), "duty/41/0");
     assert_eq!(changes[0].expected, 0);
     // Under way is not durable, nor is a write that failed or got no answer.
-    for outcome in [WriteOutcome::Busy, WriteOutcome::Refused, WriteOutcome::Conflict, WriteOutcome::Lost] {
+    for outcome in [WriteOutcome::Busy, WriteOutcome::Refused, WriteOutcome::Conflict, WriteOutcome::Unknown]
+    {
         assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
         assert_eq!(log.end_write(outcome), Vec::new());
         for page in log.uncertain_pages() {
@@ -360,11 +361,11 @@
                         3 => WriteOutcome::Refused,
                         4 if rng.random_range(0..2) == 0 => {
                             late.push(changes);
-                            WriteOutcome::Lost
+                            WriteOutcome::Unknown
                         }
                         4 => {
                             store.apply(&changes);
-                            WriteOutcome::Lost
+                            WriteOutcome::Unknown
                         }
                         _ => store.apply(&changes),
                     };
--- a/crates/plankhead-sharding/src/balance.rs
+++ b/crates/plankhead-sharding/src/balance.rs
@@ -56,7 +56,11 @@
 }
 
 /// The candidate that should take a shard: the one on which it costs least, by name if equal.
-pub fn choose<'a>(shard: &ShardId, candidates: &'a [Candidate], loads: &ShardLoads) -> Option<&'a Candidate> {
+pub fn choose_holder<'a>(
+    shard: &ShardId,
+    candidates: &'a [Candidate],
+    loads: &ShardLoads,
+) -> Option<&'a Candidate> {
     let weight = loads.get(shard).map_or(1.0, ShardLoad::weight);
     let cost = |candidate: &Candidate| cost(candidate, &shard.zone, load_of(&candidate.host, loads) + weight);
     candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then_with(|| a.host.cmp(&b.host)))
@@ -64,7 +68,7 @@
 
 /// The move that gains most, if one gains more than `hysteresis` (a fraction) of its holder's
 /// cost. The reverse of such a move never does, so that shards don't move back and forth.
-pub fn improve(candidates: &[Candidate], loads: &ShardLoads, hysteresis: f64) -> Option<Rebalance> {
+pub fn find_rebalance(candidates: &[Candidate], loads: &ShardLoads, hysteresis: f64) -> Option<Rebalance> {
     let mut best: Option<(f64, Rebalance)> = None;
     for (shard, load) in loads {
         let holder =
--- a/crates/plankhead-sharding/src/machine_numbers.rs
+++ b/crates/plankhead-sharding/src/machine_numbers.rs
@@ -47,14 +47,14 @@
 
 impl NumberedMachines {
     /// Takes in the number that the holder has assigned to a machine.
-    pub fn assign(&mut self, number: u32, machine: Arc<str>) {
+    pub fn insert(&mut self, number: u32, machine: Arc<str>) {
         if self.0.len() < MAX_MACHINES || self.0.contains_key(&number) {
             self.0.insert(number, machine);
         }
     }
 
     /// The machines of a bitmap; numbers without a machine are skipped.
-    pub fn of<'a>(&'a self, numbers: &'a RoaringBitmap) -> impl Iterator<Item = &'a Arc<str>> + 'a {
+    pub fn machines<'a>(&'a self, numbers: &'a RoaringBitmap) -> impl Iterator<Item = &'a Arc<str>> + 'a {
         numbers.iter().filter_map(|number| self.0.get(&number))
     }
 }
--- a/crates/plankhead-sharding/src/record.rs
+++ b/crates/plankhead-sharding/src/record.rs
@@ -64,7 +64,7 @@
     }
 
     /// Decodes a record.
-    pub fn read(value: &str) -> Result<Self, RecordError> {
+    pub fn decode(value: &str) -> Result<Self, RecordError> {
         let record: Self = serde_json::from_str(value)?;
         if record.format != FORMAT {
             return Err(RecordError::Format(record.format));
--- a/crates/plankhead-sharding/src/registry/mod.rs
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -138,7 +138,7 @@
     }
 
     /// The shards whose holders this leader has named.
-    pub fn current(&self) -> impl Iterator<Item = (&ShardId, &ShardState)> {
+    pub fn named_shards(&self) -> impl Iterator<Item = (&ShardId, &ShardState)> {
         let current = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
         current.map(|(shard, tracked)| (shard, &tracked.state))
     }
@@ -158,7 +158,7 @@
     }
 
     /// A holder confirms that it has released a shard.
-    pub fn released(&mut self, shard: &ShardId, from: &str, epoch: u64) {
+    pub fn release_confirmed(&mut self, shard: &ShardId, from: &str, epoch: u64) {
         let current = self.shards.get_mut(shard).filter(|tracked| tracked.term == self.term);
         let Some(tracked) = current.filter(|tracked| tracked.state.holder() == Some(from)) else { return };
         // Repeated until the next holder is named, and refused from the second time on.
@@ -240,7 +240,7 @@
         let revision = match outcome {
             WriteOutcome::Committed { revision } => revision,
             WriteOutcome::Failed => return None,
-            WriteOutcome::Lost => {
+            WriteOutcome::Unknown => {
                 tracked.uncertain_write_at = Some(sent);
                 return None;
             }
--- a/crates/plankhead-sharding/src/registry/moves.rs
+++ b/crates/plankhead-sharding/src/registry/moves.rs
@@ -54,7 +54,7 @@
         if let Some(drained) = drained(input, loads) {
             return Some(drained);
         }
-        let best = balance::improve(&input.candidates, loads, self.settings.hysteresis)?;
+        let best = balance::find_rebalance(&input.candidates, loads, self.settings.hysteresis)?;
         Some(PlannedMove { shard: best.shard, to: best.to, reason: NamingReason::Balance })
     }
 
@@ -75,6 +75,6 @@
 fn drained(input: &RegistryInput, loads: &ShardLoads) -> Option<PlannedMove> {
     let keeps = |load: &ShardLoad| load.holder.as_ref().is_none_or(|holder| input.may_take_shards(holder));
     let (shard, _) = loads.iter().find(|(_, load)| !keeps(load))?;
-    let to = balance::choose(shard, &input.candidates, loads)?;
+    let to = balance::choose_holder(shard, &input.candidates, loads)?;
     Some(PlannedMove { shard: shard.clone(), to: to.host.clone(), reason: NamingReason::Drained })
 }
--- a/crates/plankhead-sharding/src/registry/naming.rs
+++ b/crates/plankhead-sharding/src/registry/naming.rs
@@ -109,7 +109,7 @@
 
     /// Names the candidate that should take the shard.
     fn name_best(&self, shard: &ShardId, loads: &ShardLoads, reason: NamingReason) -> Option<RecordWrite> {
-        let best = balance::choose(shard, &self.input.candidates, loads)?;
+        let best = balance::choose_holder(shard, &self.input.candidates, loads)?;
         self.name(shard, &best.host, reason)
     }
 
--- a/crates/plankhead-sharding/src/registry/record_write.rs
+++ b/crates/plankhead-sharding/src/registry/record_write.rs
@@ -58,7 +58,7 @@
     /// Certainly not carried out.
     Failed,
     /// No answer: it may have been carried out, or may be later.
-    Lost,
+    Unknown,
 }
 
 /// A holder that a committed write has named.
--- a/crates/plankhead-sharding/src/sequence.rs
+++ b/crates/plankhead-sharding/src/sequence.rs
@@ -25,7 +25,7 @@
     Next,
     /// Its sender was restarted, or this is a late message of an earlier start. No start is
     /// refused for good: the present one goes on sending, and is admitted again.
-    OtherStart,
+    OtherBoot,
 }
 
 /// The newest message of each sender.
@@ -41,7 +41,7 @@
         if latest.is_some_and(|latest| stamp.sequence <= latest.sequence) {
             return Err(StaleMessage);
         }
-        let admission = if latest.is_some() { Admission::Next } else { Admission::OtherStart };
+        let admission = if latest.is_some() { Admission::Next } else { Admission::OtherBoot };
         self.latest.insert(sender.into(), stamp);
         Ok(admission)
     }
--- a/crates/plankhead-sharding/src/table.rs
+++ b/crates/plankhead-sharding/src/table.rs
@@ -49,12 +49,12 @@
 
 impl ShardTable {
     /// Takes in a record. One that can't be decoded counts as none: nobody acts by it.
-    pub fn write(&mut self, key: &str, value: &str, revision: u64) -> Result<(), ShardTableError> {
+    pub fn insert(&mut self, key: &str, value: &str, revision: u64) -> Result<(), ShardTableError> {
         let shard = ShardId::from_key(key)?;
         if self.records.get(&shard).is_some_and(|known| known.revision >= revision) {
             return Ok(());
         }
-        let record = match ShardRecord::read(value) {
+        let record = match ShardRecord::decode(value) {
             Ok(record) => record,
             Err(fault) => {
                 self.records.remove(&shard);
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -184,7 +184,7 @@
         };
         let current = self.registries.get_mut(&leader).filter(|(current, _)| *current == term);
         if let Some((_, registry)) = current.filter(|_| !given_up) {
-            let outcome = if answered { outcome } else { WriteOutcome::Lost };
+            let outcome = if answered { outcome } else { WriteOutcome::Unknown };
             registry.write_completed(&write, outcome, sent, self.now);
         }
     }
@@ -197,7 +197,7 @@
         };
         let current = self.registries.get_mut(leader).filter(|(current, _)| current == term);
         if let Some((_, registry)) = current.filter(|_| !*given_up) {
-            registry.write_completed(write, WriteOutcome::Lost, *sent, self.now);
+            registry.write_completed(write, WriteOutcome::Unknown, *sent, self.now);
             *given_up = true;
         }
     }
@@ -205,7 +205,7 @@
     fn read(&mut self, host: usize) {
         self.tables[host] = ShardTable::default();
         for (shard, (text, revision)) in &self.records {
-            self.tables[host].write(&shard.key(), text, *revision).unwrap();
+            self.tables[host].insert(&shard.key(), text, *revision).unwrap();
         }
         self.read_at[host] = Some(self.now);
         if let Some((_, registry)) = self.registries.get_mut(&host) {
@@ -217,7 +217,7 @@
         let Some((_, registry)) = self.registries.get_mut(&leader) else { return };
         for (shard, known) in self.tables[holder].iter() {
             if known.record.moving.is_some() && known.record.holder == HOSTS[holder] {
-                registry.released(shard, HOSTS[holder], known.epoch());
+                registry.release_confirmed(shard, HOSTS[holder], known.epoch());
             }
         }
     }
@@ -268,7 +268,7 @@
         let there: BTreeSet<&str> = HOSTS[..2].iter().copied().collect();
         prop_assert_eq!(self.records.len(), 4);
         for (text, _) in self.records.values() {
-            let record = ShardRecord::read(text).unwrap();
+            let record = ShardRecord::decode(text).unwrap();
             prop_assert!(there.contains(record.holder.as_str()), "{:?} is held by nobody", record);
             prop_assert_eq!(record.term, self.lease.0);
         }
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use plankhead_reachability::bitmap::{self, BitmapError};
-use plankhead_sharding::balance::{choose, improve, Candidate, ShardLoad, ShardLoads};
+use plankhead_sharding::balance::{choose_holder, find_rebalance, Candidate, ShardLoad, ShardLoads};
 use plankhead_sharding::machine_numbers::{self, MachineNumbers, NumberedMachines};
 use plankhead_sharding::read_times::ReadTimes;
 use plankhead_sharding::record::{PendingMove, RecordError, ShardRecord};
@@ -67,17 +67,17 @@
     let moving = Some(PendingMove { epoch: 7, to: "b".into() });
     let record = ShardRecord { moving, ..ShardRecord::held("a", 3, 5, 2) };
     let text = serde_json::to_string(&record).unwrap();
-    assert_eq!(ShardRecord::read(&text).unwrap(), record);
+    assert_eq!(ShardRecord::decode(&text).unwrap(), record);
     assert_eq!((record.epoch(9), ShardRecord::held("a", 3, 5, 2).epoch(9)), (7, 9));
     assert!(matches!(
-        ShardRecord::read(&text.replace("\"format\":1", "\"format\":2")),
+        ShardRecord::decode(&text.replace("\"format\":1", "\"format\":2")),
         Err(RecordError::Format(2))
     ));
     assert!(matches!(
-        ShardRecord::read(&text.replace("\"shards\":2", "\"shards\":0")),
+        ShardRecord::decode(&text.replace("\"shards\":2", "\"shards\":0")),
         Err(RecordError::Range)
     ));
-    assert!(matches!(ShardRecord::read("[]"), Err(RecordError::Json(_))));
+    assert!(matches!(ShardRecord::decode("[]"), Err(RecordError::Json(_))));
 }
 
 #[test]
@@ -85,13 +85,13 @@
     let text = |holder| serde_json::to_string(&ShardRecord::held(holder, 3, 5, 2)).unwrap();
     let mut table = ShardTable::default();
     let shard = ShardId { zone: "x".into(), index: 0 };
-    table.write("shard/x/0", &text("b"), 9).unwrap();
-    table.write("shard/x/0", &text("a"), 8).unwrap();
+    table.insert("shard/x/0", &text("b"), 9).unwrap();
+    table.insert("shard/x/0", &text("a"), 8).unwrap();
     assert_eq!(table.get(&shard).unwrap().record.holder, "b", "an older event changes nothing");
     assert!(table.shard_of("y", "i-1").is_none(), "a zone that is not divided");
     table.remove("shard/x/0", 9);
     assert!(table.get(&shard).is_some(), "dropped before it was written");
-    assert!(table.write("shard/x/0", "{}", 10).is_err());
+    assert!(table.insert("shard/x/0", "{}", 10).is_err());
     assert!(table.get(&shard).is_none(), "nobody acts by a record that can't be read");
 }
 
@@ -99,15 +99,15 @@
 fn late_copies_are_refused_and_no_start_for_good() {
     let mut guard = SequenceGuard::default();
     let stamp = |boot, sequence| MessageStamp { boot, sequence };
-    assert_eq!(guard.admit("a", stamp(1, 5)), Ok(Admission::OtherStart));
+    assert_eq!(guard.admit("a", stamp(1, 5)), Ok(Admission::OtherBoot));
     assert_eq!(guard.admit("a", stamp(1, 5)), Err(StaleMessage));
     assert_eq!(guard.admit("a", stamp(1, 4)), Err(StaleMessage));
     assert_eq!(guard.admit("a", stamp(1, 9)), Ok(Admission::Next));
-    assert_eq!(guard.admit("a", stamp(2, 1)), Ok(Admission::OtherStart));
+    assert_eq!(guard.admit("a", stamp(2, 1)), Ok(Admission::OtherBoot));
     assert_eq!(guard.admit("a", stamp(2, 2)), Ok(Admission::Next));
-    assert_eq!(guard.admit("a", stamp(1, 10)), Ok(Admission::OtherStart), "a late message");
-    assert_eq!(guard.admit("a", stamp(2, 3)), Ok(Admission::OtherStart), "and the present start again");
-    assert_eq!(guard.admit("b", stamp(1, 1)), Ok(Admission::OtherStart));
+    assert_eq!(guard.admit("a", stamp(1, 10)), Ok(Admission::OtherBoot), "a late message");
+    assert_eq!(guard.admit("a", stamp(2, 3)), Ok(Admission::OtherBoot), "and the present start again");
+    assert_eq!(guard.admit("b", stamp(1, 1)), Ok(Admission::OtherBoot));
 }
 
 #[test]
@@ -118,14 +118,14 @@
     let mut alive = RoaringBitmap::new();
     for machine in &machines {
         let number = numbers.assign(machine).unwrap();
-        names.assign(number, machine.clone());
+        names.insert(number, machine.clone());
         alive.insert(number);
     }
     alive.insert(9_999);
     let bytes = bitmap::encode(&alive);
     assert!(bytes.len() < 1_024, "{} bytes for 4,000 machines", bytes.len());
     let read = machine_numbers::decode(&bytes).unwrap();
-    assert_eq!(names.of(&read).count(), 4_000, "a number that nobody was told of is passed over");
+    assert_eq!(names.machines(&read).count(), 4_000, "a number that nobody was told of is passed over");
     assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "a number stays");
     assert!(matches!(machine_numbers::decode(&[0; 3]), Err(BitmapError::Malformed(_))));
     assert_eq!(machine_numbers::decode(&vec![0; 17 * 1024]), Err(BitmapError::TooLarge));
@@ -161,20 +161,20 @@
         holdings.insert(ShardId { zone: zone.into(), index }, ShardLoad { machines: 40, holder: None });
     }
     for shard in holdings.keys().cloned().collect::<Vec<_>>() {
-        let chosen = choose(&shard, &candidates, &holdings).unwrap().host.clone();
+        let chosen = choose_holder(&shard, &candidates, &holdings).unwrap().host.clone();
         assert_eq!(chosen, if shard.zone == "x" { "b" } else { "c" }, "{shard}");
         holdings.get_mut(&shard).unwrap().holder = Some(chosen);
     }
-    assert_eq!(improve(&candidates, &holdings, 0.25), None, "even already");
+    assert_eq!(find_rebalance(&candidates, &holdings, 0.25), None, "even already");
     for holding in holdings.values_mut() {
         holding.holder = Some("c".into());
     }
     let mut moves = 0;
-    while let Some(best) = improve(&candidates, &holdings, 0.25) {
+    while let Some(best) = find_rebalance(&candidates, &holdings, 0.25) {
         holdings.get_mut(&best.shard).unwrap().holder = Some(best.to);
         moves += 1;
         assert!(moves <= 3, "moves without end: {holdings:?}");
     }
     assert!(moves >= 1);
-    assert_eq!(choose(&ShardId::of("x", "m", 1), &[], &holdings), None);
+    assert_eq!(choose_holder(&ShardId::of("x", "m", 1), &[], &holdings), None);
 }
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -60,7 +60,7 @@
         let reply = kv::call(&client, request).await.map_err(ReadError::StateService)?;
         let KvReply::Page { rows, truncated, .. } = reply else { return Err(ReadError::UnexpectedReply) };
         for row in &rows {
-            if let Err(fault) = shards.table.write(&row.key, &row.value, row.mod_revision) {
+            if let Err(fault) = shards.table.insert(&row.key, &row.value, row.mod_revision) {
                 shards.faults.push(format!("{}: {fault}", row.key));
             }
         }
--- a/crates/plankhead/src/tests/shards.rs
+++ b/crates/plankhead/src/tests/shards.rs
@@ -172,7 +172,7 @@
         |holder: &str| json!({"format": 1, "holder": holder, "boot": 1, "term": 3, "shards": 4}).to_string();
     let mut shards = Shards::default();
     for (index, holder) in ["plank-0", "plank-1", "plank-1", "plank-2"].iter().enumerate() {
-        shards.table.write(&format!("shard/a/{index}"), &record(holder), 10).unwrap();
+        shards.table.insert(&format!("shard/a/{index}"), &record(holder), 10).unwrap();
     }
     let row = |index: u32, epoch: u64| json!({"shard": format!("a/{index}"), "epoch": epoch, "machines": 5, "acts": true});
     let led =
