--- a/crates/plankhead-sharding/src/registry/mod.rs
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -167,19 +167,19 @@
         }
     }
 
-    /// The load of every declared shard, with its holder in this term: the next one if it moves.
-    fn loads(&self, input: &RegistryInput, declared: &BTreeSet<ShardId>) -> ShardLoads {
+    /// The load of every configured shard, with its holder in this term: the next one if it moves.
+    fn loads(&self, input: &RegistryInput, configured: &BTreeSet<ShardId>) -> ShardLoads {
         let load = |shard: &ShardId| {
             let tracked = self.shards.get(shard).filter(|tracked| tracked.term == self.term);
             let holder = tracked.and_then(|tracked| tracked.state.next_holder().or(tracked.state.holder()));
             let machines = input.machines.get(shard).copied().unwrap_or(0);
             ShardLoad { machines, holder: holder.map(str::to_owned) }
         };
-        declared.iter().map(|shard| (shard.clone(), load(shard))).collect()
+        configured.iter().map(|shard| (shard.clone(), load(shard))).collect()
     }
 
     /// The shards that there should be.
-    fn declared(&self, input: &RegistryInput) -> BTreeSet<ShardId> {
+    fn configured_shards(&self, input: &RegistryInput) -> BTreeSet<ShardId> {
         let shards_of = |zone: &String| {
             let zone = zone.clone();
             (0..self.settings.shards_per_zone).map(move |index| ShardId { zone: zone.clone(), index })
@@ -200,15 +200,15 @@
         }
         let started_at = *self.started_at.get_or_insert(now);
         let settled = now.saturating_sub(started_at) >= SETTLE_TIMEOUT;
-        let declared = self.declared(input);
-        let mut loads = self.loads(input, &declared);
+        let configured = self.configured_shards(input);
+        let mut loads = self.loads(input, &configured);
         let naming = HolderNaming { registry: self, input, settled, now };
-        let mut writes = naming.due_writes(&declared, &mut loads, max_writes);
+        let mut writes = naming.due_writes(&configured, &mut loads, max_writes);
         if writes.is_empty() {
             writes.extend(self.begin_move(input, &loads, now));
         }
         if writes.is_empty() {
-            writes.extend(self.surplus_deletions(&declared).into_iter().take(max_writes));
+            writes.extend(self.surplus_deletions(&configured).into_iter().take(max_writes));
         }
         for write in &writes {
             self.shards.entry(write.shard.clone()).or_default().is_writing = true;
@@ -217,14 +217,14 @@
     }
 
     /// Deletes the records that no machine belongs to by this leader's settings.
-    fn surplus_deletions(&self, declared: &BTreeSet<ShardId>) -> Vec<RecordWrite> {
-        let zones: BTreeSet<&str> = declared.iter().map(|shard| shard.zone.as_str()).collect();
-        let is_surplus = |shard: &ShardId| zones.contains(shard.zone.as_str()) && !declared.contains(shard);
+    fn surplus_deletions(&self, configured: &BTreeSet<ShardId>) -> Vec<RecordWrite> {
+        let zones: BTreeSet<&str> = configured.iter().map(|shard| shard.zone.as_str()).collect();
+        let is_surplus = |shard: &ShardId| zones.contains(shard.zone.as_str()) && !configured.contains(shard);
         let surplus = self.shards.iter().filter(|(shard, tracked)| {
             let is_stored = tracked.revision > 0 && tracked.state != ShardState::Vacant;
             is_surplus(shard) && is_stored && !tracked.is_writing
         });
-        surplus.map(|(shard, tracked)| tracked.write(shard, None, NamingReason::Surplus)).collect()
+        surplus.map(|(shard, tracked)| tracked.record_write(shard, None, NamingReason::Surplus)).collect()
     }
 
     /// Takes in how a write that was sent at `sent` ended. Returns the holder that it named.
--- a/crates/plankhead-sharding/src/registry/moves.rs
+++ b/crates/plankhead-sharding/src/registry/moves.rs
@@ -33,11 +33,12 @@
         let holder = tracked.state.holder()?.to_owned();
         // The leader itself releases a shard in the same step.
         if holder == self.own_name {
-            return HolderNaming { registry: self, input, settled: true, now }.name(&shard, &to, reason);
+            return HolderNaming { registry: self, input, settled: true, now }
+                .name_holder(&shard, &to, reason);
         }
         let moving = Some(PendingMove { epoch: tracked.state.epoch(), to });
         let held = ShardRecord::held(&holder, tracked.boot, self.term, self.settings.shards_per_zone);
-        Some(tracked.write(&shard, Some(ShardRecord { moving, ..held }), reason))
+        Some(tracked.record_write(&shard, Some(ShardRecord { moving, ..held }), reason))
     }
 
     /// The move that is due: by rotation, off a drained node, or for balance.
@@ -45,21 +46,21 @@
         if let Some(interval) = self.settings.rotate {
             if now >= self.next_rotation_at {
                 self.next_rotation_at = now + interval;
-                return self.rotation(input);
+                return self.rotation_move(input);
             }
         }
         if now < self.next_move_at {
             return None;
         }
-        if let Some(drained) = drained(input, loads) {
-            return Some(drained);
+        if let Some(planned) = drain_move(input, loads) {
+            return Some(planned);
         }
         let best = balance::find_rebalance(&input.candidates, loads, self.settings.hysteresis)?;
         Some(PlannedMove { shard: best.shard, to: best.to, reason: NamingReason::Balance })
     }
 
     /// The shard that has been with its holder for the longest, and the next node by name.
-    fn rotation(&self, input: &RegistryInput) -> Option<PlannedMove> {
+    fn rotation_move(&self, input: &RegistryInput) -> Option<PlannedMove> {
         let held = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
         let (shard, tracked) = held.min_by_key(|(_, tracked)| tracked.since)?;
         let holder = tracked.state.holder()?;
@@ -72,7 +73,7 @@
 }
 
 /// A shard whose holder is alive but is to hold none.
-fn drained(input: &RegistryInput, loads: &ShardLoads) -> Option<PlannedMove> {
+fn drain_move(input: &RegistryInput, loads: &ShardLoads) -> Option<PlannedMove> {
     let keeps = |load: &ShardLoad| load.holder.as_ref().is_none_or(|holder| input.may_take_shards(holder));
     let (shard, _) = loads.iter().find(|(_, load)| !keeps(load))?;
     let to = balance::choose_holder(shard, &input.candidates, loads)?;
--- a/crates/plankhead-sharding/src/registry/naming.rs
+++ b/crates/plankhead-sharding/src/registry/naming.rs
@@ -24,12 +24,12 @@
     /// written.
     pub fn due_writes(
         &self,
-        declared: &BTreeSet<ShardId>,
+        configured: &BTreeSet<ShardId>,
         loads: &mut ShardLoads,
         max_writes: usize,
     ) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
-        for shard in declared {
+        for shard in configured {
             if writes.len() >= max_writes {
                 break;
             }
@@ -49,7 +49,10 @@
             return None;
         }
         let Some(holder) = tracked.state.holder() else {
-            return self.settled.then(|| self.name_best(shard, loads, NamingReason::First)).flatten();
+            return self
+                .settled
+                .then(|| self.name_best_candidate(shard, loads, NamingReason::First))
+                .flatten();
         };
         if tracked.term != self.registry.term {
             return self.take_over(shard, tracked, holder, loads);
@@ -58,8 +61,8 @@
             return self.complete_move(shard, tracked, (holder, next), loads);
         }
         match self.input.live_nodes.get(holder) {
-            None => self.name_best(shard, loads, NamingReason::Silent),
-            Some(boot) if *boot != tracked.boot => self.name(shard, holder, NamingReason::Restarted),
+            None => self.name_best_candidate(shard, loads, NamingReason::Silent),
+            Some(boot) if *boot != tracked.boot => self.name_holder(shard, holder, NamingReason::Restarted),
             Some(_) => None,
         }
     }
@@ -75,12 +78,12 @@
     ) -> Option<RecordWrite> {
         let is_live = |host: &&str| self.input.live_nodes.contains_key(*host);
         if let Some(next) = tracked.state.next_holder().filter(is_live) {
-            return self.name(shard, next, NamingReason::Finished);
+            return self.name_holder(shard, next, NamingReason::Finished);
         }
         if is_live(&holder) {
-            return self.name(shard, holder, NamingReason::Renewed);
+            return self.name_holder(shard, holder, NamingReason::Renewed);
         }
-        self.settled.then(|| self.name_best(shard, loads, NamingReason::Silent)).flatten()
+        self.settled.then(|| self.name_best_candidate(shard, loads, NamingReason::Silent)).flatten()
     }
 
     /// A shard that moves: the next holder is named once the present one has released the
@@ -93,33 +96,40 @@
         loads: &ShardLoads,
     ) -> Option<RecordWrite> {
         let is_released = matches!(tracked.state, ShardState::Released { .. });
-        let is_late = self.now.saturating_sub(tracked.since) >= self.registry.settings.release_timeout;
+        let is_overdue = self.now.saturating_sub(tracked.since) >= self.registry.settings.release_timeout;
         let is_gone = self.input.live_nodes.get(holder) != Some(&tracked.boot);
         if !self.input.may_take_shards(next) {
             return match is_gone {
-                false => self.name(shard, holder, NamingReason::Undone),
-                true => self.name_best(shard, loads, NamingReason::Silent),
+                false => self.name_holder(shard, holder, NamingReason::Undone),
+                true => self.name_best_candidate(shard, loads, NamingReason::Silent),
             };
         }
         if is_released {
-            return self.name(shard, next, NamingReason::Released);
+            return self.name_holder(shard, next, NamingReason::Released);
         }
-        (is_late || is_gone).then(|| self.name(shard, next, NamingReason::ReleaseTimedOut)).flatten()
+        (is_overdue || is_gone)
+            .then(|| self.name_holder(shard, next, NamingReason::ReleaseTimedOut))
+            .flatten()
     }
 
     /// Names the candidate that should take the shard.
-    fn name_best(&self, shard: &ShardId, loads: &ShardLoads, reason: NamingReason) -> Option<RecordWrite> {
+    fn name_best_candidate(
+        &self,
+        shard: &ShardId,
+        loads: &ShardLoads,
+        reason: NamingReason,
+    ) -> Option<RecordWrite> {
         let best = balance::choose_holder(shard, &self.input.candidates, loads)?;
-        self.name(shard, &best.host, reason)
+        self.name_holder(shard, &best.host, reason)
     }
 
     /// Names a holder that is alive.
-    pub fn name(&self, shard: &ShardId, holder: &str, reason: NamingReason) -> Option<RecordWrite> {
+    pub fn name_holder(&self, shard: &ShardId, holder: &str, reason: NamingReason) -> Option<RecordWrite> {
         let boot = *self.input.live_nodes.get(holder)?;
         let registry = self.registry;
         let record = ShardRecord::held(holder, boot, registry.term, registry.settings.shards_per_zone);
         let vacant = TrackedShard::default();
         let tracked = registry.shards.get(shard).unwrap_or(&vacant);
-        Some(tracked.write(shard, Some(record), reason))
+        Some(tracked.record_write(shard, Some(record), reason))
     }
 }
--- a/crates/plankhead-sharding/src/registry/tracked_shard.rs
+++ b/crates/plankhead-sharding/src/registry/tracked_shard.rs
@@ -30,7 +30,12 @@
     }
 
     /// A write that replaces or, without a record, deletes the record as it is known.
-    pub fn write(&self, shard: &ShardId, record: Option<ShardRecord>, reason: NamingReason) -> RecordWrite {
+    pub fn record_write(
+        &self,
+        shard: &ShardId,
+        record: Option<ShardRecord>,
+        reason: NamingReason,
+    ) -> RecordWrite {
         let from = self.state.holder().map(str::to_owned);
         RecordWrite { shard: shard.clone(), revision: self.revision, record, from, reason }
     }
--- a/crates/plankhead-sharding/src/table.rs
+++ b/crates/plankhead-sharding/src/table.rs
@@ -56,9 +56,9 @@
         }
         let record = match ShardRecord::decode(value) {
             Ok(record) => record,
-            Err(fault) => {
+            Err(error) => {
                 self.records.remove(&shard);
-                return Err(fault.into());
+                return Err(error.into());
             }
         };
         let layout = self.layouts.entry(shard.zone.clone()).or_default();
