--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -122,7 +122,7 @@
             }
             let is_due = force == ReturnForce::CancellationDue;
             let allowed = (is_due || evidence.no_peer_leads) && self.is_cloud_reachable(now);
-            if allowed && self.intents.log.force_issue(&key) {
+            if allowed && self.intents.log.allow_unrecorded_issue(&key) {
                 effects.log(
                     LogLevel::Info,
                     format!("intent issued unrecorded: intent={key} reason=state_service_fails"),
--- a/crates/plankhead-fencing/src/action.rs
+++ b/crates/plankhead-fencing/src/action.rs
@@ -1,64 +1,65 @@
-//! Actions that the leader may ask of the cloud, and their digests.
+//! The actions that the leader may request from the cloud, and their digests.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// The most machines that one rental may ask for, by the cloud's protocol.
+/// The maximum number of machines in one rental, as set by the cloud's protocol.
 pub const MAX_RENTAL_COUNT: u32 = 50;
-/// The most machines that one return may name, by the cloud's protocol.
+/// The maximum number of machines in one return, as set by the cloud's protocol.
 pub const MAX_RETURN_MACHINES: usize = 100;
-/// The key derivation context: digests of another format never compare equal.
+/// The BLAKE3 key derivation context. A new digest format takes a new context, so that digests of
+/// different formats never compare equal.
 const DIGEST_CONTEXT: &str = "plankhead 2026-12 duty action v1";
 const DIGEST_BYTES: usize = 16;
 
-/// A rental request. The cloud carries out each name once at most.
+/// A request to rent machines. The cloud carries out at most one rental per name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rental {
     /// The request's name, which is its idempotency key in the cloud.
     pub name: String,
-    /// The machine type, as the cloud names it.
+    /// The machine type, as named by the cloud.
     pub machine_type: String,
     /// The zone to rent in.
     pub zone: String,
-    /// Whether the machines are spot returned.
+    /// Whether to rent spot machines rather than ordinary ones.
     pub spot: bool,
-    /// How many machines, from 1 to [`MAX_RENTAL_COUNT`].
+    /// The number of machines, from 1 to [`MAX_RENTAL_COUNT`].
     pub count: u32,
 }
 
-/// Why machines are returned.
+/// The reason for returning machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReturnReason {
-    /// They are not needed any more.
+    /// The machines are no longer needed.
     Surplus,
-    /// They are silent or broken, or hold a task that must be gone by a deadline.
+    /// The machines send no heartbeats, are faulty, or run a task that must end by a deadline.
     Reclaim,
 }
 
-/// Machines that go returned to the cloud, with everything on them.
+/// A return of machines to the cloud, which ends everything that runs on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceReturn {
     /// The machines' names, at most [`MAX_RETURN_MACHINES`].
     pub machines: Vec<Arc<str>>,
-    /// Why they are returned.
+    /// The reason for the return.
     pub reason: ReturnReason,
 }
 
-/// An irreversible effect on the cloud.
+/// An irreversible action on the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CloudAction {
-    /// Rent machines.
+    /// Rents machines.
     Rent(Rental),
-    /// Return machines.
+    /// Returns machines.
     Return(InstanceReturn),
 }
 
-/// A BLAKE3 digest of an action: a repeat under the same key must have the same one.
+/// A BLAKE3 digest of an action. A repeat under the same idempotency key must have the same digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ActionDigest([u8; DIGEST_BYTES]);
 
 impl CloudAction {
-    /// The kind of action in a word, as it is stored and displayed.
+    /// Returns the kind of action as one word, in the form that is stored and displayed.
     pub fn kind(&self) -> &'static str {
         match self {
             CloudAction::Rent(_) => "rent",
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A short description of the action's subject, for display.
+    /// Returns a short description of the machines concerned, for display.
     pub fn subject(&self) -> String {
         match self {
             CloudAction::Rent(rental) => {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The digest over every field, which is stored with the action.
+    /// Returns the digest over all fields, which is stored with the action.
     pub fn digest(&self) -> ActionDigest {
         let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
         match self {
@@ -110,7 +111,7 @@
     }
 }
 
-/// Hashes a text with its length, so that adjacent fields can't be confused.
+/// Hashes a text prefixed with its length, so that the boundary between two fields is unambiguous.
 fn hash_text(hasher: &mut blake3::Hasher, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
--- a/crates/plankhead-fencing/src/ended_intents.rs
+++ b/crates/plankhead-fencing/src/ended_intents.rs
@@ -1,22 +1,23 @@
-//! The keys of ended intents, which are remembered to refuse their reuse.
+//! The keys and digests of ended intents, which are kept so that a key is not reused for another
+//! action.
 
 use crate::action::ActionDigest;
 use crate::intent::IdempotencyKey;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many ended intents are remembered; the oldest are forgotten first.
+/// The maximum number of ended intents that are kept. The oldest are dropped first.
 const MAX_ENDED_INTENTS: usize = 4_096;
 
 #[derive(Debug, Default)]
 pub(crate) struct EndedIntents {
     digests: BTreeMap<IdempotencyKey, ActionDigest>,
-    /// The keys from the oldest to the newest.
+    /// The keys in the order in which their intents ended, oldest first.
     order: VecDeque<IdempotencyKey>,
     confirmed: u64,
     abandoned: u64,
 }
 
-/// How an intent ended.
+/// The final state of an intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IntentOutcome {
     Confirmed,
--- a/crates/plankhead-fencing/src/gate.rs
+++ b/crates/plankhead-fencing/src/gate.rs
@@ -1,27 +1,27 @@
-//! The fencing gate: the only place that turns an action into one that the adapters accept.
+//! The fencing gate, the only source of the [`PermittedAction`]s that the cloud adapters accept.
 //!
-//! [`PermittedAction`] and [`IssueProof`] have no public constructors: only
-//! [`IntentLog`](crate::intent_log::IntentLog) makes proofs, for intents that are durable.
+//! [`PermittedAction`] and [`IssueProof`] have no public constructors. Proofs are created only by
+//! [`IntentLog`](crate::intent_log::IntentLog), for intents that are durable or forced.
 
 use crate::action::{ActionDigest, CloudAction};
 use crate::intent::IdempotencyKey;
 use thiserror::Error;
 
-/// Why an action may be sent.
+/// The reason why an action may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Basis {
-    /// Its intent is durable.
+    /// The intent is durable.
     Recorded {
-        /// The revision of the state service that holds it.
+        /// The revision of the state service at which the intent was recorded.
         revision: u64,
     },
-    /// A forced return whose record the state service failed to take.
+    /// The action is a forced return that the state service failed to record.
     Compelled,
-    /// Fencing is switched off.
+    /// Fencing is disabled.
     Unfenced,
 }
 
-/// Proves that an intent may be issued; made by the intent log only.
+/// Proof that an intent may be issued. It is created only by the intent log.
 #[derive(Debug, PartialEq, Eq)]
 pub struct IssueProof {
     pub(crate) token: u64,
@@ -30,7 +30,7 @@
     pub(crate) basis: Basis,
 }
 
-/// An action that has passed the gate.
+/// An action that the gate has permitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermittedAction {
     action: CloudAction,
@@ -38,22 +38,22 @@
 }
 
 impl PermittedAction {
-    /// The action.
+    /// Returns the action.
     pub fn action(&self) -> &CloudAction {
         &self.action
     }
 
-    /// Why it was let through.
+    /// Returns the reason why the action was permitted.
     pub fn basis(&self) -> Basis {
         self.basis
     }
 }
 
-/// Why an action was refused.
+/// The reasons why the gate refuses an action.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum GateError {
-    /// The proof was made under another fencing token.
-    #[error("the proof for {key} is of token {given}, the gate of {own}")]
+    /// The proof was created under another fencing token.
+    #[error("the proof for {key} was created under token {given}, but the gate's token is {own}")]
     OtherToken {
         /// The intent's key.
         key: IdempotencyKey,
@@ -62,31 +62,31 @@
         /// The gate's token.
         own: u64,
     },
-    /// The proof was made for another action.
-    #[error("the proof for {key} is of another action")]
+    /// The proof was created for another action.
+    #[error("the proof for {key} was created for another action")]
     OtherAction {
         /// The intent's key.
         key: IdempotencyKey,
     },
-    /// There is no proof although fencing is on.
-    #[error("fencing is on: an action needs a proof")]
+    /// Fencing is enabled, and there is no proof.
+    #[error("fencing is enabled, and the action has no proof")]
     NoProof,
 }
 
-/// How many actions were let through on which basis, and how many were refused.
+/// The numbers of actions that the gate has permitted, by [`Basis`], and refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GateCounters {
-    /// Let through with a durable intent.
+    /// The number of actions permitted with a durable intent.
     pub recorded: u64,
-    /// Let through without one, as forced returns.
+    /// The number of forced returns permitted without a durable intent.
     pub compelled: u64,
-    /// Let through while fencing was off.
+    /// The number of actions permitted while fencing was disabled.
     pub unfenced: u64,
-    /// Refused.
+    /// The number of actions refused.
     pub refused: u64,
 }
 
-/// Lets the actions of one leader's term through.
+/// Permits or refuses the actions of one leader's term.
 #[derive(Debug)]
 pub struct FencingGate {
     token: u64,
@@ -95,23 +95,22 @@
 }
 
 impl FencingGate {
-    /// A gate that demands proofs.
+    /// Creates a gate that requires proofs.
     pub fn fenced(token: u64) -> Self {
         Self { token, fenced: true, counts: GateCounters::default() }
     }
 
-    /// A gate that lets everything through, for clusters without fencing.
+    /// Creates a gate that permits actions without proofs, for clusters without fencing.
     pub fn unfenced(token: u64) -> Self {
         Self { token, fenced: false, counts: GateCounters::default() }
     }
 
-    /// Whether the gate demands proofs.
+    /// Returns whether the gate requires proofs.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Lets an action through, or refuses it; the proof may be missing only while fencing is
-    /// off.
+    /// Permits or refuses an action. The proof may be missing only if fencing is disabled.
     pub fn permit(
         &mut self,
         action: CloudAction,
@@ -140,7 +139,7 @@
         Ok(proof.basis)
     }
 
-    /// The counters since the gate was made.
+    /// Returns the counters since the gate was created.
     pub fn counts(&self) -> GateCounters {
         self.counts
     }
--- a/crates/plankhead-fencing/src/intent.rs
+++ b/crates/plankhead-fencing/src/intent.rs
@@ -1,19 +1,19 @@
-//! An intent: one action of a leader on the cloud, with its idempotency key and its state.
+//! Intents: each is one action of a leader on the cloud, with its idempotency key and its state.
 
 use crate::action::{ActionDigest, CloudAction};
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The most open intents: the cloud's rate limit allows a few actions a second.
+/// The maximum number of open intents. The cloud's rate limit allows only a few actions per second.
 pub const MAX_OPEN_INTENTS: usize = 1_000;
 
-/// The idempotency key of an intent. It is never used for another action.
+/// The idempotency key of an intent. A key is never reused for another action.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IdempotencyKey(Arc<str>);
 
 impl IdempotencyKey {
-    /// A key of this text.
+    /// Creates a key from its text.
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
@@ -25,29 +25,31 @@
     }
 }
 
-/// How far an intent has come.
+/// The state of an intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum IntentState {
-    /// Decided; not known to be durable.
+    /// The action was decided. Its record is not known to be durable.
     Intended,
-    /// Its record is durable, and nothing was sent.
+    /// The record is durable, and the action has not been sent.
     Recorded,
-    /// Read from the record of a former leader, which may have sent it or may still.
+    /// The intent was read from a former leader's record. That leader may have sent the action, or
+    /// may still send it.
     Adopted,
-    /// Sent at least once; an answer is outstanding or was lost.
+    /// The action was sent at least once, and its outcome is not known.
     Issued,
-    /// Its effect, or that it has none, is certain.
+    /// The outcome is certain: the action took effect or never will.
     Confirmed,
-    /// Abandoned without an effect that is known.
+    /// The intent was given up without a known effect.
     Abandoned,
 }
 
 impl IntentState {
-    /// Whether the transition to `next` is allowed: the one list of all of them.
+    /// Returns whether the transition to `next` is allowed. This is the only list of allowed
+    /// transitions.
     pub fn can_transition_to(self, next: IntentState) -> bool {
         use IntentState::*;
         match self {
-            // Straight to `Issued`: a forced return while the state service fails.
+            // A forced return goes directly to `Issued` while the state service fails.
             Intended => matches!(next, Recorded | Issued | Abandoned),
             Recorded => matches!(next, Issued | Abandoned),
             Adopted => matches!(next, Issued | Abandoned),
@@ -56,12 +58,12 @@
         }
     }
 
-    /// Whether the intent is not over yet.
+    /// Returns whether the intent has not ended.
     pub fn is_open(self) -> bool {
         !matches!(self, IntentState::Confirmed | IntentState::Abandoned)
     }
 
-    /// The state's name, for display.
+    /// Returns the name of the state, for display.
     pub fn name(self) -> &'static str {
         match self {
             IntentState::Intended => "intended",
@@ -74,55 +76,55 @@
     }
 }
 
-/// A state transition that is not allowed.
+/// The error for a state transition that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("intent {key} can't go from {} to {}", from.name(), to.name())]
 pub struct InvalidTransition {
     /// The intent's key.
     pub key: IdempotencyKey,
-    /// Its present state.
+    /// The current state.
     pub from: IntentState,
-    /// The state that it was to enter.
+    /// The requested state.
     pub to: IntentState,
 }
 
-/// An action with its key, its leader's token and its state.
+/// An action with its idempotency key, the token of its leader and its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Intent {
-    /// The key under which the action is repeated, and never another.
+    /// The key under which this action, and no other, is sent and repeated.
     pub key: IdempotencyKey,
-    /// The fencing token of the leader that intended it.
+    /// The fencing token of the leader that created the intent.
     pub token: u64,
-    /// What is to be done.
+    /// The action to carry out.
     pub action: CloudAction,
-    /// The action's digest.
+    /// The digest of the action.
     pub digest: ActionDigest,
-    /// When it was intended, in milliseconds since 1970 by the leader's wall clock: only
-    /// displayed, no decision depends on it.
+    /// The time at which the intent was created, in milliseconds since 1970 by the leader's wall
+    /// clock. It is displayed only; no decision depends on it.
     pub intended_ms: u64,
-    /// How often it was issued.
+    /// The number of times that this leader has issued the intent.
     pub attempts: u32,
     state: IntentState,
 }
 
 impl Intent {
-    /// A new intent of the present leader.
+    /// Creates a new intent of the current leader.
     pub fn intended(key: IdempotencyKey, token: u64, action: CloudAction, intended_ms: u64) -> Self {
         let digest = action.digest();
         Self { key, token, action, digest, intended_ms, attempts: 0, state: IntentState::Intended }
     }
 
-    /// An intent that a former leader left.
+    /// Creates an intent from a former leader's record.
     pub fn adopted(key: IdempotencyKey, token: u64, action: CloudAction, intended_ms: u64) -> Self {
         Self { state: IntentState::Adopted, ..Self::intended(key, token, action, intended_ms) }
     }
 
-    /// Its present state.
+    /// Returns the current state.
     pub fn state(&self) -> IntentState {
         self.state
     }
 
-    /// Enters the next state; entering `Issued` counts an attempt.
+    /// Changes the state to `next`. Entering `Issued` counts an attempt.
     pub fn transition_to(&mut self, next: IntentState) -> Result<(), InvalidTransition> {
         if !self.state.can_transition_to(next) {
             return Err(InvalidTransition { key: self.key.clone(), from: self.state, to: next });
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -1,6 +1,5 @@
-//! The intents of one leader's term, its own and those that it adopted, and when which record
-//! of them is to be written. All decisions about the state service are made here; the caller
-//! carries them out.
+//! The intents of one leader's term, both its own and the adopted ones, and the writes of their
+//! records. The log decides what to write to the state service, and the caller performs the writes.
 
 use crate::action::{CloudAction, InstanceReturn, ReturnReason, MAX_RETURN_MACHINES};
 use crate::ended_intents::{EndedIntents, IntentOutcome};
@@ -13,49 +12,50 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Bytes of a return's record beside its machines.
+/// The number of bytes reserved in the record of a return for everything but its machines.
 const RETURN_OVERHEAD: usize = 200;
-/// Bytes that a machine's name takes in a record, beside the name.
+/// The number of bytes that a machine takes in a record besides its name: two quotes and a comma.
 const MACHINE_OVERHEAD: usize = 3;
 
-/// Whether an intent was new.
+/// The result of adding an intent to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IntentAdmission {
-    /// It was taken into the log.
+    /// The intent was added.
     New,
-    /// The same action is or was in the log under this key.
+    /// The log holds or held the same action under the same key.
     Repeat,
 }
 
-/// How many intents are in which state.
+/// The numbers of intents by state, and of pages.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IntentSummary {
-    /// Open, and not known to be durable.
+    /// The number of intents that are not known to be durable and were not issued.
     pub intended: usize,
-    /// Durable, and not issued.
+    /// The number of intents that are durable and were not issued.
     pub recorded: usize,
-    /// Left by former leaders, and not issued since.
+    /// The number of former leaders' intents that this leader has not issued.
     pub adopted: usize,
-    /// Issued, without a certain outcome.
+    /// The number of issued intents whose outcome is not certain.
     pub issued: usize,
-    /// Confirmed in this term.
+    /// The number of intents confirmed in this term.
     pub confirmed: u64,
-    /// Abandoned in this term.
+    /// The number of intents abandoned in this term.
     pub abandoned: u64,
-    /// Pages that are or may be stored.
+    /// The number of pages that are stored, may be stored or wait to be written.
     pub pages: usize,
-    /// Those of them that can't be decoded, or not wholly.
+    /// The number of those pages that could not be loaded completely.
     pub unreadable_pages: usize,
 }
 
-/// An open intent.
+/// An open intent and its page.
 #[derive(Debug)]
 struct TrackedIntent {
     intent: Intent,
     page: PageId,
-    /// Why it may be issued; `None`: it may not yet.
+    /// The reason why the intent may be issued, or `None` while it may not.
     basis: Option<Basis>,
-    /// The state service failed the latest attempt to record it.
+    /// Whether an attempt to record the intent failed, see
+    /// [`IntentLog::clear_recording_failures`].
     recording_failed: bool,
 }
 
@@ -64,7 +64,7 @@
 pub struct IntentLog {
     token: u64,
     limits: StoreLimits,
-    /// The number of the latest key that was made.
+    /// The number in the latest key from [`IntentLog::next_key`].
     sequence: u64,
     open: BTreeMap<IdempotencyKey, TrackedIntent>,
     pages: PageTable,
@@ -72,7 +72,7 @@
 }
 
 impl IntentLog {
-    /// The empty log of the leader under this fencing token.
+    /// Creates the empty log of the leader with this fencing token.
     pub fn new(token: u64, limits: StoreLimits) -> Self {
         Self {
             token,
@@ -84,13 +84,14 @@
         }
     }
 
-    /// A key that no other intent has: tokens are unique, and so is the number.
+    /// Returns a new key, which is unique because the token is unique and the number is unique within
+    /// the term.
     pub fn next_key(&mut self) -> IdempotencyKey {
         self.sequence += 1;
         IdempotencyKey::new(&format!("{}.{}", self.token, self.sequence))
     }
 
-    /// The return of as many of these machines as fit into one record.
+    /// Returns a return of the first of these machines, as many as fit into one record.
     pub fn return_within_limits(&self, machines: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
         let mut remaining_bytes = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |machine: &&Arc<str>| {
@@ -103,7 +104,7 @@
         InstanceReturn { machines, reason }
     }
 
-    /// Admits an intent, as of `now_ms` by the wall clock. It may be issued once it is durable.
+    /// Adds an intent, created at `now_ms` by the wall clock. It may be issued once it is durable.
     pub fn intend(
         &mut self,
         key: IdempotencyKey,
@@ -128,20 +129,21 @@
         Ok(IntentAdmission::New)
     }
 
-    /// Forgets what was adopted, since the stored pages are about to be read again.
+    /// Discards the pages and intents of former leaders before all stored pages are read again.
     pub fn discard_former_pages(&mut self) {
         self.pages.discard_former_pages();
         let (token, pages) = (self.token, &self.pages);
         self.open.retain(|_, tracked| tracked.intent.token == token && pages.contains(tracked.page));
     }
 
-    /// Adopts the intents of a former leader's stored page; returns what can't be decoded.
+    /// Adopts the intents of a former leader's stored page. Returns an error for each part of the page
+    /// that cannot be used.
     pub fn load_former_page(&mut self, key: &str, value: &str, revision: u64) -> Vec<RecordError> {
         let Some(id) = PageId::parse(key) else {
             return vec![RecordError::Key { key: key.into() }];
         };
         if id.token == self.token {
-            // Written by this leader before it had read everything.
+            // This leader wrote the page before it had loaded all pages.
             return Vec::new();
         }
         if id.token > self.token {
@@ -165,38 +167,39 @@
         errors
     }
 
-    /// The open intents that former leaders left.
+    /// Returns the open intents of former leaders.
     pub fn adopted(&self) -> impl Iterator<Item = &Intent> {
         self.open_intents().filter(|intent| intent.token != self.token)
     }
 
-    /// All open intents, by key.
+    /// Returns all open intents in the order of their keys.
     pub fn open_intents(&self) -> impl Iterator<Item = &Intent> {
         self.open.values().map(|tracked| &tracked.intent)
     }
 
-    /// The open intent under this key.
+    /// Returns the open intent with this key.
     pub fn intent(&self, key: &IdempotencyKey) -> Option<&Intent> {
         self.open.get(key).map(|tracked| &tracked.intent)
     }
 
-    /// Whether an intent waits to be recorded.
+    /// Returns whether an open intent of this leader is not in its stored page.
     pub fn has_unrecorded(&self) -> bool {
         self.pages.has_unrecorded()
     }
 
-    /// Whether stored pages hold intents that have ended and could be removed.
+    /// Returns whether stored pages hold ended intents that can be removed.
     pub fn needs_compaction(&self) -> bool {
         self.pages.needs_compaction()
     }
 
-    /// Whether a write of pages is under way.
+    /// Returns whether a write of pages is in flight.
     pub fn is_writing(&self) -> bool {
         self.pages.is_writing()
     }
 
-    /// The page writes that make the log durable, at most `max_pages` in one transaction;
-    /// `compact`: also those that only remove ended intents. `None` while a write is under way.
+    /// Returns the page writes for one transaction that records open intents, at most `max_pages` of
+    /// them. With `compact`, also includes writes that only remove ended intents. Returns `None` while
+    /// a write is in flight or if there is nothing to write.
     pub fn begin_write(&mut self, max_pages: usize, compact: bool) -> Option<Vec<IntentPageWrite>> {
         let open = &self.open;
         self.pages.begin_write(WriteScope { max_pages, compact }, |keys| {
@@ -204,7 +207,7 @@
         })
     }
 
-    /// Takes in how the write under way ended; returns the intents that may be issued now.
+    /// Handles the outcome of the write in flight. Returns the intents that may be issued now.
     pub fn end_write(&mut self, outcome: WriteOutcome) -> Vec<IdempotencyKey> {
         if !self.pages.is_writing() {
             return Vec::new();
@@ -242,31 +245,34 @@
         }
     }
 
-    /// The pages whose revisions are to be read before they are written again.
+    /// Returns the pages whose revisions must be read before they are written again.
     pub fn uncertain_pages(&self) -> Vec<PageId> {
         self.pages.uncertain()
     }
 
-    /// A page's key was read and has this revision; 0: it does not exist.
+    /// Handles the read of a page's key, with its revision or 0 if the key does not exist.
     pub fn page_revision_read(&mut self, id: PageId, revision: u64) {
         self.pages.revision_read(id, revision);
     }
 
-    /// A page's revision could not be read: the state service fails this leader.
+    /// Handles a failed read of a page's revision, which counts as a failed attempt to record all
+    /// intents that are not recorded.
     pub fn page_revision_read_failed(&mut self) {
         self.mark_recording_failed();
     }
 
-    /// Forgets failures to record, which compel nothing from now on: each counts in the step
-    /// in which it is known or not at all, so that a leader that was paused after one starts
-    /// over with a new attempt.
+    /// Clears the failed attempts to record intents. A failure permits an issue without a record only
+    /// in the step in which the failure becomes known, so a leader that was paused after a failure has
+    /// to make a new attempt first.
     pub fn clear_recording_failures(&mut self) {
         for tracked in self.open.values_mut() {
             tracked.recording_failed = false;
         }
     }
 
-    /// Issues an intent that is durable: its action is to be sent now.
+    /// Marks an intent as issued. Returns its action, which the caller must send now, and the proof
+    /// for the gate. Fails if the intent is neither durable nor permitted by
+    /// [`allow_unrecorded_issue`](Self::allow_unrecorded_issue).
     pub fn issue(&mut self, key: &IdempotencyKey) -> Result<(CloudAction, IssueProof), IssueError> {
         let token = self.token;
         let tracked = self.open.get_mut(key).ok_or_else(|| IssueError::Unknown(key.clone()))?;
@@ -276,10 +282,10 @@
         Ok((tracked.intent.action.clone(), proof))
     }
 
-    /// Allows an intent to be issued without its record if it reclaims machines and the state
-    /// service has failed the attempt to record it; returns whether it may be. Neither elapsed
-    /// time nor a lease that has expired by the own clock is a reason.
-    pub fn force_issue(&mut self, key: &IdempotencyKey) -> bool {
+    /// Permits issuing an intent without its record if it reclaims machines and an attempt to record
+    /// it failed. Returns whether this is permitted. Elapsed time or a lease that has expired by this
+    /// node's clock is not a sufficient reason.
+    pub fn allow_unrecorded_issue(&mut self, key: &IdempotencyKey) -> bool {
         let Some(tracked) = self.open.get_mut(key) else { return false };
         let is_reclaim = matches!(
             &tracked.intent.action,
@@ -291,12 +297,12 @@
         tracked.basis == Some(Basis::Compelled)
     }
 
-    /// Ends an intent whose effect, or that it has none, is certain.
+    /// Ends an intent whose outcome is certain: the action took effect or never will.
     pub fn confirm(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
         self.end_intent(key, IntentOutcome::Confirmed)
     }
 
-    /// Ends an intent without a certain effect.
+    /// Ends an intent whose outcome is not certain.
     pub fn abandon(&mut self, key: &IdempotencyKey) -> Result<(), InvalidTransition> {
         self.end_intent(key, IntentOutcome::Abandoned)
     }
@@ -313,7 +319,7 @@
         Ok(())
     }
 
-    /// How many intents are in which state.
+    /// Returns the numbers of intents by state, and of pages.
     pub fn summary(&self) -> IntentSummary {
         let count = |state| self.open_intents().filter(|intent| intent.state() == state).count();
         IntentSummary {
--- a/crates/plankhead-fencing/src/lib.rs
+++ b/crates/plankhead-fencing/src/lib.rs
@@ -1,20 +1,20 @@
-//! Fencing of the leader's effects on the cloud, which can't check a fencing token itself.
+//! Fencing of the leader's actions on the cloud, which cannot check a fencing token itself.
 //!
-//! The cloud carries out whatever it is asked, at once or minutes late. So the leader first
-//! records its intent in the state service, in a transaction that is conditional on the key of
-//! its lease, and only then asks the cloud. Its successor reads the open intents before it
-//! acts, and finishes them. See `docs/fencing.md`.
+//! The cloud carries out every request that it receives, immediately or minutes later. The leader
+//! therefore records its intent in the state service first, in a transaction that is conditional
+//! on the key of its lease, and only then sends the request to the cloud. The next leader reads the
+//! open intents before it acts, and completes or abandons them. See `docs/fencing.md`.
 //!
-//! All decisions are made here, without input or output:
+//! This crate makes the decisions and performs no I/O:
 //!
-//! - [`action`]: what may be asked of the cloud, and its digest;
-//! - [`intent`]: one such action with its idempotency key and its states;
+//! - [`action`]: the actions that the leader may request from the cloud, and their digests;
+//! - [`intent`]: an action with its idempotency key and its state;
 //! - [`record`]: the stored form of intents;
-//! - [`intent_log`]: the intents of one leader's term, its own and the adopted ones;
-//! - [`page_writes`]: the writes to the state service that the log asks for;
-//! - [`errors`]: the log's errors;
-//! - [`gate`]: the only place that lets an action through to the cloud;
-//! - [`token`]: the highest fencing token seen, for resources that plankhead owns.
+//! - [`intent_log`]: the intents of one leader's term, both its own and the adopted ones;
+//! - [`page_writes`]: the writes to the state service that the log requests;
+//! - [`errors`]: the errors of the log;
+//! - [`gate`]: the only module that permits actions on the cloud;
+//! - [`token`]: the highest fencing token seen, which guards resources that plankhead owns.
 
 #![warn(missing_docs)]
 
--- a/crates/plankhead-fencing/src/page_writes.rs
+++ b/crates/plankhead-fencing/src/page_writes.rs
@@ -1,30 +1,30 @@
-//! Writes of pages to the state service: what the log asks for, and how it ended.
+//! Writes of pages of intents to the state service, and their outcomes.
 
 use crate::record::PageId;
 
 /// The limits of the state service.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// The size of a value, in bytes.
+    /// The maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The number of changes of a transaction.
+    /// The maximum number of changes in a transaction.
     pub changes: usize,
-    /// The size of a transaction, in bytes.
+    /// The maximum size of a transaction, in bytes.
     pub transaction_bytes: usize,
 }
 
-/// A change of one page, on the condition that its key has the expected revision.
+/// A write of one page, conditional on the revision of the page's key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IntentPageWrite {
-    /// The page to change.
+    /// The page to write.
     pub page: PageId,
-    /// The revision that the page's key must have; 0: it must not exist.
+    /// The revision that the page's key must have, or 0 if the key must not exist.
     pub expected: u64,
-    /// The new value; `None`: the page is deleted.
+    /// The new value, or `None` to delete the page.
     pub value: Option<String>,
 }
 
-/// How a write of pages ended.
+/// The outcome of a write of pages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// All pages were written.
@@ -32,12 +32,13 @@
         /// The revision of the transaction.
         revision: u64,
     },
-    /// A page had another revision: nothing was changed.
+    /// A page had another revision, and nothing was changed.
     Conflict,
-    /// Certainly not carried out, and may be tried again soon.
+    /// The write was not carried out because of the state service's rate limit. It may be retried
+    /// soon.
     Busy,
-    /// Certainly not carried out: the state service refuses this leader's writes.
+    /// The state service refused the write, which was not carried out.
     Refused,
-    /// No answer: it may have been carried out, or may be later.
+    /// There was no definite reply. The write may have been carried out, or may still be.
     Unknown,
 }
--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -1,59 +1,62 @@
-//! The stored pages of intents as the log knows them, and which of them are to be written.
+//! The pages of intents as the log knows them, and the selection of the pages to write.
 
 use crate::intent::IdempotencyKey;
 use crate::page_writes::{IntentPageWrite, StoreLimits};
 use crate::record::{PageId, PAGE_OVERHEAD};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One stored page.
+/// The state of one page.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PageState {
-    /// The revision of its key; 0: not stored.
+    /// The revision of the page's key, or 0 if the page is not stored.
     pub revision: u64,
-    /// The open intents that belong into it.
+    /// The open intents of the page.
     pub open: BTreeSet<IdempotencyKey>,
-    /// The intents that its stored value may hold.
+    /// The intents that the stored value is known to hold.
     pub stored: BTreeSet<IdempotencyKey>,
-    /// The size of the records of [`open`](Self::open), in bytes.
+    /// The size of the records of [`open`](Self::open), in bytes. It is not kept for pages of former
+    /// leaders, which are never rewritten.
     pub bytes: usize,
-    /// A write of it got no answer: its revision is to be read.
+    /// Whether a write of the page had an unknown outcome or conflicted, so that the page's revision
+    /// must be read before the next write.
     pub uncertain: bool,
-    /// A former leader wrote it: it is never written again, only deleted.
+    /// Whether a former leader wrote the page. Such a page is deleted in the end but never rewritten.
     pub from_former_leader: bool,
-    /// Some of it can't be decoded and may be of a later version: it is never deleted.
+    /// Whether some of the page could not be loaded. A later version may have written it, so the
+    /// page is never deleted.
     pub unreadable: bool,
 }
 
 impl PageState {
-    /// Whether its stored value holds intents that have ended, and may be changed.
+    /// Returns whether the stored value holds ended intents and may be rewritten or deleted.
     fn needs_compaction(&self) -> bool {
         let ended = if self.open.is_empty() { self.revision > 0 } else { !self.stored.is_subset(&self.open) };
         ended && !self.unreadable && (!self.from_former_leader || self.open.is_empty())
     }
 
-    /// Whether its stored value lacks an open intent.
+    /// Returns whether the stored value lacks an open intent.
     fn has_unrecorded(&self) -> bool {
         !self.from_former_leader && !self.open.is_subset(&self.stored)
     }
 }
 
-/// A page of the write under way, with the intents that its new value holds.
+/// A page of the write in flight, with the intents that its new value holds.
 #[derive(Debug)]
 struct PendingPage {
     id: PageId,
     intents: BTreeSet<IdempotencyKey>,
 }
 
-/// Which pages a write may include.
+/// The pages that a write may include.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteScope {
-    /// The most pages of one transaction.
+    /// The maximum number of pages in one transaction.
     pub max_pages: usize,
     /// Whether pages that only need compaction are included.
     pub compact: bool,
 }
 
-/// All pages, and the write of some of them that is under way.
+/// All pages, and the write in flight.
 #[derive(Debug)]
 pub(crate) struct PageTable {
     token: u64,
@@ -67,7 +70,7 @@
         Self { token, limits, pages: BTreeMap::new(), in_flight: None }
     }
 
-    /// Assigns a new intent to a page of this leader that has room for it.
+    /// Assigns a new intent to a page of this leader that has room for it, and returns the page.
     pub fn assign(&mut self, key: IdempotencyKey, bytes: usize) -> PageId {
         let id = self.page_with_room(bytes);
         let page = self.pages.entry(id).or_default();
@@ -84,7 +87,7 @@
         found.unwrap_or(PageId { token: self.token, number: next.unwrap_or(0) })
     }
 
-    /// Takes an ended intent out of its page.
+    /// Removes an ended intent from the open intents of its page.
     pub fn remove_intent(&mut self, id: PageId, key: &IdempotencyKey, bytes: usize) {
         if let Some(page) = self.pages.get_mut(&id) {
             page.open.remove(key);
@@ -124,9 +127,9 @@
         self.in_flight.is_some()
     }
 
-    /// The pages to write now, as many as fit into one transaction; `encode` makes the value
-    /// of a page from the keys of its intents. `None` while a write is under way, or if there
-    /// is nothing to write.
+    /// Returns the pages to write now, at most as many as fit into one transaction. `encode` creates
+    /// the value of a page from the keys of its intents. Returns `None` while a write is in flight or
+    /// if there is nothing to write.
     pub fn begin_write(
         &mut self,
         scope: WriteScope,
@@ -155,7 +158,8 @@
         Some(writes)
     }
 
-    /// Pages that lack a record first, then those that only need compaction.
+    /// Returns the pages that may be written: first those with unrecorded intents, then those that
+    /// only need compaction.
     fn pages_to_write(&self, compact: bool) -> Vec<(PageId, &PageState)> {
         let is_due = |page: &PageState| {
             !page.uncertain && (page.has_unrecorded() || compact && page.needs_compaction())
@@ -166,7 +170,7 @@
         pages
     }
 
-    /// The write under way was committed; returns the intents that are stored by it.
+    /// Handles the commit of the write in flight. Returns the intents that it has stored.
     pub fn write_committed(&mut self, revision: u64) -> Vec<IdempotencyKey> {
         let mut recorded = Vec::new();
         for PendingPage { id, intents } in self.in_flight.take().unwrap_or_default() {
@@ -182,13 +186,14 @@
         recorded
     }
 
-    /// The write under way was certainly not carried out.
+    /// Handles the failure of the write in flight, which was certainly not carried out.
     pub fn write_failed(&mut self) {
         self.in_flight = None;
     }
 
-    /// The write under way may be carried out later, or its pages were changed otherwise: they
-    /// are read before they are written again.
+    /// Handles an unknown outcome or a conflict of the write in flight. The write may have been
+    /// carried out, may still be, or met other revisions, so its pages must be read before they are
+    /// written again.
     pub fn write_uncertain(&mut self) {
         for PendingPage { id, .. } in self.in_flight.take().unwrap_or_default() {
             if let Some(page) = self.pages.get_mut(&id) {
@@ -198,12 +203,12 @@
         }
     }
 
-    /// The pages whose revisions are to be read before they are written again.
+    /// Returns the pages whose revisions must be read before they are written again.
     pub fn uncertain(&self) -> Vec<PageId> {
         self.pages.iter().filter(|(_, page)| page.uncertain).map(|(id, _)| *id).collect()
     }
 
-    /// A page's key was read and has this revision; 0: it does not exist.
+    /// Sets the revision that was read for a page's key, or 0 if the key does not exist.
     pub fn revision_read(&mut self, id: PageId, revision: u64) {
         let Some(page) = self.pages.get_mut(&id) else { return };
         page.uncertain = false;
--- a/crates/plankhead-fencing/src/record.rs
+++ b/crates/plankhead-fencing/src/record.rs
@@ -1,6 +1,7 @@
-//! The stored form of intents: a page holds several, under the key `duty/<token>/<page>`.
+//! The stored form of intents. A page holds several of them, under the key `duty/<token>/<page>`.
 //!
-//! What can't be decoded is reported and left alone: a later version may have written it.
+//! Pages and intents that cannot be decoded are reported and left unchanged, because a later version
+//! may have written them.
 
 use crate::action::{
     CloudAction, InstanceReturn, Rental, ReturnReason, MAX_RENTAL_COUNT, MAX_RETURN_MACHINES,
@@ -11,31 +12,32 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The prefix of the keys of all pages.
+/// The key prefix of all pages.
 pub const PREFIX: &str = "duty/";
 /// The format that this version writes and reads.
 const FORMAT: u32 = 1;
-/// The longest name that is accepted, in bytes.
+/// The maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// Bytes of a page beside its intents: `{"format":1,"duties":[]}` and some room.
+/// The number of bytes reserved in a page for everything but its intents. The empty page
+/// `{"format":1,"duties":[]}` has 24 bytes.
 pub const PAGE_OVERHEAD: usize = 40;
 
-/// Where a page is stored.
+/// The identity of a page, which determines its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PageId {
     /// The fencing token of the leader that wrote it.
     pub token: u64,
-    /// The page's number under that token, from 0.
+    /// The number of the page under that token, starting at 0.
     pub number: u32,
 }
 
 impl PageId {
-    /// The key of the page in the state service.
+    /// Returns the key of the page in the state service.
     pub fn key(&self) -> String {
         format!("{PREFIX}{}/{}", self.token, self.number)
     }
 
-    /// Parses a key; accepts only what [`PageId::key`] writes.
+    /// Parses a key. Only keys in the exact form of [`PageId::key`] are accepted.
     pub fn parse(key: &str) -> Option<Self> {
         let (token, number) = key.strip_prefix(PREFIX)?.split_once('/')?;
         let id = Self { token: token.parse().ok()?, number: number.parse().ok()? };
@@ -43,7 +45,7 @@
     }
 }
 
-/// Why a stored page, or an intent in it, can't be used.
+/// The reasons why a stored page, or an intent in it, cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
     /// The key is not that of a page.
@@ -52,18 +54,18 @@
         /// The key.
         key: String,
     },
-    /// The page was written under a later fencing token than the reader's.
-    #[error("{key} is of a later fencing token than this leader")]
+    /// The page was written under a later fencing token than that of the reading leader.
+    #[error("{key} was written under a later fencing token than this leader's")]
     LaterToken {
         /// The page's key.
         key: String,
     },
-    /// The page is no valid JSON of the expected form.
+    /// The page is not valid JSON or does not have the expected form.
     #[error("{key} can't be read: {reason}")]
     Page {
         /// The page's key.
         key: String,
-        /// What the JSON parser reports.
+        /// The error of the JSON parser.
         reason: String,
     },
     /// The page has a format that this version does not know.
@@ -79,21 +81,21 @@
     Intent {
         /// The page's key.
         key: String,
-        /// The intent's position in the page, from 0.
+        /// The position of the intent in the page, starting at 0.
         number: usize,
-        /// What is wrong with it.
+        /// The reason why the intent is invalid.
         reason: String,
     },
-    /// The stored digest is not that of the stored action.
-    #[error("intent {intent} of {key} is not what its digest says")]
+    /// The stored digest does not match the stored action.
+    #[error("intent {intent} of {key} does not match its digest")]
     DigestMismatch {
         /// The page's key.
         key: String,
         /// The intent's key.
         intent: IdempotencyKey,
     },
-    /// Another page holds an intent under the same idempotency key.
-    #[error("intent {intent} of {key} stands elsewhere with another action")]
+    /// An intent that was loaded before has the same idempotency key.
+    #[error("intent {intent} of {key} has the idempotency key of another stored intent")]
     ReusedKey {
         /// The page's key.
         key: String,
@@ -155,7 +157,7 @@
     fn into_cloud_action(self) -> Result<CloudAction, &'static str> {
         let instance_return = |hosts: Vec<String>, reason| {
             if hosts.is_empty() || hosts.len() > MAX_RETURN_MACHINES {
-                return Err("a return of no machines or of too many");
+                return Err("the number of machines to return is out of range");
             }
             if !hosts.iter().all(|machine| is_valid_name(machine)) {
                 return Err("a machine's name is empty or too long");
@@ -168,7 +170,7 @@
             StoredAction::Reclaim { hosts } => instance_return(hosts, ReturnReason::Reclaim),
             StoredAction::Rent { name, machine_type, zone, spot, count } => {
                 if count == 0 || count > MAX_RENTAL_COUNT {
-                    return Err("a rental of no machines or of too many");
+                    return Err("the number of machines to rent is out of range");
                 }
                 if ![&name, &machine_type, &zone].into_iter().all(|text| is_valid_name(text)) {
                     return Err("a name is empty or too long");
@@ -183,7 +185,7 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES
 }
 
-/// Bytes that an intent takes in a page, with the comma after it.
+/// Returns the number of bytes that an intent takes in a page, including the comma after it.
 pub fn stored_bytes(intent: &Intent) -> usize {
     serde_json::to_string(&StoredIntent::new(intent)).map_or(usize::MAX, |text| text.len() + 1)
 }
@@ -191,11 +193,12 @@
 /// Encodes a page for the state service.
 pub fn encode<'a>(intents: impl Iterator<Item = &'a Intent>) -> String {
     let page = StoredPage { format: FORMAT, duties: intents.map(StoredIntent::new).collect() };
-    // Texts and numbers under fixed names can always be written.
+    // Serialization cannot fail: the page consists of strings and numbers under fixed field names.
     serde_json::to_string(&page).unwrap_or_default()
 }
 
-/// Decodes a page into intents in state `Adopted`, and what can't be decoded of it.
+/// Decodes a page. Returns its intents, in the state `Adopted`, and an error for each part that
+/// cannot be decoded.
 pub fn decode(key: &str, value: &str) -> (Vec<Intent>, Vec<RecordError>) {
     let Some(id) = PageId::parse(key) else {
         return (Vec::new(), vec![RecordError::Key { key: key.into() }]);
--- a/crates/plankhead-fencing/src/token.rs
+++ b/crates/plankhead-fencing/src/token.rs
@@ -1,10 +1,10 @@
-//! The highest fencing token seen, which guards resources that plankhead itself owns.
+//! The highest fencing token seen, which guards resources that plankhead owns.
 
 use thiserror::Error;
 
-/// A message under a lower token than one seen before.
+/// The error for a message whose token is lower than one seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("token {given} is over: {highest} was seen")]
+#[error("token {given} is stale: the highest token seen is {highest}")]
 pub struct StaleToken {
     /// The message's token.
     pub given: u64,
@@ -12,7 +12,7 @@
     pub highest: u64,
 }
 
-/// Keeps the highest token and refuses messages under lower ones.
+/// Remembers the highest token and refuses messages with a lower one.
 #[derive(Debug, Clone, Default)]
 pub struct TokenGuard {
     highest: u64,
@@ -20,7 +20,7 @@
 }
 
 impl TokenGuard {
-    /// Admits a message by its token, or refuses it.
+    /// Admits a message with the token `given`, or refuses it if a higher token was seen.
     pub fn admit(&mut self, given: u64) -> Result<(), StaleToken> {
         if given < self.highest {
             self.refused += 1;
@@ -30,17 +30,17 @@
         Ok(())
     }
 
-    /// Raises the highest token without a message to admit.
+    /// Raises the highest token to `token` if that is higher.
     pub fn observe(&mut self, token: u64) {
         self.highest = self.highest.max(token);
     }
 
-    /// The highest token seen; 0: none yet.
+    /// Returns the highest token seen, or 0 if there was none.
     pub fn highest(&self) -> u64 {
         self.highest
     }
 
-    /// How many messages were refused.
+    /// Returns the number of messages that were refused.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -210,14 +210,14 @@
     let mut log = IntentLog::new(41, LIMITS);
     log.intend(key("reclaim"), instance_return(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
     log.intend(key("surplus"), instance_return(&["i-2"], ReturnReason::Surplus), 5).unwrap();
-    assert!(!log.force_issue(&key("reclaim")), "without an attempt to record it");
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "without an attempt to record it");
     write(&mut log, WriteOutcome::Busy);
-    assert!(!log.force_issue(&key("reclaim")), "the state service is only busy");
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "the state service is only busy");
     write(&mut log, WriteOutcome::Refused);
     log.clear_recording_failures();
-    assert!(!log.force_issue(&key("reclaim")), "by a failure that is long past");
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "by a failure that is long past");
     write(&mut log, WriteOutcome::Refused);
-    assert!(log.force_issue(&key("reclaim")) && !log.force_issue(&key("surplus")));
+    assert!(log.allow_unrecorded_issue(&key("reclaim")) && !log.allow_unrecorded_issue(&key("surplus")));
     let (action, proof) = log.issue(&key("reclaim")).unwrap();
     assert_eq!(FencingGate::fenced(41).permit(action, Some(proof)).unwrap().basis(), Basis::Compelled);
 }
