--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -91,7 +91,7 @@
         IdempotencyKey::new(&format!("{}.{}", self.token, self.sequence))
     }
 
-    /// Returns a return of the first of these machines, as many as fit into one record.
+    /// Creates a return of the first of these machines, as many as fit into one record.
     pub fn return_within_limits(&self, machines: &[Arc<str>], reason: ReturnReason) -> InstanceReturn {
         let mut remaining_bytes = self.limits.value_bytes.saturating_sub(PAGE_OVERHEAD + RETURN_OVERHEAD);
         let fits = |machine: &&Arc<str>| {
--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -1,5 +1,5 @@
-//! Duties, their records and the gate, taken by hand and against a plain model of the
-//! state service that loses answers.
+//! Tests of intents, their records and the fencing gate: single cases, and random runs against a
+//! model of the state service that loses replies.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,10 +23,10 @@
     CloudAction::Rent(Rental { name: name.into(), machine_type, zone, spot: true, count })
 }
 
-fn instance_return(hosts: &[&str], cause: ReturnReason) -> CloudAction {
+fn instance_return(machines: &[&str], reason: ReturnReason) -> CloudAction {
     CloudAction::Return(InstanceReturn {
-        machines: hosts.iter().map(|host| Arc::from(*host)).collect(),
-        reason: cause,
+        machines: machines.iter().map(|machine| Arc::from(*machine)).collect(),
+        reason,
     })
 }
 
@@ -34,10 +34,11 @@
     IdempotencyKey::new(text)
 }
 
-/// Writes what is due; the outcome is given.
-fn write(log: &mut IntentLog, outcome: WriteOutcome) -> (Vec<IntentPageWrite>, Vec<IdempotencyKey>) {
-    let changes = log.begin_write(4, true).unwrap_or_default();
-    (changes, log.end_write(outcome))
+/// Begins the write of all due pages and ends it with the given outcome. Returns the writes and the
+/// intents that they made durable.
+fn write_pages(log: &mut IntentLog, outcome: WriteOutcome) -> (Vec<IntentPageWrite>, Vec<IdempotencyKey>) {
+    let writes = log.begin_write(4, true).unwrap_or_default();
+    (writes, log.end_write(outcome))
 }
 
 #[test]
@@ -67,8 +68,8 @@
 }
 
 #[test]
-fn every_field_counts_in_the_digest() {
-    let different = [
+fn different_actions_have_different_digests() {
+    let actions = [
         rental("r", 1),
         rental("r", 2),
         rental("rg", 1),
@@ -78,27 +79,27 @@
         instance_return(&["ab"], ReturnReason::Surplus),
         instance_return(&["b", "a"], ReturnReason::Surplus),
     ];
-    let digests: BTreeSet<String> = different.iter().map(|action| action.digest().to_string()).collect();
-    assert_eq!(digests.len(), different.len());
-    // Stored ones must be read by later versions.
+    let digests: BTreeSet<String> = actions.iter().map(|action| action.digest().to_string()).collect();
+    assert_eq!(digests.len(), actions.len());
+    // Stored digests have 32 hexadecimal digits, and later versions must be able to read them.
     assert_eq!(rental("r", 1).digest().to_string().len(), 32);
 }
 
 #[test]
-fn nothing_is_issued_before_its_record_is_durable() {
+fn no_intent_is_issued_before_its_record_is_durable() {
     let mut log = IntentLog::new(41, LIMITS);
     assert_eq!(log.intend(key("r"), rental("r", 3), 5), Ok(IntentAdmission::New));
     assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
-    let changes = log.begin_write(4, false).unwrap();
-    assert_eq!(changes[0].page.key(), "duty/41/0");
-    assert_eq!(changes[0].expected, 0);
-    // Under way is not durable, nor is a write that failed or got no answer.
+    let writes = log.begin_write(4, false).unwrap();
+    assert_eq!(writes[0].page.key(), "duty/41/0");
+    assert_eq!(writes[0].expected, 0);
+    // An intent is not durable while its write is in flight, has failed or got no reply.
     for outcome in [WriteOutcome::Busy, WriteOutcome::Refused, WriteOutcome::Conflict, WriteOutcome::Unknown]
     {
         assert_eq!(log.issue(&key("r")).unwrap_err(), IssueError::NotDurable(key("r")));
         assert_eq!(log.end_write(outcome), Vec::new());
         for page in log.uncertain_pages() {
-            assert_eq!(log.begin_write(4, true), None, "written while in doubt");
+            assert_eq!(log.begin_write(4, true), None, "a page of unknown revision was written");
             log.page_revision_read(page, 0);
         }
         assert!(log.begin_write(4, false).is_some(), "{outcome:?}");
@@ -112,173 +113,170 @@
 }
 
 #[test]
-fn the_gate_wants_a_proof_of_this_holder_and_this_action() {
-    let durable = |token| {
+fn the_gate_requires_a_proof_for_its_token_and_the_action() {
+    let proof_under = |token| {
         let mut log = IntentLog::new(token, LIMITS);
         log.intend(key("r"), rental("r", 3), 5).unwrap();
-        write(&mut log, WriteOutcome::Committed { revision: 9 });
+        write_pages(&mut log, WriteOutcome::Committed { revision: 9 });
         log.issue(&key("r")).unwrap().1
     };
     let mut gate = FencingGate::fenced(41);
     assert_eq!(gate.permit(rental("r", 3), None), Err(GateError::NoProof));
-    let other = gate.permit(rental("r", 3), Some(durable(40))).unwrap_err();
+    let other = gate.permit(rental("r", 3), Some(proof_under(40))).unwrap_err();
     assert_eq!(other, GateError::OtherToken { key: key("r"), given: 40, own: 41 });
-    let changed = gate.permit(rental("r", 4), Some(durable(41))).unwrap_err();
+    let changed = gate.permit(rental("r", 4), Some(proof_under(41))).unwrap_err();
     assert_eq!(changed, GateError::OtherAction { key: key("r") });
     assert_eq!(gate.counts().refused, 3);
     assert_eq!(FencingGate::unfenced(41).permit(rental("r", 3), None).unwrap().basis(), Basis::Unfenced);
 }
 
 #[test]
-fn a_key_is_for_one_action_for_ever() {
+fn a_key_is_never_reused_for_another_action() {
     let mut log = IntentLog::new(41, LIMITS);
     log.intend(key("r"), rental("r", 3), 5).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
     let reused = IntentError::KeyReused { key: key("r") };
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused.clone()));
-    write(&mut log, WriteOutcome::Committed { revision: 9 });
+    write_pages(&mut log, WriteOutcome::Committed { revision: 9 });
     log.issue(&key("r")).unwrap();
     log.confirm(&key("r")).unwrap();
     assert_eq!(log.intend(key("r"), rental("r", 4), 9), Err(reused));
     assert_eq!(log.intend(key("r"), rental("r", 3), 9), Ok(IntentAdmission::Repeat));
-    assert!(log.intent(&key("r")).is_none(), "an intent that is over began again");
+    assert!(log.intent(&key("r")).is_none(), "an ended intent was opened again");
     assert!(log.next_key() != log.next_key());
 }
 
 #[test]
-fn records_of_what_is_over_go() {
+fn records_of_ended_intents_are_removed() {
     let mut log = IntentLog::new(41, LIMITS);
     for name in ["a", "b"] {
         log.intend(key(name), rental(name, 1), 5).unwrap();
     }
-    write(&mut log, WriteOutcome::Committed { revision: 9 });
+    write_pages(&mut log, WriteOutcome::Committed { revision: 9 });
     for name in ["a", "b"] {
         log.issue(&key(name)).unwrap();
     }
     log.confirm(&key("a")).unwrap();
     assert!(log.needs_compaction() && !log.has_unrecorded());
-    let (changes, _) = write(&mut log, WriteOutcome::Committed { revision: 10 });
-    assert_eq!(
-        (changes[0].expected, changes[0].value.as_ref().unwrap().contains("\"key\":\"a\"")),
-        (9, false)
-    );
+    let (writes, _) = write_pages(&mut log, WriteOutcome::Committed { revision: 10 });
+    assert_eq!((writes[0].expected, writes[0].value.as_ref().unwrap().contains("\"key\":\"a\"")), (9, false));
     log.confirm(&key("b")).unwrap();
-    let (changes, _) = write(&mut log, WriteOutcome::Committed { revision: 11 });
-    assert_eq!(changes, vec![IntentPageWrite { page: changes[0].page, expected: 10, value: None }]);
+    let (writes, _) = write_pages(&mut log, WriteOutcome::Committed { revision: 11 });
+    assert_eq!(writes, vec![IntentPageWrite { page: writes[0].page, expected: 10, value: None }]);
     assert!(!log.needs_compaction());
     assert_eq!(log.summary().pages, 0);
 }
 
 #[test]
-fn the_next_holder_finishes_what_was_open() {
-    let mut old = IntentLog::new(41, LIMITS);
-    old.intend(key("r"), rental("r", 3), 5).unwrap();
-    old.intend(key("b"), instance_return(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
-    let (changes, _) = write(&mut old, WriteOutcome::Committed { revision: 9 });
-    let (stored, value) = (changes[0].page.key(), changes[0].value.clone().unwrap());
+fn the_next_leader_adopts_and_ends_open_intents() {
+    let mut former = IntentLog::new(41, LIMITS);
+    former.intend(key("r"), rental("r", 3), 5).unwrap();
+    former.intend(key("b"), instance_return(&["i-1", "i-2"], ReturnReason::Reclaim), 6).unwrap();
+    let (writes, _) = write_pages(&mut former, WriteOutcome::Committed { revision: 9 });
+    let (stored, value) = (writes[0].page.key(), writes[0].value.clone().unwrap());
 
-    let mut new = IntentLog::new(60, LIMITS);
-    assert_eq!(new.load_former_page(&stored, &value, 9), Vec::new());
-    let adopted: Vec<&Intent> = new.adopted().collect();
+    let mut current = IntentLog::new(60, LIMITS);
+    assert_eq!(current.load_former_page(&stored, &value, 9), Vec::new());
+    let adopted: Vec<&Intent> = current.adopted().collect();
     assert_eq!(adopted.len(), 2);
     assert!(adopted.iter().all(|intent| intent.token == 41 && intent.state() == IntentState::Adopted));
-    assert!(!new.needs_compaction(), "open intents of a former holder were to be removed");
+    assert!(!current.needs_compaction(), "open intents of a former leader would be removed");
     for name in ["r", "b"] {
-        let (action, proof) = new.issue(&key(name)).unwrap();
+        let (action, proof) = current.issue(&key(name)).unwrap();
         assert!(FencingGate::fenced(60).permit(action, Some(proof)).is_ok());
-        assert_eq!(new.begin_write(4, true), None);
-        new.confirm(&key(name)).unwrap();
+        assert_eq!(current.begin_write(4, true), None);
+        current.confirm(&key(name)).unwrap();
     }
-    let (changes, _) = write(&mut new, WriteOutcome::Committed { revision: 70 });
-    assert_eq!(changes[0].page, PageId { token: 41, number: 0 });
-    assert_eq!((changes[0].expected, &changes[0].value), (9, &None));
+    let (writes, _) = write_pages(&mut current, WriteOutcome::Committed { revision: 70 });
+    assert_eq!(writes[0].page, PageId { token: 41, number: 0 });
+    assert_eq!((writes[0].expected, &writes[0].value), (9, &None));
 
-    // Read once more, since reading failed halfway: nothing is there twice.
-    let mut again = IntentLog::new(60, LIMITS);
+    // A second load after an incomplete first one does not duplicate intents.
+    let mut reloaded = IntentLog::new(60, LIMITS);
     for _ in 0..2 {
-        again.discard_former_pages();
-        assert_eq!(again.load_former_page(&stored, &value, 9), Vec::new());
+        reloaded.discard_former_pages();
+        assert_eq!(reloaded.load_former_page(&stored, &value, 9), Vec::new());
     }
-    assert_eq!(again.adopted().count(), 2);
-    // A page of a later holder: this one leads no more.
+    assert_eq!(reloaded.adopted().count(), 2);
+    // A page of a later leader is refused: the reader's term has ended.
     let later = IntentLog::new(40, LIMITS).load_former_page(&stored, &value, 9);
     assert_eq!(later, vec![RecordError::LaterToken { key: stored }]);
 }
 
 #[test]
-fn only_a_failed_record_compels_and_only_for_reclaims() {
+fn only_reclaims_may_be_issued_without_a_record_after_a_failed_write() {
     let mut log = IntentLog::new(41, LIMITS);
     log.intend(key("reclaim"), instance_return(&["i-1"], ReturnReason::Reclaim), 5).unwrap();
     log.intend(key("surplus"), instance_return(&["i-2"], ReturnReason::Surplus), 5).unwrap();
-    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "without an attempt to record it");
-    write(&mut log, WriteOutcome::Busy);
-    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "the state service is only busy");
-    write(&mut log, WriteOutcome::Refused);
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "permitted without an attempt to record it");
+    write_pages(&mut log, WriteOutcome::Busy);
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "permitted while the state service was only busy");
+    write_pages(&mut log, WriteOutcome::Refused);
     log.clear_recording_failures();
-    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "by a failure that is long past");
-    write(&mut log, WriteOutcome::Refused);
+    assert!(!log.allow_unrecorded_issue(&key("reclaim")), "permitted by a failure that was cleared");
+    write_pages(&mut log, WriteOutcome::Refused);
     assert!(log.allow_unrecorded_issue(&key("reclaim")) && !log.allow_unrecorded_issue(&key("surplus")));
     let (action, proof) = log.issue(&key("reclaim")).unwrap();
     assert_eq!(FencingGate::fenced(41).permit(action, Some(proof)).unwrap().basis(), Basis::Compelled);
 }
 
 #[test]
-fn records_keep_to_the_limits() {
+fn page_writes_stay_within_the_store_limits() {
     let mut log = IntentLog::new(41, LIMITS);
     let names: Vec<String> = (0..100).map(|n| format!("i-{n:06}")).collect();
-    let hosts: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
-    let fits = log.return_within_limits(&hosts, ReturnReason::Surplus);
-    assert!(fits.machines.len() > 50 && fits.machines.len() < 100, "{}", fits.machines.len());
-    log.intend(key("1"), CloudAction::Return(fits), 5).unwrap();
-    let whole = CloudAction::Return(InstanceReturn { machines: hosts, reason: ReturnReason::Surplus });
-    assert!(matches!(log.intend(key("2"), whole, 5), Err(IntentError::TooLarge { .. })));
+    let machines: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
+    let fitting = log.return_within_limits(&machines, ReturnReason::Surplus);
+    assert!(fitting.machines.len() > 50 && fitting.machines.len() < 100, "{}", fitting.machines.len());
+    log.intend(key("1"), CloudAction::Return(fitting), 5).unwrap();
+    let all = CloudAction::Return(InstanceReturn { machines, reason: ReturnReason::Surplus });
+    assert!(matches!(log.intend(key("2"), all, 5), Err(IntentError::TooLarge { .. })));
     for n in 0..40 {
         log.intend(key(&format!("r{n}")), rental(&format!("r{n}"), 1), 5).unwrap();
     }
-    let mut durable = 0;
+    let mut recorded_count = 0;
     for revision in 1.. {
-        let (changes, now) = write(&mut log, WriteOutcome::Committed { revision });
-        if changes.is_empty() {
+        let (writes, recorded) = write_pages(&mut log, WriteOutcome::Committed { revision });
+        if writes.is_empty() {
             break;
         }
-        durable += now.len();
-        assert!(changes.len() <= LIMITS.changes);
-        assert!(changes.iter().all(|c| c.value.as_ref().unwrap().len() <= LIMITS.value_bytes));
+        recorded_count += recorded.len();
+        assert!(writes.len() <= LIMITS.changes);
+        assert!(writes.iter().all(|write| write.value.as_ref().unwrap().len() <= LIMITS.value_bytes));
     }
-    assert_eq!(durable, 41);
+    assert_eq!(recorded_count, 41);
 }
 
 #[test]
-fn what_cannot_be_read_is_told_and_kept() {
-    let good = Intent::intended(key("1.1"), 1, rental("r", 3), 5);
-    let page = record::encode([&good].into_iter());
-    let longest = "x".repeat(201);
-    let broken = [
+fn unreadable_records_are_reported_and_kept() {
+    let intent = Intent::intended(key("1.1"), 1, rental("r", 3), 5);
+    let page = record::encode([&intent].into_iter());
+    let too_long = "x".repeat(201);
+    let invalid_pages = [
         page.replace("\"count\":3", "\"count\":4"),
         page.replace("\"count\":3", "\"count\":0"),
         page.replace("\"count\":3", "\"count\":51"),
         page.replace("\"kind\":\"rent\"", "\"kind\":\"scrap\""),
         page.replace("\"key\":\"1.1\"", "\"key\":\"\""),
-        page.replace("\"zone\":\"a\"", &format!("\"zone\":\"{longest}\"")),
+        page.replace("\"zone\":\"a\"", &format!("\"zone\":\"{too_long}\"")),
         page.replace("\"format\":1", "\"format\":2"),
         page.replace("]}", ""),
         "7".into(),
     ];
-    for text in &broken {
+    for text in &invalid_pages {
         let mut log = IntentLog::new(41, LIMITS);
         assert_eq!(log.load_former_page("duty/1/0", text, 9).len(), 1, "{text}");
         assert_eq!(log.adopted().count(), 0, "{text}");
-        assert_eq!(log.begin_write(4, true), None, "{text} was to be removed");
+        assert_eq!(log.begin_write(4, true), None, "{text} would be removed");
     }
     let mut log = IntentLog::new(41, LIMITS);
     for name in ["duty/1", "duty/x/0", "duty/1/0/0", "duty/01/0", "duty/-1/0", "other/1/0"] {
         assert_eq!(log.load_former_page(name, &page, 9), vec![RecordError::Key { key: name.into() }]);
     }
-    // The same intent in two pages: the first counts.
+    // If two pages hold the same intent, the first one read counts.
     assert_eq!(log.load_former_page("duty/1/0", &page, 9), Vec::new());
     assert!(matches!(&log.load_former_page("duty/2/0", &page, 9)[..], [RecordError::ReusedKey { .. }]));
     assert_eq!(log.adopted().count(), 1);
-    // Fields of later versions are passed over.
+    // Fields that later versions added are ignored.
     let later = page.replace("\"format\":1", "\"format\":1,\"more\":{}");
     assert_eq!(
         record::decode("duty/1/0", &later),
@@ -298,7 +296,7 @@
     assert_eq!(guard.admit(51), Ok(()));
 }
 
-/// The state service of the model: pages with their revisions.
+/// A model of the state service: pages with their revisions.
 #[derive(Default)]
 struct Store {
     pages: BTreeMap<String, (String, u64)>,
@@ -310,12 +308,12 @@
         self.pages.get(&page.key()).map_or(0, |(_, revision)| *revision)
     }
 
-    fn apply(&mut self, changes: &[IntentPageWrite]) -> WriteOutcome {
-        if changes.iter().any(|change| self.revision_of(&change.page) != change.expected) {
+    fn apply(&mut self, writes: &[IntentPageWrite]) -> WriteOutcome {
+        if writes.iter().any(|change| self.revision_of(&change.page) != change.expected) {
             return WriteOutcome::Conflict;
         }
         self.revision += 1;
-        for IntentPageWrite { page, value, .. } in changes {
+        for IntentPageWrite { page, value, .. } in writes {
             match value {
                 Some(value) => drop(self.pages.insert(page.key(), (value.clone(), self.revision))),
                 None => drop(self.pages.remove(&page.key())),
@@ -324,71 +322,74 @@
         WriteOutcome::Committed { revision: self.revision }
     }
 
-    fn names(&self, intent: &IdempotencyKey) -> bool {
+    fn contains_intent(&self, intent: &IdempotencyKey) -> bool {
         self.pages.values().any(|(value, _)| value.contains(&format!("\"key\":\"{intent}\"")))
     }
 }
 
-/// Holder after holder over one store that refuses, loses answers and carries writes out
-/// late: whatever is issued stands in the store at that moment, until it is confirmed. The
-/// last one, whose answers arrive, finishes everything: what a late write of an earlier
-/// holder left is its successor's.
+/// Five leaders in sequence use one store that refuses writes, loses replies and carries out writes
+/// late. The store must hold an intent at the moment when it is issued. The last leader, whose
+/// replies all arrive, must end all intents and remove all pages, including those that a late write
+/// of an earlier leader left.
 #[test]
-fn whatever_is_issued_is_in_the_store() {
+fn every_issued_intent_is_in_the_store() {
     let (mut issued, mut adopted) = (0, 0);
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store = Store::default();
-        for holder in 1..=5u64 {
-            let token = holder * 100;
+        for leader in 1..=5u64 {
+            let token = leader * 100;
             let mut log = IntentLog::new(token, LIMITS);
-            let mut late: Vec<Vec<IntentPageWrite>> = Vec::new();
+            let mut delayed: Vec<Vec<IntentPageWrite>> = Vec::new();
             for (stored, (value, revision)) in &store.pages {
                 assert_eq!(log.load_former_page(stored, value, *revision), Vec::new());
             }
             adopted += log.adopted().count();
-            let last = holder == 5;
-            for step in 0..if last { 400 } else { rng.random_range(5..60) } {
-                if !(last && step > 200) && rng.random_range(0..3) == 0 {
+            let is_last = leader == 5;
+            for step in 0..if is_last { 400 } else { rng.random_range(5..60) } {
+                if !(is_last && step > 200) && rng.random_range(0..3) == 0 {
                     let next = log.next_key();
                     log.intend(next.clone(), rental(&next.to_string(), 1), 5).unwrap();
                 }
                 for page in log.uncertain_pages() {
                     log.page_revision_read(page, store.revision_of(&page));
                 }
-                if let Some(changes) = log.begin_write(rng.random_range(1..5), rng.random_range(0..4) == 0) {
-                    let outcome = match rng.random_range(0..if last { 4 } else { 5 }) {
+                if let Some(writes) = log.begin_write(rng.random_range(1..5), rng.random_range(0..4) == 0) {
+                    let outcome = match rng.random_range(0..if is_last { 4 } else { 5 }) {
                         3 => WriteOutcome::Refused,
                         4 if rng.random_range(0..2) == 0 => {
-                            late.push(changes);
+                            delayed.push(writes);
                             WriteOutcome::Unknown
                         }
                         4 => {
-                            store.apply(&changes);
+                            store.apply(&writes);
                             WriteOutcome::Unknown
                         }
-                        _ => store.apply(&changes),
+                        _ => store.apply(&writes),
                     };
                     log.end_write(outcome);
                 }
                 if rng.random_range(0..8) == 0 {
-                    late.pop().map(|changes| store.apply(&changes));
+                    delayed.pop().map(|writes| store.apply(&writes));
                 }
                 let open: Vec<IdempotencyKey> = log.open_intents().map(|intent| intent.key.clone()).collect();
                 for intent in open {
                     if log.issue(&intent).is_ok() {
                         issued += 1;
-                        assert!(store.names(&intent), "seed {seed}: {intent} is issued without a record");
+                        assert!(
+                            store.contains_intent(&intent),
+                            "seed {seed}: {intent} was issued without a record"
+                        );
                         if rng.random_range(0..2) == 0 {
                             log.confirm(&intent).unwrap();
                         }
                     }
                 }
             }
-            if last {
+            if is_last {
                 assert_eq!(log.open_intents().count(), 0, "seed {seed}");
-                while let Some(changes) = log.begin_write(4, true) {
-                    let outcome = store.apply(&changes);
+                while let Some(writes) = log.begin_write(4, true) {
+                    let outcome = store.apply(&writes);
                     log.end_write(outcome);
                     for page in log.uncertain_pages() {
                         log.page_revision_read(page, store.revision_of(&page));
