--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -328,9 +328,9 @@
 }
 
 /// Five leaders in sequence use one store that refuses writes, loses replies and carries out writes
-/// late. The store must hold an intent at the moment when it is issued. The last leader, whose
-/// replies all arrive, must end all intents and remove all pages, including those that a late write
-/// of an earlier leader left.
+/// late. The store must hold an intent whenever it is issued, until it is confirmed. The last leader,
+/// whose replies all arrive, must end all intents and remove all pages, including those that a late
+/// write of an earlier leader left.
 #[test]
 fn every_issued_intent_is_in_the_store() {
     let (mut issued, mut adopted) = (0, 0);
--- a/crates/plankhead-sharding/src/balance.rs
+++ b/crates/plankhead-sharding/src/balance.rs
@@ -1,9 +1,10 @@
-//! Which node should hold which shard: one in the machines' own zone first, then even load.
+//! The distribution of shards among nodes. It evens out the load and prefers nodes in the zone of
+//! the shard's machines.
 
 use crate::shard::ShardId;
 use std::collections::BTreeMap;
 
-/// The factor by which a shard costs more on a node outside its zone.
+/// The factor by which the cost of a shard is higher on a node outside its zone.
 const OTHER_ZONE_FACTOR: f64 = 2.0;
 
 /// A node that may hold shards.
@@ -13,30 +14,32 @@
     pub host: String,
     /// The node's zone.
     pub zone: String,
-    /// The share of its capacity that is free for shards: 1 for a node with no other duty.
+    /// The share of the node's capacity that is free for shards, which is 1 for a node without other
+    /// work.
     pub capacity: f64,
 }
 
-/// The load of each shard.
+/// The loads of the shards.
 pub type ShardLoads = BTreeMap<ShardId, ShardLoad>;
 
-/// The load that a shard is, and which node bears it.
+/// The load of a shard and the node that carries it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardLoad {
-    /// The number of its machines.
+    /// The number of machines in the shard.
     pub machines: u32,
-    /// The node that holds it.
+    /// The node that holds the shard.
     pub holder: Option<String>,
 }
 
 impl ShardLoad {
-    /// A shard without machines has a weight, too: for the machines to come.
+    /// Returns the weight of the shard, its number of machines. A shard without machines counts as
+    /// one machine, because machines may still join it.
     fn weight(&self) -> f64 {
         f64::from(self.machines.max(1))
     }
 }
 
-/// A move that would even out the load.
+/// A move of a shard that evens out the load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rebalance {
     /// The shard to move.
@@ -45,17 +48,19 @@
     pub to: String,
 }
 
+/// Returns the total weight of the shards that a node holds.
 fn load_of(host: &str, loads: &ShardLoads) -> f64 {
     let held = loads.values().filter(|load| load.holder.as_deref() == Some(host));
     held.map(ShardLoad::weight).sum()
 }
 
+/// Returns the cost of holding a shard of `zone` on a node with the total `load`.
 fn cost(candidate: &Candidate, zone: &str, load: f64) -> f64 {
     let distance = if candidate.zone == zone { 1.0 } else { OTHER_ZONE_FACTOR };
     load / candidate.capacity.max(0.01) * distance
 }
 
-/// The candidate that should take a shard: the one on which it costs least, by name if equal.
+/// Returns the candidate on which the shard costs least. Equal costs are resolved by name.
 pub fn choose_holder<'a>(
     shard: &ShardId,
     candidates: &'a [Candidate],
@@ -66,8 +71,9 @@
     candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then_with(|| a.host.cmp(&b.host)))
 }
 
-/// The move that gains most, if one gains more than `hysteresis` (a fraction) of its holder's
-/// cost. The reverse of such a move never does, so that shards don't move back and forth.
+/// Returns the move that reduces the cost of its shard most, if there is one that reduces it by more
+/// than the fraction `hysteresis`. The reverse of such a move never qualifies, so shards do not move
+/// back and forth.
 pub fn find_rebalance(candidates: &[Candidate], loads: &ShardLoads, hysteresis: f64) -> Option<Rebalance> {
     let mut best: Option<(f64, Rebalance)> = None;
     for (shard, load) in loads {
--- a/crates/plankhead-sharding/src/lib.rs
+++ b/crates/plankhead-sharding/src/lib.rs
@@ -1,20 +1,21 @@
-//! Shards of machines: which node holds which of them, and how they move between nodes.
+//! Shards of machines: their assignment to nodes and their moves between nodes.
 //!
-//! One node, the leader, decides what runs where. The workers' side is partitioned: a machine
-//! belongs to a shard by its zone and name, and each shard has one holder, which answers the
-//! heartbeats of its machines and relays commands to them. The leader names holders in records
-//! of the state service; the revision of that write is the shard's epoch, the fencing token of
-//! everything that its holder sends to workers.
+//! One node, the leader, decides which task runs on which machine. Communication with the workers is
+//! partitioned: a machine belongs to a shard by its zone and name, and each shard has one holder, a
+//! node that answers the heartbeats of its machines and relays commands to them. The leader names
+//! the holders in records of the state service. The revision of the write that names a holder is the
+//! shard's epoch, the fencing token of everything that the holder sends to workers.
 //!
-//! Nothing here does input or output.
+//! This crate makes the decisions and performs no I/O:
 //!
-//! - [`shard`]: which shard a machine belongs to;
-//! - [`record`] and [`table`]: the stored records, and what a node knows of them;
+//! - [`shard`]: the shard of a machine;
+//! - [`record`] and [`table`]: the stored records, and a node's copy of them;
 //! - [`state`]: the states of a shard and the transitions between them;
-//! - [`registry`]: which record the leader writes next;
-//! - [`balance`]: which node should hold which shard;
-//! - [`read_times`]: what a holder may do by what it has seen of the state service;
-//! - [`sequence`] and [`machine_numbers`]: the messages between holders and the leader.
+//! - [`registry`]: the records that the leader writes;
+//! - [`balance`]: the distribution of shards among nodes;
+//! - [`read_times`]: the limits on a holder by the age of what it has read from the state service;
+//! - [`sequence`] and [`machine_numbers`]: parts of the messages between holders and the leader;
+//! - [`settings`]: the operators' settings.
 
 #![warn(missing_docs)]
 
--- a/crates/plankhead-sharding/src/record.rs
+++ b/crates/plankhead-sharding/src/record.rs
@@ -1,35 +1,37 @@
-//! The record of a shard in the state service.
+//! The records of shards in the state service.
 
 use crate::shard::MAX_SHARDS_PER_ZONE;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The format that this version writes. Records of other formats are left alone.
+/// The format that this version reads and writes. Records in other formats are neither used nor
+/// overwritten.
 pub const FORMAT: u32 = 1;
-/// The longest name of a node, in bytes.
+/// The maximum length of a node name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Which node holds a shard, and whether the shard moves. Only the leader writes it, on the
-/// condition of its own key and of the record's revision.
+/// The record of a shard: its holder, and the move in progress. Only the leader writes it, in
+/// transactions that are conditional on the leader's key and on the revision of the record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The record's format, [`FORMAT`].
+    /// The format of the record, [`FORMAT`].
     pub format: u32,
     /// The node that holds the shard.
     pub holder: String,
-    /// The id of the start of the holder's process: a restarted one knows nothing of the starts
-    /// that it relayed before, and must be named anew before it acts.
+    /// The boot id of the holder's process, which is new at every start of the process. A restarted
+    /// process does not know which task starts it has relayed, so it must be named again before it
+    /// acts.
     pub boot: u64,
-    /// The fencing token of the leader that wrote it.
+    /// The fencing token of the leader that wrote the record.
     pub term: u64,
-    /// How many shards the zone has.
+    /// The number of shards in the zone.
     pub shards: u32,
-    /// The move that is under way, if one is.
+    /// The move in progress, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moving: Option<PendingMove>,
 }
 
-/// A move that was begun: the holder is to release the shard.
+/// A move in progress, for which the holder is to release the shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingMove {
     /// The revision at which the holder was named.
@@ -38,32 +40,32 @@
     pub to: String,
 }
 
-/// Why a record can't be used.
+/// The reasons why a record cannot be used.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The value is no JSON of the expected form.
-    #[error("not a record: {0}")]
+    /// The value is not valid JSON or does not have the expected form.
+    #[error("invalid record: {0}")]
     Json(#[from] serde_json::Error),
     /// The record has a format that this version does not know.
-    #[error("format {0} is not known")]
+    #[error("unknown format {0}")]
     Format(u32),
     /// The holder's name or the number of shards is out of range.
-    #[error("a field is out of range")]
+    #[error("the holder's name or the number of shards is out of range")]
     Range,
 }
 
 impl ShardRecord {
-    /// The record of a shard that `holder` holds and that does not move.
+    /// Creates the record of a shard that `holder` holds and that does not move.
     pub fn held(holder: &str, boot: u64, term: u64, shards: u32) -> Self {
         Self { format: FORMAT, holder: holder.into(), boot, term, shards, moving: None }
     }
 
-    /// Whether this node, in this start of its process, holds the shard.
+    /// Returns whether the process of node `host` with this boot id holds the shard.
     pub fn is_held_by(&self, host: &str, boot: u64) -> bool {
         self.holder == host && self.boot == boot
     }
 
-    /// Decodes a record.
+    /// Decodes and validates a record.
     pub fn decode(value: &str) -> Result<Self, RecordError> {
         let record: Self = serde_json::from_str(value)?;
         if record.format != FORMAT {
@@ -76,7 +78,8 @@
         Ok(record)
     }
 
-    /// The shard's epoch, given the revision of the record: that at which the holder was named.
+    /// Returns the epoch of the shard, which is the revision at which the holder was named.
+    /// `revision` is the revision of this record.
     pub fn epoch(&self, revision: u64) -> u64 {
         self.moving.as_ref().map_or(revision, |moving| moving.epoch)
     }
--- a/crates/plankhead-sharding/src/registry/mod.rs
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -1,9 +1,9 @@
-//! The leader's side: the state of every shard, and which record is to be written next.
+//! The leader's side: the state of every shard, and the records to write next.
 //!
-//! Every write is conditional on the leader's key and on the record's revision, and says why it
-//! is made. A write whose answer was lost leaves its shard uncertain until the records were read
-//! again. The leader may repeat the write meanwhile under the revision that it knows, which
-//! fails if the first one was carried out.
+//! Every write is conditional on the leader's key and on the record's revision, and has a reason. A
+//! write with an unknown outcome leaves its shard uncertain until the records have been read again.
+//! Until then, the leader may repeat the write with the revision that it knows, which fails if the
+//! first write was carried out.
 
 mod moves;
 mod naming;
@@ -17,30 +17,30 @@
 use crate::shard::ShardId;
 use crate::state::{ShardState, Transition};
 use crate::table::ShardTable;
-use naming::HolderNaming;
+use naming::NamingPlanner;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tracked_shard::TrackedShard;
 
-/// How long a new leader waits for the other nodes' heartbeats before it names holders that no
-/// former leader has named.
+/// The time that a new leader allows for messages from the other nodes before it names holders that
+/// no former leader has named.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How soon the registry plans again while a shard waits to be named or moved.
+/// The planning interval while a shard waits for a holder or moves.
 const WAITING_INTERVAL: Duration = Duration::from_millis(100);
-/// How soon it does otherwise.
+/// The planning interval otherwise.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the leader knows of the other nodes, and of the machines.
+/// The leader's knowledge of the nodes and machines, on which the registry bases its decisions.
 #[derive(Debug, Clone, Default)]
 pub struct RegistryInput {
-    /// Nodes that are heard and see the records, the leader among them, each with the id of its
-    /// process's start.
+    /// The nodes that send messages and can read the records, including the leader, each with the
+    /// boot id of its process.
     pub live_nodes: BTreeMap<String, u64>,
-    /// Those of them that may take shards.
+    /// The live nodes that may take shards.
     pub candidates: Vec<Candidate>,
-    /// The number of machines by shard.
+    /// The numbers of machines by shard.
     pub machines: BTreeMap<ShardId, u32>,
-    /// Zones that have machines, or may.
+    /// The zones that have or may have machines.
     pub zones: BTreeSet<String>,
 }
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// Every shard, as the leader sees it in its term.
+/// The shards and their states during one leader's term.
 #[derive(Debug)]
 pub struct ShardRegistry {
     term: u64,
     own_name: String,
     settings: Settings,
     shards: BTreeMap<ShardId, TrackedShard>,
-    /// When this leader first planned.
+    /// The time at which this leader first planned writes.
     started_at: Option<Duration>,
     next_move_at: Duration,
     next_rotation_at: Duration,
@@ -65,7 +65,7 @@
 }
 
 impl ShardRegistry {
-    /// The registry of the leader `own_name` under the fencing token `term`.
+    /// Creates the registry of the leader `own_name` with the fencing token `term`.
     pub fn new(term: u64, own_name: &str, settings: Settings) -> Self {
         Self {
             term,
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Takes in the records; `read_at`: when the read of them was sent.
+    /// Updates the registry with the records of `table`. `read_at` is the time at which the latest
+    /// complete read of them was sent.
     pub fn apply_records(&mut self, table: &ShardTable, read_at: Option<Duration>, now: Duration) {
         for (shard, known) in table.iter() {
             let tracked = self.shards.entry(shard.clone()).or_default();
@@ -103,47 +104,48 @@
         }
     }
 
-    /// Whether some record may have been written that this leader does not know of: a token
-    /// above those that it knows may be a shard's epoch.
+    /// Returns whether a record may have been written that this leader does not know. A token above
+    /// [`highest_epoch`](Self::highest_epoch) may then be the epoch of a shard.
     pub fn has_uncertain_writes(&self) -> bool {
         self.shards.values().any(TrackedShard::is_uncertain)
     }
 
-    /// The highest token of this term.
+    /// Returns the highest known fencing token of this term, of the leader itself or of a shard.
     pub fn highest_epoch(&self) -> u64 {
         let current = self.shards.values().filter(|tracked| tracked.term == self.term);
         current.map(|tracked| tracked.revision).fold(self.term, u64::max)
     }
 
-    /// The shard of a machine by this leader's settings.
+    /// Returns the shard of a machine according to this leader's settings.
     pub fn shard_of(&self, zone: &str, machine: &str) -> ShardId {
         ShardId::of(zone, machine, self.settings.shards_per_zone)
     }
 
-    /// The state of a shard.
+    /// Returns the state of a shard.
     pub fn state(&self, shard: &ShardId) -> Option<&ShardState> {
         self.shards.get(shard).map(|tracked| &tracked.state)
     }
 
-    /// The holder that this leader has named, with its epoch.
+    /// Returns the holder that this leader has named for a shard, with its epoch.
     pub fn holder(&self, shard: &ShardId) -> Option<(&str, u64)> {
         let tracked = self.shards.get(shard).filter(|tracked| tracked.term == self.term)?;
         Some((tracked.state.holder()?, tracked.state.epoch()))
     }
 
-    /// The holder that a former leader named, where this one has not named any yet.
+    /// Returns the holder that a former leader named for a shard, with its epoch, if this leader has
+    /// not named one yet.
     pub fn former_holder(&self, shard: &ShardId) -> Option<(&str, u64)> {
         let tracked = self.shards.get(shard).filter(|tracked| tracked.term < self.term)?;
         Some((tracked.state.holder()?, tracked.state.epoch()))
     }
 
-    /// The shards whose holders this leader has named.
+    /// Returns the shards whose holders this leader has named.
     pub fn named_shards(&self) -> impl Iterator<Item = (&ShardId, &ShardState)> {
         let current = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
         current.map(|(shard, tracked)| (shard, &tracked.state))
     }
 
-    /// What a shard waits for, for the operators' view.
+    /// Returns a description of what a shard waits for, for the operators' view.
     pub fn waits_for(&self, shard: &ShardId) -> Option<&'static str> {
         let tracked = self.shards.get(shard)?;
         match &tracked.state {
@@ -157,17 +159,19 @@
         }
     }
 
-    /// A holder confirms that it has released a shard.
+    /// Handles a holder's confirmation that it has released a shard.
     pub fn release_confirmed(&mut self, shard: &ShardId, from: &str, epoch: u64) {
         let current = self.shards.get_mut(shard).filter(|tracked| tracked.term == self.term);
         let Some(tracked) = current.filter(|tracked| tracked.state.holder() == Some(from)) else { return };
-        // Repeated until the next holder is named, and refused from the second time on.
+        // Holders repeat the confirmation until the next holder is named. The state machine rejects
+        // the repeats.
         if let Ok(state) = tracked.state.after(Transition::ConfirmRelease { epoch }) {
             tracked.state = state;
         }
     }
 
-    /// The load of every configured shard, with its holder in this term: the next one if it moves.
+    /// Returns the load of every configured shard, with its holder in this term or, during a move, the
+    /// next holder.
     fn loads(&self, input: &RegistryInput, configured: &BTreeSet<ShardId>) -> ShardLoads {
         let load = |shard: &ShardId| {
             let tracked = self.shards.get(shard).filter(|tracked| tracked.term == self.term);
@@ -178,7 +182,7 @@
         configured.iter().map(|shard| (shard.clone(), load(shard))).collect()
     }
 
-    /// The shards that there should be.
+    /// Returns the shards that exist according to this leader's settings.
     fn configured_shards(&self, input: &RegistryInput) -> BTreeSet<ShardId> {
         let shards_of = |zone: &String| {
             let zone = zone.clone();
@@ -187,8 +191,8 @@
         input.zones.iter().flat_map(shards_of).collect()
     }
 
-    /// The records to be written now, at most so many. Each counts as under way until
-    /// [`ShardRegistry::write_completed`] says how it ended.
+    /// Returns the records to write now, at most `max_writes`. Each write counts as in flight until its
+    /// outcome is passed to [`ShardRegistry::write_completed`].
     pub fn next_writes(
         &mut self,
         input: &RegistryInput,
@@ -202,8 +206,8 @@
         let settled = now.saturating_sub(started_at) >= SETTLE_TIMEOUT;
         let configured = self.configured_shards(input);
         let mut loads = self.loads(input, &configured);
-        let naming = HolderNaming { registry: self, input, settled, now };
-        let mut writes = naming.due_writes(&configured, &mut loads, max_writes);
+        let planner = NamingPlanner { registry: self, input, settled, now };
+        let mut writes = planner.due_writes(&configured, &mut loads, max_writes);
         if writes.is_empty() {
             writes.extend(self.begin_move(input, &loads, now));
         }
@@ -216,7 +220,8 @@
         writes
     }
 
-    /// Deletes the records that no machine belongs to by this leader's settings.
+    /// Returns deletions of the records of shards that do not exist according to this leader's
+    /// settings, in zones that do.
     fn surplus_deletions(&self, configured: &BTreeSet<ShardId>) -> Vec<RecordWrite> {
         let zones: BTreeSet<&str> = configured.iter().map(|shard| shard.zone.as_str()).collect();
         let is_surplus = |shard: &ShardId| zones.contains(shard.zone.as_str()) && !configured.contains(shard);
@@ -227,7 +232,7 @@
         surplus.map(|(shard, tracked)| tracked.record_write(shard, None, NamingReason::Surplus)).collect()
     }
 
-    /// Takes in how a write that was sent at `sent` ended. Returns the holder that it named.
+    /// Handles the outcome of a write that was sent at `sent`. Returns the holder that it named, if any.
     pub fn write_completed(
         &mut self,
         write: &RecordWrite,
@@ -245,7 +250,7 @@
                 return None;
             }
         };
-        // The records may have been read before the answer came.
+        // The records may have been read before this reply arrived, and may be newer.
         if revision < tracked.revision {
             return None;
         }
@@ -271,12 +276,13 @@
         Some(HolderNamed { shard, from, to, epoch: revision, reason: write.reason })
     }
 
-    /// How many shards changed hands in this term.
+    /// Returns the number of times that a shard got another holder in this term.
     pub fn moves(&self) -> u64 {
         self.moves
     }
 
-    /// When [`ShardRegistry::next_writes`] should be called again unless something changes.
+    /// Returns the time at which [`ShardRegistry::next_writes`] should be called again if nothing
+    /// changes before.
     pub fn next_due(&self, now: Duration) -> Duration {
         let is_waiting =
             |tracked: &TrackedShard| tracked.term != self.term || tracked.state.next_holder().is_some();
--- a/crates/plankhead-sharding/src/registry/moves.rs
+++ b/crates/plankhead-sharding/src/registry/moves.rs
@@ -1,6 +1,6 @@
-//! Moves of shards whose holder is alive: when one begins, of which shard and to whom.
+//! Moves of shards whose holder is alive: the decision when to move which shard to which node.
 
-use super::naming::HolderNaming;
+use super::naming::NamingPlanner;
 use super::record_write::{NamingReason, RecordWrite};
 use super::{RegistryInput, ShardRegistry};
 use crate::balance::{self, ShardLoad, ShardLoads};
@@ -8,7 +8,7 @@
 use crate::shard::ShardId;
 use std::time::Duration;
 
-/// A move to begin.
+/// A move that is to begin.
 struct PlannedMove {
     shard: ShardId,
     to: String,
@@ -16,7 +16,7 @@
 }
 
 impl ShardRegistry {
-    /// Begins a move if none is under way and one is due.
+    /// Begins a move if none is in progress, no record is uncertain and a move is due.
     pub(super) fn begin_move(
         &mut self,
         input: &RegistryInput,
@@ -31,9 +31,9 @@
         self.next_move_at = now + self.settings.move_pause;
         let tracked = self.shards.get(&shard)?;
         let holder = tracked.state.holder()?.to_owned();
-        // The leader itself releases a shard in the same step.
+        // The leader releases its own shard in the same step, so the next holder is named at once.
         if holder == self.own_name {
-            return HolderNaming { registry: self, input, settled: true, now }
+            return NamingPlanner { registry: self, input, settled: true, now }
                 .name_holder(&shard, &to, reason);
         }
         let moving = Some(PendingMove { epoch: tracked.state.epoch(), to });
@@ -41,7 +41,7 @@
         Some(tracked.record_write(&shard, Some(ShardRecord { moving, ..held }), reason))
     }
 
-    /// The move that is due: by rotation, off a drained node, or for balance.
+    /// Returns the move that is due: for rotation, off a drained node, or for balance.
     fn next_move(&mut self, input: &RegistryInput, loads: &ShardLoads, now: Duration) -> Option<PlannedMove> {
         if let Some(interval) = self.settings.rotate {
             if now >= self.next_rotation_at {
@@ -59,7 +59,8 @@
         Some(PlannedMove { shard: best.shard, to: best.to, reason: NamingReason::Balance })
     }
 
-    /// The shard that has been with its holder for the longest, and the next node by name.
+    /// Returns the move of the shard that has been with its holder for the longest time to the next
+    /// node by name.
     fn rotation_move(&self, input: &RegistryInput) -> Option<PlannedMove> {
         let held = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
         let (shard, tracked) = held.min_by_key(|(_, tracked)| tracked.since)?;
@@ -72,7 +73,7 @@
     }
 }
 
-/// A shard whose holder is alive but is to hold none.
+/// Returns a move of a shard whose holder may not hold shards, to the best candidate.
 fn drain_move(input: &RegistryInput, loads: &ShardLoads) -> Option<PlannedMove> {
     let keeps = |load: &ShardLoad| load.holder.as_ref().is_none_or(|holder| input.may_take_shards(holder));
     let (shard, _) = loads.iter().find(|(_, load)| !keeps(load))?;
--- a/crates/plankhead-sharding/src/registry/naming.rs
+++ b/crates/plankhead-sharding/src/registry/naming.rs
@@ -1,4 +1,5 @@
-//! Naming the holders of shards that lack one, or whose holder is gone.
+//! Naming of holders for shards that have none, whose holder is gone or restarted, whose move is to
+//! be completed, or whose record is from a former term.
 
 use super::record_write::{NamingReason, RecordWrite};
 use super::tracked_shard::TrackedShard;
@@ -10,18 +11,19 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the naming of holders in one step depends on.
-pub(super) struct HolderNaming<'a> {
+/// Plans the naming of holders in one step.
+pub(super) struct NamingPlanner<'a> {
     pub registry: &'a ShardRegistry,
     pub input: &'a RegistryInput,
-    /// The other nodes had the time to be heard since this leader's start.
+    /// Whether the other nodes have had enough time to send a message to this leader, see
+    /// [`SETTLE_TIMEOUT`](super::SETTLE_TIMEOUT).
     pub settled: bool,
     pub now: Duration,
 }
 
-impl HolderNaming<'_> {
-    /// The writes that are due whatever the balance, at most so many. The loads follow what is
-    /// written.
+impl NamingPlanner<'_> {
+    /// Returns the writes that are due regardless of the balance, at most `max_writes`, and updates
+    /// `loads` with the holders that they name.
     pub fn due_writes(
         &self,
         configured: &BTreeSet<ShardId>,
@@ -67,8 +69,9 @@
         }
     }
 
-    /// A shard of a former leader's term: its next holder, or else its holder, is named anew if
-    /// it is alive.
+    /// Returns the write for a shard whose record is from a former leader's term. It names the next
+    /// holder of an unfinished move or else the present holder, if alive, and another candidate only
+    /// after [`SETTLE_TIMEOUT`](super::SETTLE_TIMEOUT).
     fn take_over(
         &self,
         shard: &ShardId,
@@ -86,8 +89,9 @@
         self.settled.then(|| self.name_best_candidate(shard, loads, NamingReason::Silent)).flatten()
     }
 
-    /// A shard that moves: the next holder is named once the present one has released the
-    /// shard, or did not in time.
+    /// Returns the write that ends a move. It names the next holder once the present one has released
+    /// the shard, is gone or has exceeded the release timeout. If the next holder may not take shards
+    /// any more, the present one keeps the shard or, if it is gone, another candidate gets it.
     fn complete_move(
         &self,
         shard: &ShardId,
@@ -112,7 +116,7 @@
             .flatten()
     }
 
-    /// Names the candidate that should take the shard.
+    /// Names the candidate on which the shard costs least.
     fn name_best_candidate(
         &self,
         shard: &ShardId,
@@ -123,7 +127,7 @@
         self.name_holder(shard, &best.host, reason)
     }
 
-    /// Names a holder that is alive.
+    /// Returns the write that names `holder`, if that node is alive.
     pub fn name_holder(&self, shard: &ShardId, holder: &str, reason: NamingReason) -> Option<RecordWrite> {
         let boot = *self.input.live_nodes.get(holder)?;
         let registry = self.registry;
--- a/crates/plankhead-sharding/src/registry/record_write.rs
+++ b/crates/plankhead-sharding/src/registry/record_write.rs
@@ -1,53 +1,53 @@
-//! Writes of shard records: what is to be written, why, and how it ended.
+//! Writes of shard records, with their reasons and outcomes.
 
 use crate::record::ShardRecord;
 use crate::shard::ShardId;
 
-/// Why a holder is named, or a move begins. The names appear in log lines.
+/// The reason for writing a record. The names of the variants appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NamingReason {
-    /// Nobody held the shard.
+    /// The shard had no holder.
     First,
-    /// The same holder in a new leader's term.
+    /// The same holder is named in a new leader's term.
     Renewed,
-    /// A former leader's move is completed.
+    /// The move that a former leader began is completed.
     Finished,
-    /// The load is balanced.
+    /// The shard moves to balance the load.
     Balance,
-    /// The holder is to hold no shards.
+    /// The shard moves because its holder is to hold no shards.
     Drained,
-    /// A periodic move that operators have configured.
+    /// The shard moves at the interval that operators have configured.
     Rotation,
-    /// The zone has fewer shards now.
+    /// The record is deleted because the zone now has fewer shards.
     Surplus,
-    /// The holder has released the shard.
+    /// The holder has released the shard, and the next holder is named.
     Released,
-    /// The holder was asked to release the shard, and has not confirmed it in time.
+    /// The holder is gone or has not released the shard in time, and the next holder is named.
     ReleaseTimedOut,
-    /// The holder's heartbeats stopped.
+    /// The holder sends no messages any more or cannot read the records.
     Silent,
     /// The holder's process was restarted.
     Restarted,
-    /// The next holder is gone: the present one keeps the shard.
+    /// The next holder may not take the shard any more, and the present one keeps it.
     Undone,
 }
 
-/// A record to be written, on the condition that it has the given revision.
+/// A write of a record, conditional on the revision of the record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordWrite {
     /// The shard.
     pub shard: ShardId,
-    /// The revision that the record must have; 0: it must not exist.
+    /// The revision that the record must have, or 0 if the record must not exist.
     pub revision: u64,
-    /// The new record; `None`: it is deleted, since the zone has fewer shards now.
+    /// The new record, or `None` to delete it because the zone now has fewer shards.
     pub record: Option<ShardRecord>,
     /// The holder before the write.
     pub from: Option<String>,
-    /// Why it is written.
+    /// The reason for the write.
     pub reason: NamingReason,
 }
 
-/// How a write of records ended.
+/// The outcome of a write of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The records were written.
@@ -55,9 +55,9 @@
         /// The revision of the transaction.
         revision: u64,
     },
-    /// Certainly not carried out.
+    /// The write was certainly not carried out.
     Failed,
-    /// No answer: it may have been carried out, or may be later.
+    /// There was no reply. The write may have been carried out, or may still be.
     Unknown,
 }
 
@@ -66,12 +66,12 @@
 pub struct HolderNamed {
     /// The shard.
     pub shard: ShardId,
-    /// The holder before.
+    /// The holder before the write.
     pub from: Option<String>,
-    /// The new holder.
+    /// The named holder.
     pub to: String,
-    /// The shard's epoch under the new holder.
+    /// The epoch of the shard under the named holder.
     pub epoch: u64,
-    /// Why it was named.
+    /// The reason for naming the holder.
     pub reason: NamingReason,
 }
--- a/crates/plankhead-sharding/src/registry/tracked_shard.rs
+++ b/crates/plankhead-sharding/src/registry/tracked_shard.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one shard.
+//! The leader's knowledge of one shard.
 
 use super::record_write::{NamingReason, RecordWrite};
 use crate::record::ShardRecord;
@@ -11,25 +11,26 @@
     pub state: ShardState,
     /// The term under which the record was last written.
     pub term: u64,
-    /// Which start of the holder's process was named.
+    /// The boot id of the holder's process, as named in the record.
     pub boot: u64,
-    /// The revision of the record; 0: there is none.
+    /// The revision of the record, or 0 if there is none.
     pub revision: u64,
-    /// Since when it is in this state, by this leader's clock.
+    /// The time of the latest change of the record, by this leader's clock.
     pub since: Duration,
-    /// A write of the record is under way.
+    /// Whether a write of the record is in flight.
     pub is_writing: bool,
-    /// When a write without an answer was sent, if the records were not read since.
+    /// The time at which a write with an unknown outcome was sent, if the records have not been read
+    /// since.
     pub uncertain_write_at: Option<Duration>,
 }
 
 impl TrackedShard {
-    /// Whether a record may have been written that this leader does not know of.
+    /// Returns whether a record may have been written that this leader does not know.
     pub fn is_uncertain(&self) -> bool {
         self.is_writing || self.uncertain_write_at.is_some()
     }
 
-    /// A write that replaces or, without a record, deletes the record as it is known.
+    /// Returns a write that replaces the known record or, if `record` is `None`, deletes it.
     pub fn record_write(
         &self,
         shard: &ShardId,
--- a/crates/plankhead-sharding/src/sequence.rs
+++ b/crates/plankhead-sharding/src/sequence.rs
@@ -1,41 +1,43 @@
-//! Ordering of messages between nodes: each start of a sender numbers its messages, and late
-//! copies and repeats are refused.
+//! Ordering of messages between nodes. Each process numbers the messages that it sends, and the
+//! recipient refuses late copies and duplicates.
 
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// The origin of a message: which start of its sender, and its number.
+/// The origin of a message: the sending process and the number of the message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageStamp {
-    /// The id of the start of the sending process; the ids have no order.
+    /// The boot id of the sending process, which is new at every start of it. Boot ids have no order.
     pub boot: u64,
-    /// Increases with every message of one start.
+    /// The number of the message, which increases with every message of the process.
     pub sequence: u64,
 }
 
-/// The message is a late copy or a repeat of one that was admitted.
+/// The error for a message that is a late copy or a duplicate of an admitted one.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-#[error("a late copy or a repeat")]
+#[error("the message is a late copy or a duplicate")]
 pub struct StaleMessage;
 
-/// How an admitted message relates to the ones before.
+/// The relation of an admitted message to the previous message of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It follows them.
+    /// The message has the same boot id and a higher number.
     Next,
-    /// Its sender was restarted, or this is a late message of an earlier start. No start is
-    /// refused for good: the present one goes on sending, and is admitted again.
+    /// The message is the first of its sender or has another boot id: the sender was restarted, or
+    /// this is a late message from before its restart. No boot id is refused permanently, because
+    /// boot ids have no order. After a late message, the next one of the current process is admitted
+    /// as `OtherBoot` again.
     OtherBoot,
 }
 
-/// The newest message of each sender.
+/// The stamps of the latest admitted messages, by sender.
 #[derive(Debug, Default)]
 pub struct SequenceGuard {
     latest: HashMap<String, MessageStamp>,
 }
 
 impl SequenceGuard {
-    /// Admits a message, or refuses it.
+    /// Admits a message or refuses it as stale.
     pub fn admit(&mut self, sender: &str, stamp: MessageStamp) -> Result<Admission, StaleMessage> {
         let latest = self.latest.get(sender).filter(|latest| latest.boot == stamp.boot);
         if latest.is_some_and(|latest| stamp.sequence <= latest.sequence) {
--- a/crates/plankhead-sharding/src/settings.rs
+++ b/crates/plankhead-sharding/src/settings.rs
@@ -1,28 +1,29 @@
-//! The operators' settings of sharding.
+//! The operators' settings for sharding.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Whether and how machines are partitioned among nodes.
+/// The settings for the partitioning of machines among nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Whether shards are used at all.
+    /// Whether sharding is enabled.
     pub enabled: bool,
-    /// The number of shards of each zone's machines.
+    /// The number of shards in each zone.
     pub shards_per_zone: u32,
-    /// The share of another node's load that the leader takes beside its own work.
+    /// The leader's capacity for shards beside its other work, where 1 is that of another node.
     pub leader_capacity: f64,
-    /// How much less loaded another holder must be for a shard to move to it.
+    /// The fraction by which a move must reduce the cost of its shard, as computed in
+    /// [`balance`](crate::balance).
     pub hysteresis: f64,
-    /// The least time between two moves for balance.
+    /// The minimum time from any move to the next one for balance or off a drained node.
     pub move_pause: Duration,
-    /// How long the leader waits for a holder to release a shard.
+    /// The time that the leader waits for a holder to release a shard.
     pub release_timeout: Duration,
-    /// How long a holder's heartbeats may be missing before its shards are seized.
+    /// The time without a status message from a holder after which its shards get other holders.
     pub holder_timeout: Duration,
-    /// Nodes that are to hold no shards.
+    /// The nodes that are to hold no shards.
     pub drained: BTreeSet<String>,
-    /// The interval at which a shard moves whatever the balance; for drills and tests.
+    /// The interval at which a shard moves regardless of the balance, for drills and tests.
     pub rotate: Option<Duration>,
 }
 
--- a/crates/plankhead-sharding/src/state.rs
+++ b/crates/plankhead-sharding/src/state.rs
@@ -1,22 +1,23 @@
-//! The states of a shard as its leader sees it, and the transitions between them.
+//! The states of a shard from the leader's point of view, and the transitions between them.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Whether a shard has a holder, and how far a move of it is.
+/// The state of a shard: whether it has a holder, and the progress of a move.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum ShardState {
     /// No holder has been named.
     #[default]
     Vacant,
-    /// Its holder acts under the epoch.
+    /// The holder acts under the epoch.
     Held {
         /// The node that holds the shard.
         holder: String,
         /// The revision at which the holder was named.
         epoch: u64,
     },
-    /// Its holder relays no more starts, and is to confirm once all that it relayed has arrived.
+    /// The holder relays no more starts. It confirms the release once the leader has received the
+    /// latest heartbeats of the shard's machines.
     Releasing {
         /// The node that holds the shard.
         holder: String,
@@ -25,7 +26,7 @@
         /// The node that is to hold the shard next.
         to: String,
     },
-    /// The holder has confirmed the release; the next one is to be named.
+    /// The holder has confirmed the release. The next holder is to be named.
     Released {
         /// The node that holds the shard.
         holder: String,
@@ -36,13 +37,13 @@
     },
 }
 
-/// What changes a shard's state.
+/// An event that changes the state of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// A record names a holder: the first one, the same one in a new term, the one that the
-    /// shard moves to, or another since the holder is gone.
+    /// A record names a holder: the first holder, the same one in a new term, the destination of a
+    /// move, or a replacement for a holder that is gone.
     Name {
-        /// The node that is named.
+        /// The node named as holder.
         holder: String,
         /// The revision of the record.
         epoch: u64,
@@ -54,25 +55,26 @@
     },
     /// The holder has released the shard.
     ConfirmRelease {
-        /// The epoch that the holder held it under.
+        /// The epoch under which the holder held the shard.
         epoch: u64,
     },
 }
 
-/// A transition that the shard's state does not allow.
+/// The error for a transition that the state of the shard does not allow.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("a shard that is {state} can't take {transition:?}")]
+#[error("a shard in state {state} does not allow {transition:?}")]
 pub struct ForbiddenTransition {
     state: String,
     transition: Transition,
 }
 
 impl ShardState {
-    /// The state after a transition, if it is allowed: the one list of those that are.
+    /// Returns the state after a transition, if the transition is allowed. This is the only list of
+    /// allowed transitions.
     pub fn after(&self, transition: Transition) -> Result<Self, ForbiddenTransition> {
         use ShardState::{Held, Released, Releasing};
         match (self, &transition) {
-            // Epochs are revisions and only grow.
+            // Epochs are revisions of the state service and only increase.
             (state, Transition::Name { holder, epoch }) if state.epoch() < *epoch => {
                 Ok(Held { holder: holder.clone(), epoch: *epoch })
             }
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The node that acts for the shard.
+    /// Returns the node that holds the shard.
     pub fn holder(&self) -> Option<&str> {
         match self {
             Self::Vacant => None,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The shard's epoch; 0 while nobody holds it.
+    /// Returns the epoch of the shard, or 0 while it has no holder.
     pub fn epoch(&self) -> u64 {
         match self {
             Self::Vacant => 0,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The node that is to hold the shard next, while it moves.
+    /// Returns the destination of the move in progress.
     pub fn next_holder(&self) -> Option<&str> {
         match self {
             Self::Releasing { to, .. } | Self::Released { to, .. } => Some(to),
--- a/crates/plankhead-sharding/src/table.rs
+++ b/crates/plankhead-sharding/src/table.rs
@@ -1,42 +1,43 @@
-//! The shards' records as a node has read them.
+//! A node's copy of the shard records.
 
 use crate::record::{RecordError, ShardRecord};
 use crate::shard::{InvalidShardKey, ShardId};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A record and the revision of its latest change.
+/// A record and its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownRecord {
     /// The record.
     pub record: ShardRecord,
-    /// The revision at which it was written.
+    /// The revision at which the record was written.
     pub revision: u64,
 }
 
 impl KnownRecord {
-    /// The shard's epoch.
+    /// Returns the epoch of the shard.
     pub fn epoch(&self) -> u64 {
         self.record.epoch(self.revision)
     }
 }
 
-/// Why a key and value were not taken into the table.
+/// The reasons why a key and value cannot be inserted into the table.
 #[derive(Debug, Error)]
 pub enum ShardTableError {
-    /// The key is not that of a record.
+    /// The key is not that of a shard record.
     #[error(transparent)]
     Key(#[from] InvalidShardKey),
-    /// The value is no record that this version can use.
+    /// The value is not a record that this version can use.
     #[error(transparent)]
     Record(#[from] RecordError),
 }
 
-/// Into how many shards a zone is divided.
+/// The division of a zone into shards.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneLayout {
+    /// The number of shards.
     shards: u32,
-    /// The revision of the record that says so.
+    /// The revision of the record that the number was taken from.
     revision: u64,
 }
 
@@ -48,7 +49,8 @@
 }
 
 impl ShardTable {
-    /// Takes in a record. One that can't be decoded counts as none: nobody acts by it.
+    /// Inserts a record unless a record with the same or a later revision is known. If the value
+    /// cannot be decoded, removes the known record, so that the node does not act on an outdated one.
     pub fn insert(&mut self, key: &str, value: &str, revision: u64) -> Result<(), ShardTableError> {
         let shard = ShardId::from_key(key)?;
         if self.records.get(&shard).is_some_and(|known| known.revision >= revision) {
@@ -69,7 +71,7 @@
         Ok(())
     }
 
-    /// Removes a record that was deleted at this revision.
+    /// Removes a record that was deleted at the given revision, unless a later record is known.
     pub fn remove(&mut self, key: &str, revision: u64) {
         let Ok(shard) = ShardId::from_key(key) else { return };
         if self.records.get(&shard).is_some_and(|known| known.revision < revision) {
@@ -77,23 +79,23 @@
         }
     }
 
-    /// Removes all records but those under the given keys, after all records were read again.
+    /// Removes all records except those under the given keys, which are the result of a complete read.
     pub fn retain_keys(&mut self, keys: &[String]) {
         self.records.retain(|shard, _| keys.contains(&shard.key()));
     }
 
-    /// The shard of a machine, where its zone is divided.
+    /// Returns the shard of a machine, or `None` if no record of its zone has been read.
     pub fn shard_of(&self, zone: &str, machine: &str) -> Option<ShardId> {
         let layout = self.layouts.get(zone)?;
         Some(ShardId::of(zone, machine, layout.shards))
     }
 
-    /// The record of a shard.
+    /// Returns the record of a shard.
     pub fn get(&self, shard: &ShardId) -> Option<&KnownRecord> {
         self.records.get(shard)
     }
 
-    /// All records, by shard.
+    /// Returns all records in the order of their shards.
     pub fn iter(&self) -> impl Iterator<Item = (&ShardId, &KnownRecord)> {
         self.records.iter()
     }
