--- a/crates/plankhead-sharding/src/registry/mod.rs
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -110,7 +110,8 @@
         self.shards.values().any(TrackedShard::is_uncertain)
     }
 
-    /// Returns the highest known fencing token of this term, of the leader itself or of a shard.
+    /// Returns this leader's token or the highest revision of the records that it wrote, whichever is
+    /// higher. No known epoch is above it.
     pub fn highest_epoch(&self) -> u64 {
         let current = self.shards.values().filter(|tracked| tracked.term == self.term);
         current.map(|tracked| tracked.revision).fold(self.term, u64::max)
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Random histories of leaders, holders and a state service that loses answers and carries
-//! writes out late, against one rule: under each epoch of a shard, one controller at most
-//! ever acts. And whatever happened, one leader that stays brings all shards to holders.
+//! Random histories of leaders, holders and a state service that loses replies and carries out
+//! writes late. At most one process may ever act under each epoch of a shard. After each history, a
+//! leader that stays must bring all shards to live holders.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,27 +20,22 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The lease goes to this controller.
+    /// The node gets the leader's lease.
     Elect(usize),
-    /// A controller that thinks it leads plans its next writes.
+    /// A node that considers itself the leader plans its next writes.
     Plan(usize),
-    /// The state service carries out, or refuses, a write that is under way.
-    Deliver {
-        which: usize,
-        answered: bool,
-    },
-    /// A write is given up by its sender, and stays under way.
-    GiveUp(usize),
-    /// A controller reads the records.
+    /// The state service carries out or refuses an in-flight write.
+    Deliver { which: usize, answered: bool },
+    /// The sender of an in-flight write stops waiting for the reply. The write stays in flight.
+    TimeOut(usize),
+    /// A node reads the records.
     Read(usize),
-    /// A holder tells whoever it takes for the leader what it has let go.
-    TellReleased {
-        holder: usize,
-        leader: usize,
-    },
-    /// A controller goes or comes back.
-    Toggle(usize),
-    Pass(u64),
+    /// A holder confirms its releases to the node that it considers the leader.
+    ConfirmReleases { holder: usize, leader: usize },
+    /// A node stops or starts. Its boot id changes.
+    ToggleNode(usize),
+    /// The given number of milliseconds passes.
+    AdvanceTime(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -50,61 +45,64 @@
         6 => host.clone().prop_map(Step::Plan),
         8 => (0..6usize, prop::bool::weighted(0.8))
             .prop_map(|(which, answered)| Step::Deliver { which, answered }),
-        1 => (0..6usize).prop_map(Step::GiveUp),
+        1 => (0..6usize).prop_map(Step::TimeOut),
         8 => host.clone().prop_map(Step::Read),
-        3 => (host.clone(), host.clone()).prop_map(|(holder, leader)| Step::TellReleased { holder, leader }),
-        1 => host.prop_map(Step::Toggle),
-        3 => (10..3_000u64).prop_map(Step::Pass),
+        3 => (host.clone(), host.clone())
+            .prop_map(|(holder, leader)| Step::ConfirmReleases { holder, leader }),
+        1 => host.prop_map(Step::ToggleNode),
+        3 => (10..3_000u64).prop_map(Step::AdvanceTime),
     ];
     prop::collection::vec(step, 20..160)
 }
 
-struct UnderWay {
+/// A write that the state service has neither carried out nor refused yet.
+struct InFlightWrite {
     leader: usize,
     term: u64,
     write: RecordWrite,
     sent: Duration,
-    given_up: bool,
+    /// Whether the sender has stopped waiting for the reply.
+    timed_out: bool,
 }
 
-/// Whether a controller, in this start of its process, acts by a record.
-type Acts = fn(&KnownRecord, &str, u64) -> bool;
+/// Returns whether the process of a node with a boot id acts as the holder under a record.
+type ActRule = fn(&KnownRecord, &str, u64) -> bool;
 
-fn by_record(known: &KnownRecord, host: &str, boot: u64) -> bool {
+fn acts_by_record(known: &KnownRecord, host: &str, boot: u64) -> bool {
     known.record.is_held_by(host, boot)
 }
 
-/// A planted fault: the next holder acts as soon as the move begins.
-fn too_early(known: &KnownRecord, host: &str, boot: u64) -> bool {
+/// An intentionally faulty rule: the next holder acts as soon as the move begins.
+fn acts_before_named(known: &KnownRecord, host: &str, boot: u64) -> bool {
     let next = known.record.moving.as_ref().is_some_and(|moving| moving.to == host);
-    next || by_record(known, host, boot)
+    next || acts_by_record(known, host, boot)
 }
 
-/// A planted fault: a process that has begun anew goes on under its former epoch.
-fn in_any_start(known: &KnownRecord, host: &str, _: u64) -> bool {
+/// An intentionally faulty rule: a restarted process continues under its former epoch.
+fn acts_after_restart(known: &KnownRecord, host: &str, _: u64) -> bool {
     known.record.holder == host
 }
 
-struct World {
+struct Model {
     now: Duration,
     revision: u64,
-    /// The lease's revision and holder.
+    /// The revision and the owner of the leader's lease.
     lease: (u64, usize),
     records: BTreeMap<ShardId, (String, u64)>,
     registries: BTreeMap<usize, (u64, ShardRegistry)>,
     tables: [ShardTable; 3],
     read_at: [Option<Duration>; 3],
-    there: [bool; 3],
-    /// Which start of its process each controller is.
+    is_up: [bool; 3],
+    /// The boot ids of the nodes.
     boots: [u64; 3],
-    under_way: Vec<UnderWay>,
-    /// Which start of which controller has acted under each epoch.
+    in_flight: Vec<InFlightWrite>,
+    /// The node and boot id that first acted under each epoch.
     acted: BTreeMap<(ShardId, u64), (String, u64)>,
-    acts: Acts,
+    acts: ActRule,
 }
 
-impl World {
-    fn new(acts: Acts) -> Self {
+impl Model {
+    fn new(acts: ActRule) -> Self {
         Self {
             now: Duration::from_secs(1_000),
             revision: 10,
@@ -113,9 +111,9 @@
             registries: BTreeMap::new(),
             tables: Default::default(),
             read_at: [None; 3],
-            there: [true; 3],
+            is_up: [true; 3],
             boots: [1, 2, 3],
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             acted: BTreeMap::new(),
             acts,
         }
@@ -126,17 +124,17 @@
         Settings { enabled: true, shards_per_zone: 2, rotate, ..Settings::default() }
     }
 
-    fn surroundings(&self, own: usize) -> RegistryInput {
-        let there = (0..3).filter(|host| self.there[*host] || *host == own);
+    fn registry_input(&self, own: usize) -> RegistryInput {
+        let up = (0..3).filter(|host| self.is_up[*host] || *host == own);
         let candidate = |host: usize| Candidate {
             host: HOSTS[host].into(),
             zone: ZONES[host % 2].into(),
             capacity: if host == own { 0.3 } else { 1.0 },
         };
-        let candidates: Vec<Candidate> = there.map(candidate).collect();
+        let candidates: Vec<Candidate> = up.map(candidate).collect();
         RegistryInput {
             live_nodes: (0..3)
-                .filter(|host| self.there[*host] || *host == own)
+                .filter(|host| self.is_up[*host] || *host == own)
                 .map(|host| (HOSTS[host].to_owned(), self.boots[host]))
                 .collect(),
             candidates,
@@ -154,20 +152,20 @@
     }
 
     fn plan(&mut self, leader: usize) {
-        let (around, now) = (self.surroundings(leader), self.now);
+        let (input, now) = (self.registry_input(leader), self.now);
         let Some((term, registry)) = self.registries.get_mut(&leader) else { return };
         let term = *term;
-        for write in registry.next_writes(&around, 3, now) {
-            self.under_way.push(UnderWay { leader, term, write, sent: now, given_up: false });
+        for write in registry.next_writes(&input, 3, now) {
+            self.in_flight.push(InFlightWrite { leader, term, write, sent: now, timed_out: false });
         }
     }
 
     fn deliver(&mut self, which: usize, answered: bool) {
-        if self.under_way.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let UnderWay { leader, term, write, sent, given_up } =
-            self.under_way.remove(which % self.under_way.len());
+        let InFlightWrite { leader, term, write, sent, timed_out } =
+            self.in_flight.remove(which % self.in_flight.len());
         let revision = self.records.get(&write.shard).map_or(0, |(_, revision)| *revision);
         let outcome = if self.lease.0 == term && revision == write.revision {
             self.revision += 1;
@@ -183,22 +181,23 @@
             WriteOutcome::Failed
         };
         let current = self.registries.get_mut(&leader).filter(|(current, _)| *current == term);
-        if let Some((_, registry)) = current.filter(|_| !given_up) {
+        if let Some((_, registry)) = current.filter(|_| !timed_out) {
             let outcome = if answered { outcome } else { WriteOutcome::Unknown };
             registry.write_completed(&write, outcome, sent, self.now);
         }
     }
 
-    fn give_up(&mut self, which: usize) {
-        let open = self.under_way.len().max(1);
-        let Some(UnderWay { leader, term, write, sent, given_up }) = self.under_way.get_mut(which % open)
+    fn time_out(&mut self, which: usize) {
+        let count = self.in_flight.len().max(1);
+        let Some(InFlightWrite { leader, term, write, sent, timed_out }) =
+            self.in_flight.get_mut(which % count)
         else {
             return;
         };
         let current = self.registries.get_mut(leader).filter(|(current, _)| current == term);
-        if let Some((_, registry)) = current.filter(|_| !*given_up) {
+        if let Some((_, registry)) = current.filter(|_| !*timed_out) {
             registry.write_completed(write, WriteOutcome::Unknown, *sent, self.now);
-            *given_up = true;
+            *timed_out = true;
         }
     }
 
@@ -213,7 +212,7 @@
         }
     }
 
-    fn tell_released(&mut self, holder: usize, leader: usize) {
+    fn confirm_releases(&mut self, holder: usize, leader: usize) {
         let Some((_, registry)) = self.registries.get_mut(&leader) else { return };
         for (shard, known) in self.tables[holder].iter() {
             if known.record.moving.is_some() && known.record.holder == HOSTS[holder] {
@@ -222,13 +221,13 @@
         }
     }
 
-    /// Every controller acts by what it has read last, however old that is.
+    /// Lets every node act on the records that it has read last, however old they are.
     fn act(&mut self) -> Result<(), TestCaseError> {
         for ((host, boot), table) in HOSTS.iter().zip(self.boots).zip(&self.tables) {
             for (shard, known) in table.iter().filter(|(_, known)| (self.acts)(known, host, boot)) {
                 let (key, actor) = ((shard.clone(), known.epoch()), ((*host).to_owned(), boot));
                 let first = self.acted.entry(key.clone()).or_insert_with(|| actor.clone());
-                prop_assert_eq!(&*first, &actor, "two holders under {:?}", key);
+                prop_assert_eq!(&*first, &actor, "two processes acted under {:?}", key);
             }
         }
         Ok(())
@@ -239,68 +238,72 @@
             Step::Elect(host) => self.elect(host),
             Step::Plan(host) => self.plan(host),
             Step::Deliver { which, answered } => self.deliver(which, answered),
-            Step::GiveUp(which) => self.give_up(which),
+            Step::TimeOut(which) => self.time_out(which),
             Step::Read(host) => self.read(host),
-            Step::TellReleased { holder, leader } => self.tell_released(holder, leader),
-            Step::Toggle(host) => {
-                self.there[host] = !self.there[host];
+            Step::ConfirmReleases { holder, leader } => self.confirm_releases(holder, leader),
+            Step::ToggleNode(host) => {
+                self.is_up[host] = !self.is_up[host];
                 self.boots[host] += 10;
             }
-            Step::Pass(ms) => self.now += Duration::from_millis(ms),
+            Step::AdvanceTime(ms) => self.now += Duration::from_millis(ms),
         }
         self.act()
     }
 
-    /// One leader stays, and nothing fails any more.
-    fn settle(&mut self) -> Result<(), TestCaseError> {
-        self.there[2] = false;
+    /// Runs the model with one leader and without failures until all shards should have holders.
+    fn converge(&mut self) -> Result<(), TestCaseError> {
+        self.is_up[2] = false;
         self.elect(0);
         for _ in 0..200 {
             self.plan(0);
-            while !self.under_way.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, true);
             }
             (0..2).for_each(|host| self.read(host));
-            self.tell_released(1, 0);
+            self.confirm_releases(1, 0);
             self.now += Duration::from_millis(50);
             self.act()?;
         }
-        let there: BTreeSet<&str> = HOSTS[..2].iter().copied().collect();
+        let remaining_hosts: BTreeSet<&str> = HOSTS[..2].iter().copied().collect();
         prop_assert_eq!(self.records.len(), 4);
         for (text, _) in self.records.values() {
             let record = ShardRecord::decode(text).unwrap();
-            prop_assert!(there.contains(record.holder.as_str()), "{:?} is held by nobody", record);
+            prop_assert!(
+                remaining_hosts.contains(record.holder.as_str()),
+                "{:?} is held by a node that is down",
+                record
+            );
             prop_assert_eq!(record.term, self.lease.0);
         }
         Ok(())
     }
 }
 
-fn runs(acts: Acts, cases: u32) -> Result<(), String> {
+fn run_histories(acts: ActRule, cases: u32) -> Result<(), String> {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, rng());
+    let mut runner = TestRunner::new_with_rng(config, fixed_rng());
     let run = |steps: Vec<Step>| {
-        let mut world = World::new(acts);
-        steps.into_iter().try_for_each(|step| world.step(step))?;
-        world.settle()
+        let mut model = Model::new(acts);
+        steps.into_iter().try_for_each(|step| model.step(step))?;
+        model.converge()
     };
     runner.run(&steps(), run).map_err(|error| error.to_string())
 }
 
-/// The same histories each time.
-fn rng() -> proptest::test_runner::TestRng {
+/// Returns a generator with a fixed seed, so that every run checks the same histories.
+fn fixed_rng() -> proptest::test_runner::TestRng {
     proptest::test_runner::TestRng::from_seed(proptest::test_runner::RngAlgorithm::ChaCha, &[7; 32])
 }
 
 #[test]
-fn one_holder_acts_under_each_epoch() {
-    assert_eq!(runs(by_record, 600), Ok(()));
+fn at_most_one_process_acts_under_each_epoch() {
+    assert_eq!(run_histories(acts_by_record, 600), Ok(()));
 }
 
 #[test]
-fn holders_that_act_without_being_named_are_caught() {
-    for fault in [too_early as Acts, in_any_start] {
-        let found = runs(fault, 600).expect_err("the check finds nothing");
-        assert!(found.contains("two holders under"), "{found}");
+fn faulty_act_rules_are_detected() {
+    for rule in [acts_before_named as ActRule, acts_after_restart] {
+        let error = run_histories(rule, 600).expect_err("the faulty rule was not detected");
+        assert!(error.contains("two processes acted under"), "{error}");
     }
 }
--- a/crates/plankhead-sharding/tests/rules.rs
+++ b/crates/plankhead-sharding/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The small rules: transitions, keys, records, sequences, bitmaps, bounds and balance.
+//! Tests of state transitions, keys, records, message sequences, bitmaps, lease bounds and balance.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +19,8 @@
     Duration::from_secs(n)
 }
 
-/// Every state against every transition: all that is not listed is forbidden.
+/// Checks every state with every kind of transition. All transitions that are not listed are
+/// forbidden.
 #[test]
 fn only_listed_transitions_are_allowed() {
     let (a, b) = ("a".to_owned(), "b".to_owned());
@@ -31,22 +32,22 @@
     for state in &states {
         let named = ShardState::Held { holder: b.clone(), epoch: 9 };
         assert_eq!(state.after(name(&b, 9)), Ok(named), "{state}");
-        let older = state.epoch();
-        assert!(state.after(name(&b, older)).is_err(), "{state}: an epoch is never used again");
+        let current = state.epoch();
+        assert!(state.after(name(&b, current)).is_err(), "{state}: an epoch was reused");
         let begins = state.after(Transition::BeginRelease { to: b.clone() });
         assert_eq!(begins.ok(), (*state == held).then(|| releasing.clone()), "{state}");
         let confirmed = state.after(Transition::ConfirmRelease { epoch: 5 });
         assert_eq!(confirmed.ok(), (*state == releasing).then(|| released.clone()), "{state}");
         assert!(state.after(Transition::ConfirmRelease { epoch: 4 }).is_err(), "{state}");
     }
-    assert!(held.after(Transition::BeginRelease { to: a }).is_err(), "a move to its own holder");
+    assert!(held.after(Transition::BeginRelease { to: a }).is_err(), "a move to the present holder");
 }
 
-/// Nodes of all builds must agree on where a machine belongs.
+/// Nodes of all versions must agree on the shard of a machine.
 #[test]
-fn machines_belong_where_every_build_puts_them() {
-    let places: Vec<u32> = (0..8).map(|n| ShardId::of("x", &format!("i-{n:06}"), 4).index).collect();
-    assert_eq!(places, PLACES);
+fn machine_shards_are_the_same_in_all_versions() {
+    let indexes: Vec<u32> = (0..8).map(|n| ShardId::of("x", &format!("i-{n:06}"), 4).index).collect();
+    assert_eq!(indexes, EXPECTED_INDEXES);
     let mut counts = [0u32; 8];
     for n in 0..4_000 {
         counts[ShardId::of("x", &format!("i-{n:06}"), 8).index as usize] += 1;
@@ -54,11 +55,11 @@
     assert!(counts.iter().all(|count| (420..=580).contains(count)), "{counts:?}");
 }
 
-/// Recorded from the first version.
-const PLACES: [u32; 8] = [0, 0, 0, 2, 3, 1, 0, 2];
+/// The indexes that the first version computed.
+const EXPECTED_INDEXES: [u32; 8] = [0, 0, 0, 2, 3, 1, 0, 2];
 
 #[test]
-fn keys_and_records_are_read_back_or_refused() {
+fn keys_and_records_round_trip_and_invalid_ones_are_refused() {
     let shard = ShardId { zone: "ringtee-dc".into(), index: 3 };
     assert_eq!(ShardId::from_key(&shard.key()), Ok(shard));
     for key in ["shard/", "shard/x", "shard//1", "shard/x/64", "shard/x/-1", "job/x/1", "shard/x/1a"] {
@@ -81,22 +82,22 @@
 }
 
 #[test]
-fn a_table_keeps_the_newest_and_drops_what_it_cannot_read() {
+fn the_table_keeps_the_newest_record_and_drops_unreadable_ones() {
     let text = |holder| serde_json::to_string(&ShardRecord::held(holder, 3, 5, 2)).unwrap();
     let mut table = ShardTable::default();
     let shard = ShardId { zone: "x".into(), index: 0 };
     table.insert("shard/x/0", &text("b"), 9).unwrap();
     table.insert("shard/x/0", &text("a"), 8).unwrap();
-    assert_eq!(table.get(&shard).unwrap().record.holder, "b", "an older event changes nothing");
-    assert!(table.shard_of("y", "i-1").is_none(), "a zone that is not divided");
+    assert_eq!(table.get(&shard).unwrap().record.holder, "b", "an older record replaced a newer one");
+    assert!(table.shard_of("y", "i-1").is_none(), "a zone without records");
     table.remove("shard/x/0", 9);
-    assert!(table.get(&shard).is_some(), "dropped before it was written");
+    assert!(table.get(&shard).is_some(), "removed by a deletion at the revision of the record");
     assert!(table.insert("shard/x/0", "{}", 10).is_err());
-    assert!(table.get(&shard).is_none(), "nobody acts by a record that can't be read");
+    assert!(table.get(&shard).is_none(), "an unreadable record left the former one in the table");
 }
 
 #[test]
-fn late_copies_are_refused_and_no_start_for_good() {
+fn late_copies_are_refused_but_no_boot_id_permanently() {
     let mut guard = SequenceGuard::default();
     let stamp = |boot, sequence| MessageStamp { boot, sequence };
     assert_eq!(guard.admit("a", stamp(1, 5)), Ok(Admission::OtherBoot));
@@ -106,12 +107,16 @@
     assert_eq!(guard.admit("a", stamp(2, 1)), Ok(Admission::OtherBoot));
     assert_eq!(guard.admit("a", stamp(2, 2)), Ok(Admission::Next));
     assert_eq!(guard.admit("a", stamp(1, 10)), Ok(Admission::OtherBoot), "a late message");
-    assert_eq!(guard.admit("a", stamp(2, 3)), Ok(Admission::OtherBoot), "and the present start again");
+    assert_eq!(
+        guard.admit("a", stamp(2, 3)),
+        Ok(Admission::OtherBoot),
+        "the next message of the current process"
+    );
     assert_eq!(guard.admit("b", stamp(1, 1)), Ok(Admission::OtherBoot));
 }
 
 #[test]
-fn bitmaps_tell_who_lives_and_odd_ones_are_refused() {
+fn bitmaps_round_trip_and_invalid_ones_are_refused() {
     let mut numbers = MachineNumbers::default();
     let machines: Vec<Arc<str>> = (0..4_000).map(|n| format!("i-{n:06}").as_str().into()).collect();
     let mut names = NumberedMachines::default();
@@ -125,56 +130,60 @@
     let bytes = bitmap::encode(&alive);
     assert!(bytes.len() < 1_024, "{} bytes for 4,000 machines", bytes.len());
     let read = machine_numbers::decode(&bytes).unwrap();
-    assert_eq!(names.machines(&read).count(), 4_000, "a number that nobody was told of is passed over");
-    assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "a number stays");
+    assert_eq!(names.machines(&read).count(), 4_000, "an unknown number was not skipped");
+    assert_eq!(numbers.assign(&machines[7]), numbers.get(&machines[7]), "the number of a machine changed");
     assert!(matches!(machine_numbers::decode(&[0; 3]), Err(BitmapError::Malformed(_))));
     assert_eq!(machine_numbers::decode(&vec![0; 17 * 1024]), Err(BitmapError::TooLarge));
     let many = bitmap::encode(&(0..20_000).collect());
     assert_eq!(machine_numbers::decode(&many), Err(BitmapError::TooLarge));
 }
 
-/// `a + lease (1 + d) + e <= v + cancel (1 - d)` for the holder's own sight of both.
+/// Checks `a + lease (1 + d) + e <= v + cancel (1 - d)` for the holder's own reads of jobs and records.
+/// See `ReadTimes::may_renew_leases`.
 #[test]
-fn leases_end_before_an_unseen_cancellation_is_due() {
+fn leases_end_before_an_unread_cancellation_is_due() {
     let (lease, cancel) = (secs(11), secs(36));
-    let both = |jobs, records| ReadTimes { jobs: Some(secs(jobs)), records: Some(secs(records)) };
-    assert!(both(100, 100).may_renew_leases(secs(122), lease, cancel));
-    assert!(!both(100, 100).may_renew_leases(secs(123), lease, cancel));
-    assert!(!both(100, 110).may_renew_leases(secs(123), lease, cancel), "the older of the two counts");
-    assert!(!both(110, 100).may_renew_leases(secs(123), lease, cancel));
+    let read_at = |jobs, records| ReadTimes { jobs: Some(secs(jobs)), records: Some(secs(records)) };
+    assert!(read_at(100, 100).may_renew_leases(secs(122), lease, cancel));
+    assert!(!read_at(100, 100).may_renew_leases(secs(123), lease, cancel));
+    assert!(
+        !read_at(100, 110).may_renew_leases(secs(123), lease, cancel),
+        "renewed despite an outdated read of the jobs"
+    );
+    assert!(!read_at(110, 100).may_renew_leases(secs(123), lease, cancel));
     assert!(
         !ReadTimes { jobs: Some(secs(1)), records: None }.may_renew_leases(secs(1), lease, cancel),
-        "none at all"
+        "renewed without a read of the records"
     );
-    assert!(both(100, 0).may_relay_starts(secs(102)) && !both(100, 0).may_relay_starts(secs(103)));
+    assert!(read_at(100, 0).may_relay_starts(secs(102)) && !read_at(100, 0).may_relay_starts(secs(103)));
     let latest = secs(123) + lease.mul_f64(1.0005) + Duration::from_millis(100);
-    assert!(latest <= secs(100) + cancel.mul_f64(0.9995), "the bound itself");
+    assert!(latest <= secs(100) + cancel.mul_f64(0.9995), "the bound does not hold at the latest renewal");
 }
 
 #[test]
-fn load_is_even_and_close_and_moves_do_not_come_back() {
+fn load_is_balanced_by_zone_and_moves_do_not_continue() {
     let candidate =
         |host: &str, zone: &str, capacity| Candidate { host: host.into(), zone: zone.into(), capacity };
     let candidates = [candidate("a", "x", 0.3), candidate("b", "x", 1.0), candidate("c", "y", 1.0)];
-    let mut holdings = ShardLoads::new();
+    let mut loads = ShardLoads::new();
     for (zone, index) in [("x", 0), ("x", 1), ("y", 0), ("y", 1)] {
-        holdings.insert(ShardId { zone: zone.into(), index }, ShardLoad { machines: 40, holder: None });
+        loads.insert(ShardId { zone: zone.into(), index }, ShardLoad { machines: 40, holder: None });
     }
-    for shard in holdings.keys().cloned().collect::<Vec<_>>() {
-        let chosen = choose_holder(&shard, &candidates, &holdings).unwrap().host.clone();
+    for shard in loads.keys().cloned().collect::<Vec<_>>() {
+        let chosen = choose_holder(&shard, &candidates, &loads).unwrap().host.clone();
         assert_eq!(chosen, if shard.zone == "x" { "b" } else { "c" }, "{shard}");
-        holdings.get_mut(&shard).unwrap().holder = Some(chosen);
+        loads.get_mut(&shard).unwrap().holder = Some(chosen);
     }
-    assert_eq!(find_rebalance(&candidates, &holdings, 0.25), None, "even already");
-    for holding in holdings.values_mut() {
-        holding.holder = Some("c".into());
+    assert_eq!(find_rebalance(&candidates, &loads, 0.25), None, "a balanced distribution was changed");
+    for load in loads.values_mut() {
+        load.holder = Some("c".into());
     }
     let mut moves = 0;
-    while let Some(best) = find_rebalance(&candidates, &holdings, 0.25) {
-        holdings.get_mut(&best.shard).unwrap().holder = Some(best.to);
+    while let Some(best) = find_rebalance(&candidates, &loads, 0.25) {
+        loads.get_mut(&best.shard).unwrap().holder = Some(best.to);
         moves += 1;
-        assert!(moves <= 3, "moves without end: {holdings:?}");
+        assert!(moves <= 3, "the moves do not end: {loads:?}");
     }
     assert!(moves >= 1);
-    assert_eq!(choose_holder(&ShardId::of("x", "m", 1), &[], &holdings), None);
+    assert_eq!(choose_holder(&ShardId::of("x", "m", 1), &[], &loads), None);
 }
