--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -191,9 +191,8 @@
         self.in_flight = None;
     }
 
-    /// Handles an unknown outcome or a conflict of the write in flight. The write may have been
-    /// carried out, may still be, or met other revisions, so its pages must be read before they are
-    /// written again.
+    /// Handles an unknown outcome or a conflict of the write in flight. The revisions of its pages are
+    /// not known any more and must be read before the pages are written again.
     pub fn write_uncertain(&mut self) {
         for PendingPage { id, .. } in self.in_flight.take().unwrap_or_default() {
             if let Some(page) = self.pages.get_mut(&id) {
--- a/crates/plankhead-sharding/src/machine_numbers.rs
+++ b/crates/plankhead-sharding/src/machine_numbers.rs
@@ -46,7 +46,8 @@
 pub struct NumberedMachines(HashMap<u32, Arc<str>>);
 
 impl NumberedMachines {
-    /// Inserts a machine with the number that the holder has assigned to it.
+    /// Inserts a machine with the number that the holder has assigned to it. Further numbers are
+    /// ignored once [`MAX_MACHINES`] are known.
     pub fn insert(&mut self, number: u32, machine: Arc<str>) {
         if self.0.len() < MAX_MACHINES || self.0.contains_key(&number) {
             self.0.insert(number, machine);
--- a/crates/plankhead-sharding/src/registry/mod.rs
+++ b/crates/plankhead-sharding/src/registry/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns this leader's token or the highest revision of the records that it wrote, whichever is
-    /// higher. No known epoch is above it.
+    /// higher. No known epoch of this term is above it.
     pub fn highest_epoch(&self) -> u64 {
         let current = self.shards.values().filter(|tracked| tracked.term == self.term);
         current.map(|tracked| tracked.revision).fold(self.term, u64::max)
--- a/crates/plankhead-sharding/tests/histories.rs
+++ b/crates/plankhead-sharding/tests/histories.rs
@@ -24,7 +24,8 @@
     Elect(usize),
     /// A node that considers itself the leader plans its next writes.
     Plan(usize),
-    /// The state service carries out or refuses an in-flight write.
+    /// The state service carries out or refuses an in-flight write. The reply is lost unless
+    /// `answered`.
     Deliver { which: usize, answered: bool },
     /// The sender of an in-flight write stops waiting for the reply. The write stays in flight.
     TimeOut(usize),
@@ -97,12 +98,12 @@
     boots: [u64; 3],
     in_flight: Vec<InFlightWrite>,
     /// The node and boot id that first acted under each epoch.
-    acted: BTreeMap<(ShardId, u64), (String, u64)>,
-    acts: ActRule,
+    first_actors: BTreeMap<(ShardId, u64), (String, u64)>,
+    act_rule: ActRule,
 }
 
 impl Model {
-    fn new(acts: ActRule) -> Self {
+    fn new(act_rule: ActRule) -> Self {
         Self {
             now: Duration::from_secs(1_000),
             revision: 10,
@@ -114,8 +115,8 @@
             is_up: [true; 3],
             boots: [1, 2, 3],
             in_flight: Vec::new(),
-            acted: BTreeMap::new(),
-            acts,
+            first_actors: BTreeMap::new(),
+            act_rule,
         }
     }
 
@@ -224,9 +225,9 @@
     /// Lets every node act on the records that it has read last, however old they are.
     fn act(&mut self) -> Result<(), TestCaseError> {
         for ((host, boot), table) in HOSTS.iter().zip(self.boots).zip(&self.tables) {
-            for (shard, known) in table.iter().filter(|(_, known)| (self.acts)(known, host, boot)) {
+            for (shard, known) in table.iter().filter(|(_, known)| (self.act_rule)(known, host, boot)) {
                 let (key, actor) = ((shard.clone(), known.epoch()), ((*host).to_owned(), boot));
-                let first = self.acted.entry(key.clone()).or_insert_with(|| actor.clone());
+                let first = self.first_actors.entry(key.clone()).or_insert_with(|| actor.clone());
                 prop_assert_eq!(&*first, &actor, "two processes acted under {:?}", key);
             }
         }
@@ -279,11 +280,11 @@
     }
 }
 
-fn run_histories(acts: ActRule, cases: u32) -> Result<(), String> {
+fn run_histories(act_rule: ActRule, cases: u32) -> Result<(), String> {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, fixed_rng());
     let run = |steps: Vec<Step>| {
-        let mut model = Model::new(acts);
+        let mut model = Model::new(act_rule);
         steps.into_iter().try_for_each(|step| model.step(step))?;
         model.converge()
     };
