--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{
     CommandReply, EffectKind, ExpectedEffect, Heartbeat, MachineName, TaskId, TaskStatus, WorkerCommand,
 };
-use plankhead_sharding::freshness::Freshness;
+use plankhead_sharding::read_times::ReadTimes;
 use plankhead_sharding::shard::ShardId;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -43,11 +43,11 @@
         evidence: HolderEvidence,
         effects: &mut EffectSink,
     ) {
-        let freshness = self.freshness(evidence);
+        let read_times = self.read_times(evidence);
         let Some(epoch) = self.shard_of.get(name).and_then(|shard| self.epoch(shard, now)) else { return };
         let Some(machine) = self.fleet.machines.get(name) else { return };
         let Some(incarnation) = machine.incarnation().filter(|_| machine.takes_commands()) else { return };
-        let commands: Vec<WorkerCommand> = self.unsent_commands(machine, freshness, now);
+        let commands: Vec<WorkerCommand> = self.unsent_commands(machine, read_times, now);
         if commands.is_empty() {
             return;
         }
@@ -69,8 +69,8 @@
     /// Returns the starts and kills to be sent directly to the worker that have not been sent directly
     /// yet. Starts are left to the answers to heartbeats if the process is short of CPU time or if a
     /// kill of the same attempt is pending.
-    fn unsent_commands(&self, machine: &Machine, freshness: Freshness, now: Duration) -> Vec<WorkerCommand> {
-        let commands = self.commands_for(&machine.name, freshness, now);
+    fn unsent_commands(&self, machine: &Machine, read_times: ReadTimes, now: Duration) -> Vec<WorkerCommand> {
+        let commands = self.commands_for(&machine.name, read_times, now);
         let sent = self.commands.get(&machine.name).map(|entry| &entry.sent);
         let effects: Vec<ExpectedEffect> =
             commands.iter().filter_map(WorkerCommand::expected_effect).collect();
@@ -93,7 +93,7 @@
     pub(super) fn commands_for(
         &self,
         name: &MachineName,
-        freshness: Freshness,
+        read_times: ReadTimes,
         now: Duration,
     ) -> Vec<WorkerCommand> {
         let Some(machine) = self.fleet.machines.get(name) else { return Vec::new() };
@@ -101,7 +101,7 @@
         let entry = self.commands.get(name).filter(|entry| entry.incarnation == heartbeat.incarnation);
         let is_due = |command: &&WorkerCommand| match command {
             WorkerCommand::Run { task, attempt } => {
-                freshness.may_start(now)
+                read_times.may_relay_starts(now)
                     && !self.jobs.is_cancelled(&task.job)
                     && !machine.lists_attempt(task, *attempt)
             }
--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -58,7 +58,7 @@
         proof: Option<IssueProof>,
         effects: &mut EffectSink,
     ) {
-        match self.intents.gate.pass(action, proof) {
+        match self.intents.gate.permit(action, proof) {
             Ok(permitted) => self.send_action(key, permitted, effects),
             Err(refusal) => {
                 effects.log(LogLevel::Error, format!("fencing gate refused: intent={key} reason={refusal}"))
@@ -126,7 +126,7 @@
             }
             let is_due = force == ReturnForce::CancellationDue;
             let allowed = (is_due || evidence.no_peer_leads) && self.is_cloud_reachable(now);
-            if allowed && self.intents.log.force_issue(&key) {
+            if allowed && self.intents.log.allow_unrecorded_issue(&key) {
                 effects.log(
                     LogLevel::Info,
                     format!("intent issued unrecorded: intent={key} reason=state_service_fails"),
@@ -135,7 +135,7 @@
                 self.intents.ready.push_back(key);
             }
         }
-        self.intents.log.forget_failures();
+        self.intents.log.clear_recording_failures();
     }
 
     /// Makes failed and adopted returns ready to be sent again, once they are due and within the request
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -80,7 +80,7 @@
         };
         Self {
             settings: fencing,
-            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::open(token) },
+            gate: if fencing.enabled { FencingGate::fenced(token) } else { FencingGate::unfenced(token) },
             log: IntentLog::new(token, limits),
             ready: VecDeque::new(),
             return_retries: Vec::new(),
@@ -110,7 +110,7 @@
         reason: ReturnReason,
     ) -> InstanceReturn {
         if self.is_fenced() {
-            return self.log.machines_per_return(machines, reason);
+            return self.log.return_within_limits(machines, reason);
         }
         InstanceReturn { machines: machines.iter().take(MAX_RETURN_MACHINES).cloned().collect(), reason }
     }
--- a/crates/plankhead-core/tests/world/shards.rs
+++ b/crates/plankhead-core/tests/world/shards.rs
@@ -106,7 +106,7 @@
     pub fn holders(&self) -> BTreeMap<String, (usize, u64)> {
         let rows = self.kv.rows("shard/");
         let holder = |(key, value, revision): (String, String, u64)| {
-            let record = plankhead_sharding::record::ShardRecord::read(&value).unwrap();
+            let record = plankhead_sharding::record::ShardRecord::decode(&value).unwrap();
             (key, (node_index(&record.holder), record.epoch(revision)))
         };
         rows.into_iter().map(holder).collect()
@@ -173,7 +173,7 @@
 
     /// Handles a stored shard record, which only the holder of the leader's lease may write.
     pub(super) fn shard_record_written(&mut self, key: &str, value: &str) {
-        let record = plankhead_sharding::record::ShardRecord::read(value).unwrap();
+        let record = plankhead_sharding::record::ShardRecord::decode(value).unwrap();
         assert_eq!(self.kv.mod_revision("lead"), Some(record.term), "{key} was written without the lease");
         if let Some(moving) = &record.moving {
             self.latest_move = Some((node_index(&record.holder), node_index(&moving.to)));
--- a/crates/plankhead-sharding/src/registry/naming.rs
+++ b/crates/plankhead-sharding/src/registry/naming.rs
@@ -1,4 +1,5 @@
-//! Naming the holders of shards that lack one, or whose holder is gone.
+//! Naming of holders for shards that have none, whose holder is gone or restarted, whose move is to
+//! be completed, or whose record is from a former term.
 
 use super::record_write::{NamingReason, RecordWrite};
 use super::tracked_shard::TrackedShard;
@@ -10,26 +11,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the naming of holders in one step depends on.
-pub(super) struct HolderNaming<'a> {
+/// Plans the naming of holders in one step.
+pub(super) struct NamingPlanner<'a> {
     pub registry: &'a ShardRegistry,
     pub input: &'a RegistryInput,
-    /// The other nodes had the time to be heard since this leader's start.
+    /// Whether the other nodes have had enough time to send a message to this leader, see
+    /// [`SETTLE_TIMEOUT`](super::SETTLE_TIMEOUT).
     pub settled: bool,
     pub now: Duration,
 }
 
-impl HolderNaming<'_> {
-    /// The writes that are due whatever the balance, at most so many. The loads follow what is
-    /// written.
+impl NamingPlanner<'_> {
+    /// Returns the writes that are due regardless of the balance, at most `max_writes`, and updates
+    /// `loads` with the holders that they name.
     pub fn due_writes(
         &self,
-        declared: &BTreeSet<ShardId>,
+        configured: &BTreeSet<ShardId>,
         loads: &mut ShardLoads,
         max_writes: usize,
     ) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
-        for shard in declared {
+        for shard in configured {
             if writes.len() >= max_writes {
                 break;
             }
@@ -49,7 +51,10 @@
             return None;
         }
         let Some(holder) = tracked.state.holder() else {
-            return self.settled.then(|| self.name_best(shard, loads, NamingReason::First)).flatten();
+            return self
+                .settled
+                .then(|| self.name_best_candidate(shard, loads, NamingReason::First))
+                .flatten();
         };
         if tracked.term != self.registry.term {
             return self.take_over(shard, tracked, holder, loads);
@@ -58,14 +63,15 @@
             return self.complete_move(shard, tracked, (holder, next), loads);
         }
         match self.input.live_nodes.get(holder) {
-            None => self.name_best(shard, loads, NamingReason::Silent),
-            Some(boot) if *boot != tracked.boot => self.name(shard, holder, NamingReason::Restarted),
+            None => self.name_best_candidate(shard, loads, NamingReason::Silent),
+            Some(boot) if *boot != tracked.boot => self.name_holder(shard, holder, NamingReason::Restarted),
             Some(_) => None,
         }
     }
 
-    /// A shard of a former leader's term: its next holder, or else its holder, is named anew if
-    /// it is alive.
+    /// Returns the write for a shard whose record is from a former leader's term. It names the next
+    /// holder of an unfinished move or else the present holder, if alive, and another candidate only
+    /// after [`SETTLE_TIMEOUT`](super::SETTLE_TIMEOUT).
     fn take_over(
         &self,
         shard: &ShardId,
@@ -75,16 +81,17 @@
     ) -> Option<RecordWrite> {
         let is_live = |host: &&str| self.input.live_nodes.contains_key(*host);
         if let Some(next) = tracked.state.next_holder().filter(is_live) {
-            return self.name(shard, next, NamingReason::Finished);
+            return self.name_holder(shard, next, NamingReason::Finished);
         }
         if is_live(&holder) {
-            return self.name(shard, holder, NamingReason::Renewed);
+            return self.name_holder(shard, holder, NamingReason::Renewed);
         }
-        self.settled.then(|| self.name_best(shard, loads, NamingReason::Silent)).flatten()
+        self.settled.then(|| self.name_best_candidate(shard, loads, NamingReason::Silent)).flatten()
     }
 
-    /// A shard that moves: the next holder is named once the present one has released the
-    /// shard, or did not in time.
+    /// Returns the write that ends a move. It names the next holder once the present one has released
+    /// the shard, is gone or has exceeded the release timeout. If the next holder may not take shards
+    /// any more, the present one keeps the shard or, if it is gone, another candidate gets it.
     fn complete_move(
         &self,
         shard: &ShardId,
@@ -93,33 +100,40 @@
         loads: &ShardLoads,
     ) -> Option<RecordWrite> {
         let is_released = matches!(tracked.state, ShardState::Released { .. });
-        let is_late = self.now.saturating_sub(tracked.since) >= self.registry.settings.release_timeout;
+        let is_overdue = self.now.saturating_sub(tracked.since) >= self.registry.settings.release_timeout;
         let is_gone = self.input.live_nodes.get(holder) != Some(&tracked.boot);
         if !self.input.may_take_shards(next) {
             return match is_gone {
-                false => self.name(shard, holder, NamingReason::Undone),
-                true => self.name_best(shard, loads, NamingReason::Silent),
+                false => self.name_holder(shard, holder, NamingReason::Undone),
+                true => self.name_best_candidate(shard, loads, NamingReason::Silent),
             };
         }
         if is_released {
-            return self.name(shard, next, NamingReason::Released);
+            return self.name_holder(shard, next, NamingReason::Released);
         }
-        (is_late || is_gone).then(|| self.name(shard, next, NamingReason::ReleaseTimedOut)).flatten()
+        (is_overdue || is_gone)
+            .then(|| self.name_holder(shard, next, NamingReason::ReleaseTimedOut))
+            .flatten()
     }
 
-    /// Names the candidate that should take the shard.
-    fn name_best(&self, shard: &ShardId, loads: &ShardLoads, reason: NamingReason) -> Option<RecordWrite> {
-        let best = balance::choose(shard, &self.input.candidates, loads)?;
-        self.name(shard, &best.host, reason)
+    /// Names the candidate on which the shard costs least.
+    fn name_best_candidate(
+        &self,
+        shard: &ShardId,
+        loads: &ShardLoads,
+        reason: NamingReason,
+    ) -> Option<RecordWrite> {
+        let best = balance::choose_holder(shard, &self.input.candidates, loads)?;
+        self.name_holder(shard, &best.host, reason)
     }
 
-    /// Names a holder that is alive.
-    pub fn name(&self, shard: &ShardId, holder: &str, reason: NamingReason) -> Option<RecordWrite> {
+    /// Returns the write that names `holder`, if that node is alive.
+    pub fn name_holder(&self, shard: &ShardId, holder: &str, reason: NamingReason) -> Option<RecordWrite> {
         let boot = *self.input.live_nodes.get(holder)?;
         let registry = self.registry;
         let record = ShardRecord::held(holder, boot, registry.term, registry.settings.shards_per_zone);
         let vacant = TrackedShard::default();
         let tracked = registry.shards.get(shard).unwrap_or(&vacant);
-        Some(tracked.write(shard, Some(record), reason))
+        Some(tracked.record_write(shard, Some(record), reason))
     }
 }
