--- a/crates/plankhead-fencing/tests/intents.rs
+++ b/crates/plankhead-fencing/tests/intents.rs
@@ -296,7 +296,7 @@
     assert_eq!(guard.admit(51), Ok(()));
 }
 
-/// A model of the state service: pages with their revisions.
+/// A model of the state service, which holds pages with their revisions.
 #[derive(Default)]
 struct Store {
     pages: BTreeMap<String, (String, u64)>,
@@ -309,7 +309,7 @@
     }
 
     fn apply(&mut self, writes: &[IntentPageWrite]) -> WriteOutcome {
-        if writes.iter().any(|change| self.revision_of(&change.page) != change.expected) {
+        if writes.iter().any(|write| self.revision_of(&write.page) != write.expected) {
             return WriteOutcome::Conflict;
         }
         self.revision += 1;
