--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -24,7 +24,7 @@
     /// of them renewed the leases for some more seconds, a few failovers in a row would keep a
     /// cancelled task running for longer than `cancel_s`.
     pub(super) fn may_renew_leases(&self, now: Duration) -> bool {
-        self.loading.is_ready() && self.permits(Action::KeepLeases, now)
+        self.loading.is_ready() && self.permits(Action::RenewLeases, now)
     }
 
     /// Returns whether starts may be sent, which requires that no cancellation is likely to have
@@ -48,7 +48,7 @@
         if !path.relayed {
             self.evidence.record_direct_heartbeat();
         }
-        if !self.permits(Action::AnswerReports, now) {
+        if !self.permits(Action::ProcessHeartbeats, now) {
             return Response::Unavailable { retry_after: Duration::from_secs(1) };
         }
         if !self.may_renew_leases(now) || self.fleet.is_removed(&heartbeat.machine) {
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -91,7 +91,7 @@
         let receives_heartbeats = self.receives_heartbeats(now);
         // If no node receives heartbeats, the links of this node are not at fault.
         let silence_counts = receives_heartbeats || self.evidence.mode() == Mode::StateOnly;
-        if evidence.lease_valid && silence_counts && self.permits(Action::JudgeSilent, now) {
+        if evidence.lease_valid && silence_counts && self.permits(Action::RemoveSilent, now) {
             if self.evidence.mark_silence_reliable() {
                 self.fleet.reset_silence(now);
             }
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -30,7 +30,7 @@
         match precondition {
             Precondition::JobsSynced => unsynced_for < JOBS_STALE_AFTER,
             // Leases must expire before the deadline of a cancellation that was not seen.
-            Precondition::CancellationUnseen => {
+            Precondition::LeasesExpireInTime => {
                 let settings = &self.settings;
                 unsynced_for < settings.cancel_within.saturating_sub(settings.worker_lease + CLOCK_MARGIN)
             }
--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -32,7 +32,7 @@
                 self.coverage_table.receive(coverage, now, numbering, known_leader).map(|_| ())
             }
             Err(error) => {
-                self.coverage_table.count_refused();
+                self.coverage_table.count_rejected();
                 Err(error)
             }
         };
@@ -119,7 +119,7 @@
             reporting: coverage.reporting.len(),
         };
         let candidates: Vec<Candidate> = self.coverage_table.fresh(now).map(candidate).collect();
-        let successor = self.handover.decide(&own, &candidates, facts.leading_since, now)?;
+        let successor = self.handover.choose_successor(&own, &candidates, facts.leading_since, now)?;
         self.send_coverage(Some(facts), Some(successor.clone()), now, effects);
         Some(successor)
     }
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -31,7 +31,7 @@
             // A watch waits for changes, and an overdue reply to commands may be the fault of a machine
             // that hangs: neither shows that a link is slow.
             if !matches!(link, LinkId::KvWatch | LinkId::Commands) {
-                self.monitor.sent(link, call, now);
+                self.monitor.call_sent(link, call, now);
             }
         }
     }
@@ -40,11 +40,11 @@
     pub fn record_kv_reply(&mut self, call: CallId, reply: &Result<KvReply, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
-            Ok(_) | Err(CallError::TooLarge) => self.monitor.answered(link, call, now),
+            Ok(_) | Err(CallError::TooLarge) => self.monitor.call_answered(link, call, now),
             // The service was reached, but refused the call because of its rate limit: this counts neither
             // as an answer nor as a failure.
-            Err(CallError::RateLimited) => self.monitor.dropped(link, call),
-            Err(CallError::Refused | CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
+            Err(CallError::RateLimited) => self.monitor.call_dropped(link, call),
+            Err(CallError::Refused | CallError::OutcomeUnknown) => self.monitor.call_failed(link, call, now),
         }
     }
 
@@ -52,8 +52,8 @@
     pub fn record_cloud_reply<T>(&mut self, call: CallId, reply: &Result<T, CallError>, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
-            Err(CallError::OutcomeUnknown) => self.monitor.unanswered(link, call, now),
-            _ => self.monitor.answered(link, call, now),
+            Err(CallError::OutcomeUnknown) => self.monitor.call_failed(link, call, now),
+            _ => self.monitor.call_answered(link, call, now),
         }
     }
 
@@ -61,14 +61,14 @@
     pub fn record_command_reply(&mut self, call: CallId, reply: &CommandReply, now: Duration) {
         let Some(link) = self.link_by_call.remove(&call) else { return };
         match reply {
-            CommandReply::Answered(_) => self.monitor.confirmed(link, now),
-            CommandReply::NotSent | CommandReply::Unanswered => self.monitor.failed(link, now),
+            CommandReply::Answered(_) => self.monitor.record_confirmation(link, now),
+            CommandReply::NotSent | CommandReply::Unanswered => self.monitor.record_failure(link, now),
         }
     }
 
     /// Records a worker's heartbeat. `relayed` says whether a peer has passed it on.
     pub fn heartbeat_arrived(&mut self, machine: &MachineName, relayed: bool, now: Duration) {
-        self.monitor.report_arrived(now);
+        self.monitor.heartbeat_arrived(now);
         if relayed {
             return;
         }
@@ -84,8 +84,8 @@
     /// shows that the worker has received the reply.
     pub fn answer_confirmed(&mut self, confirmed: bool, now: Duration) {
         match confirmed {
-            true => self.monitor.confirmed(LinkId::HeartbeatReplies, now),
-            false => self.monitor.failed(LinkId::HeartbeatReplies, now),
+            true => self.monitor.record_confirmation(LinkId::HeartbeatReplies, now),
+            false => self.monitor.record_failure(LinkId::HeartbeatReplies, now),
         }
     }
 
@@ -104,8 +104,8 @@
     pub fn peer_delivery(&mut self, host: &str, confirmed: bool, now: Duration) {
         let Some(peer) = self.peer_index(host) else { return };
         match confirmed {
-            true => self.monitor.confirmed(LinkId::PeerOut(peer), now),
-            false => self.monitor.failed(LinkId::PeerOut(peer), now),
+            true => self.monitor.record_confirmation(LinkId::PeerOut(peer), now),
+            false => self.monitor.record_failure(LinkId::PeerOut(peer), now),
         }
     }
 
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -120,7 +120,7 @@
     /// answer, so it is sufficient that no link to the service is down at the moment, even if flap
     /// damping still treats the service as not reached.
     pub fn user_permissions(&self) -> UserPermissions {
-        let mode = match (self.monitor.mode(), self.monitor.state_good()) {
+        let mode = match (self.monitor.mode(), self.monitor.state_links_work()) {
             (Mode::WorkersOnly, true) => Mode::Whole,
             (Mode::Isolated, true) => Mode::StateOnly,
             (mode, _) => mode,
@@ -146,7 +146,7 @@
 
     /// Whether the links are due to be evaluated.
     pub fn is_due(&self, now: Duration) -> bool {
-        self.monitor.due(now)
+        self.monitor.is_due(now)
     }
 
     /// Returns when this node's coverage is next due to be sent.
--- a/crates/plankhead-core/src/reachability/numbering.rs
+++ b/crates/plankhead-core/src/reachability/numbering.rs
@@ -92,7 +92,7 @@
     }
 
     fn apply_page(&mut self, row: &KeyValue, effects: &mut EffectSink) {
-        if let Err(error) = self.numbering.read(&row.key, &row.value, row.mod_revision) {
+        if let Err(error) = self.numbering.apply_page(&row.key, &row.value, row.mod_revision) {
             effects.log(LogLevel::Debug, format!("numbering page ignored: reason=\"{error}\""));
         }
     }
--- a/crates/plankhead-core/src/reachability/probes.rs
+++ b/crates/plankhead-core/src/reachability/probes.rs
@@ -18,10 +18,10 @@
 /// Probes the links for reads and writes that need it.
 pub(super) fn send_probes(monitor: &Monitor, now: Duration, effects: &mut EffectSink) {
     let probe = CallPurpose::Reachability(ReachabilityCall::Probe);
-    if monitor.wants_probe(LinkId::KvReads, now) {
+    if monitor.needs_probe(LinkId::KvReads, now) {
         effects.call_kv(probe.clone(), KvRequest::Get { key: election::KEY.into() });
     }
-    if monitor.wants_probe(LinkId::KvWrites, now) {
+    if monitor.needs_probe(LinkId::KvWrites, now) {
         let conditions = vec![Condition { key: election::KEY.into(), mod_revision: IMPOSSIBLE_REVISION }];
         let changes = vec![KvChange::Delete { key: election::KEY.into() }];
         effects.call_kv(probe, KvRequest::Txn { conditions, changes });
--- a/crates/plankhead-core/src/reachability/view.rs
+++ b/crates/plankhead-core/src/reachability/view.rs
@@ -20,13 +20,13 @@
             "enabled": self.is_enabled(),
             "mode": self.mode(),
             "sinceS": age_s(self.monitor.mode_since(), now),
-            "changes": self.monitor.changes(),
-            "freezes": self.monitor.freezes(),
-            "handovers": self.handover.recent(),
+            "changes": self.monitor.mode_changes(),
+            "freezes": self.monitor.pauses(),
+            "handovers": self.handover.recent_handovers(),
             "links": links,
             "heard": self.reporting_machines.len(),
             "numbered": self.numbering.current().len(),
-            "refusedCoverage": self.coverage_table.refused(),
+            "refusedCoverage": self.coverage_table.rejected_count(),
             "peers": peers,
         })
     }
@@ -43,7 +43,7 @@
             "sinceS": age_s(view.since, now),
             "confirmed": view.counts.confirmed,
             "failed": view.counts.failed,
-            "highRoundTripS": view.high_round_trip.map(|time| time.as_secs_f64()),
+            "highRoundTripS": view.p99_round_trip.map(|time| time.as_secs_f64()),
         })
     }
 }
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -396,7 +396,7 @@
         })
     };
     let standard = PermissionTable::standard();
-    let keeps = |mode| standard.clone().with(mode, Action::KeepLeases, Permission::Allowed);
+    let keeps = |mode| standard.clone().with(mode, Action::RenewLeases, Permission::Allowed);
     assert!((0..4).all(|seed| play_gap(&standard, seed).is_ok()), "the standard table");
     let broken = keeps(Mode::WorkersOnly);
     let caught = (0..4).filter(|seed| play_gap(&broken, *seed).is_err()).count();
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -127,7 +127,7 @@
     for row in rows(numbering::PREFIX) {
         let page: StoredPage = serde_json::from_str(&row.value).unwrap();
         let mut numbering = MachineNumbering::default();
-        numbering.read(&row.key, &row.value, row.revision).unwrap();
+        numbering.apply_page(&row.key, &row.value, row.revision).unwrap();
         for (number, name) in (0..).zip(page.names) {
             assert_eq!(numbering.name(number).map(|name| name.to_string()), name);
         }
--- a/crates/plankhead-reachability/src/bitmap.rs
+++ b/crates/plankhead-reachability/src/bitmap.rs
@@ -1,16 +1,16 @@
-//! Sets of machine numbers as bytes: Roaring bitmaps in their portable format.
+//! Encodes sets of machine numbers as Roaring bitmaps in the portable format.
 
 use roaring::RoaringBitmap;
 use thiserror::Error;
 
-/// Why bytes are no bitmap.
+/// The reason why a bitmap was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BitmapError {
-    /// There are more bytes, or more or higher numbers, than the reader accepts.
-    #[error("a bitmap that is too large")]
+    /// The encoding has too many bytes, or the set has too many or too high numbers for its use.
+    #[error("the bitmap is too large")]
     TooLarge,
-    /// The bytes don't decode.
-    #[error("not a bitmap: {0}")]
+    /// The bytes can't be decoded.
+    #[error("malformed bitmap: {0}")]
     Malformed(String),
 }
 
@@ -24,7 +24,7 @@
     bytes
 }
 
-/// Decodes a set of numbers from at most `max_bytes`.
+/// Decodes a set of numbers. More than `max_bytes` bytes are rejected.
 pub fn decode(bytes: &[u8], max_bytes: usize) -> Result<RoaringBitmap, BitmapError> {
     if bytes.len() > max_bytes {
         return Err(BitmapError::TooLarge);
--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -1,7 +1,8 @@
-//! Coverage: which machines each node hears and reaches, as the nodes tell each other.
+//! Coverage: the machines whose heartbeats each node receives and those that it reaches. The nodes
+//! exchange their coverage.
 //!
-//! It is a hint, by which the leader is chosen and a worker's silence is told from a failure of
-//! the node's own links. It is never evidence that an attempt is over.
+//! Coverage is a hint. It helps to choose the leader, and to distinguish a failed worker from a failure
+//! of the node's own links. It is never evidence that an attempt is over.
 
 use crate::bitmap::{self, BitmapError};
 use crate::mode::Mode;
@@ -11,15 +12,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Coverage that was received this long ago is ignored.
+/// The age from which received coverage is ignored.
 pub const COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// The most bytes of one bitmap: four thousand machines take a few hundred to eight thousand.
+/// The maximum size of an encoded bitmap. The bitmaps of 4000 machines take from a few hundred to 8000
+/// bytes.
 pub const MAX_BITMAP_BYTES: usize = 64 * 1024;
-/// The longest name of a node, in bytes.
+/// The maximum length of a node's name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// The most peers that a message names.
+/// The maximum number of peers in a message.
 const MAX_PEERS: usize = 64;
-/// How many former starts of a peer are remembered.
+/// The maximum number of former starts of a peer that are remembered.
 const MAX_FORMER_BOOTS: usize = 8;
 
 /// The message that a node sends to its peers.
@@ -27,65 +29,66 @@
 pub struct Coverage {
     /// The sender's name.
     pub host: String,
-    /// The id of the start of the sender's process.
+    /// An id of the start of the sender's process.
     pub boot: u64,
-    /// Increases with every message of one start.
+    /// The number of the message, which increases with every message of one start.
     pub sequence: u64,
-    /// The fencing token under which the sender leads, or 0.
+    /// The fencing token under which the sender leads, or 0 if it does not lead.
     pub token: u64,
     /// The sender's reachability mode.
     pub mode: Mode,
-    /// The revision of the numbering that the bitmaps refer to.
+    /// The revision of the machine numbering to which the bitmaps refer.
     pub numbering: u64,
-    /// Machines whose heartbeats reach the sender directly.
+    /// The machines whose heartbeats reach the sender directly, not through a peer.
     pub reporting: RoaringBitmap,
-    /// Machines that confirmed a reply or a command of the sender.
+    /// If the sender leads, the machines that are confirmed, have sent a heartbeat recently and were sent
+    /// a reply.
     pub reached: RoaringBitmap,
-    /// How many machines the sender hears or should hear.
+    /// The number of machines that should send heartbeats to the sender if it leads; otherwise 0.
     pub expected: u32,
-    /// Peers whose heartbeats reach the sender.
+    /// The peers whose heartbeats reach the sender.
     pub peers: Vec<String>,
-    /// The node to which the sender hands over its lease.
+    /// The node to which the sender hands over its lease, if it does.
     pub successor: Option<String>,
 }
 
-/// Why a message was refused. A refused message changes nothing.
+/// The reason why a message was rejected. A rejected message changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CoverageError {
-    /// A bitmap or the message is too large.
-    #[error("it is larger than {MAX_BITMAP_BYTES} bytes a bitmap")]
+    /// The message or one of its bitmaps is too large.
+    #[error("message too large: a bitmap may have {MAX_BITMAP_BYTES} bytes")]
     TooLarge,
-    /// The message does not decode, or a field is out of range.
-    #[error("it is malformed: {0}")]
+    /// The message can't be decoded, or a field is out of range.
+    #[error("malformed message: {0}")]
     Malformed(String),
-    /// The sender is not in this node's configuration.
-    #[error("{0:?} is no controller of this cluster")]
+    /// The sender is not one of the peers in this node's settings.
+    #[error("{0:?} is not a controller of this cluster")]
     UnknownPeer(String),
-    /// The sender uses this node's name.
-    #[error("it claims this node's own name")]
+    /// The sender uses this node's own name.
+    #[error("the sender uses this node's own name")]
     OwnName,
-    /// A later message of the sender was received before.
-    #[error("{0} has told something later already")]
+    /// The message is not newer than one that was received before.
+    #[error("a later message of {0} was received before")]
     Outdated(String),
-    /// The sender claims to lead under another node's token.
-    #[error("{host} claims the lease under {token}, which {holder} holds")]
-    NotTheHolder {
+    /// The sender claims to lead under the token of another node.
+    #[error("{host} claims to lead under token {token}, which {holder} holds")]
+    TokenHeldByOther {
         /// The sender.
         host: String,
         /// The fencing token.
         token: u64,
-        /// The node that leads under that token.
+        /// The node that leads under this token.
         holder: String,
     },
-    /// Its numbering is later than what this node has read.
-    #[error("it is over numbers of machines that are not read yet")]
+    /// The message refers to a later numbering than this node has read.
+    #[error("the message refers to a numbering of machines that is not read yet")]
     NumberingAhead,
-    /// It has numbers that stand for no machine.
-    #[error("it names {0} machines that nobody knows")]
-    UnknownMachines(u64),
+    /// The bitmaps contain this many numbers that are not assigned to a machine.
+    #[error("the message has {0} numbers that are not assigned to a machine")]
+    UnassignedNumbers(u64),
 }
 
-/// The leader, as far as this node knows.
+/// The leader that this node knows.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownLeader<'a> {
     /// The leader's name.
@@ -94,7 +97,7 @@
     pub token: u64,
 }
 
-/// Decodes the bitmap of a message.
+/// Decodes a bitmap of a message.
 pub fn decode_bitmap(bytes: &[u8]) -> Result<RoaringBitmap, CoverageError> {
     let bitmap = bitmap::decode(bytes, MAX_BITMAP_BYTES).map_err(|error| match error {
         BitmapError::TooLarge => CoverageError::TooLarge,
@@ -115,6 +118,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     latest: Option<ReceivedCoverage>,
+    /// The boot ids of former starts, the latest last. Their messages are rejected.
     former_boots: VecDeque<u64>,
 }
 
@@ -123,27 +127,27 @@
 pub struct CoverageTable {
     own_name: String,
     peers: BTreeMap<String, Peer>,
-    refused: u64,
+    rejected: u64,
 }
 
 impl CoverageTable {
-    /// The table of the node `own_name` with these peers.
+    /// Creates the table of the node `own_name` with these peers.
     pub fn new(own_name: &str, peers: &[String]) -> Self {
         let peers = peers.iter().map(|peer| (peer.clone(), Peer::default())).collect();
-        Self { own_name: own_name.into(), peers, refused: 0 }
+        Self { own_name: own_name.into(), peers, rejected: 0 }
     }
 
-    /// How many messages were refused.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Returns the number of messages that were rejected.
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected
     }
 
-    /// Counts a message that was refused before it reached this table.
-    pub fn count_refused(&mut self) {
-        self.refused += 1;
+    /// Counts a message that was rejected before it reached this table.
+    pub fn count_rejected(&mut self) {
+        self.rejected += 1;
     }
 
-    /// Takes in a message, or refuses it as a whole.
+    /// Records a message and returns its coverage, or rejects the message.
     pub fn receive(
         &mut self,
         coverage: Coverage,
@@ -151,9 +155,9 @@
         numbering: &MachineNumbering,
         leader: Option<KnownLeader<'_>>,
     ) -> Result<&Coverage, CoverageError> {
-        if let Err(fault) = self.check(&coverage, numbering, leader) {
-            self.refused += 1;
-            return Err(fault);
+        if let Err(error) = self.check(&coverage, numbering, leader) {
+            self.rejected += 1;
+            return Err(error);
         }
         let peer = self.peers.entry(coverage.host.clone()).or_default();
         if let Some(former) = peer.latest.as_ref().filter(|latest| latest.coverage.boot != coverage.boot) {
@@ -175,11 +179,11 @@
             return Err(CoverageError::OwnName);
         }
         let Some(peer) = self.peers.get(&coverage.host) else {
-            let shown = coverage.host.chars().take(MAX_NAME_BYTES).collect();
-            return Err(CoverageError::UnknownPeer(shown));
+            let truncated = coverage.host.chars().take(MAX_NAME_BYTES).collect();
+            return Err(CoverageError::UnknownPeer(truncated));
         };
         if coverage.peers.len() > MAX_PEERS || coverage.peers.iter().any(|name| name.len() > MAX_NAME_BYTES) {
-            return Err(CoverageError::Malformed("it names too many peers".into()));
+            return Err(CoverageError::Malformed("too many peers or too long a name".into()));
         }
         let is_outdated = peer.former_boots.contains(&coverage.boot)
             || peer.latest.as_ref().is_some_and(|latest| {
@@ -191,7 +195,7 @@
         let other_leads =
             |leader: &KnownLeader<'_>| leader.token == coverage.token && leader.host != coverage.host;
         if let Some(leader) = leader.filter(other_leads) {
-            return Err(CoverageError::NotTheHolder {
+            return Err(CoverageError::TokenHeldByOther {
                 host: coverage.host.clone(),
                 token: coverage.token,
                 holder: leader.host.into(),
@@ -200,16 +204,16 @@
         if coverage.numbering > numbering.revision() {
             return Err(CoverageError::NumberingAhead);
         }
-        let named_machines = &coverage.reporting | &coverage.reached;
-        let is_unknown =
+        let numbers = &coverage.reporting | &coverage.reached;
+        let is_unassigned =
             |number: &u32| coverage.numbering == numbering.revision() && numbering.name(*number).is_none();
-        match named_machines.iter().filter(is_unknown).count() {
+        match numbers.iter().filter(is_unassigned).count() {
             0 => Ok(()),
-            count => Err(CoverageError::UnknownMachines(count as u64)),
+            count => Err(CoverageError::UnassignedNumbers(count as u64)),
         }
     }
 
-    /// The peers' coverage that is recent enough to count.
+    /// Returns the coverage of the peers from which it was received recently.
     pub fn fresh(&self, now: Duration) -> impl Iterator<Item = &Coverage> {
         let latest = self.peers.values().filter_map(|peer| peer.latest.as_ref());
         let is_fresh =
@@ -217,20 +221,20 @@
         latest.filter(is_fresh).map(|received| &received.coverage)
     }
 
-    /// Whether the coverage of every peer is recent.
+    /// Returns whether the coverage of every peer is recent.
     pub fn has_complete_coverage(&self, now: Duration) -> bool {
         self.fresh(now).count() == self.peers.len()
     }
 
-    /// Whether a peer receives the machine's heartbeats, according to its recent coverage.
+    /// Returns whether a peer receives the machine's heartbeats, according to its recent coverage.
     pub fn reports_to_a_peer(&self, name: &str, numbering: &MachineNumbering, now: Duration) -> bool {
         let Some(number) = numbering.number(name) else { return false };
         self.fresh(now).any(|coverage| {
-            coverage.reporting.contains(number) && numbering.meant(number, coverage.numbering)
+            coverage.reporting.contains(number) && numbering.was_assigned_at(number, coverage.numbering)
         })
     }
 
-    /// Whether the coverage of every peer is recent and shows that the peer receives no heartbeats.
+    /// Returns whether the coverage of every peer is recent and shows that the peer receives no heartbeats.
     pub fn no_peer_receives_heartbeats(&self, now: Duration) -> bool {
         self.has_complete_coverage(now) && self.fresh(now).all(|coverage| coverage.reporting.is_empty())
     }
--- a/crates/plankhead-reachability/src/damping.rs
+++ b/crates/plankhead-reachability/src/damping.rs
@@ -1,30 +1,38 @@
-//! Flap damping, as routers damp routes (RFC 2439): each failure adds a penalty, which decays
-//! exponentially; a side is suppressed from one limit until the penalty falls to another.
+//! Flap damping, as for routes in RFC 2439. Each failure adds a penalty, which decays exponentially. A
+//! side is suppressed from when its penalty reaches one threshold until it has decayed to a lower one.
 
 use std::time::Duration;
 
 /// The penalty of one failure.
 const FAILURE_PENALTY: f64 = 1.0;
-/// The highest penalty, which bounds how long a side stays suppressed.
+/// The maximum penalty, which limits how long a side stays suppressed.
 const MAX_PENALTY: f64 = 4.0;
 
-/// The penalty of one side.
+/// The flap penalty of one side.
 #[derive(Debug, Clone)]
 pub struct FlapDamping {
     half_life: Duration,
-    suppress: f64,
-    reuse: f64,
+    suppress_threshold: f64,
+    reuse_threshold: f64,
     penalty: f64,
-    /// As of when the penalty was computed.
+    /// The time as of which `penalty` was computed.
     as_of: Duration,
     suppressed: bool,
 }
 
 impl FlapDamping {
-    /// No penalty yet. It halves in every `half_life`; a side is suppressed once it reaches
-    /// `suppress`, until it has fallen to `reuse`.
-    pub fn new(half_life: Duration, suppress: f64, reuse: f64) -> Self {
-        Self { half_life, suppress, reuse, penalty: 0.0, as_of: Duration::ZERO, suppressed: false }
+    /// Creates a damping without a penalty. The penalty halves in every `half_life`. The side is
+    /// suppressed once the penalty reaches `suppress_threshold`, until it has decayed to
+    /// `reuse_threshold`.
+    pub fn new(half_life: Duration, suppress_threshold: f64, reuse_threshold: f64) -> Self {
+        Self {
+            half_life,
+            suppress_threshold,
+            reuse_threshold,
+            penalty: 0.0,
+            as_of: Duration::ZERO,
+            suppressed: false,
+        }
     }
 
     fn decay(&mut self, now: Duration) {
@@ -35,16 +43,16 @@
     }
 
     /// Adds the penalty of a failure.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.decay(now);
-        self.penalty = (self.penalty + FAILURE_PENALTY).min(MAX_PENALTY.max(self.suppress));
-        self.suppressed |= self.penalty >= self.suppress;
+        self.penalty = (self.penalty + FAILURE_PENALTY).min(MAX_PENALTY.max(self.suppress_threshold));
+        self.suppressed |= self.penalty >= self.suppress_threshold;
     }
 
-    /// Whether the side must not count as up yet, whatever its links show.
+    /// Returns whether the side is suppressed: it does not count as up even if its links work.
     pub fn is_suppressed(&mut self, now: Duration) -> bool {
         self.decay(now);
-        if self.penalty <= self.reuse {
+        if self.penalty <= self.reuse_threshold {
             self.suppressed = false;
         }
         self.suppressed
--- a/crates/plankhead-reachability/src/handover.rs
+++ b/crates/plankhead-reachability/src/handover.rs
@@ -1,23 +1,25 @@
-//! Whether a leader should hand over its lease, and to which node.
+//! Decides whether a leader should hand over its lease, and to which node.
 //!
-//! In a hand-over the leader gives up its lease and names a successor; the other nodes wait for
-//! a moment before they try to take the lease. The state service alone decides which node holds
-//! it, so that there are never two leaders, and if the successor is gone, any other node takes it.
+//! In a hand-over, the leader revokes its lease and names a successor. The other nodes wait for
+//! [`SUCCESSOR_HEADSTART`] before they try to acquire the lease. Only the state service decides which
+//! node holds the lease, so there are never two leaders. If the successor has failed, another node
+//! acquires the lease.
 
 use crate::mode::Mode;
 use crate::settings::Settings;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long the other nodes leave the lease to the successor.
+/// The time for which the other nodes leave the lease to the successor.
 pub const SUCCESSOR_HEADSTART: Duration = Duration::from_millis(1500);
-/// How long a hand-over makes the minimum time as leader longer.
+/// The time for which a hand-over counts as recent and increases the minimum time as leader.
 const RECENT_WINDOW: Duration = Duration::from_secs(120);
-/// How often the minimum time as leader is doubled at the most.
+/// The maximum number of times that the minimum time as leader is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// A better placed node hears this many times as many machines as the leader, and ...
+/// A node is better connected than the leader only if it receives the heartbeats of at least this many
+/// times as many machines, plus [`BETTER_MARGIN`].
 const BETTER_FACTOR: u64 = 2;
-/// ... at least so many more.
+/// The number of machines that is added to the multiple given by [`BETTER_FACTOR`].
 const BETTER_MARGIN: u64 = 2;
 
 /// The leader's own reachability.
@@ -25,16 +27,16 @@
 pub struct LeaderView {
     /// The leader's mode.
     pub mode: Mode,
-    /// How many machines it hears directly.
+    /// The number of machines whose heartbeats the leader receives directly, not through a peer.
     pub reporting: u64,
-    /// How many machines it should hear.
+    /// The number of machines that should send heartbeats to the leader.
     pub expected: u64,
-    /// Its links to the state service work, but flap damping keeps that side from being up.
+    /// Whether the leader's links to the state service work, but flap damping suppresses that side.
     pub state_suppressed: bool,
 }
 
 impl LeaderView {
-    /// Whether the leader reaches the state service, but no machine reports to it.
+    /// Returns whether the leader reaches the state service but no workers, and receives no heartbeats.
     fn has_lost_all_workers(&self) -> bool {
         self.mode == Mode::StateOnly && self.reporting == 0
     }
@@ -47,13 +49,14 @@
     pub host: String,
     /// The node's mode.
     pub mode: Mode,
-    /// How many machines it hears directly.
+    /// The number of machines whose heartbeats the node receives directly, not through a peer.
     pub reporting: u64,
 }
 
-/// The candidate that is clearly better placed than the leader, if one is. Of two nodes that
-/// hear different halves neither is: each would hand over to the other again and again.
-pub fn better_placed<'a>(own: &LeaderView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+/// Returns the candidate that is clearly better connected than the leader, if there is one. Of two nodes
+/// that each receive the heartbeats of half of the machines, neither is better connected: otherwise each
+/// would hand over to the other again and again.
+pub fn better_candidate<'a>(own: &LeaderView, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let healthy = candidates.iter().filter(|candidate| candidate.mode == Mode::Whole);
     let best = healthy.max_by(|a, b| (a.reporting, &b.host).cmp(&(b.reporting, &a.host)))?;
     if own.state_suppressed {
@@ -65,71 +68,76 @@
         .then_some(best)
 }
 
-/// A node that is better placed, without interruption since then.
+/// A node that is better connected than this leader.
 #[derive(Debug)]
-struct BetterPlaced {
+struct BetterCandidate {
     host: String,
+    /// The time from which the node has been the better candidate without interruption.
     since: Duration,
 }
 
-/// Decides over time when this node hands over.
+/// Decides when this node hands over, from the evidence over time.
 #[derive(Debug)]
 pub struct Handover {
     handover_after: Duration,
     min_time_as_leader: Duration,
-    better_placed: Option<BetterPlaced>,
-    /// When this node handed over recently.
-    past: VecDeque<Duration>,
+    better_candidate: Option<BetterCandidate>,
+    /// The times of recent hand-overs by this node.
+    handover_times: VecDeque<Duration>,
 }
 
 impl Handover {
-    /// No hand-over yet.
+    /// Creates the state of a node that has not handed over yet.
     pub fn new(settings: &Settings) -> Self {
         Self {
             handover_after: settings.handover_after,
             min_time_as_leader: settings.min_time_as_leader,
-            better_placed: None,
-            past: VecDeque::new(),
+            better_candidate: None,
+            handover_times: VecDeque::new(),
         }
     }
 
-    /// The least time for which this node leads: doubled by each recent hand-over.
+    /// Returns the minimum time for which this node must lead before it hands over. Each recent hand-over
+    /// doubles it.
     pub fn required_time_as_leader(&self, now: Duration) -> Duration {
-        let recent = self.past.iter().filter(|at| now.saturating_sub(**at) < RECENT_WINDOW).count();
+        let recent = self.handover_times.iter().filter(|at| now.saturating_sub(**at) < RECENT_WINDOW).count();
         self.min_time_as_leader * 2_u32.pow(u32::try_from(recent).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
     }
 
-    /// The node to hand over to now.
-    pub fn decide(
+    /// Returns the node to which this leader should hand over now, if there is one, and records the
+    /// hand-over. `leading_since` is when this node became the leader.
+    pub fn choose_successor(
         &mut self,
         own: &LeaderView,
         candidates: &[Candidate],
-        leads_since: Duration,
+        leading_since: Duration,
         now: Duration,
     ) -> Option<String> {
-        let Some(best) = better_placed(own, candidates) else {
-            self.better_placed = None;
+        let Some(best) = better_candidate(own, candidates) else {
+            self.better_candidate = None;
             return None;
         };
-        let same = self.better_placed.as_ref().filter(|former| former.host == best.host);
+        let same = self.better_candidate.as_ref().filter(|former| former.host == best.host);
         let since = same.map_or(now, |former| former.since);
-        self.better_placed = Some(BetterPlaced { host: best.host.clone(), since });
-        // A leader that hears no machine was without any for long enough already.
+        self.better_candidate = Some(BetterCandidate { host: best.host.clone(), since });
+        // A leader that has lost all workers does not wait: its mode shows that it has been without them for
+        // long enough.
         let is_steady = own.has_lost_all_workers() || now.saturating_sub(since) >= self.handover_after;
-        let has_led_long_enough = now.saturating_sub(leads_since) >= self.required_time_as_leader(now);
+        let has_led_long_enough = now.saturating_sub(leading_since) >= self.required_time_as_leader(now);
         if !(is_steady && has_led_long_enough) {
             return None;
         }
-        self.better_placed = None;
-        self.past.push_back(now);
-        while self.past.front().is_some_and(|at| now.saturating_sub(*at) >= RECENT_WINDOW) {
-            self.past.pop_front();
+        self.better_candidate = None;
+        self.handover_times.push_back(now);
+        while self.handover_times.front().is_some_and(|at| now.saturating_sub(*at) >= RECENT_WINDOW) {
+            self.handover_times.pop_front();
         }
         Some(best.host.clone())
     }
 
-    /// How often this node handed over recently.
-    pub fn recent(&self) -> usize {
-        self.past.len()
+    /// Returns the number of hand-overs by this node within `RECENT_WINDOW` before the latest one, including
+    /// the latest.
+    pub fn recent_handovers(&self) -> usize {
+        self.handover_times.len()
     }
 }
--- a/crates/plankhead-reachability/src/latency.rs
+++ b/crates/plankhead-reachability/src/latency.rs
@@ -5,33 +5,33 @@
 
 /// The relative error of a quantile.
 const ACCURACY: f64 = 0.02;
-/// The most bins of one sketch.
+/// The maximum number of bins of a sketch.
 const MAX_BINS: u32 = 256;
-/// Durations below this, in seconds, are not distinguished.
+/// The duration in seconds below which durations are not distinguished.
 const MIN_SECONDS: f64 = 1e-4;
-/// The least number of durations from which quantiles are computed.
+/// The minimum number of durations in a window from which quantiles are computed.
 const MIN_COUNT: usize = 16;
-/// The quantile that [`Latency::high`] returns.
-const HIGH_QUANTILE: f64 = 0.99;
-/// After how many more durations the high quantile is computed again.
+/// The quantile that [`Latency::p99`] returns.
+const P99: f64 = 0.99;
+/// The number of added durations after which the 99th percentile is computed again.
 const REFRESH_COUNT: usize = 16;
 
-/// A sketch of the current window and one of the window before, so that older durations are
-/// forgotten.
+/// The distribution of durations in the current and the previous time window. Older durations are
+/// dropped.
 pub struct Latency {
     window: Duration,
-    /// When the current window began.
+    /// The start of the current window.
     began_at: Duration,
     current: DDSketch,
     previous: Option<DDSketch>,
-    /// The high quantile as it was last computed.
-    high: Option<Duration>,
+    /// The 99th percentile as last computed.
+    p99: Option<Duration>,
 }
 
 impl std::fmt::Debug for Latency {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let count = self.windows().map(DDSketch::count).sum::<usize>();
-        formatter.debug_struct("Latency").field("count", &count).field("high", &self.high).finish()
+        formatter.debug_struct("Latency").field("count", &count).field("p99", &self.p99).finish()
     }
 }
 
@@ -40,9 +40,9 @@
 }
 
 impl Latency {
-    /// No durations yet; `window`: the length of one window.
+    /// Creates a distribution without durations. `window` is the length of a time window.
     pub fn new(window: Duration) -> Self {
-        Self { window, began_at: Duration::ZERO, current: sketch(), previous: None, high: None }
+        Self { window, began_at: Duration::ZERO, current: sketch(), previous: None, p99: None }
     }
 
     /// Adds a duration.
@@ -53,7 +53,7 @@
         }
         self.current.add(duration.as_secs_f64());
         if self.current.count().is_multiple_of(REFRESH_COUNT) {
-            self.high = self.quantile(HIGH_QUANTILE);
+            self.p99 = self.quantile(P99);
         }
     }
 
@@ -65,18 +65,19 @@
         self.windows().filter(|sketch| sketch.count() >= MIN_COUNT)
     }
 
-    /// The 99th percentile, once there are enough durations.
-    pub fn high(&self) -> Option<Duration> {
-        self.high
+    /// Returns the 99th percentile, or `None` until there are enough durations.
+    pub fn p99(&self) -> Option<Duration> {
+        self.p99
     }
 
-    /// The longest recent duration, once there are enough.
+    /// Returns the longest recent duration, or `None` if there are too few durations.
     pub fn longest(&self) -> Option<Duration> {
         let longest = self.full_windows().filter_map(DDSketch::max).fold(f64::NAN, f64::max);
         Duration::try_from_secs_f64(longest).ok()
     }
 
-    /// The larger of both windows' quantiles, so that a link that has just become slow shows.
+    /// Returns the larger of both windows' quantiles, so that a recent slowdown is not hidden by the
+    /// durations before it. Returns `None` if there are too few durations.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
         let quantiles = self.full_windows().filter_map(|sketch| sketch.quantile(share).ok().flatten());
         Duration::try_from_secs_f64(quantiles.fold(f64::NAN, f64::max)).ok()
--- a/crates/plankhead-reachability/src/lib.rs
+++ b/crates/plankhead-reachability/src/lib.rs
@@ -1,13 +1,14 @@
-//! What a node can reach, and what it may do in consequence: decisions without input or output.
+//! Reachability of a node: which of its links work, and which actions it is permitted as a result. The
+//! crate makes decisions only; it performs no input or output.
 //!
-//! A node's reachability has two sides: the state service, and the workers. [`link`] judges each
-//! connection by what was confirmed over it, [`side`] combines links with hysteresis and flap
-//! damping ([`damping`]), [`mode`] names the four combinations of both sides, and [`permission`]
-//! is the one table of what is allowed in which mode. [`monitor`] brings these together.
+//! A node reaches two sides: the state service and the workers. [`link`] evaluates each connection by
+//! the answers and messages received over it. [`side`] combines the links of a side, with hysteresis
+//! and flap damping ([`damping`]). [`mode`] names the four combinations of both sides, and
+//! [`permission`] defines what is permitted in each mode. [`monitor`] combines these modules.
 //!
-//! [`coverage`] exchanges with the other nodes which machines each of them hears, over a
-//! [`numbering`] agreed on through the state service, and [`handover`] decides from it which node
-//! should lead.
+//! [`coverage`] is the exchange between nodes of the sets of machines whose heartbeats each of them
+//! receives. The sets refer to a [`numbering`] of machines that is stored in the state service.
+//! [`handover`] decides from the coverage which node should lead.
 
 #![warn(missing_docs)]
 
--- a/crates/plankhead-reachability/src/link/call_link.rs
+++ b/crates/plankhead-reachability/src/link/call_link.rs
@@ -1,35 +1,38 @@
-//! A link that carries calls, judged by their answers.
+//! A link that carries calls, evaluated by their answers.
 
 use super::{LinkCondition, LinkStatus, IDLE_TIMEOUT};
 use crate::latency::Latency;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most calls under way whose start is remembered; the oldest ones suffice to judge by.
+/// The maximum number of calls in flight that are tracked. The oldest ones are sufficient to evaluate the
+/// link.
 const MAX_OUTSTANDING: usize = 512;
-/// An answer that takes this many times the high quantile is overdue.
+/// The multiple of the 99th percentile of round-trip times after which an answer is overdue.
 const OVERDUE_FACTOR: u32 = 4;
-/// The bounds of that time, whatever the quantile.
+/// The minimum time after which an answer is overdue.
 const MIN_OVERDUE: Duration = Duration::from_millis(200);
+/// The maximum time after which an answer is overdue.
 const MAX_OVERDUE: Duration = Duration::from_secs(1);
-/// The length of one window of round trips.
+/// The length of a window of round-trip times.
 const ROUND_TRIP_WINDOW: Duration = Duration::from_secs(60);
-/// The least failures in a row by which a link is down: a single one may have any cause.
+/// The minimum number of consecutive failures for a link to be down. A single failure may have other causes.
 const MIN_FAILURES: u32 = 2;
-/// The most calls under way on a link that is down, beyond which it is not probed.
+/// The number of calls in flight from which a link that is down is not probed.
 const MAX_PROBES: usize = 8;
-/// A link that may have failed is probed once nothing was sent over it for so long.
+/// The time without a call after which a link that may have failed is probed.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Failures since the last confirmation.
+/// A number of consecutive failures.
 #[derive(Debug, Clone, Copy)]
 struct Failures {
+    /// The time from which the link has been failing.
     since: Duration,
     count: u32,
 }
 
 impl Failures {
-    /// One more failure, as of then.
+    /// Adds a failure as of `at`.
     fn add(former: Option<Self>, at: Duration) -> Self {
         let former = former.unwrap_or(Self { since: at, count: 0 });
         Self { since: former.since.min(at), count: former.count.saturating_add(1) }
@@ -41,18 +44,18 @@
 pub struct CallLink {
     down_after: Duration,
     confirmed_at: Option<Duration>,
-    /// Failures since the last confirmation.
+    /// The failures since the latest confirmation.
     failures: Option<Failures>,
-    /// When each call under way was sent, by its number.
+    /// The send time of each tracked call in flight, by the call's id.
     outstanding: BTreeMap<u64, Duration>,
-    /// When the latest call was sent.
+    /// The send time of the latest call.
     sent_at: Option<Duration>,
     round_trips: Latency,
     status: LinkStatus,
 }
 
 impl CallLink {
-    /// A link that is down once it has failed for `down_after`.
+    /// Creates a link that is down once it has failed for `down_after`.
     pub fn new(down_after: Duration, now: Duration) -> Self {
         Self {
             down_after,
@@ -65,74 +68,76 @@
         }
     }
 
-    /// A call was sent, whose answer will confirm the link.
-    pub fn sent(&mut self, call: u64, now: Duration) {
+    /// Records that a call was sent. Its answer will confirm the link.
+    pub fn call_sent(&mut self, call: u64, now: Duration) {
         self.sent_at = Some(now);
         if self.outstanding.len() < MAX_OUTSTANDING {
             self.outstanding.insert(call, now);
         }
     }
 
-    /// The answer to a call came.
-    pub fn answered(&mut self, call: u64, now: Duration) {
+    /// Records that a call was answered.
+    pub fn call_answered(&mut self, call: u64, now: Duration) {
         if let Some(sent) = self.outstanding.remove(&call) {
             self.round_trips.add(now.saturating_sub(sent), now);
         }
-        self.confirmed(now);
+        self.record_confirmation(now);
     }
 
-    /// A call was refused, or given up.
-    pub fn unanswered(&mut self, call: u64, now: Duration) {
+    /// Records that a call was refused or not answered.
+    pub fn call_failed(&mut self, call: u64, now: Duration) {
         let sent = self.outstanding.remove(&call);
-        // A call that took its whole time to fail has failed since it was overdue.
+        // A call that failed by a time-out counts as failed from when its answer was overdue.
         let since = sent.map_or(now, |sent| (sent + self.overdue_after()).min(now));
-        self.failed(since);
+        self.record_failure(since);
     }
 
-    /// A call ended without showing anything about the link.
-    pub fn dropped(&mut self, call: u64) {
+    /// Records that a call ended without evidence about the link.
+    pub fn call_dropped(&mut self, call: u64) {
         self.outstanding.remove(&call);
     }
 
-    /// The link was confirmed, by an answer or otherwise.
-    pub fn confirmed(&mut self, now: Duration) {
+    /// Records that the link was confirmed, by an answer or by other evidence.
+    pub fn record_confirmation(&mut self, now: Duration) {
         self.status.counts.confirmed += 1;
         self.confirmed_at = Some(now);
         self.failures = None;
     }
 
-    /// The link failed, as of then.
-    pub fn failed(&mut self, since: Duration) {
+    /// Records that the link failed as of `since`.
+    pub fn record_failure(&mut self, since: Duration) {
         self.status.counts.failed += 1;
-        // What was sent before the last confirmation shows nothing about the time after it.
+        // The link worked at the latest confirmation, so the failure can't have begun before it.
         let since = since.max(self.confirmed_at.unwrap_or_default());
         self.failures = Some(Failures::add(self.failures, since));
     }
 
-    /// Forgets calls under way and failures, since this process did not run meanwhile.
+    /// Discards the calls in flight, the failures and the confirmation, which are no longer evidence.
     pub fn reset(&mut self) {
         self.outstanding.clear();
         self.failures = None;
         self.confirmed_at = None;
     }
 
-    /// After which time an answer is overdue, by the distribution of the link's round trips.
+    /// Returns the time after which an answer is overdue, according to the link's recent round-trip times.
     pub fn overdue_after(&self) -> Duration {
-        let high = self.round_trips.high().unwrap_or(MAX_OVERDUE / OVERDUE_FACTOR);
-        (high * OVERDUE_FACTOR).clamp(MIN_OVERDUE, MAX_OVERDUE)
+        let p99 = self.round_trips.p99().unwrap_or(MAX_OVERDUE / OVERDUE_FACTOR);
+        (p99 * OVERDUE_FACTOR).clamp(MIN_OVERDUE, MAX_OVERDUE)
     }
 
-    /// The calls that are overdue with no confirmation since.
+    /// Returns the overdue calls as failures, or `None` if there are none. A call is overdue once the time
+    /// since it was sent, and the time since the latest confirmation of the link, reach
+    /// [`CallLink::overdue_after`].
     fn overdue(&self, now: Duration) -> Option<Failures> {
         let limit = self.overdue_after();
         let confirmed = self.confirmed_at.unwrap_or_default();
-        // Answers to later calls show that the link works: only that one call was lost.
+        // A confirmation after the call was sent shows that the link worked then and only this call was lost.
         let due = |sent: &Duration| (*sent).max(confirmed) + limit;
         let overdue = self.outstanding.values().map(due).filter(|due| *due <= now);
         overdue.fold(None, |found, due| Some(Failures::add(found, due)))
     }
 
-    /// Judges the link; returns whether its condition has changed.
+    /// Evaluates the link, and returns whether its condition has changed.
     pub fn evaluate(&mut self, now: Duration) -> bool {
         let overdue = self.overdue(now);
         let failures = [self.failures, overdue].into_iter().flatten();
@@ -143,7 +148,7 @@
         let is_repeated = count >= MIN_FAILURES;
         let condition = match since {
             Some(_) if is_lasting && is_repeated => LinkCondition::Down,
-            // A link that was down stays so until something is confirmed.
+            // A link that was down stays down until it is confirmed.
             Some(_) if self.status.condition == LinkCondition::Down => LinkCondition::Down,
             Some(_) => LinkCondition::Suspect,
             None if is_fresh => LinkCondition::Up,
@@ -152,20 +157,20 @@
         self.status.update(condition, now)
     }
 
-    /// The link's status as of the latest judgement.
+    /// Returns the link's status as of the latest evaluation.
     pub fn status(&self) -> LinkStatus {
         self.status
     }
 
-    /// The 99th percentile of recent round trips, once enough are known.
-    pub fn high_round_trip(&self) -> Option<Duration> {
-        self.round_trips.high()
+    /// Returns the 99th percentile of recent round-trip times, or `None` if too few are known.
+    pub fn p99_round_trip(&self) -> Option<Duration> {
+        self.round_trips.p99()
     }
 
-    /// Whether the link may have failed and has too few calls under way to show whether it has.
-    pub fn wants_probe(&self, now: Duration) -> bool {
+    /// Returns whether the link may have failed and has too few calls in flight to show whether it has.
+    pub fn needs_probe(&self, now: Duration) -> bool {
         let is_doubtful = self.failures.is_some() || self.overdue(now).is_some();
-        // While it is down its recovery should show soon, whatever is stuck in connections.
+        // While the link is down, its recovery should be noticed soon, even if earlier calls are stuck.
         if self.status.condition == LinkCondition::Down {
             return is_doubtful && self.outstanding.len() < MAX_PROBES;
         }
--- a/crates/plankhead-reachability/src/link/mod.rs
+++ b/crates/plankhead-reachability/src/link/mod.rs
@@ -1,7 +1,7 @@
-//! One connection in one direction, judged by what was confirmed over it.
+//! Links: connections in one direction.
 //!
-//! [`CallLink`] is judged by the answers to its calls, [`ArrivalLink`], which only receives, by
-//! the silence since its latest message.
+//! A [`CallLink`] is evaluated by the answers to its calls. An [`ArrivalLink`] only receives messages and
+//! is evaluated by the time since the latest one.
 
 mod arrival_link;
 mod call_link;
@@ -11,10 +11,10 @@
 
 use std::time::Duration;
 
-/// A link without any confirmation for so long is unknown again.
+/// The time without a confirmation after which a link that has not failed is unknown again.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Which connection, and in which direction.
+/// Identifies a connection and its direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LinkId {
     /// Reads of the state service.
@@ -25,9 +25,9 @@
     KvWatch,
     /// Renewals of the leader's lease.
     KvLeaseRenewal,
-    /// Workers' heartbeats that reach this node.
+    /// Heartbeats of workers that arrive at this node.
     HeartbeatsIn,
-    /// Replies to heartbeats, which the next heartbeat confirms.
+    /// Replies to heartbeats of workers. The next heartbeat confirms a reply.
     HeartbeatReplies,
     /// Commands sent directly to workers.
     Commands,
@@ -35,12 +35,12 @@
     Cloud,
     /// Heartbeats that arrive from the peer with this number.
     PeerIn(usize),
-    /// Messages to that peer, which it confirms.
+    /// Messages to the peer with this number. The peer's answer confirms a message.
     PeerOut(usize),
 }
 
 impl LinkId {
-    /// The link's name in logs and views.
+    /// Returns the link's name in log lines and views.
     pub fn name(self) -> &'static str {
         match self {
             Self::KvReads => "stateReads",
@@ -57,21 +57,21 @@
     }
 }
 
-/// Whether a link works, as far as that is known.
+/// The condition of a link, according to recent evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkCondition {
-    /// Nothing was sent over it recently: neither up nor down.
+    /// There is no recent evidence that the link works or has failed.
     Unknown,
-    /// It was confirmed recently.
+    /// The link was confirmed recently.
     Up,
-    /// It has begun to fail.
+    /// There are signs of a failure, but not enough for the link to count as down.
     Suspect,
-    /// It has failed for long enough.
+    /// The link has failed.
     Down,
 }
 
 impl LinkCondition {
-    /// The condition's name in views.
+    /// Returns the condition's name in views.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -82,14 +82,14 @@
     }
 }
 
-/// What a link was last judged to be, and what has happened on it since its start.
+/// The result of a link's latest evaluation, and its counts since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkStatus {
-    /// The condition as of the latest judgement.
+    /// The condition as of the latest evaluation.
     pub condition: LinkCondition,
-    /// Since when the link is in that condition.
+    /// The time at which the link entered this condition.
     pub since: Duration,
-    /// How often it was confirmed and failed.
+    /// The numbers of confirmations and failures.
     pub counts: LinkCounts,
 }
 
@@ -98,7 +98,7 @@
         Self { condition: LinkCondition::Unknown, since: now, counts: LinkCounts::default() }
     }
 
-    /// Takes in the present condition; returns whether it has changed.
+    /// Sets the condition, and returns whether it has changed.
     fn update(&mut self, condition: LinkCondition, now: Duration) -> bool {
         let changed = condition != self.condition;
         if changed {
@@ -109,11 +109,11 @@
     }
 }
 
-/// Counts of one link since the start.
+/// Counts of one link since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Answers and other confirmations.
+    /// The number of answers and other confirmations.
     pub confirmed: u64,
-    /// Calls without an answer and other failures.
+    /// The number of failed calls and other failures.
     pub failed: u64,
 }
--- a/crates/plankhead-reachability/src/mode.rs
+++ b/crates/plankhead-reachability/src/mode.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Which sides a node reaches.
+/// The sides that a node reaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Both sides, or nothing shows that one is not reached.
+    /// The node reaches both sides, or there is no evidence that it does not.
     #[default]
     Whole,
-    /// The state service, but no workers.
+    /// The node reaches the state service, but no workers.
     StateOnly,
-    /// Workers, but not the state service.
+    /// The node reaches workers, but not the state service.
     WorkersOnly,
-    /// Neither side.
+    /// The node reaches neither side.
     Isolated,
 }
 
@@ -21,7 +21,7 @@
 pub const MODES: [Mode; 4] = [Mode::Whole, Mode::StateOnly, Mode::WorkersOnly, Mode::Isolated];
 
 impl Mode {
-    /// The mode of a node that reaches these sides.
+    /// Returns the mode of a node that reaches the sides given as `true`.
     pub fn of(state: bool, workers: bool) -> Self {
         match (state, workers) {
             (true, true) => Self::Whole,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The mode's name in log lines.
+    /// Returns the mode's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The mode's number on the wire.
+    /// Returns the mode's code in messages to peers.
     pub fn code(self) -> u8 {
         self as u8
     }
 
-    /// The mode of a number on the wire.
+    /// Returns the mode with this code, or `None` if no mode has it.
     pub fn from_code(code: u8) -> Option<Self> {
         MODES.get(usize::from(code)).copied()
     }
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -1,4 +1,4 @@
-//! All links of one node, and the reachability mode that follows from them.
+//! All links of one node, and the reachability mode that results from them.
 
 use crate::link::{ArrivalLink, CallLink, LinkCondition, LinkCounts, LinkId, LinkStatus};
 use crate::mode::Mode;
@@ -7,26 +7,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A process that has not judged its links for so long did not run: what it missed shows
-/// nothing about its links.
+/// The time without an evaluation after which the process is considered to have been paused. Messages and
+/// answers that it missed during the pause are no evidence about its links.
 const PAUSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The least time between two judgements: every heartbeat leads to a step of the node.
+/// The minimum time between two evaluations. Every heartbeat causes a step of the node, which would
+/// otherwise evaluate the links too often.
 const MIN_EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// How soon links are judged again while some fail.
+/// The time until the next evaluation while links are failing.
 const FAILURE_EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// The bounds of the silence of a peer that shows a failure: its heartbeats come every second.
+/// The minimum time without heartbeats of a peer that shows a failure. A peer sends one every second.
 const MIN_PEER_SILENCE: Duration = Duration::from_millis(2500);
+/// The maximum time without heartbeats of a peer before it shows a failure.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
-/// The least silence of all workers that shows a failure.
+/// The minimum time without heartbeats of any worker that shows a failure.
 const MIN_WORKER_SILENCE: Duration = Duration::from_millis(1500);
-/// With fewer machines, a silence of all of them may be their own.
+/// The minimum number of machines for which missing heartbeats count as a failure of the link. If there are
+/// fewer, the machines themselves may have failed.
 const MIN_MACHINES_FOR_SILENCE: usize = 2;
-/// With fewer machines, one that accepts no replies can't be told from a failed link.
+/// The minimum number of machines for which unconfirmed replies to heartbeats count as a failure of the
+/// link. If there are fewer, a machine that accepts no replies can't be distinguished from a failed link.
 const MIN_MACHINES_FOR_REPLIES: usize = 3;
 
-/// The links by which the state service's side is judged.
+/// The links that determine whether the state service is reached.
 const KV_LINKS: [LinkId; 3] = [LinkId::KvReads, LinkId::KvWrites, LinkId::KvLeaseRenewal];
-/// All links that carry calls, but those to peers.
+/// All links that carry calls, except those to peers.
 const CALL_LINKS: [LinkId; 7] = [
     LinkId::KvReads,
     LinkId::KvWrites,
@@ -40,35 +44,35 @@
 /// A change of mode, with its causes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModeChange {
-    /// The mode before.
+    /// The previous mode.
     pub from: Mode,
-    /// The mode after.
+    /// The new mode.
     pub to: Mode,
-    /// How long the mode before lasted.
+    /// The time for which the previous mode lasted.
     pub lasted: Duration,
-    /// The names of the links that are down.
+    /// The names of the links that are down, among those that determine the mode.
     pub causes: Vec<&'static str>,
 }
 
-/// A link as the operators' view shows it.
+/// The status of a link, for the operators' view.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinkView {
-    /// Which link.
+    /// The link.
     pub link: LinkId,
-    /// Its condition.
+    /// The link's condition.
     pub condition: LinkCondition,
-    /// Since when it is in that condition.
+    /// The time at which the link entered this condition.
     pub since: Duration,
-    /// How often it was confirmed and failed.
+    /// The numbers of confirmations and failures.
     pub counts: LinkCounts,
-    /// The 99th percentile of round trips.
-    pub high_round_trip: Option<Duration>,
+    /// The 99th percentile of recent round-trip times, if enough are known.
+    pub p99_round_trip: Option<Duration>,
 }
 
 impl LinkView {
-    fn new(link: LinkId, status: LinkStatus, high_round_trip: Option<Duration>) -> Self {
+    fn new(link: LinkId, status: LinkStatus, p99_round_trip: Option<Duration>) -> Self {
         let LinkStatus { condition, since, counts } = status;
-        Self { link, condition, since, counts, high_round_trip }
+        Self { link, condition, since, counts, p99_round_trip }
     }
 }
 
@@ -77,7 +81,7 @@
 pub struct Monitor {
     call_links: BTreeMap<LinkId, CallLink>,
     heartbeats: ArrivalLink,
-    /// Heartbeats of each peer, by its number.
+    /// The heartbeats of each peer, by the peer's number.
     peers: Vec<ArrivalLink>,
     kv_side: SideStatus,
     worker_side: SideStatus,
@@ -89,14 +93,14 @@
 }
 
 impl Monitor {
-    /// The monitor of a node with so many peers; `max_silence`: the silence after which no
-    /// worker of several can still be heard in time.
+    /// Creates the monitor of a node with this many peers. `max_silence` is the maximum time without a
+    /// heartbeat of any worker before the link on which heartbeats arrive counts as failed.
     pub fn new(settings: &Settings, peers: usize, max_silence: Duration, now: Duration) -> Self {
         let call_link = || CallLink::new(settings.down_after, now);
         let to_peers = (0..peers).map(LinkId::PeerOut);
         let peer = |_| {
             let mut arrivals = ArrivalLink::new(MIN_PEER_SILENCE, MAX_PEER_SILENCE, now);
-            arrivals.expect(true, now);
+            arrivals.set_expected(true, now);
             arrivals
         };
         Self {
@@ -117,79 +121,81 @@
         self.call_links.get_mut(&id)
     }
 
-    /// A call was sent over a link.
-    pub fn sent(&mut self, id: LinkId, call: u64, now: Duration) {
+    /// Records that a call was sent over a link.
+    pub fn call_sent(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
-            link.sent(call, now);
+            link.call_sent(call, now);
         }
     }
 
-    /// A call was answered.
-    pub fn answered(&mut self, id: LinkId, call: u64, now: Duration) {
+    /// Records that a call was answered.
+    pub fn call_answered(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
-            link.answered(call, now);
+            link.call_answered(call, now);
         }
     }
 
-    /// A call was refused, or got no answer.
-    pub fn unanswered(&mut self, id: LinkId, call: u64, now: Duration) {
+    /// Records that a call was refused or not answered.
+    pub fn call_failed(&mut self, id: LinkId, call: u64, now: Duration) {
         if let Some(link) = self.link(id) {
-            link.unanswered(call, now);
+            link.call_failed(call, now);
         }
     }
 
-    /// A call ended without showing anything about its link.
-    pub fn dropped(&mut self, id: LinkId, call: u64) {
+    /// Records that a call ended without evidence about its link.
+    pub fn call_dropped(&mut self, id: LinkId, call: u64) {
         if let Some(link) = self.link(id) {
-            link.dropped(call);
+            link.call_dropped(call);
         }
     }
 
-    /// Something confirmed the link without a call of its own.
-    pub fn confirmed(&mut self, id: LinkId, now: Duration) {
+    /// Records evidence that the link works, other than the answer to a recorded call.
+    pub fn record_confirmation(&mut self, id: LinkId, now: Duration) {
         if let Some(link) = self.link(id) {
-            link.confirmed(now);
+            link.record_confirmation(now);
         }
     }
 
-    /// The link failed without a call of its own.
-    pub fn failed(&mut self, id: LinkId, now: Duration) {
+    /// Records evidence that the link has failed, other than the failure of a recorded call.
+    pub fn record_failure(&mut self, id: LinkId, now: Duration) {
         if let Some(link) = self.link(id) {
-            link.failed(now);
+            link.record_failure(now);
         }
     }
 
-    /// Forgets what is known of a link that is not used any more.
+    /// Discards the evidence about a link that is no longer used: calls in flight, failures and the latest
+    /// confirmation.
     pub fn reset_link(&mut self, id: LinkId) {
         if let Some(link) = self.link(id) {
             link.reset();
         }
     }
 
-    /// A worker's heartbeat reached this node, directly or relayed by a peer.
-    pub fn report_arrived(&mut self, now: Duration) {
-        self.heartbeats.arrived(now);
+    /// Records that a worker's heartbeat arrived, directly or relayed by a peer.
+    pub fn heartbeat_arrived(&mut self, now: Duration) {
+        self.heartbeats.message_arrived(now);
     }
 
-    /// A peer's heartbeat arrived.
+    /// Records that a heartbeat of a peer arrived.
     pub fn peer_heartbeat_received(&mut self, peer: usize, now: Duration) {
         if let Some(link) = self.peers.get_mut(peer) {
-            link.arrived(now);
+            link.message_arrived(now);
         }
     }
 
-    /// Whether the links may be judged again already.
-    pub fn due(&self, now: Duration) -> bool {
+    /// Returns whether the links are due to be evaluated again.
+    pub fn is_due(&self, now: Duration) -> bool {
         now.saturating_sub(self.evaluated_at) >= MIN_EVALUATION_INTERVAL
     }
 
-    /// Judges all links; `machines`: how many should send heartbeats to this node.
+    /// Evaluates all links, and returns the change of mode if there is one. `machines` is the number of
+    /// machines that should send heartbeats to this node.
     pub fn evaluate(&mut self, now: Duration, machines: usize) -> Option<ModeChange> {
         if now.saturating_sub(self.evaluated_at) > PAUSE_TIMEOUT {
             self.reset_after_pause(now);
         }
         self.evaluated_at = now;
-        self.heartbeats.expect(machines >= MIN_MACHINES_FOR_SILENCE, now);
+        self.heartbeats.set_expected(machines >= MIN_MACHINES_FOR_SILENCE, now);
         self.heartbeats.evaluate(now);
         for link in &mut self.peers {
             link.evaluate(now);
@@ -227,7 +233,7 @@
         calls.chain(heartbeats).map(LinkId::name).collect()
     }
 
-    /// The process did not run: links become unknown, and the sides stay what they were.
+    /// Resets all links after a pause of the process. The state of both sides is kept.
     fn reset_after_pause(&mut self, now: Duration) {
         self.pauses += 1;
         for link in self.call_links.values_mut() {
@@ -239,48 +245,50 @@
         }
     }
 
-    /// The present mode.
+    /// Returns the present mode.
     pub fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Since when the present mode lasts.
+    /// Returns when the present mode began.
     pub fn mode_since(&self) -> Duration {
         self.mode_since
     }
 
-    /// The number of changes of mode since the start.
-    pub fn changes(&self) -> u64 {
+    /// Returns the number of changes of mode since the start.
+    pub fn mode_changes(&self) -> u64 {
         self.mode_changes
     }
 
-    /// The number of pauses in which the process did not run.
-    pub fn freezes(&self) -> u64 {
+    /// Returns the number of pauses of the process since the start.
+    pub fn pauses(&self) -> u64 {
         self.pauses
     }
 
-    /// Whether a peer's heartbeats arrive.
+    /// Returns whether the heartbeats of a peer arrive.
     pub fn receives_from_peer(&self, peer: usize) -> bool {
         let condition = self.peers.get(peer).map(|link| link.status().condition);
         matches!(condition, Some(LinkCondition::Up | LinkCondition::Suspect))
     }
 
-    /// Whether the state service answers, and does not count as up yet since it kept failing.
+    /// Returns whether no link to the state service is down, but flap damping suppresses the service because
+    /// its links have failed repeatedly.
     pub fn state_suppressed(&mut self, now: Duration) -> bool {
-        self.kv_side.is_good() && !self.kv_side.is_up() && self.kv_side.is_suppressed(now)
+        self.kv_side.links_work() && !self.kv_side.is_up() && self.kv_side.is_suppressed(now)
     }
 
-    /// Whether no link to the state service is down at the moment.
-    pub fn state_good(&self) -> bool {
-        self.kv_side.is_good()
+    /// Returns whether no link to the state service is down at the moment.
+    pub fn state_links_work(&self) -> bool {
+        self.kv_side.links_work()
     }
 
-    /// Whether a link may have failed and has nothing under way that would show its recovery.
-    pub fn wants_probe(&self, id: LinkId, now: Duration) -> bool {
-        self.call_links.get(&id).is_some_and(|link| link.wants_probe(now))
+    /// Returns whether a link may have failed and has too few calls in flight to show its recovery.
+    pub fn needs_probe(&self, id: LinkId, now: Duration) -> bool {
+        self.call_links.get(&id).is_some_and(|link| link.needs_probe(now))
     }
 
-    /// When to judge next unless an event comes before; `None`: on the next event.
+    /// Returns when the next evaluation is due if no event occurs before, or `None` if it can wait for the
+    /// next event.
     pub fn next_due(&self, now: Duration) -> Option<Duration> {
         let is_healthy = self.mode == Mode::Whole
             && self.heartbeats.status().condition != LinkCondition::Suspect
@@ -288,12 +296,10 @@
         (!is_healthy).then_some(now + FAILURE_EVALUATION_INTERVAL)
     }
 
-    /// All links, for the operators' view.
+    /// Returns the status of all links, for the operators' view.
     pub fn links(&self) -> Vec<LinkView> {
-        let calls = self
-            .call_links
-            .iter()
-            .map(|(id, link)| LinkView::new(*id, link.status(), link.high_round_trip()));
+        let calls =
+            self.call_links.iter().map(|(id, link)| LinkView::new(*id, link.status(), link.p99_round_trip()));
         let peers = (0..).zip(&self.peers).map(|(peer, link)| (LinkId::PeerIn(peer), link));
         let arrivals = peers.chain([(LinkId::HeartbeatsIn, &self.heartbeats)]);
         calls.chain(arrivals.map(|(id, link)| LinkView::new(id, link.status(), None))).collect()
--- a/crates/plankhead-reachability/src/numbering.rs
+++ b/crates/plankhead-reachability/src/numbering.rs
@@ -1,56 +1,57 @@
-//! Numbers of machines, agreed on through the state service, so that the bitmaps of different
-//! nodes refer to the same machines.
+//! The numbering of machines, which is stored in the state service so that the bitmaps of different nodes
+//! refer to the same machines.
 //!
-//! Stored pages hold names by position. Only the leader writes them, one page at a time, on the
-//! condition of its lease and of the page's revision; every node reads them. A number is free
-//! again once its machine is gone, and each name keeps the revision at which it got its number,
-//! so that a bitmap over an older state is not misread.
+//! The names of machines are stored in pages, and a machine's number follows from its name's position.
+//! Every node reads the pages. Only the leader writes them, one page at a time, on condition that it still
+//! holds its lease and that the page has not changed. The number of a removed machine is assigned again.
+//! A node remembers the revision at which it first read each assignment, so that a bitmap that refers to an
+//! earlier numbering is not misread.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The prefix of the keys of all pages.
+/// The prefix of the pages' keys.
 pub const PREFIX: &str = "machines/";
-/// The format that this version writes and reads.
+/// The format in which this version writes pages, and the latest that it reads.
 const FORMAT: u32 = 1;
-/// Numbers reserved for a page; the size limit of values may allow fewer names.
+/// The number of machine numbers reserved for a page. The size limit of values may allow fewer names.
 const PAGE_NUMBERS: u32 = 1024;
-/// The most pages: enough for more than a hundred thousand machines.
+/// The maximum number of pages, which is enough for more than 100,000 machines.
 const MAX_PAGES: u32 = 4096;
-/// The bound that all numbers are below.
+/// The upper bound of numbers, exclusive.
 pub const MAX_NUMBER: u32 = PAGE_NUMBERS * MAX_PAGES;
-/// Bytes of a page beside its names.
+/// The number of bytes allowed for the rest of a page, apart from its names.
 const PAGE_OVERHEAD: usize = 64;
-/// Bytes that a name takes in a page, beside the name.
+/// The number of bytes in a page for each name, in addition to the name itself.
 const NAME_OVERHEAD: usize = 3;
-/// The longest name of a machine, in bytes.
+/// The maximum length of a machine's name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
 /// A machine's name.
-pub type Name = Arc<str>;
+pub type MachineName = Arc<str>;
 
-/// Why a page can't be used.
+/// The reason why a page can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NumberingPageError {
-    /// The key is not that of a page.
-    #[error("{0} is not the key of a page of machines")]
+    /// The key is not the key of a page.
+    #[error("{0} is not the key of a page of machine names")]
     Key(String),
-    /// The value does not decode.
-    #[error("{key} can't be read: {reason}")]
+    /// The value can't be decoded.
+    #[error("{key} can't be decoded: {reason}")]
     Value {
         /// The page's key.
         key: String,
-        /// What is wrong with it.
+        /// The reason in words.
         reason: String,
     },
-    /// A later version wrote the page.
-    #[error("{key} has format {format}, which is later than this version's")]
+    /// The page was written by a later version, in a later format.
+    #[error("{key} has format {format}, which is later than format {FORMAT} of this version")]
     Format {
         /// The page's key.
         key: String,
-        /// The format found.
+        /// The page's format.
         format: u32,
     },
 }
@@ -61,12 +62,12 @@
     names: Vec<Option<String>>,
 }
 
-/// A page to be written, on the condition that it has the given revision.
+/// A write of a page, on condition that the page has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PageWrite {
     /// The page's key.
     pub key: String,
-    /// The revision that the key must have; 0: it must not exist.
+    /// The revision that the key must have, or 0 if it must not exist.
     pub revision: u64,
     /// The new value.
     pub value: String,
@@ -75,23 +76,23 @@
 #[derive(Debug, Default)]
 struct Page {
     revision: u64,
-    names: Vec<Option<Name>>,
+    names: Vec<Option<MachineName>>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Numbered {
+struct Assignment {
     number: u32,
-    /// The page's revision when this node first read the name there.
+    /// The page's revision when this node first read the name at this position.
     since: u64,
 }
 
-/// The numbering as this node has read it.
+/// The numbering of machines, as read by this node.
 #[derive(Debug, Default)]
 pub struct MachineNumbering {
     pages: BTreeMap<u32, Page>,
-    /// Pages that can't be decoded, which are never written.
+    /// The numbers of pages that can't be decoded. They are never overwritten.
     unreadable: BTreeSet<u32>,
-    by_name: HashMap<Name, Numbered>,
+    by_name: HashMap<MachineName, Assignment>,
     revision: u64,
 }
 
@@ -99,61 +100,62 @@
     format!("{PREFIX}{page:04}")
 }
 
-fn page_of(key: &str) -> Option<u32> {
+fn page_number(key: &str) -> Option<u32> {
     key.strip_prefix(PREFIX)?.parse().ok().filter(|page| *page < MAX_PAGES)
 }
 
 impl MachineNumbering {
-    /// The highest revision of any page that was read.
+    /// Returns the highest revision of the pages that were read.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The number of machines that have a number.
+    /// Returns how many machines have a number.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether no machine has a number.
+    /// Returns whether no machine has a number.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// The number of a machine.
+    /// Returns the number of a machine, or `None` if it has none.
     pub fn number(&self, name: &str) -> Option<u32> {
-        self.by_name.get(name).map(|numbered| numbered.number)
+        self.by_name.get(name).map(|assignment| assignment.number)
     }
 
-    /// The machine that has this number.
-    pub fn name(&self, number: u32) -> Option<&Name> {
+    /// Returns the name of the machine that has this number.
+    pub fn name(&self, number: u32) -> Option<&MachineName> {
         let page = self.pages.get(&(number / PAGE_NUMBERS))?;
         page.names.get((number % PAGE_NUMBERS) as usize)?.as_ref()
     }
 
-    /// Whether a bitmap over the numbering as of that revision can refer to the machine that has
-    /// the number now.
-    pub fn meant(&self, number: u32, revision: u64) -> bool {
-        let numbered = self.name(number).and_then(|name| self.by_name.get(name));
-        numbered.is_some_and(|numbered| numbered.since <= revision)
+    /// Returns whether the machine that has this number had it already at this revision of the numbering. If
+    /// not, the number in a bitmap of that revision refers to another machine.
+    pub fn was_assigned_at(&self, number: u32, revision: u64) -> bool {
+        let assignment = self.name(number).and_then(|name| self.by_name.get(name));
+        assignment.is_some_and(|assignment| assignment.since <= revision)
     }
 
-    /// Takes in a page as it is stored.
-    pub fn read(&mut self, key: &str, value: &str, revision: u64) -> Result<(), NumberingPageError> {
-        let number = page_of(key).ok_or_else(|| NumberingPageError::Key(key.into()))?;
+    /// Applies a page as read from the state service. A revision that is not later than the known one has no
+    /// effect.
+    pub fn apply_page(&mut self, key: &str, value: &str, revision: u64) -> Result<(), NumberingPageError> {
+        let number = page_number(key).ok_or_else(|| NumberingPageError::Key(key.into()))?;
         match parse(key, value) {
             Ok(names) => {
                 self.unreadable.remove(&number);
                 self.replace(number, names, revision);
                 Ok(())
             }
-            Err(fault) => {
+            Err(error) => {
                 self.unreadable.insert(number);
-                Err(fault)
+                Err(error)
             }
         }
     }
 
-    fn replace(&mut self, number: u32, names: Vec<Option<Name>>, revision: u64) {
+    fn replace(&mut self, number: u32, names: Vec<Option<MachineName>>, revision: u64) {
         if self.pages.get(&number).is_some_and(|page| page.revision >= revision) {
             return;
         }
@@ -162,22 +164,23 @@
         for (offset, name) in (0..).zip(old.names) {
             let Some(name) = name else { continue };
             let stays = names.get(offset as usize).is_some_and(|now| now.as_ref() == Some(&name));
-            let here = self.by_name.get(&name).is_some_and(|numbered| numbered.number == first + offset);
+            let here = self.by_name.get(&name).is_some_and(|assignment| assignment.number == first + offset);
             if here && !stays {
                 self.by_name.remove(&name);
             }
         }
         for (offset, name) in (0..).zip(names) {
             let Some(name) = name else { continue };
-            self.by_name.entry(name).or_insert(Numbered { number: first + offset, since: revision });
+            self.by_name.entry(name).or_insert(Assignment { number: first + offset, since: revision });
         }
         self.revision = self.revision.max(revision);
     }
 
-    /// The next page to write so that these machines and no others have a number. One page at a
-    /// time: the next call continues.
-    pub fn next_write(&self, machines: &BTreeSet<Name>, value_bytes: usize) -> Option<PageWrite> {
-        let missing: Vec<&Name> = machines
+    /// Returns the next write of a page that is needed so that these machines, and no others, have numbers.
+    /// Only one page is written at a time: the next write is returned once this one has been applied. A
+    /// page's value has at most `value_bytes` bytes.
+    pub fn next_write(&self, machines: &BTreeSet<MachineName>, value_bytes: usize) -> Option<PageWrite> {
+        let missing: Vec<&MachineName> = machines
             .iter()
             .filter(|name| name.len() <= MAX_NAME_BYTES && !self.by_name.contains_key(*name))
             .collect();
@@ -190,7 +193,7 @@
         };
         let kept = page.map(|page| page.names.clone()).unwrap_or_default();
         let kept = kept.into_iter().map(|name| name.filter(|name| machines.contains(name))).collect();
-        let names = fill(kept, missing.into_iter(), value_bytes);
+        let names = add_names(kept, missing.into_iter(), value_bytes);
         let stored = StoredPage {
             format: FORMAT,
             names: names.into_iter().map(|name| name.map(|name| name.to_string())).collect(),
@@ -202,7 +205,7 @@
         })
     }
 
-    fn page_with_room(&self, name: &Name, value_bytes: usize) -> Option<(u32, Option<&Page>)> {
+    fn page_with_room(&self, name: &MachineName, value_bytes: usize) -> Option<(u32, Option<&Page>)> {
         let fits = |page: &Page| has_room(&page.names, name, value_bytes);
         if let Some((number, page)) = self.pages.iter().find(|(_, page)| fits(page)) {
             return Some((*number, Some(page)));
@@ -212,43 +215,43 @@
     }
 }
 
-fn parse(key: &str, value: &str) -> Result<Vec<Option<Name>>, NumberingPageError> {
-    let fault = |reason: String| NumberingPageError::Value { key: key.into(), reason };
-    let stored: StoredPage = serde_json::from_str(value).map_err(|error| fault(error.to_string()))?;
+fn parse(key: &str, value: &str) -> Result<Vec<Option<MachineName>>, NumberingPageError> {
+    let error = |reason: String| NumberingPageError::Value { key: key.into(), reason };
+    let stored: StoredPage = serde_json::from_str(value).map_err(|cause| error(cause.to_string()))?;
     if stored.format > FORMAT {
         return Err(NumberingPageError::Format { key: key.into(), format: stored.format });
     }
     if stored.names.len() > PAGE_NUMBERS as usize {
-        return Err(fault("it has too many names".into()));
+        return Err(error("the page has too many names".into()));
     }
     if stored.names.iter().flatten().any(|name| name.len() > MAX_NAME_BYTES) {
-        return Err(fault("a name is too long".into()));
+        return Err(error("a name in the page is too long".into()));
     }
-    Ok(stored.names.into_iter().map(|name| name.map(Name::from)).collect())
+    Ok(stored.names.into_iter().map(|name| name.map(MachineName::from)).collect())
 }
 
-fn bytes(names: &[Option<Name>]) -> usize {
-    let each = |name: &Option<Name>| name.as_ref().map_or(2, |name| name.len()) + NAME_OVERHEAD;
+fn page_bytes(names: &[Option<MachineName>]) -> usize {
+    let each = |name: &Option<MachineName>| name.as_ref().map_or(2, |name| name.len()) + NAME_OVERHEAD;
     PAGE_OVERHEAD + names.iter().map(each).sum::<usize>()
 }
 
-fn has_room(names: &[Option<Name>], name: &Name, value_bytes: usize) -> bool {
-    let place = names.iter().any(Option::is_none) || names.len() < PAGE_NUMBERS as usize;
-    place && bytes(names) + name.len() + NAME_OVERHEAD <= value_bytes
+fn has_room(names: &[Option<MachineName>], name: &MachineName, value_bytes: usize) -> bool {
+    let has_free_position = names.iter().any(Option::is_none) || names.len() < PAGE_NUMBERS as usize;
+    has_free_position && page_bytes(names) + name.len() + NAME_OVERHEAD <= value_bytes
 }
 
-/// Puts as many names as fit into free places, then behind the others.
-fn fill<'a>(
-    mut names: Vec<Option<Name>>,
-    missing: impl Iterator<Item = &'a Name>,
+/// Adds as many names as fit, first at free positions and then at the end.
+fn add_names<'a>(
+    mut names: Vec<Option<MachineName>>,
+    missing: impl Iterator<Item = &'a MachineName>,
     value_bytes: usize,
-) -> Vec<Option<Name>> {
+) -> Vec<Option<MachineName>> {
     for name in missing {
         if !has_room(&names, name, value_bytes) {
             break;
         }
-        match names.iter_mut().find(|place| place.is_none()) {
-            Some(place) => *place = Some(name.clone()),
+        match names.iter_mut().find(|position| position.is_none()) {
+            Some(position) => *position = Some(name.clone()),
             None => names.push(Some(name.clone())),
         }
     }
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -1,19 +1,19 @@
-//! The one table of what a node may do in which mode.
+//! The table of the actions that are permitted in each mode.
 //!
-//! The table only restricts: what it allows still needs its own evidence (a commit, a worker's
-//! heartbeat, the cloud's answer). A [`Precondition`] names evidence that has an age, which the
-//! caller knows and checks.
+//! The table only restricts: an allowed action still needs its own evidence, such as a commit, a
+//! worker's heartbeat or the cloud's answer. A [`Precondition`] names evidence that becomes outdated;
+//! the caller knows its age and checks it.
 
 use crate::mode::{Mode, MODES};
 
-/// What a node may do.
+/// An action that a node may be permitted to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
     /// Accept a user's job.
     Accept,
     /// Cancel a user's job.
     Cancel,
-    /// Answer a user from memory, with what can't change any more.
+    /// Answer a user's request from memory, with a result that is final.
     AnswerFromMemory,
     /// Place a task on a machine.
     Place,
@@ -21,25 +21,25 @@
     Start,
     /// Command a worker to stop a task that must not run.
     Kill,
-    /// Take in a worker's heartbeat.
-    AnswerReports,
-    /// Reply to a heartbeat so that the worker's lease is renewed.
-    KeepLeases,
-    /// Acknowledge to a worker that a task has ended, so that it forgets the task.
+    /// Process a worker's heartbeat.
+    ProcessHeartbeats,
+    /// Respond to a heartbeat so that the worker's lease is renewed.
+    RenewLeases,
+    /// Acknowledge the end of a task to its worker, which then no longer reports the task.
     AcknowledgeEnds,
     /// Rent machines.
     Rent,
-    /// Return a machine that is not needed.
+    /// Return a machine that is no longer needed.
     Return,
-    /// Return a machine that may run a task past its cancellation.
+    /// Return a machine that may still run a task whose cancellation is overdue.
     ReclaimOverdue,
-    /// Treat a machine whose heartbeats stopped as lost.
-    JudgeSilent,
-    /// Hold the leader's lease, or try to take it.
+    /// Remove a machine as lost because its heartbeats have stopped.
+    RemoveSilent,
+    /// Hold the leader's lease or try to acquire it.
     Lead,
 }
 
-/// All actions, in the order of the enum.
+/// All actions, in the order of their declaration.
 pub const ACTIONS: [Action; 14] = [
     Action::Accept,
     Action::Cancel,
@@ -47,68 +47,70 @@
     Action::Place,
     Action::Start,
     Action::Kill,
-    Action::AnswerReports,
-    Action::KeepLeases,
+    Action::ProcessHeartbeats,
+    Action::RenewLeases,
     Action::AcknowledgeEnds,
     Action::Rent,
     Action::Return,
     Action::ReclaimOverdue,
-    Action::JudgeSilent,
+    Action::RemoveSilent,
     Action::Lead,
 ];
 
-/// Why an action is not allowed.
+/// The reason why an action is not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DenialReason {
-    /// It could not be recorded.
-    NoState,
-    /// It could not be confirmed by the workers.
-    NoWorkers,
-    /// Neither of both.
-    Neither,
-    /// The silence may be a failure of this node's own links.
-    OwnSilence,
+    /// The result could not be recorded in the state service.
+    StateServiceUnreachable,
+    /// The action could not be confirmed by the workers.
+    WorkersUnreachable,
+    /// Neither the state service nor the workers are reached.
+    BothUnreachable,
+    /// Heartbeats may be missing because of this node's own links.
+    OwnLinksSuspect,
     /// A node that reaches both sides should do it.
-    BetterPlaced,
-    /// The lease can't be given up: it expires.
-    LeaseRunsOut,
+    BetterConnectedNode,
+    /// The lease can't be revoked without the state service, so it is left to expire.
+    LeaseExpires,
 }
 
 impl DenialReason {
-    /// The reason in words, for log lines and views.
+    /// Returns the reason in words, for log lines and views.
     pub fn text(self) -> &'static str {
         match self {
-            Self::NoState => "the state service is not reached",
-            Self::NoWorkers => "no worker is reached",
-            Self::Neither => "neither the state service nor a worker is reached",
-            Self::OwnSilence => "the silence may be this node's own",
-            Self::BetterPlaced => "a node that sees both sides should",
-            Self::LeaseRunsOut => "the lease runs out by itself",
+            Self::StateServiceUnreachable => "the state service is not reached",
+            Self::WorkersUnreachable => "no worker is reached",
+            Self::BothUnreachable => "neither the state service nor a worker is reached",
+            Self::OwnLinksSuspect => "heartbeats may be missing because of this node's own links",
+            Self::BetterConnectedNode => {
+                "a node that reaches both the state service and workers should do it"
+            }
+            Self::LeaseExpires => "the lease can't be revoked and expires by itself",
         }
     }
 }
 
-/// Evidence with an age, which the caller checks.
+/// Evidence that becomes outdated. The caller checks whether it is recent enough.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
-    /// The jobs were read so recently that no cancellation is likely to be missed.
+    /// The jobs were read so recently that a cancellation is unlikely to have been missed.
     JobsSynced,
-    /// A cancellation that this node has not read is not due before leases expire.
-    CancellationUnseen,
+    /// The leases of workers would expire before a cancellation that this node has not read is due.
+    LeasesExpireInTime,
     /// No other node receives heartbeats from any worker.
     NoPeerReceivesHeartbeats,
 }
 
-/// Whether an action is allowed.
+/// The permission for an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
-    /// It is allowed.
+    /// The action is allowed.
     Allowed,
-    /// It is allowed as long as the precondition holds.
+    /// The action is allowed while the precondition holds.
     Within(Precondition),
-    /// Not now: it is done once the side is reached again.
+    /// The action is not allowed now, but is done once the mode permits it.
     Deferred(DenialReason),
-    /// It is refused at once.
+    /// The action is refused.
     Forbidden(DenialReason),
 }
 
@@ -117,17 +119,17 @@
 pub struct PermissionTable([[Permission; ACTIONS.len()]; MODES.len()]);
 
 impl PermissionTable {
-    /// The table that plankhead uses.
+    /// Returns the table that plankhead uses in production.
     pub fn standard() -> Self {
         Self(MODES.map(|mode| ACTIONS.map(|action| standard(mode, action))))
     }
 
-    /// The permission for an action in a mode.
+    /// Returns the permission for an action in a mode.
     pub fn of(&self, mode: Mode, action: Action) -> Permission {
         self.0[mode as usize][action as usize]
     }
 
-    /// The table with one cell changed, for tests that inject a fault.
+    /// Returns the table with one entry replaced, for tests that inject a fault.
     #[must_use]
     pub fn with(mut self, mode: Mode, action: Action, permission: Permission) -> Self {
         self.0[mode as usize][action as usize] = permission;
@@ -141,37 +143,38 @@
     use Permission::*;
     use Precondition::*;
     match (action, mode) {
-        // Each depends on the state service's own answer.
+        // Each of these depends on the state service's own answer.
         (Action::Accept | Action::Cancel, Whole | StateOnly) => Allowed,
-        (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(NoState),
-        // What can't change needs neither side.
+        (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(StateServiceUnreachable),
+        // A final result needs neither side.
         (Action::AnswerFromMemory, _) => Allowed,
         (Action::Place | Action::Start, Whole) => Within(JobsSynced),
-        (Action::Place | Action::Start, StateOnly) => Deferred(NoWorkers),
-        (Action::Place | Action::Start, WorkersOnly) => Forbidden(NoState),
-        (Action::Place | Action::Start, Isolated) => Forbidden(Neither),
-        // A task that must not run stays so: its stop is repeated until it is confirmed.
+        (Action::Place | Action::Start, StateOnly) => Deferred(WorkersUnreachable),
+        (Action::Place | Action::Start, WorkersOnly) => Forbidden(StateServiceUnreachable),
+        (Action::Place | Action::Start, Isolated) => Forbidden(BothUnreachable),
+        // Once a task must be stopped, this never changes, so the command is repeated until the worker
+        // confirms it.
         (Action::Kill, _) => Allowed,
-        // A heartbeat by itself shows that its worker is reached.
-        (Action::AnswerReports, _) => Allowed,
-        (Action::KeepLeases, _) => Within(CancellationUnseen),
+        // The heartbeat itself shows that its worker reaches this node.
+        (Action::ProcessHeartbeats, _) => Allowed,
+        (Action::RenewLeases, _) => Within(LeasesExpireInTime),
         (Action::AcknowledgeEnds, Whole | StateOnly) => Allowed,
-        (Action::AcknowledgeEnds, WorkersOnly | Isolated) => Deferred(NoState),
-        // A rental needs the state service and the cloud; a new machine's first heartbeat
-        // shows whether workers are reached.
+        (Action::AcknowledgeEnds, WorkersOnly | Isolated) => Deferred(StateServiceUnreachable),
+        // A rental needs only the state service and the cloud. The first heartbeat of the new machine shows
+        // whether it can reach this node.
         (Action::Rent, Whole | StateOnly) => Within(JobsSynced),
-        (Action::Rent, WorkersOnly | Isolated) => Forbidden(NoState),
+        (Action::Rent, WorkersOnly | Isolated) => Forbidden(StateServiceUnreachable),
         (Action::Return, Whole) => Allowed,
-        (Action::Return, StateOnly) => Forbidden(NoWorkers),
-        (Action::Return, WorkersOnly) => Forbidden(NoState),
-        (Action::Return, Isolated) => Forbidden(Neither),
-        // The deadline of a cancellation demands it, and the cloud's answer is the evidence.
+        (Action::Return, StateOnly) => Forbidden(WorkersUnreachable),
+        (Action::Return, WorkersOnly) => Forbidden(StateServiceUnreachable),
+        (Action::Return, Isolated) => Forbidden(BothUnreachable),
+        // The deadline of a cancellation requires it, and the cloud's answer proves that the task is over.
         (Action::ReclaimOverdue, _) => Allowed,
-        (Action::JudgeSilent, Whole) => Allowed,
-        (Action::JudgeSilent, StateOnly) => Within(NoPeerReceivesHeartbeats),
-        (Action::JudgeSilent, WorkersOnly | Isolated) => Forbidden(OwnSilence),
+        (Action::RemoveSilent, Whole) => Allowed,
+        (Action::RemoveSilent, StateOnly) => Within(NoPeerReceivesHeartbeats),
+        (Action::RemoveSilent, WorkersOnly | Isolated) => Forbidden(OwnLinksSuspect),
         (Action::Lead, Whole) => Allowed,
-        (Action::Lead, StateOnly) => Deferred(BetterPlaced),
-        (Action::Lead, WorkersOnly | Isolated) => Deferred(LeaseRunsOut),
+        (Action::Lead, StateOnly) => Deferred(BetterConnectedNode),
+        (Action::Lead, WorkersOnly | Isolated) => Deferred(LeaseExpires),
     }
 }
--- a/crates/plankhead-reachability/src/settings.rs
+++ b/crates/plankhead-reachability/src/settings.rs
@@ -3,29 +3,28 @@
 use crate::permission::PermissionTable;
 use std::time::Duration;
 
-/// Whether and how reachability is judged.
+/// The settings of reachability.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Whether permissions depend on the mode, and coverage is exchanged.
+    /// Whether permissions depend on the mode and coverage is exchanged.
     pub enabled: bool,
-    /// A link that has failed for so long, without a confirmation, is down.
+    /// The time for which a link must have failed, without a confirmation, before it is down.
     pub down_after: Duration,
-    /// The links of a side that was down must be good for so long before it counts as up.
+    /// The time for which the links of a side that was down must work before the side counts as up.
     pub up_after: Duration,
-    /// The time in which the flap penalty of a side falls to half.
+    /// The time in which the flap penalty of a side halves.
     pub half_life: Duration,
     /// The penalty, in failures, from which a side is suppressed.
-    pub suppress: f64,
-    /// The penalty at which it is not suppressed any more.
-    pub reuse: f64,
+    pub suppress_threshold: f64,
+    /// The penalty, in failures, at which a side is no longer suppressed.
+    pub reuse_threshold: f64,
     /// The interval at which coverage is sent to the peers.
     pub coverage_interval: Duration,
-    /// How long another node must be better placed before a leader hands over.
+    /// The time for which another node must be better connected before the leader hands over.
     pub handover_after: Duration,
-    /// The least time for which a leader leads before it hands over; doubled by each recent
-    /// hand-over.
+    /// The minimum time for which a node leads before it hands over. Each recent hand-over doubles it.
     pub min_time_as_leader: Duration,
-    /// What is allowed in which mode. Operators can't set it; tests do.
+    /// The permissions in each mode. Operators can't set them, but tests do.
     pub table: PermissionTable,
 }
 
@@ -36,8 +35,8 @@
             down_after: Duration::from_millis(1500),
             up_after: Duration::from_millis(500),
             half_life: Duration::from_secs(10),
-            suppress: 2.2,
-            reuse: 1.0,
+            suppress_threshold: 2.2,
+            reuse_threshold: 1.0,
             coverage_interval: Duration::from_secs(2),
             handover_after: Duration::from_millis(1500),
             min_time_as_leader: Duration::from_secs(5),
--- a/crates/plankhead-reachability/tests/table.rs
+++ b/crates/plankhead-reachability/tests/table.rs
@@ -1,21 +1,21 @@
-//! The table of permissions, cell by cell.
+//! Tests of every entry of the permission table.
 
 use plankhead_reachability::mode::{Mode, MODES};
 use plankhead_reachability::permission::{Action, Permission, PermissionTable, Precondition, ACTIONS};
 
-/// A cell in short: allowed, within a bound, deferred, forbidden.
-fn letter(permission: Permission) -> char {
+/// Returns a letter for a permission: `a`llowed, `d`eferred, `f`orbidden, or the precondition's letter.
+fn permission_letter(permission: Permission) -> char {
     match permission {
         Permission::Allowed => 'a',
         Permission::Within(Precondition::JobsSynced) => 'j',
-        Permission::Within(Precondition::CancellationUnseen) => 'c',
+        Permission::Within(Precondition::LeasesExpireInTime) => 'c',
         Permission::Within(Precondition::NoPeerReceivesHeartbeats) => 'p',
         Permission::Deferred(_) => 'd',
         Permission::Forbidden(_) => 'f',
     }
 }
 
-/// Whole, state only, workers only, isolated.
+/// The permissions of each action in the modes whole, state only, workers only and isolated.
 const EXPECTED: [(Action, &str); 14] = [
     (Action::Accept, "aaff"),
     (Action::Cancel, "aaff"),
@@ -23,29 +23,29 @@
     (Action::Place, "jdff"),
     (Action::Start, "jdff"),
     (Action::Kill, "aaaa"),
-    (Action::AnswerReports, "aaaa"),
-    (Action::KeepLeases, "cccc"),
+    (Action::ProcessHeartbeats, "aaaa"),
+    (Action::RenewLeases, "cccc"),
     (Action::AcknowledgeEnds, "aadd"),
     (Action::Rent, "jjff"),
     (Action::Return, "afff"),
     (Action::ReclaimOverdue, "aaaa"),
-    (Action::JudgeSilent, "apff"),
+    (Action::RemoveSilent, "apff"),
     (Action::Lead, "addd"),
 ];
 
 #[test]
-fn every_cell() {
+fn every_entry_is_as_expected() {
     let table = PermissionTable::standard();
     assert_eq!(EXPECTED.map(|(action, _)| action), ACTIONS);
     for (action, expected) in EXPECTED {
-        let row: String = MODES.iter().map(|mode| letter(table.of(*mode, action))).collect();
+        let row: String = MODES.iter().map(|mode| permission_letter(table.of(*mode, action))).collect();
         assert_eq!(row, expected, "{action:?}");
     }
 }
 
-/// Less sight never allows more.
+/// A node that does not reach both sides is never allowed more than one that does.
 #[test]
-fn no_mode_allows_what_the_whole_one_does_not() {
+fn no_mode_allows_more_than_whole() {
     let table = PermissionTable::standard();
     let rank = |permission: Permission| match permission {
         Permission::Allowed => 3,
@@ -62,19 +62,20 @@
 }
 
 #[test]
-fn a_planted_fault_changes_one_cell() {
-    let broken = PermissionTable::standard().with(Mode::WorkersOnly, Action::KeepLeases, Permission::Allowed);
+fn with_replaces_exactly_one_entry() {
+    let changed =
+        PermissionTable::standard().with(Mode::WorkersOnly, Action::RenewLeases, Permission::Allowed);
     let standard = PermissionTable::standard();
     for mode in MODES {
         for action in ACTIONS {
-            let same = broken.of(mode, action) == standard.of(mode, action);
-            assert_eq!(same, (mode, action) != (Mode::WorkersOnly, Action::KeepLeases));
+            let same = changed.of(mode, action) == standard.of(mode, action);
+            assert_eq!(same, (mode, action) != (Mode::WorkersOnly, Action::RenewLeases));
         }
     }
 }
 
 #[test]
-fn modes_have_codes() {
+fn every_mode_is_found_by_its_code() {
     for mode in MODES {
         assert_eq!(Mode::from_code(mode.code()), Some(mode));
     }
