--- a/crates/plankhead-standins/src/answer_history.rs
+++ b/crates/plankhead-standins/src/answer_history.rs
@@ -1,5 +1,5 @@
 //! The history of answers to users and of attempts on workers, and the check that every job
-//! reached exactly one final answer. The check calls nothing of the code under test.
+//! reached exactly one final answer. The check calls none of the code under test.
 
 use crate::LoadArgs;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,35 +17,37 @@
     NotFound,
 }
 
-/// What happened to an attempt of a task on a worker.
+/// A change in the state of an attempt on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
     Started,
     Done,
-    /// Stopped, or lost with its worker's lease or its machine.
+    /// The attempt was stopped, or lost because its worker's lease expired or its machine was
+    /// taken away.
     Stopped,
 }
 
-/// One event of a run.
+/// An answer to a user, or a change of an attempt.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A user got an answer; `tasks`: how many the job has, as its user knows.
+    /// A user received an answer. `tasks` is the number of tasks with which the user submitted the
+    /// job.
     Answered { job: String, tasks: u64, status: JobAnswer },
-    /// A worker started or ended an attempt.
-    Attempt { task: String, host: usize, run: AttemptEvent },
+    /// An attempt started or ended on the worker of machine number `host`.
+    Attempt { task: String, host: usize, event: AttemptEvent },
 }
 
-/// All events of a run, in order.
+/// The events of a run, in the order in which they were added.
 #[derive(Debug, Default)]
 pub struct AnswerHistory(Mutex<Vec<(Instant, Event)>>);
 
 impl AnswerHistory {
-    /// Adds an event, as of now.
-    pub fn add(&self, happened: Event) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((Instant::now(), happened));
+    /// Adds an event with the current time.
+    pub fn add(&self, event: Event) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((Instant::now(), event));
     }
 
-    /// All events so far.
+    /// Returns a copy of all events so far.
     pub fn all(&self) -> Vec<(Instant, Event)> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -54,38 +56,38 @@
 /// The result of the check.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// What is wrong, a line each.
+    /// A message for each violation that was found.
     pub faults: Vec<String>,
-    /// Jobs that were accepted.
+    /// The number of jobs that were accepted.
     pub accepted: usize,
-    /// Jobs that ended as done.
+    /// The number of jobs with the final answer `done`.
     pub done: usize,
-    /// Jobs that ended as cancelled.
+    /// The number of jobs with the final answer `cancelled`.
     pub cancelled: usize,
     /// The longest time from the first answer about a job to its final one.
-    pub longest: Duration,
+    pub longest_job: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Job {
     tasks: u64,
-    first: Option<Instant>,
-    ended: Option<(JobAnswer, Instant)>,
+    first_answer: Option<Instant>,
+    outcome: Option<(JobAnswer, Instant)>,
 }
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let longest = self.longest.as_secs_f64();
+        let longest_job = self.longest_job.as_secs_f64();
         let Self { accepted, done, cancelled, .. } = self;
         write!(
             f,
-            "{accepted} jobs accepted, {done} done, {cancelled} cancelled, the longest took {longest:.1} s"
+            "{accepted} jobs accepted, {done} done, {cancelled} cancelled, longest job {longest_job:.1} s"
         )
     }
 }
 
 impl Verdict {
-    /// Prints the faults; a run with any ends with a failure.
+    /// Prints the faults, and returns the exit code of the run: a failure if there are any.
     pub fn report_faults(&self) -> ExitCode {
         for fault in &self.faults {
             println!("fault: {fault}");
@@ -98,7 +100,7 @@
     }
 }
 
-/// Checks a run in which a certain number of jobs was to be submitted.
+/// Checks the history, and that all jobs of the load were accepted.
 pub fn check_all(history: &AnswerHistory, load: &LoadArgs) -> Verdict {
     let mut verdict = check(&history.all(), Duration::from_secs_f64(load.cancel_s));
     let missing = (load.jobs as usize).saturating_sub(verdict.accepted);
@@ -108,38 +110,39 @@
     verdict
 }
 
-/// Reads the history from its beginning. `cancel`: how long a task may go on after its
-/// job's cancellation was told.
-pub fn check(history: &[(Instant, Event)], cancel: Duration) -> Verdict {
+/// Checks a history from its beginning. An attempt may still run for `cancel_timeout` after the
+/// user received the answer that its job is cancelled.
+pub fn check(history: &[(Instant, Event)], cancel_timeout: Duration) -> Verdict {
     let mut verdict = Verdict::default();
     let mut jobs: BTreeMap<&str, Job> = BTreeMap::new();
     let mut running: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     let mut done: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-    for (at, happened) in history {
-        match happened {
+    for (at, recorded) in history {
+        match recorded {
             Event::Answered { job, tasks, status } => {
                 let entry = jobs.entry(job).or_default();
-                (entry.tasks, entry.first) = (*tasks, entry.first.or(Some(*at)));
-                told(job, entry, *status, *at, &mut verdict);
+                (entry.tasks, entry.first_answer) = (*tasks, entry.first_answer.or(Some(*at)));
+                record_answer(job, entry, *status, *at, &mut verdict);
             }
-            Event::Attempt { task, host, run } => {
-                let on = running.entry(task).or_default();
+            Event::Attempt { task, host, event } => {
+                let hosts = running.entry(task).or_default();
                 let job = task.split('/').next().unwrap_or_default();
-                if *run == AttemptEvent::Started {
-                    on.insert(*host);
-                    if on.len() > 1 {
-                        verdict.faults.push(format!("{task} ran on {on:?} at a time"));
+                if *event == AttemptEvent::Started {
+                    hosts.insert(*host);
+                    if hosts.len() > 1 {
+                        verdict.faults.push(format!("{task} ran on {hosts:?} at a time"));
                     }
                 } else {
-                    on.remove(host);
+                    hosts.remove(host);
                 }
-                let over = jobs.get(job).and_then(|job| job.ended);
-                if over.is_some_and(|(status, told)| {
-                    status == JobAnswer::Cancelled && at.saturating_duration_since(told) > cancel
+                let outcome = jobs.get(job).and_then(|job| job.outcome);
+                if outcome.is_some_and(|(status, cancelled_at)| {
+                    status == JobAnswer::Cancelled
+                        && at.saturating_duration_since(cancelled_at) > cancel_timeout
                 }) {
                     verdict.faults.push(format!("{task} went on past its cancellation"));
                 }
-                if *run == AttemptEvent::Done {
+                if *event == AttemptEvent::Done {
                     done.entry(job).or_default().insert(task);
                 }
             }
@@ -147,7 +150,7 @@
     }
     for (name, job) in &jobs {
         let tasks = done.get(name).map_or(0, BTreeSet::len) as u64;
-        match job.ended {
+        match job.outcome {
             None => verdict.faults.push(format!("{name} has no final answer")),
             Some((JobAnswer::Done, _)) if tasks < job.tasks => {
                 verdict.faults.push(format!("{name} is done with {tasks} of {} tasks", job.tasks));
@@ -155,8 +158,9 @@
             Some((status, at)) => {
                 verdict.done += usize::from(status == JobAnswer::Done);
                 verdict.cancelled += usize::from(status == JobAnswer::Cancelled);
-                let took = job.first.map(|first| at.saturating_duration_since(first));
-                verdict.longest = verdict.longest.max(took.unwrap_or_default());
+                let duration =
+                    job.first_answer.map(|first_answer| at.saturating_duration_since(first_answer));
+                verdict.longest_job = verdict.longest_job.max(duration.unwrap_or_default());
             }
         }
     }
@@ -164,12 +168,12 @@
     verdict
 }
 
-fn told(name: &str, job: &mut Job, status: JobAnswer, at: Instant, verdict: &mut Verdict) {
-    match (job.ended, status) {
-        (Some((ended, _)), status) if status != ended => {
-            verdict.faults.push(format!("{name} was {ended:?} and then {status:?}"));
+fn record_answer(name: &str, job: &mut Job, status: JobAnswer, at: Instant, verdict: &mut Verdict) {
+    match (job.outcome, status) {
+        (Some((outcome, _)), status) if status != outcome => {
+            verdict.faults.push(format!("{name} was {outcome:?} and then {status:?}"));
         }
-        (None, JobAnswer::Done | JobAnswer::Cancelled) => job.ended = Some((status, at)),
+        (None, JobAnswer::Done | JobAnswer::Cancelled) => job.outcome = Some((status, at)),
         (None, JobAnswer::NotFound) => verdict.faults.push(format!("{name} was accepted and then not found")),
         _ => {}
     }
