--- a/crates/plankhead-standins/src/request_counts.rs
+++ b/crates/plankhead-standins/src/request_counts.rs
@@ -1,36 +1,36 @@
-//! How often each kind of request was made.
+//! Counts of the requests of each kind.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The kinds that are told apart.
+/// The kinds of requests and events that are counted separately.
 #[derive(Debug, Clone, Copy)]
 pub enum RequestKind {
-    Report,
+    Heartbeat,
     Command,
     Submission,
-    Question,
+    StatusQuery,
     Cancellation,
     HealthCheck,
     StateRead,
     StateTransaction,
     StateLease,
     StateWatch,
-    /// A user was told that a job is over.
-    JobOver,
+    /// A user received the answer that a job is done or cancelled.
+    JobFinished,
 }
 
 const KINDS: [(RequestKind, &str); 11] = [
-    (RequestKind::Report, "reports"),
+    (RequestKind::Heartbeat, "heartbeats"),
     (RequestKind::Command, "direct commands"),
     (RequestKind::Submission, "submissions"),
-    (RequestKind::Question, "questions"),
+    (RequestKind::StatusQuery, "status queries"),
     (RequestKind::Cancellation, "cancellations"),
     (RequestKind::HealthCheck, "health checks"),
     (RequestKind::StateRead, "state reads"),
     (RequestKind::StateTransaction, "state transactions"),
     (RequestKind::StateLease, "state lease calls"),
     (RequestKind::StateWatch, "state watches"),
-    (RequestKind::JobOver, "jobs over"),
+    (RequestKind::JobFinished, "jobs finished"),
 ];
 
 #[derive(Debug, Default)]
@@ -45,16 +45,16 @@
         std::array::from_fn(|i| self.0[i].load(Ordering::Relaxed))
     }
 
-    pub fn jobs_over(&self) -> u64 {
-        self.0[RequestKind::JobOver as usize].load(Ordering::Relaxed)
+    pub fn jobs_finished(&self) -> u64 {
+        self.0[RequestKind::JobFinished as usize].load(Ordering::Relaxed)
     }
 
-    /// Prints what came since `before`, in a second.
+    /// Prints the rate of each kind. `before` holds the counts from `seconds` ago.
     pub fn print(&self, before: &[u64; KINDS.len()], seconds: u64) {
         let now = self.read();
         for (kind, name) in KINDS {
-            let since = now[kind as usize] - before[kind as usize];
-            println!("{name}: {:.1} a second", since as f64 / seconds as f64);
+            let delta = now[kind as usize] - before[kind as usize];
+            println!("{name}: {:.1}/s", delta as f64 / seconds as f64);
         }
     }
 }
--- a/crates/plankhead-standins/src/stale_effects.rs
+++ b/crates/plankhead-standins/src/stale_effects.rs
@@ -1,55 +1,55 @@
-//! Counts what the cloud did for nodes that did not lead any more.
+//! Counts the effects that the cloud carried out for nodes that were no longer the leader.
 //!
-//! The check reads what the stand-ins kept, and calls nothing of the code under test. An
-//! effect is a rental that rents machines or a return that takes machines away which were
-//! there. It is **stale** if, at the revision of the state service at which the cloud
-//! carried it out, the lease's key was not its sender's, and no record under `duty/` named
-//! the rental or the machine. A record counts only if it was written while the lease was
-//! its writer's: the key holds the lease's revision.
+//! The check reads what the stand-ins recorded, and calls none of the code under test. An
+//! effect is a rental that provided machines, or the return of a machine that was rented. It is
+//! **stale** if, at the revision of the state service at which the cloud carried it out, its
+//! sender did not hold the leader's lease, and no record under `duty/` named the rental or the
+//! machine. A record counts only if its writer held the lease when it was written: the key of the
+//! record contains the revision at which its writer acquired the lease.
 
 use crate::cloud::{Effect, Subject};
 use crate::kv_store::KeyChange;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What was found.
+/// The numbers of effects that the check found.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StaleEffects {
+pub struct EffectCounts {
     pub effects: usize,
-    /// Effects for senders whose lease was over.
-    pub of_former: usize,
+    /// Effects whose sender did not hold the lease.
+    pub by_former_leaders: usize,
     pub stale: usize,
-    /// Terms of the lease.
+    /// The number of times that the lease was acquired.
     pub terms: usize,
 }
 
 /// Checks the effects, in the order in which they were carried out.
-pub fn check(history: &[KeyChange], effects: &[Effect]) -> StaleEffects {
+pub fn check(history: &[KeyChange], effects: &[Effect]) -> EffectCounts {
     let mut rows: BTreeMap<&str, &Value> = BTreeMap::new();
     let mut term = 0;
     let mut next = history.iter().peekable();
-    let mut found = StaleEffects { effects: effects.len(), ..StaleEffects::default() };
-    found.terms = history.iter().filter(|written| written.key == "lead" && written.value.is_some()).count();
+    let mut counts = EffectCounts { effects: effects.len(), ..EffectCounts::default() };
+    counts.terms = history.iter().filter(|change| change.key == "lead" && change.value.is_some()).count();
     for effect in effects {
-        while let Some(written) = next.next_if(|written| written.revision <= effect.revision) {
-            if written.key == "lead" {
-                term = written.value.as_ref().map_or(0, |_| written.revision);
+        while let Some(change) = next.next_if(|change| change.revision <= effect.revision) {
+            if change.key == "lead" {
+                term = change.value.as_ref().map_or(0, |_| change.revision);
             }
-            let writer = written.key.strip_prefix("duty/").and_then(|rest| rest.split('/').next());
-            let valid = writer.is_none_or(|token| token.parse() == Ok(term));
-            match written.value.as_ref().filter(|_| valid) {
-                Some(value) => rows.insert(&written.key, value),
-                None => rows.remove(written.key.as_str()),
+            let writer_token = change.key.strip_prefix("duty/").and_then(|rest| rest.split('/').next());
+            let valid = writer_token.is_none_or(|token| token.parse() == Ok(term));
+            match change.value.as_ref().filter(|_| valid) {
+                Some(value) => rows.insert(&change.key, value),
+                None => rows.remove(change.key.as_str()),
             };
         }
         let holder = rows.get("lead").and_then(|lease| lease["host"].as_str());
         if holder == Some(effect.sender.as_str()) {
             continue;
         }
-        found.of_former += 1;
-        found.stale += usize::from(!is_recorded(&rows, &effect.subject));
+        counts.by_former_leaders += 1;
+        counts.stale += usize::from(!is_recorded(&rows, &effect.subject));
     }
-    found
+    counts
 }
 
 fn is_recorded(rows: &BTreeMap<&str, &Value>, subject: &Subject) -> bool {
--- a/crates/plankhead/src/tests/service.rs
+++ b/crates/plankhead/src/tests/service.rs
@@ -27,7 +27,7 @@
 /// port from that range, a connection of another test could take the port before the node bound it; the
 /// node then stopped unnoticed, and the test timed out after 20 s.
 fn free_address() -> SocketAddr {
-    plankhead_standins::nodes::free().unwrap()
+    plankhead_standins::nodes::free_address().unwrap()
 }
 
 async fn start() -> Service {
--- a/crates/plankhead/tests/link_faults.rs
+++ b/crates/plankhead/tests/link_faults.rs
@@ -16,7 +16,7 @@
 async fn every_job_gets_one_final_status_despite_link_faults() {
     let files = format!("--fencing {DEPLOY}/fencing.json --reachability {DEPLOY}/reachability.json");
     let args = command_line::<LinkFaultArgs>(&files, &[&SMALL_LOAD[..], &["--cuts=6", "--seed=3"]].concat());
-    let outcome = link_faults::run(&args.load, &args.own).await.unwrap();
+    let outcome = link_faults::run(&args.load, &args.program).await.unwrap();
     assert_eq!(outcome.verdict.faults, Vec::<String>::new(), "{outcome:?}");
     assert_eq!(outcome.verdict.accepted, 60, "{outcome:?}");
 }
@@ -26,7 +26,7 @@
 fn history_check_reports_each_violation() {
     let start = Instant::now();
     let answered = |job: &str, status| Event::Answered { job: job.into(), tasks: 1, status };
-    let attempt = |host, run| Event::Attempt { task: "a/0".into(), host, run };
+    let attempt = |host, run| Event::Attempt { task: "a/0".into(), host, event: run };
     let faults = |events: &[(u64, Event)]| {
         let history: Vec<_> =
             events.iter().map(|(at, event)| (start + Duration::from_secs(*at), event.clone())).collect();
--- a/crates/plankhead/tests/process_pauses.rs
+++ b/crates/plankhead/tests/process_pauses.rs
@@ -37,17 +37,17 @@
         "--instants=cloud-called",
     ];
     let args = command_line::<PauseArgs>(node_arguments, &arguments);
-    process_pauses::run(&args.load, &args.own).await.unwrap()
+    process_pauses::run(&args.load, &args.program).await.unwrap()
 }
 
 #[tokio::test]
 async fn fencing_prevents_stale_effects_of_paused_processes() {
     let fencing = format!("--fencing {DEPLOY}/fencing.json");
     let (fenced, unfenced) = tokio::join!(run_with_pauses(&fencing), run_with_pauses(""));
-    assert_eq!(fenced.found.stale, 0, "{fenced:?}");
-    assert!(fenced.found.effects > 0 && fenced.duty_changes > 0, "{fenced:?}");
-    assert!(unfenced.found.stale > 0, "no stale effects without fencing: {unfenced:?}");
-    assert_eq!(unfenced.duty_changes, 0, "{unfenced:?}");
+    assert_eq!(fenced.effect_counts.stale, 0, "{fenced:?}");
+    assert!(fenced.effect_counts.effects > 0 && fenced.intent_changes > 0, "{fenced:?}");
+    assert!(unfenced.effect_counts.stale > 0, "no stale effects without fencing: {unfenced:?}");
+    assert_eq!(unfenced.intent_changes, 0, "{unfenced:?}");
 }
 
 /// Tests the check for stale effects itself, on histories written by hand.
@@ -80,7 +80,7 @@
     let machine = |name: &str| Subject::Machine(name.into());
     let count = |effects: &[Effect]| {
         let found = stale_effects::check(&history, effects);
-        (found.of_former, found.stale)
+        (found.by_former_leaders, found.stale)
     };
     assert_eq!(count(&[effect("plank-0", rental("r-9"), 1)]), (0, 0), "from the holder of the lease");
     assert_eq!(count(&[effect("plank-1", rental("r-9"), 1)]), (1, 1), "not from the holder of the lease");
