--- a/crates/plankhead-core/tests/cpu_budget.rs
+++ b/crates/plankhead-core/tests/cpu_budget.rs
@@ -1,5 +1,5 @@
-//! What may be done in one go on a small share of a core, and that portions change
-//! nothing of what a replay finds.
+//! Tests of the CPU budget: how the limits on one step follow from the share of a core, and that
+//! slicing a replay does not change its result.
 
 use plankhead_core::jobs::job::{Priority, Resources};
 use plankhead_core::placement::backfill::Slot;
@@ -10,38 +10,41 @@
 
 const NOW: Duration = Duration::from_secs(1_000);
 
-/// Less of a core never allows more, every share allows something, and what a whole core
-/// may do in one go is bounded.
+/// A smaller share of a core never allows more work in one step, every share allows some, and even a
+/// whole core has an upper limit.
 #[test]
-fn smaller_shares_do_less_in_one_go() {
+fn smaller_shares_allow_less_work_per_step() {
     let shares = [0.001, 0.01, 0.019, 0.029, 0.1, 0.33, 1.0, 8.0];
     for pair in shares.windows(2) {
-        let (less, more) = (CpuBudget::new(pair[0]), CpuBudget::new(pair[1]));
-        assert!(less.max_starts_per_pass() >= 1 && less.max_starts_per_pass() <= more.max_starts_per_pass());
+        let (smaller, larger) = (CpuBudget::new(pair[0]), CpuBudget::new(pair[1]));
+        assert!(
+            smaller.max_starts_per_pass() >= 1
+                && smaller.max_starts_per_pass() <= larger.max_starts_per_pass()
+        );
         for machines in [1, 20, 185, 355, 2_000] {
-            let (few, many) = (less.passes_per_slice(machines), more.passes_per_slice(machines));
-            assert!(few >= 1 && few <= many, "{machines} machines on {}", pair[0]);
+            let (few, many) = (smaller.passes_per_slice(machines), larger.passes_per_slice(machines));
+            assert!(few >= 1 && few <= many, "{machines} machines on a share of {}", pair[0]);
             assert!(many * machines <= 14_000 || many == 1);
         }
     }
     assert!(CpuBudget::new(8.0).max_starts_per_pass() <= 1_000);
-    assert!(CpuBudget::new(0.019).max_starts_per_pass() <= 100, "starts hold up the answers to reports");
+    assert!(CpuBudget::new(0.019).max_starts_per_pass() <= 100, "starts delay the responses to heartbeats");
 }
 
-/// A process that is behind replays less of the time, but goes on.
+/// A process that is behind spends a smaller part of its time on replays, but does not stop them.
 #[test]
-fn replays_give_way_when_the_process_is_behind() {
+fn replays_slow_down_when_the_process_is_behind() {
     for share in [0.019, 0.33] {
-        let portions = CpuBudget::new(share);
-        let (usual, behind) = (portions.slice_interval(355, false), portions.slice_interval(355, true));
+        let budget = CpuBudget::new(share);
+        let (usual, behind) = (budget.slice_interval(355, false), budget.slice_interval(355, true));
         assert!(usual < behind && behind <= usual * 4, "{usual:?} {behind:?}");
     }
 }
 
-/// The leader's key outlives a pause of one and a half seconds where reports may cause
-/// one, and no longer than needed elsewhere.
+/// On a small share of a core, heartbeats may delay the renewal of the leader's lease by one and a half
+/// seconds, so the lease is longer there. On larger shares it is no longer than needed.
 #[test]
-fn the_leaders_lease_follows_the_share() {
+fn leader_lease_depends_on_the_cpu_share() {
     assert!(CpuBudget::new(0.019).leader_lease() > Duration::from_millis(1500));
     assert_eq!(CpuBudget::new(0.33).leader_lease(), Duration::from_millis(1500));
 }
@@ -83,24 +86,24 @@
     }
 }
 
-/// A replay finds the same however small its portions are.
+/// A replay gives the same slowdown for any number of passes per slice.
 #[test]
-fn portions_change_nothing_of_a_replay() {
-    let most = Resources { cpus: 60.0, gpus: 0.0, ram_gb: 1e9 };
-    let team = TeamUsage { guaranteed: most, limit: most, used: Resources::default() };
+fn slicing_does_not_change_the_result_of_a_replay() {
+    let limit = Resources { cpus: 60.0, gpus: 0.0, ram_gb: 1e9 };
+    let team = TeamUsage { guaranteed: limit, limit, used: Resources::default() };
     let slowdown = |passes: usize| {
         let slots = (0..12).map(slot).collect();
         let mut replay =
             Replay::new(NOW, slots, (1..60).map(work).collect(), Vec::new(), vec![team.clone()], 3);
         loop {
-            if let Some(found) = replay.advance(passes) {
-                return found;
+            if let Some(slowdown) = replay.advance(passes) {
+                return slowdown;
             }
         }
     };
-    let whole = slowdown(usize::MAX);
-    assert!(whole > 1.5, "{whole}");
+    let unsliced = slowdown(usize::MAX);
+    assert!(unsliced > 1.5, "{unsliced}");
     for passes in [1, 2, 7, 40] {
-        assert_eq!(slowdown(passes), whole, "{passes} passes at a time");
+        assert_eq!(slowdown(passes), unsliced, "{passes} passes per slice");
     }
 }
--- a/crates/plankhead-core/tests/stored.rs
+++ b/crates/plankhead-core/tests/stored.rs
@@ -1,6 +1,6 @@
-//! What version 749ebcd stored, of every kind of key, as it wrote it in histories of the
-//! model (`fixtures/stored.jsonl`): this version reads all of it, and writes the same bytes
-//! for what it has read.
+//! Compatibility with stored data. `fixtures/stored.jsonl` holds values of every kind of key, as
+//! version 749ebcd wrote them in histories of the model. This version must read all of them, and write
+//! the same bytes for what it has read.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,10 +18,10 @@
 
 const STORED: &str = include_str!("fixtures/stored.jsonl");
 const NOW: Duration = Duration::from_secs(1_000);
-/// What a value may hold in the model once the limits are lowered.
+/// The size limit of a value in the model after the state service lowers its limits.
 const LOWERED_VALUE_BYTES: usize = 1024;
 
-/// A key of one history, as the state service had it.
+/// A key of one history, as the state service stored it.
 #[derive(Debug, Deserialize)]
 struct StoredRow {
     history: String,
@@ -30,16 +30,16 @@
     revision: u64,
 }
 
-/// Rows of the keys that begin so; there are some of every kind.
+/// Returns the rows whose keys have the prefix, and fails if there are none.
 fn rows(prefix: &str) -> Vec<StoredRow> {
     let row = |line: &str| serde_json::from_str::<StoredRow>(line).unwrap();
     let rows: Vec<StoredRow> = STORED.lines().map(row).filter(|row| row.key.starts_with(prefix)).collect();
-    assert!(!rows.is_empty(), "no {prefix} among the fixtures");
+    assert!(!rows.is_empty(), "the fixtures have no key with the prefix {prefix}");
     rows
 }
 
-/// The rows' values, read and written again, are the same bytes.
-fn same_bytes<T: DeserializeOwned + Serialize>(prefix: &str) {
+/// Asserts that the rows' values are the same bytes after they were decoded and encoded again.
+fn assert_round_trip<T: DeserializeOwned + Serialize>(prefix: &str) {
     for row in rows(prefix) {
         let value: T = serde_json::from_str(&row.value).unwrap();
         assert_eq!(serde_json::to_string(&value).unwrap(), row.value, "{}", row.key);
@@ -47,49 +47,50 @@
 }
 
 #[test]
-fn job_records_are_the_same_bytes() {
-    same_bytes::<JobRecord>("job/");
-    same_bytes::<JobRecord>("over/");
+fn job_records_round_trip() {
+    assert_round_trip::<JobRecord>("job/");
+    assert_round_trip::<JobRecord>("over/");
 }
 
 #[test]
-fn the_leader_and_the_target_are_the_same_bytes() {
-    same_bytes::<LeaderRecord>("lead");
-    same_bytes::<Target>("target");
+fn leader_and_target_records_round_trip() {
+    assert_round_trip::<LeaderRecord>("lead");
+    assert_round_trip::<Target>("target");
 }
 
 #[test]
-fn shard_records_are_the_same_bytes() {
-    same_bytes::<ShardRecord>("shard/");
+fn shard_records_round_trip() {
+    assert_round_trip::<ShardRecord>("shard/");
 }
 
 #[test]
-fn versions_are_the_same_bytes() {
+fn version_records_are_unchanged() {
     for row in rows("node/") {
         assert_eq!(row.value, r#"{"format":1}"#);
     }
 }
 
 #[test]
-fn pages_of_duties_are_the_same_bytes() {
-    let mut duties = 0;
+fn intent_pages_round_trip() {
+    let mut intents = 0;
     for row in rows("duty/") {
         let (read, faults) = record::decode(&row.key, &row.value);
         assert!(faults.is_empty(), "{faults:?}");
         assert_eq!(record::encode(read.iter()), row.value);
-        duties += read.len();
+        intents += read.len();
     }
-    assert!(duties > 0);
+    assert!(intents > 0);
 }
 
-/// Both layouts: as a job was accepted, and in smaller chunks for lower limits.
+/// The test covers both layouts: the chunks of a job as it was accepted, and the smaller ones that
+/// replace them when the state service has lowered its limits.
 #[test]
-fn chunks_are_the_same_bytes() {
+fn chunks_round_trip() {
     let mut jobs: BTreeMap<(String, String), JobRecord> = BTreeMap::new();
     for row in rows("job/") {
         jobs.insert((row.history, row.key), serde_json::from_str(&row.value).unwrap());
     }
-    let (mut plain, mut small) = (0, 0);
+    let (mut original, mut rechunked) = (0, 0);
     for row in rows("run/") {
         let mut parts = row.key.splitn(3, '/').skip(1);
         let (id, number) = (parts.next().unwrap(), parts.next().unwrap());
@@ -107,19 +108,19 @@
         job_table.upsert(&id, job);
         if number.starts_with('s') {
             job_table.rechunk(tasks_per_chunk(LOWERED_VALUE_BYTES));
-            small += 1;
+            rechunked += 1;
         } else {
-            plain += 1;
+            original += 1;
         }
         let number = number.trim_start_matches('s').parse().unwrap();
         job_table.load_chunk(&id, number, &row.value, row.revision, NOW).unwrap();
         assert_eq!(job_table.encode_chunk(&id, number).unwrap().value, row.value, "{}", row.key);
     }
-    assert!(plain > 0 && small > 0, "{plain} as accepted, {small} laid out anew");
+    assert!(original > 0 && rechunked > 0, "{original} original chunks, {rechunked} smaller ones");
 }
 
 #[test]
-fn numbers_of_machines_are_read() {
+fn machine_numbers_are_read() {
     #[derive(Deserialize)]
     struct StoredPage {
         names: Vec<Option<String>>,
@@ -134,9 +135,9 @@
     }
 }
 
-/// A page of numbers is written as it was: for the same names, byte for byte.
+/// A page of machine numbers is written byte for byte as before for the same names.
 #[test]
-fn numbers_of_machines_are_the_same_bytes() {
+fn machine_number_pages_are_unchanged() {
     let machines = BTreeSet::from(["i-000001".into(), "i-000002".into(), "i-000007".into()]);
     let write = MachineNumbering::default().next_write(&machines, LOWERED_VALUE_BYTES).unwrap();
     assert_eq!(write.key, "machines/0000");
