--- a/crates/plankhead-core/tests/evidence.rs
+++ b/crates/plankhead-core/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! What counts as proof that an attempt is gone, and what does not.
+//! Tests of the evidence that an attempt has ended, and of the removal of machines.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A job's row, accepted at the beginning.
+/// Returns a stored job that was accepted at `NOW`.
 fn stored_job(
     record: JobRecord,
     mod_revision: u64,
@@ -42,25 +42,26 @@
     StoredJob { record, mod_revision, accepted_at: NOW, cancelled_at, tasks_per_chunk }
 }
 
-/// A ledger with `placed` of ten tasks on one machine, all durable.
-fn ledger(placed: usize) -> JobTable {
+/// Returns a table with one job of ten tasks, of which `placed` are on one machine with their placements
+/// written.
+fn table_with_placed(placed: usize) -> JobTable {
     let mut job_table = JobTable::default();
     job_table.upsert(&id(), stored_job(record(JobPhase::Active, 10), 5, None, 4));
     for _ in 0..placed {
         job_table.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     }
-    commit(&mut job_table);
+    commit_chunks(&mut job_table);
     job_table
 }
 
-fn commit(job_table: &mut JobTable) {
+fn commit_chunks(job_table: &mut JobTable) {
     for (id, chunk) in job_table.dirty_chunks.clone() {
         let version = job_table.encode_chunk(&id, chunk).unwrap().version;
         job_table.chunk_committed(&id, chunk, version, 7);
     }
 }
 
-fn report(incarnation: u64, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+fn heartbeat(incarnation: u64, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
     Heartbeat {
         machine: "i-1".into(),
         address: "10.0.0.9:1".into(),
@@ -82,7 +83,7 @@
     }
 }
 
-/// A deployment whose workers report that often.
+/// Returns settings with this heartbeat interval and worker lease.
 fn settings(heartbeat_interval_s: u64, worker_lease_s: u64) -> Settings {
     Settings {
         nodes: 3,
@@ -100,140 +101,149 @@
 }
 
 #[test]
-fn absence_from_a_report_is_no_evidence() {
-    let mut job_table = ledger(2);
+fn absence_from_a_heartbeat_is_no_evidence() {
+    let mut job_table = table_with_placed(2);
     assert_eq!(
-        job_table.observe_heartbeat(&report(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
+        job_table.observe_heartbeat(&heartbeat(3, 1, &[(0, 1, TaskStatus::Running)]), false, NOW),
         HeartbeatOutcome { ended: vec![], missing: 0 }
     );
-    // What was there and is missing is neither running nor proven gone.
+    // An attempt that was listed before and is missing counts as neither running nor ended.
     assert_eq!(
-        job_table.observe_heartbeat(&report(3, 2, &[]), false, NOW),
+        job_table.observe_heartbeat(&heartbeat(3, 2, &[]), false, NOW),
         HeartbeatOutcome { ended: vec![], missing: 1 }
     );
     assert_eq!(placed(&job_table), 2);
 }
 
 #[test]
-fn a_later_shift_an_end_and_a_release_are_evidence() {
-    let mut job_table = ledger(3);
+fn a_later_incarnation_an_exit_and_a_release_are_evidence() {
+    let mut job_table = table_with_placed(3);
     job_table.observe_heartbeat(
-        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        &heartbeat(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
         false,
         NOW,
     );
     assert_eq!((placed(&job_table), job_table.jobs[&id()].done), (2, 1));
-    // The end of another attempt of the same task says nothing of this one.
+    // The exit of another attempt of the same task is no evidence about this one.
     job_table.observe_heartbeat(
-        &report(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]),
+        &heartbeat(3, 2, &[(1, 9, TaskStatus::Exited(ExitReason::Completed))]),
         false,
         NOW,
     );
     assert_eq!(placed(&job_table), 2);
-    job_table.observe_heartbeat(&report(4, 3, &[]), false, NOW);
+    job_table.observe_heartbeat(&heartbeat(4, 3, &[]), false, NOW);
     assert_eq!((placed(&job_table), job_table.jobs[&id()].to_restart.len()), (0, 2));
     job_table.place(&id(), &"i-2".into(), 1, &"z".into(), NOW).unwrap();
     assert_eq!(job_table.handle_machine_removal("i-2", NOW), 1);
     assert_eq!(placed(&job_table), 0);
 }
 
-/// A worker may forget an end only once it is durable, since a later leader
-/// would take the attempt for a live one.
+/// An exit is acknowledged to the worker only once it is stored. Otherwise the worker would no longer
+/// report it, and a later leader would take the attempt for a running one.
 #[test]
-fn reap_waits_for_the_write() {
-    let mut job_table = ledger(1);
+fn exits_are_acknowledged_after_the_write() {
+    let mut job_table = table_with_placed(1);
     let task = TaskId { job: id(), index: 0 };
     job_table.observe_heartbeat(
-        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        &heartbeat(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Completed))]),
         false,
         NOW,
     );
     assert!(!job_table.may_acknowledge(&task, 1));
-    commit(&mut job_table);
+    commit_chunks(&mut job_table);
     assert!(job_table.may_acknowledge(&task, 1));
 }
 
-/// A placement that no worker was told of goes with the cancellation; a durable
-/// one, whose `run` may be under way, stays until there is proof.
+/// A cancellation removes a placement that is not stored yet, since no worker was told of it. A stored
+/// placement, whose `run` command may be in flight, stays until there is evidence of its end.
 #[test]
-fn cancelling_drops_only_what_nobody_was_told() {
-    let mut job_table = ledger(1);
+fn cancellation_removes_only_unwritten_placements() {
+    let mut job_table = table_with_placed(1);
     job_table.place(&id(), &"i-1".into(), 3, &"z".into(), NOW).unwrap();
     job_table.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     assert_eq!(placed(&job_table), 1);
     assert!(job_table.ended_jobs.is_empty());
     job_table.observe_heartbeat(
-        &report(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        &heartbeat(3, 1, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
         false,
         NOW,
     );
     assert!(job_table.ended_jobs.contains(&id()));
 }
 
-/// After a takeover, attempts of a job cancelled long ago stood in its chunks;
-/// machines were returned for them with all that ran there. A report that
-/// carries the new leader's token shows that they are not there and can't come,
-/// unless this leader itself has sent them.
+/// After a change of the leader, the stored chunks still listed attempts of a job cancelled long before, and
+/// machines were returned because of them together with everything that ran there. A heartbeat with the
+/// new leader's token that does not list such an attempt shows that it is not running and can't start,
+/// unless this leader itself has sent it.
 #[test]
-fn the_own_token_fences_cancelled_attempts_of_earlier_leaders() {
+fn the_own_token_ends_cancelled_attempts_of_earlier_leaders() {
     let cancel = |job_table: &mut JobTable| {
         job_table.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     };
-    let mut live = ledger(2);
+    let mut live = table_with_placed(2);
     assert!(
-        live.observe_heartbeat(&report(3, 1, &[]), true, NOW).ended.is_empty(),
-        "a live job's attempt may come"
+        live.observe_heartbeat(&heartbeat(3, 1, &[]), true, NOW).ended.is_empty(),
+        "an attempt of an active job may still start"
     );
-    let mut old = ledger(2);
+    let mut old = table_with_placed(2);
     cancel(&mut old);
-    assert!(old.observe_heartbeat(&report(3, 1, &[]), false, NOW).ended.is_empty(), "no token, no proof");
-    assert!(old.observe_heartbeat(&report(2, 2, &[]), true, NOW).ended.is_empty(), "of an earlier shift");
+    assert!(
+        old.observe_heartbeat(&heartbeat(3, 1, &[]), false, NOW).ended.is_empty(),
+        "no evidence without the own token"
+    );
+    assert!(
+        old.observe_heartbeat(&heartbeat(2, 2, &[]), true, NOW).ended.is_empty(),
+        "a heartbeat of an earlier incarnation"
+    );
     assert_eq!(
-        old.observe_heartbeat(&report(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).ended.len(),
+        old.observe_heartbeat(&heartbeat(3, 3, &[(0, 1, TaskStatus::Running)]), true, NOW).ended.len(),
         1
     );
     assert_eq!(placed(&old), 1);
-    let mut sent = ledger(2);
+    let mut sent = table_with_placed(2);
     sent.attempt_mut(&TaskId { job: id(), index: 1 }).unwrap().offered_under_token = Some(0);
     cancel(&mut sent);
-    assert_eq!(sent.observe_heartbeat(&report(3, 1, &[]), true, NOW).ended.len(), 1);
+    assert_eq!(sent.observe_heartbeat(&heartbeat(3, 1, &[]), true, NOW).ended.len(), 1);
 }
 
-/// What the leader had a holder tell is refused once the worker knows the next holder's
-/// token: a report with that one that does not list a cancelled attempt shows it gone.
+/// A worker rejects commands from a former holder of its shard once it knows the next holder's token. A
+/// heartbeat with that token that does not list a cancelled attempt is therefore evidence of its end.
 #[test]
-fn a_later_epoch_fences_what_a_former_holder_was_ordered() {
-    let under = |token, sequence| Heartbeat { token, ..report(3, sequence, &[]) };
-    let mut offered = ledger(2);
+fn a_later_epoch_ends_attempts_offered_by_a_former_holder() {
+    let with_token = |token, sequence| Heartbeat { token, ..heartbeat(3, sequence, &[]) };
+    let mut offered = table_with_placed(2);
     for index in 0..2 {
         offered.attempt_mut(&TaskId { job: id(), index }).unwrap().offered_under_token =
             Some(40 + u64::from(index));
     }
     assert!(
-        offered.observe_heartbeat(&under(50, 1), true, NOW).ended.is_empty(),
-        "a live job's attempt may come"
+        offered.observe_heartbeat(&with_token(50, 1), true, NOW).ended.is_empty(),
+        "an attempt of an active job may still start"
     );
     offered.upsert(&id(), stored_job(record(JobPhase::Cancelled, 10), 9, Some(NOW), 4));
     assert!(
-        offered.observe_heartbeat(&under(40, 2), true, NOW).ended.is_empty(),
-        "its own holder may tell it yet"
+        offered.observe_heartbeat(&with_token(40, 2), true, NOW).ended.is_empty(),
+        "the holder that was to offer it may still do so"
     );
     assert_eq!(
-        offered.observe_heartbeat(&under(41, 3), true, NOW).ended.len(),
+        offered.observe_heartbeat(&with_token(41, 3), true, NOW).ended.len(),
         1,
-        "of a former holder's epoch"
+        "the attempt was offered in the epoch of a former holder"
     );
     assert_eq!(placed(&offered), 1);
-    assert!(offered.observe_heartbeat(&under(42, 4), false, NOW).ended.is_empty(), "not of this term");
-    assert_eq!(offered.observe_heartbeat(&under(42, 5), true, NOW).ended.len(), 1);
+    assert!(
+        offered.observe_heartbeat(&with_token(42, 4), false, NOW).ended.is_empty(),
+        "the heartbeat is not of this term"
+    );
+    assert_eq!(offered.observe_heartbeat(&with_token(42, 5), true, NOW).ended.len(), 1);
 }
 
-/// What one leader writes, the next one reads: placements, ends and gaps.
+/// A new leader reads the placements, exits and unplaced tasks that the previous one wrote.
 #[test]
-fn chunks_survive_a_takeover() {
-    let mut old = ledger(6);
+fn chunks_survive_a_change_of_leader() {
+    let mut old = table_with_placed(6);
     old.observe_heartbeat(
-        &report(
+        &heartbeat(
             3,
             1,
             &[
@@ -264,9 +274,9 @@
     }
 }
 
-/// The largest chunk fits into a value.
+/// The largest chunk is within the size limit of a value.
 #[test]
-fn a_full_chunk_fits() {
+fn a_full_chunk_fits_into_a_value() {
     use plankhead_core::jobs::job_table::tasks_per_chunk;
     let per_chunk = tasks_per_chunk(8 * 1024);
     let mut job_table = JobTable::default();
@@ -279,26 +289,26 @@
     assert!(text.len() <= 8 * 1024, "{}", text.len());
 }
 
-/// Reports that were overtaken change nothing, nor do those of machines gone.
+/// Heartbeats that arrive after newer ones, or after their machine was removed, have no effect.
 #[test]
-fn late_reports_are_ignored() {
+fn late_heartbeats_are_ignored() {
     let mut fleet = Fleet::default();
-    let mut heard =
-        |incarnation, sequence| fleet.observe_heartbeat(&report(incarnation, sequence, &[]), 0, NOW);
-    assert_eq!(heard(3, 5), HeartbeatChange::Changed);
-    assert_eq!(heard(3, 6), HeartbeatChange::Unchanged);
-    assert_eq!(heard(3, 4), HeartbeatChange::Stale);
-    assert_eq!(heard(2, 9), HeartbeatChange::Stale);
-    assert_eq!(heard(4, 1), HeartbeatChange::Changed);
+    let mut observe =
+        |incarnation, sequence| fleet.observe_heartbeat(&heartbeat(incarnation, sequence, &[]), 0, NOW);
+    assert_eq!(observe(3, 5), HeartbeatChange::Changed);
+    assert_eq!(observe(3, 6), HeartbeatChange::Unchanged);
+    assert_eq!(observe(3, 4), HeartbeatChange::Stale);
+    assert_eq!(observe(2, 9), HeartbeatChange::Stale);
+    assert_eq!(observe(4, 1), HeartbeatChange::Changed);
     fleet.remove_released(&"i-1".into());
-    assert_eq!(fleet.observe_heartbeat(&report(5, 1, &[]), 0, NOW), HeartbeatChange::Stale);
+    assert_eq!(fleet.observe_heartbeat(&heartbeat(5, 1, &[]), 0, NOW), HeartbeatChange::Stale);
     assert!(fleet.machines.is_empty());
 }
 
-/// A machine known only from placements was up once: after a takeover its
-/// silence counts, not the patience for a boot (tasks stood still for 156 s).
+/// A machine known only from placements has been up. After a change of the leader the heartbeat timeout
+/// applies to it, not the boot timeout, with which its tasks did not run for 156 s.
 #[test]
-fn machines_known_from_placements_are_judged_by_silence() {
+fn heartbeat_timeout_applies_to_machines_known_from_placements() {
     let settings = settings(1, 11);
     let mut fleet = Fleet::default();
     fleet.add_placed_machine(&"i-1".into(), NOW);
@@ -313,84 +323,85 @@
     assert_eq!(fleet.machines["i-1"].removal, Some(RemovalReason::HeartbeatTimeout));
 }
 
-/// With a report every 5 s, a worker that got no answer to one is back after 11.8 s
-/// at the latest; it was given back after 10.5 s. One that does not answer when
-/// asked why its report is late is lost sooner.
+/// At a heartbeat interval of 5 s, a worker that got no response to one heartbeat is heard again after
+/// 11.8 s at most, but its machine was released after 10.5 s. A machine whose heartbeat is late and that
+/// does not answer probes either is removed sooner.
 #[test]
-fn who_reports_seldom_is_not_silent() {
+fn the_heartbeat_timeout_allows_for_one_lost_response() {
     let settings = settings(5, 26);
-    let well = Duration::from_millis(6250 + 4000 + 1000 + 500);
+    let recovery_time = Duration::from_millis(6250 + 4000 + 1000 + 500);
     assert!(
-        well < settings.failover_heartbeat_timeout()
+        recovery_time < settings.failover_heartbeat_timeout()
             && settings.failover_heartbeat_timeout() < settings.worker_lease
     );
-    let heard = |unanswered: u32, quiet: Duration| {
+    let check = |unanswered: u32, silence: Duration| {
         let mut fleet = Fleet::default();
-        let mut up = report(1, 1, &[]);
+        let mut up = heartbeat(1, 1, &[]);
         up.token = 7;
         fleet.observe_heartbeat(&up, 7, NOW);
-        // One of many: more at once may be out of reach only.
+        // Only one of many machines is silent. If most were, the network might be the cause.
         for n in 2..=50 {
             up.machine = format!("i-{n}").into();
-            fleet.observe_heartbeat(&up, 7, NOW + quiet);
+            fleet.observe_heartbeat(&up, 7, NOW + silence);
         }
         fleet.machines.get_mut("i-1").unwrap().commands.unanswered = unanswered;
-        // What went unanswered while the leader itself was cut off says nothing.
-        let mut forgiven = fleet.clone();
-        forgiven.reset_silence(NOW);
-        assert_eq!(forgiven.mark_for_removal(NOW + quiet, &settings), 0);
-        let late = !fleet.machines_to_probe(NOW + quiet, settings.heartbeat_timeout(), |_| true).is_empty();
-        (late, fleet.mark_for_removal(NOW + quiet, &settings))
+        // Silence and unanswered commands while the leader itself was cut off do not count.
+        let mut reset = fleet.clone();
+        reset.reset_silence(NOW);
+        assert_eq!(reset.mark_for_removal(NOW + silence, &settings), 0);
+        let late = !fleet.machines_to_probe(NOW + silence, settings.heartbeat_timeout(), |_| true).is_empty();
+        (late, fleet.mark_for_removal(NOW + silence, &settings))
     };
-    assert_eq!(heard(0, well), (true, 0));
-    assert_eq!(heard(1, well), (true, 0));
-    assert_eq!(heard(2, well), (false, 1), "nothing more to ask it");
-    assert_eq!(heard(2, Duration::from_millis(6250)), (false, 0), "its report is not late");
+    assert_eq!(check(0, recovery_time), (true, 0));
+    assert_eq!(check(1, recovery_time), (true, 0));
+    assert_eq!(check(2, recovery_time), (false, 1), "no further probe is due");
+    assert_eq!(check(2, Duration::from_millis(6250)), (false, 0), "the heartbeat is not late");
 }
 
-/// A zone cut off from the leader fell silent as a whole, and all its machines
-/// were returned although they came back with the network.
+/// All machines of a zone fell silent while the zone was cut off from the leader, and all of them were
+/// returned although they were reachable again once the network recovered.
 #[test]
-fn a_silent_zone_is_waited_for() {
+fn machines_of_a_silent_zone_are_kept_for_longer() {
     let (second, settings) = (Duration::from_secs(1), settings(1, 11));
     let mut fleet = Fleet::default();
     for n in 0..6 {
-        let mut up = report(1, 1, &[]);
+        let mut up = heartbeat(1, 1, &[]);
         up.machine = format!("i-{n}").into();
         up.zone = if n < 4 { "x".into() } else { "y".into() };
         up.token = 7;
         fleet.observe_heartbeat(&up, 7, NOW);
     }
     let later = NOW + second * 8;
-    // One of two in `y` is lost; all of `x` are, which is the network's doing.
-    let well = fleet.machines.get_mut("i-4").unwrap();
-    (well.heartbeat_times.last_heard_at, well.heartbeat_times.last_direct_at) = (later, later);
+    // One of two machines in `y` is silent and is lost. All machines in `x` are silent, which is attributed
+    // to the network.
+    let reporting = fleet.machines.get_mut("i-4").unwrap();
+    (reporting.heartbeat_times.last_heard_at, reporting.heartbeat_times.last_direct_at) = (later, later);
     assert_eq!(fleet.mark_for_removal(later, &settings), 1);
     assert_eq!(fleet.machines["i-5"].removal, Some(RemovalReason::HeartbeatTimeout));
     fleet.machines.get_mut("i-4").unwrap().heartbeat_times.last_heard_at = NOW + second * 60;
     assert_eq!(fleet.mark_for_removal(NOW + second * 60, &settings), 4);
 }
 
-/// A machine whose reports arrive while it hears nothing looked alive as its lease
-/// ran out again and again, and tasks were placed on it.
+/// The heartbeats of a machine arrived, but the responses to it were lost. Its lease expired again and
+/// again while it looked alive, and tasks were placed on it.
 #[test]
-fn deaf_machines_go_back() {
+fn machines_that_receive_no_responses_are_returned() {
     let second = Duration::from_secs(1);
-    let heard = |incarnation, answered: u64| {
+    let removal = |incarnation, answered: u64| {
         let mut fleet = Fleet::default();
-        fleet.observe_heartbeat(&report(3, 1, &[]), 0, NOW);
+        fleet.observe_heartbeat(&heartbeat(3, 1, &[]), 0, NOW);
         fleet.machines.get_mut("i-1").unwrap().responses.answered_at = Some(NOW + second * answered as u32);
-        fleet.observe_heartbeat(&report(incarnation, 2, &[]), 0, NOW + second * 11);
+        fleet.observe_heartbeat(&heartbeat(incarnation, 2, &[]), 0, NOW + second * 11);
         fleet.machines["i-1"].removal
     };
-    assert_eq!(heard(4, 9), Some(RemovalReason::IgnoresCommands));
-    assert_eq!(heard(4, 0), None, "it was silent, or hung");
-    assert_eq!(heard(3, 9), None);
-    // Three answers in a row asked for a task that the reports do not show.
-    let question = |shown: &[(u32, u64, TaskStatus)]| {
+    assert_eq!(removal(4, 9), Some(RemovalReason::IgnoresCommands));
+    assert_eq!(removal(4, 0), None, "the machine was silent or hung");
+    assert_eq!(removal(3, 9), None);
+    // Three responses in a row request a task that the heartbeats do not list.
+    let unstarted = |listed: &[(u32, u64, TaskStatus)]| {
         let mut fleet = Fleet::default();
         for sequence in 1..=5 {
-            fleet.observe_heartbeat(&report(3, sequence, shown), 0, NOW);
+            fleet.observe_heartbeat(&heartbeat(3, sequence, listed), 0, NOW);
             let machine = fleet.machines.get_mut("i-1").unwrap();
             let task = TaskId { job: id(), index: 0 };
             let effect = ExpectedEffect { task, attempt: 1, kind: EffectKind::Started };
@@ -399,13 +410,13 @@
         let machine = &fleet.machines["i-1"];
         (machine.removal, machine.is_start_doubtful(NOW, second))
     };
-    assert_eq!(question(&[]), (Some(RemovalReason::IgnoresCommands), true));
-    assert_eq!(question(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
+    assert_eq!(unstarted(&[]), (Some(RemovalReason::IgnoresCommands), true));
+    assert_eq!(unstarted(&[(0, 1, TaskStatus::FetchingImage)]), (None, false));
 }
 
-/// Only when every pool has refused is the type's size known.
+/// The capacity of a machine type is known only when every pool of the type has refused.
 #[test]
-fn refusals_teach_capacity() {
+fn capacity_is_known_after_refusals_of_all_pools() {
     let mut fleet = Fleet::default();
     fleet.machine_types.insert(
         "r".into(),
@@ -430,7 +441,8 @@
     assert_eq!(fleet.known_capacity("r", NOW), Some(2));
 }
 
-/// A gang of three on machines i-1, i-2 and i-3, durable and offered.
+/// Returns a table with a gang of three tasks on the machines i-1, i-2 and i-3, whose placements are
+/// written and offered to the workers.
 fn gang() -> JobTable {
     let mut job_table = JobTable::default();
     let mut record = record(JobPhase::Active, 3);
@@ -445,9 +457,9 @@
 fn place_gang(job_table: &mut JobTable) {
     for machine in ["i-1", "i-2", "i-3"] {
         let task = job_table.place(&id(), &machine.into(), 3, &"z".into(), NOW).unwrap();
-        assert!(!job_table.may_start(&task), "not all are placed and durable");
+        assert!(!job_table.may_start(&task), "not all placements are written");
     }
-    commit(job_table);
+    commit_chunks(job_table);
     for index in 0..3 {
         let task = TaskId { job: id(), index };
         assert!(job_table.may_start(&task));
@@ -455,41 +467,42 @@
     }
 }
 
-fn from(machine: &str, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
-    Heartbeat { machine: machine.into(), ..report(3, sequence, tasks) }
+fn heartbeat_from(machine: &str, sequence: u64, tasks: &[(u32, u64, TaskStatus)]) -> Heartbeat {
+    Heartbeat { machine: machine.into(), ..heartbeat(3, sequence, tasks) }
 }
 
-/// Once a task is gone the others are told to end at once, and none is placed again
-/// before all are proven gone; then all have the next number.
+/// Once a task of a gang is lost, the others are told to stop at once. No task is placed again before all
+/// are known to have ended; then all get the next attempt number.
 #[test]
-fn a_gang_that_lost_a_task_ends_as_a_whole() {
+fn all_tasks_of_a_gang_stop_when_one_is_lost() {
     let mut job_table = gang();
     for (index, machine) in ["i-1", "i-2", "i-3"].into_iter().enumerate() {
         job_table.observe_heartbeat(
-            &from(machine, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]),
+            &heartbeat_from(machine, 1, &[(index as u32, 1, TaskStatus::WaitingForGang)]),
             true,
             NOW,
         );
     }
     assert!(job_table.machines_to_stop.is_empty());
     job_table.handle_machine_removal("i-2", NOW);
-    let told: Vec<&str> = job_table.machines_to_stop.iter().map(|h| h.as_ref()).collect();
-    assert_eq!(told, ["i-1", "i-3"]);
-    let stopped = |l: &JobTable, index| l.attempt(&TaskId { job: id(), index }).map(|a| a.stop_requested);
+    let machines_to_stop: Vec<&str> = job_table.machines_to_stop.iter().map(|h| h.as_ref()).collect();
+    assert_eq!(machines_to_stop, ["i-1", "i-3"]);
+    let stop_requested =
+        |table: &JobTable, index| table.attempt(&TaskId { job: id(), index }).map(|a| a.stop_requested);
     assert_eq!(
-        (stopped(&job_table, 0), stopped(&job_table, 1), stopped(&job_table, 2)),
+        (stop_requested(&job_table, 0), stop_requested(&job_table, 1), stop_requested(&job_table, 2)),
         (Some(true), None, Some(true))
     );
     job_table.observe_heartbeat(
-        &from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        &heartbeat_from("i-1", 2, &[(0, 1, TaskStatus::Exited(ExitReason::Stopped))]),
         true,
         NOW,
     );
     assert!(!job_table.jobs[&id()].is_placeable());
-    assert_eq!(job_table.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "one is left on i-3");
-    // What the task says by itself is no worse than what it was told.
+    assert_eq!(job_table.place(&id(), &"i-4".into(), 1, &"z".into(), NOW), None, "a task is still on i-3");
+    // An exit that the worker reports by itself counts like one that was requested.
     job_table.observe_heartbeat(
-        &from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
+        &heartbeat_from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
         true,
         NOW,
     );
@@ -499,12 +512,13 @@
     assert_eq!([number(0), number(1), number(2)], [2, 2, 2]);
 }
 
-/// One task that is done is all of them; but none is gone before it has said so.
+/// The whole gang is done when one of its tasks is, but the other attempts stay placed until there is
+/// evidence of their ends.
 #[test]
-fn one_done_task_of_a_gang_is_all() {
+fn a_gang_is_done_when_one_task_is() {
     let mut job_table = gang();
     job_table.observe_heartbeat(
-        &from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        &heartbeat_from("i-2", 1, &[(1, 1, TaskStatus::Exited(ExitReason::Completed))]),
         true,
         NOW,
     );
@@ -514,20 +528,20 @@
     assert_eq!((job_table.jobs[&id()].phase, placed(&job_table)), (JobPhase::Done, 2));
     job_table.handle_machine_removal("i-1", NOW);
     job_table.observe_heartbeat(
-        &from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
+        &heartbeat_from("i-3", 1, &[(2, 1, TaskStatus::Exited(ExitReason::Completed))]),
         true,
         NOW,
     );
     assert_eq!((job_table.jobs[&id()].done, placed(&job_table)), (3, 0));
 }
 
-/// A new leader finds one task of the attempt ended: the rest is not to go on. What
-/// the earlier one placed and a report with the own token does not list is gone.
+/// A new leader finds that one task of a gang's attempt has ended, so the others must not go on. A
+/// placement of the earlier leader that a heartbeat with the own token does not list has ended.
 #[test]
-fn a_new_leader_ends_a_torn_gang() {
+fn a_new_leader_ends_a_broken_gang() {
     let mut job_table = gang();
     job_table.observe_heartbeat(
-        &from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]),
+        &heartbeat_from("i-1", 1, &[(0, 1, TaskStatus::Exited(ExitReason::Failed))]),
         true,
         NOW,
     );
@@ -542,28 +556,29 @@
     next.load_chunk(&id(), 0, &text, 7, NOW).unwrap();
     next.finish_loading();
     assert!(next.jobs[&id()].is_gang_broken());
-    next.observe_heartbeat(&from("i-2", 2, &[]), false, NOW);
-    assert_eq!(placed(&next), 2, "without the own token it may come yet");
-    next.observe_heartbeat(&from("i-2", 3, &[]), true, NOW);
+    next.observe_heartbeat(&heartbeat_from("i-2", 2, &[]), false, NOW);
+    assert_eq!(placed(&next), 2, "without the own token, the attempt may still start");
+    next.observe_heartbeat(&heartbeat_from("i-2", 3, &[]), true, NOW);
     next.observe_heartbeat(
-        &from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
+        &heartbeat_from("i-3", 2, &[(2, 1, TaskStatus::Exited(ExitReason::GangMemberLost))]),
         true,
         NOW,
     );
     assert!(next.jobs[&id()].is_placeable());
 }
 
-/// Whoever saves under a new leader has the others told with time to save, too.
+/// When one task of a gang checkpoints under a new leader, the other tasks are told to stop with time to
+/// checkpoint as well.
 #[test]
-fn a_new_leader_finishes_an_orderly_stop() {
+fn a_new_leader_completes_a_stop_with_checkpoints() {
     let mut job_table = gang();
-    job_table.observe_heartbeat(&from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
+    job_table.observe_heartbeat(&heartbeat_from("i-2", 1, &[(1, 1, TaskStatus::Checkpointing)]), true, NOW);
     assert!(job_table.jobs[&id()].is_gang_ending() && !job_table.jobs[&id()].is_gang_broken());
     assert_eq!(job_table.machines_to_stop.len(), 3);
     job_table.observe_heartbeat(
-        &from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]),
+        &heartbeat_from("i-2", 2, &[(1, 1, TaskStatus::Exited(ExitReason::Stopped))]),
         true,
         NOW,
     );
-    assert!(!job_table.jobs[&id()].is_gang_broken(), "the others keep their time to save");
+    assert!(!job_table.jobs[&id()].is_gang_broken(), "the others keep their time to checkpoint");
 }
