--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -1,4 +1,4 @@
-//! A node alone, with every reply given by hand: what the model's histories seldom hit.
+//! Tests of a single node that script every reply, for sequences that the model's histories seldom reach.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,9 +24,9 @@
     JobId::parse("job-000001").unwrap()
 }
 
-/// A job's record as it is stored.
-fn record(phase: JobPhase, since: Duration) -> String {
-    let accepted_ms = since.as_millis() as u64;
+/// Returns the stored value of a job's record.
+fn job_record(phase: JobPhase, accepted_at: Duration) -> String {
+    let accepted_ms = accepted_at.as_millis() as u64;
     let cancelled_ms = (phase == JobPhase::Cancelled).then_some(accepted_ms);
     let record = JobRecord {
         phase,
@@ -39,12 +39,12 @@
     serde_json::to_string(&record).unwrap()
 }
 
-fn row(key: &str, value: &str, stamp: u64) -> KeyValue {
-    KeyValue { key: key.into(), value: value.into(), mod_revision: stamp }
+fn row(key: &str, value: &str, mod_revision: u64) -> KeyValue {
+    KeyValue { key: key.into(), value: value.into(), mod_revision }
 }
 
-/// A machine's report under the token that it knows, with the job's task running.
-fn report(sequence: u64, token: u64) -> Heartbeat {
+/// Returns a heartbeat of machine i-1, which knows this token and runs the job's task.
+fn heartbeat(sequence: u64, token: u64) -> Heartbeat {
     let task = TaskId { job: id(), index: 0 };
     Heartbeat {
         machine: "i-1".into(),
@@ -60,39 +60,46 @@
     }
 }
 
-/// The machines that a call to the cloud gives back.
-fn released(effect: &Effect) -> Option<&[MachineName]> {
+/// Returns the machines that the effect releases, if it is a release request to the cloud.
+fn released_machines(effect: &Effect) -> Option<&[MachineName]> {
     match effect {
         Effect::CallCloud { request: CloudRequest::Execute(permitted), .. } => match permitted.action() {
-            CloudAction::Return(back) => Some(&back.machines),
+            CloudAction::Return(instances) => Some(&instances.machines),
             CloudAction::Rent(_) => None,
         },
         _ => None,
     }
 }
 
-struct Bench {
+/// A node, its clock and the effects that it has requested.
+struct NodeHarness {
     node: Node,
     now: Duration,
-    asks: RequestId,
-    /// State calls that wait for their reply.
+    last_request: RequestId,
+    /// Calls to the state service without a reply so far.
     calls: Vec<(CallId, KvRequest)>,
     effects: Vec<Effect>,
-    /// Transactions that the state service took.
-    written: Vec<KvRequest>,
+    /// The transactions that the state service has committed.
+    committed: Vec<KvRequest>,
 }
 
-impl Bench {
+impl NodeHarness {
     fn new() -> Self {
-        Self::of(settings())
+        Self::with_settings(settings())
     }
 
-    fn of(settings: Settings) -> Self {
+    fn with_settings(settings: Settings) -> Self {
         let node = Node::new(settings);
-        let mut bench =
-            Self { node, now: START, asks: 0, calls: Vec::new(), effects: Vec::new(), written: Vec::new() };
-        bench.step(Vec::new());
-        bench
+        let mut harness = Self {
+            node,
+            now: START,
+            last_request: 0,
+            calls: Vec::new(),
+            effects: Vec::new(),
+            committed: Vec::new(),
+        };
+        harness.step(Vec::new());
+        harness
     }
 
     fn step(&mut self, batch: Vec<Event>) {
@@ -105,36 +112,38 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         self.step(Vec::new());
     }
 
-    /// Takes out the first state call of this kind.
-    fn taken(&mut self, which: impl Fn(&KvRequest) -> bool) -> Option<(CallId, KvRequest)> {
+    /// Removes and returns the first matching call to the state service.
+    fn take_call(&mut self, which: impl Fn(&KvRequest) -> bool) -> Option<(CallId, KvRequest)> {
         let at = self.calls.iter().position(|(_, request)| which(request))?;
         Some(self.calls.remove(at))
     }
 
-    /// Time passes, in which the state service answers what keeps a leader.
-    fn lives(&mut self, time: Duration) {
+    /// Lets time pass while the state service answers lease renewals and watches. The watch reports that the
+    /// job is cancelled.
+    fn run_with_cancellation(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
-            self.pass(ms(50));
-            if let Some((call, _)) = self.taken(|request| matches!(request, KvRequest::RenewLease { .. })) {
+            self.advance(ms(50));
+            if let Some((call, _)) = self.take_call(|request| matches!(request, KvRequest::RenewLease { .. }))
+            {
                 self.reply_to(call, Ok(KvReply::LeaseRenewed));
             }
-            if let Some((call, _)) = self.taken(|request| matches!(request, KvRequest::Watch { .. })) {
-                let cancelled = record(JobPhase::Cancelled, START);
+            if let Some((call, _)) = self.take_call(|request| matches!(request, KvRequest::Watch { .. })) {
+                let cancelled = job_record(JobPhase::Cancelled, START);
                 let events = vec![WatchEvent::Put(row("job/job-000001", &cancelled, 10))];
                 self.reply_to(call, Ok(KvReply::Events { revision: 10, events }));
             }
         }
     }
 
-    /// Time passes, in which the state service takes all that is written and tells no news.
-    fn lives_quietly(&mut self, time: Duration) {
+    /// Lets time pass while the state service commits all transactions and watches report no changes.
+    fn run_without_events(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / 50 {
-            self.pass(ms(50));
+            self.advance(ms(50));
             for (call, request) in std::mem::take(&mut self.calls) {
                 match request {
                     KvRequest::RenewLease { .. } => self.reply_to(call, Ok(KvReply::LeaseRenewed)),
@@ -142,9 +151,9 @@
                         self.reply_to(call, Ok(KvReply::Events { revision: after, events: Vec::new() }));
                     }
                     KvRequest::Txn { .. } => {
-                        self.written.push(request);
-                        let epoch = 100 + self.written.len() as u64;
-                        self.reply_to(call, Ok(KvReply::Committed { revision: epoch }));
+                        self.committed.push(request);
+                        let revision = 100 + self.committed.len() as u64;
+                        self.reply_to(call, Ok(KvReply::Committed { revision }));
                     }
                     _ => self.calls.push((call, request)),
                 }
@@ -152,22 +161,23 @@
         }
     }
 
-    /// An idle machine reports: what is it told?
-    fn idle(&mut self, machine: &str, sequence: u64) -> Vec<WorkerCommand> {
-        let mut idle = report(sequence, 41);
+    /// Sends a heartbeat of an idle machine, and returns the commands of the response.
+    fn heartbeat_when_idle(&mut self, machine: &str, sequence: u64) -> Vec<WorkerCommand> {
+        let mut idle = heartbeat(sequence, 41);
         idle.machine = machine.into();
         idle.tasks = [].into();
-        self.lives_quietly(ms(300));
-        let request = self.ask(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
-        match self.answer(request) {
+        self.run_without_events(ms(300));
+        let request = self.send(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
+        match self.response(request) {
             Some(Response::Commands { commands, .. }) => commands.clone(),
             other => panic!("{other:?}"),
         }
     }
 
-    /// The cloud tells of a machine type that fits, and of no machines.
-    fn sees_the_cloud(&mut self) {
-        let rig = MachineType {
+    /// Answers the calls to the cloud: it offers one machine type, on which the job fits, and lists no
+    /// machines.
+    fn answer_cloud_lists(&mut self) {
+        let machine_type = MachineType {
             name: "r".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -189,7 +199,7 @@
             .collect();
         for (call, request) in calls {
             let reply = match request {
-                CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![rig.clone()]),
+                CloudRequest::ListMachineTypes => CloudReply::MachineTypes(vec![machine_type.clone()]),
                 CloudRequest::ListInstances { .. } => {
                     CloudReply::Instances { instances: Vec::new(), truncated: false }
                 }
@@ -204,267 +214,289 @@
     }
 
     fn reply(&mut self, which: impl Fn(&KvRequest) -> bool, reply: Result<KvReply, CallError>) {
-        let (call, _) = self.taken(which).unwrap();
+        let (call, _) = self.take_call(which).unwrap();
         self.reply_to(call, reply);
     }
 
-    fn ask(&mut self, event: impl FnOnce(RequestId) -> Event) -> RequestId {
-        self.asks += 1;
-        let request = self.asks;
+    fn send(&mut self, event: impl FnOnce(RequestId) -> Event) -> RequestId {
+        self.last_request += 1;
+        let request = self.last_request;
         self.step(vec![event(request)]);
         request
     }
 
-    fn beat(&mut self, sequence: u64, token: u64) -> RequestId {
-        self.ask(|request| Event::Heartbeat { request, heartbeat: report(sequence, token), relayed: false })
+    fn send_heartbeat(&mut self, sequence: u64, token: u64) -> RequestId {
+        self.send(|request| Event::Heartbeat {
+            request,
+            heartbeat: heartbeat(sequence, token),
+            relayed: false,
+        })
     }
 
-    fn answer(&self, request: RequestId) -> Option<&Response> {
+    fn response(&self, request: RequestId) -> Option<&Response> {
         self.effects.iter().find_map(|e| match e {
-            Effect::Respond { request: a, response: answer } if *a == request => Some(answer),
+            Effect::Respond { request: to, response } if *to == request => Some(response),
             _ => None,
         })
     }
 
-    /// Has the node win the key under this token.
-    fn wins(&mut self, token: u64) {
-        self.reply(gets("lead"), Ok(KvReply::Value(None)));
+    /// Answers the node's calls so that it becomes leader with this token.
+    fn elect(&mut self, token: u64) {
+        self.reply(is_get("lead"), Ok(KvReply::Value(None)));
         self.reply(
             |request| matches!(request, KvRequest::GrantLease { .. }),
             Ok(KvReply::LeaseGranted { lease: token }),
         );
-        self.reply(writes("lead"), Ok(KvReply::Committed { revision: token }));
+        self.reply(is_put("lead"), Ok(KvReply::Committed { revision: token }));
     }
 
-    /// Has the leader read one job, live by what was read, and its placement on i-1.
-    fn loads(&mut self) {
-        let rows = vec![row("job/job-000001", &record(JobPhase::Active, self.now), 5)];
+    /// Answers the leader's reads with one active job and its placement on i-1.
+    fn load(&mut self) {
+        let rows = vec![row("job/job-000001", &job_record(JobPhase::Active, self.now), 5)];
         let page = |rows| Ok(KvReply::Page { rows, truncated: false, revision: 9 });
-        self.reply(lists("job/"), page(rows));
-        self.loads_placements();
+        self.reply(is_list("job/"), page(rows));
+        self.load_placements();
     }
 
-    fn loads_placements(&mut self) {
+    fn load_placements(&mut self) {
         let text = r#"{"h":[["i-1",3,"z"]],"t":[[0,1,0]],"d":[]}"#;
         let rows = vec![row("run/job-000001/0", text, 6)];
-        self.reply(lists("run/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
-        self.reply(gets("target"), Ok(KvReply::Value(None)));
+        self.reply(is_list("run/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+        self.reply(is_get("target"), Ok(KvReply::Value(None)));
     }
 }
 
-fn gets(key: &'static str) -> impl Fn(&KvRequest) -> bool {
+fn is_get(key: &'static str) -> impl Fn(&KvRequest) -> bool {
     move |request| matches!(request, KvRequest::Get { key: k } if k == key)
 }
 
-fn lists(prefix: &'static str) -> impl Fn(&KvRequest) -> bool {
+fn is_list(prefix: &'static str) -> impl Fn(&KvRequest) -> bool {
     move |request| matches!(request, KvRequest::List { prefix: p, .. } if p == prefix)
 }
 
-fn writes(key: &'static str) -> impl Fn(&KvRequest) -> bool {
+fn is_put(key: &'static str) -> impl Fn(&KvRequest) -> bool {
     move |request| {
-        let here = |c: &KvChange| matches!(c, KvChange::Put { key: k, .. } if k == key);
-        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(here))
+        let puts_key = |c: &KvChange| matches!(c, KvChange::Put { key: k, .. } if k == key);
+        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(puts_key))
     }
 }
 
-/// A worker's lease is not renewed by a leader that has not read the jobs: the one before
-/// may have answered without sight until just now. The report waits while it reads, and
-/// is answered at once when that fails.
+/// A new leader does not renew the lease of a worker before it has read the jobs, since the previous leader
+/// may have renewed it without seeing the jobs until just now. The heartbeat waits during the read, and is
+/// answered at once when the read fails.
 #[test]
 fn no_lease_is_renewed_before_the_jobs_are_read() {
-    let mut bench = Bench::new();
-    bench.wins(41);
-    let early = bench.beat(1, 7);
-    assert_eq!(bench.answer(early), None);
-    bench.pass(ms(300));
-    bench.loads();
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    let early = harness.send_heartbeat(1, 7);
+    assert_eq!(harness.response(early), None);
+    harness.advance(ms(300));
+    harness.load();
+    assert!(
+        matches!(harness.response(early), Some(Response::Commands { token: 41, .. })),
+        "{:?}",
+        harness.response(early)
+    );
+
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    let early = harness.send_heartbeat(1, 7);
+    harness.reply(is_list("job/"), Err(CallError::Refused));
+    assert!(
+        matches!(harness.response(early), Some(Response::Unavailable { .. })),
+        "{:?}",
+        harness.response(early)
+    );
+    let later = harness.send_heartbeat(2, 7);
     assert!(
-        matches!(bench.answer(early), Some(Response::Commands { token: 41, .. })),
+        matches!(harness.response(later), Some(Response::Unavailable { .. })),
         "{:?}",
-        bench.answer(early)
+        harness.response(later)
     );
 
-    let mut bench = Bench::new();
-    bench.wins(41);
-    let early = bench.beat(1, 7);
-    bench.reply(lists("job/"), Err(CallError::Refused));
-    assert!(matches!(bench.answer(early), Some(Response::Unavailable { .. })), "{:?}", bench.answer(early));
-    let later = bench.beat(2, 7);
-    assert!(matches!(bench.answer(later), Some(Response::Unavailable { .. })), "{:?}", bench.answer(later));
-
-    // Nor does it wait for longer than its worker.
-    let mut bench = Bench::new();
-    bench.wins(41);
-    let early = bench.beat(1, 7);
-    bench.pass(ms(2600));
-    assert!(matches!(bench.answer(early), Some(Response::Unavailable { .. })), "{:?}", bench.answer(early));
+    // A heartbeat does not wait longer than its worker does.
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    let early = harness.send_heartbeat(1, 7);
+    harness.advance(ms(2600));
+    assert!(
+        matches!(harness.response(early), Some(Response::Unavailable { .. })),
+        "{:?}",
+        harness.response(early)
+    );
 }
 
-/// While it reads as a new leader, this node tells a user of a cancellation that another
-/// has confirmed, and what it reads is older: the job's placement still has an owner, who
-/// ends it, and its room counts.
+/// While a new leader reads the jobs, it tells a user that a job is cancelled, which another node has
+/// confirmed. The list that it reads is older and has the job as active. The leader must still end the
+/// job's placement, and count its resources until it has ended.
 #[test]
-fn a_cancellation_told_while_reading_ends_what_was_placed() {
-    let mut bench = Bench::new();
-    bench.wins(41);
-    let page = bench.taken(lists("job/")).unwrap();
-    let live = record(JobPhase::Active, bench.now);
-    let poll = bench.ask(|request| Event::Poll { request, id: id() });
-    let cancelled = row("job/job-000001", &record(JobPhase::Cancelled, bench.now), 10);
-    bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
-    assert!(matches!(bench.answer(poll), Some(Response::Job { status: JobStatus::Cancelled, .. })));
-    // The list was read before that, and its reply comes after.
-    let rows = vec![row("job/job-000001", &live, 5)];
-    bench.reply_to(page.0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
-    bench.loads_placements();
-    // Nothing is heard of the machine: it goes back in time.
-    bench.lives(Duration::from_secs(36));
-    let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().any(|h| &**h == "i-1"));
-    assert!(bench.effects.iter().any(released), "the machine was not given back");
+fn a_cancellation_seen_while_loading_ends_the_placement() {
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    let list_call = harness.take_call(is_list("job/")).unwrap();
+    let active = job_record(JobPhase::Active, harness.now);
+    let status_request = harness.send(|request| Event::Poll { request, id: id() });
+    let cancelled = row("job/job-000001", &job_record(JobPhase::Cancelled, harness.now), 10);
+    harness.reply(is_get("job/job-000001"), Ok(KvReply::Value(Some(cancelled))));
+    assert!(matches!(
+        harness.response(status_request),
+        Some(Response::Job { status: JobStatus::Cancelled, .. })
+    ));
+    // The list was read before the cancellation, and its reply arrives afterwards.
+    let rows = vec![row("job/job-000001", &active, 5)];
+    harness.reply_to(list_call.0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+    harness.load_placements();
+    // The machine sends no heartbeat, so it must be returned in time.
+    harness.run_with_cancellation(Duration::from_secs(36));
+    let is_release =
+        |e: &Effect| released_machines(e).is_some_and(|machines| machines.iter().any(|h| &**h == "i-1"));
+    assert!(harness.effects.iter().any(is_release), "the machine was not returned");
 }
 
-/// An old copy, of an earlier session, reaches a new leader before the machine itself does:
-/// that the copy's answer changed nothing does not make the machine deaf.
+/// A late copy of a heartbeat from an earlier incarnation reaches a new leader before the machine itself
+/// does. The response to the copy has no effect, which must not count as a machine that ignores commands.
 #[test]
-fn a_copy_before_the_first_report_makes_nobody_deaf() {
-    let mut bench = Bench::new();
-    bench.wins(41);
-    bench.loads();
-    let mut copy = report(9, 7);
+fn a_late_copy_before_the_first_heartbeat_returns_no_machine() {
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    harness.load();
+    let mut copy = heartbeat(9, 7);
     copy.incarnation = 2;
-    bench.ask(|request| Event::Heartbeat { request, heartbeat: copy, relayed: false });
-    bench.lives(ms(900));
-    bench.beat(30, 7);
-    bench.lives(ms(900));
-    let released = |e: &Effect| released(e).is_some();
-    assert!(!bench.effects.iter().any(released), "the machine was given back");
+    harness.send(|request| Event::Heartbeat { request, heartbeat: copy, relayed: false });
+    harness.run_with_cancellation(ms(900));
+    harness.send_heartbeat(30, 7);
+    harness.run_with_cancellation(ms(900));
+    let is_release = |e: &Effect| released_machines(e).is_some();
+    assert!(!harness.effects.iter().any(is_release), "the machine was returned");
 }
 
-/// A new leader that can't read gives a machine back that hangs, when its lease is out
-/// for certain; what it then reads of placements there is over.
+/// A new leader that can't read the jobs returns a hanging machine once its lease has certainly expired.
+/// Placements on that machine that the leader reads afterwards have ended.
 #[test]
-fn what_was_on_a_machine_given_back_while_reading_is_over() {
-    let mut bench = Bench::new();
-    bench.wins(41);
-    bench.reply(lists("job/"), Err(CallError::Refused));
-    bench.beat(1, 7);
-    let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().all(|h| &**h == "i-1"));
+fn placements_on_a_machine_returned_while_loading_have_ended() {
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    harness.reply(is_list("job/"), Err(CallError::Refused));
+    harness.send_heartbeat(1, 7);
+    let is_release =
+        |e: &Effect| released_machines(e).is_some_and(|machines| machines.iter().all(|h| &**h == "i-1"));
     for sequence in 0..30 {
-        // Two others go on reporting, a sibling is there and does not lead.
+        // Two other machines continue to send heartbeats, and a peer is up that does not lead.
         for machine in ["i-2", "i-3"] {
-            let up = Heartbeat { machine: machine.into(), tasks: [].into(), ..report(sequence, 7) };
-            bench.ask(|request| Event::Heartbeat { request, heartbeat: up, relayed: false });
+            let up = Heartbeat { machine: machine.into(), tasks: [].into(), ..heartbeat(sequence, 7) };
+            harness.send(|request| Event::Heartbeat { request, heartbeat: up, relayed: false });
         }
-        bench.step(vec![Event::PeerHeartbeat(PeerHeartbeat {
+        harness.step(vec![Event::PeerHeartbeat(PeerHeartbeat {
             host: "plank-1".into(),
             ..PeerHeartbeat::default()
         })]);
-        bench.lives(ms(500));
-        for (call, _) in std::mem::take(&mut bench.calls) {
-            bench.reply_to(call, Err(CallError::Refused));
+        harness.run_with_cancellation(ms(500));
+        for (call, _) in std::mem::take(&mut harness.calls) {
+            harness.reply_to(call, Err(CallError::Refused));
         }
-        let question = |e: &Effect| match e {
+        let list_call = |e: &Effect| match e {
             Effect::CallCloud { call, request: CloudRequest::ListInstances { .. } } => Some(*call),
             _ => None,
         };
-        let lists: Vec<CallId> = bench.effects.iter().filter_map(question).collect();
-        for call in lists {
+        let list_calls: Vec<CallId> = harness.effects.iter().filter_map(list_call).collect();
+        for call in list_calls {
             let reply = Ok(CloudReply::Instances { instances: Vec::new(), truncated: false });
-            bench.step(vec![Event::CloudReply { call, reply }]);
+            harness.step(vec![Event::CloudReply { call, reply }]);
         }
-        bench.effects.retain(|e| question(e).is_none());
+        harness.effects.retain(|e| list_call(e).is_none());
     }
-    let call = bench.effects.iter().filter(|e| released(e)).find_map(|e| match e {
+    let call = harness.effects.iter().filter(|e| is_release(e)).find_map(|e| match e {
         Effect::CallCloud { call, .. } => Some(*call),
         _ => None,
     });
     let call = call.unwrap();
-    bench.step(vec![Event::CloudReply { call, reply: Ok(CloudReply::Released) }]);
-    // The state service is back.
-    let mut reads = None;
+    harness.step(vec![Event::CloudReply { call, reply: Ok(CloudReply::Released) }]);
+    // The state service is available again.
+    let mut list_call = None;
     for _ in 0..40 {
-        bench.pass(ms(50));
-        reads = bench.taken(lists("job/"));
-        if reads.is_some() {
+        harness.advance(ms(50));
+        list_call = harness.take_call(is_list("job/"));
+        if list_call.is_some() {
             break;
         }
     }
-    let rows = vec![row("job/job-000001", &record(JobPhase::Active, START), 5)];
-    bench.reply_to(reads.unwrap().0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
-    bench.loads_placements();
-    bench.lives(Duration::from_secs(6));
-    // Its user has called it off meanwhile, so that nothing of it is kept.
-    let drops = |request: &KvRequest| {
-        let gone = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "run/job-000001/0");
-        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(gone))
+    let rows = vec![row("job/job-000001", &job_record(JobPhase::Active, START), 5)];
+    harness.reply_to(list_call.unwrap().0, Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+    harness.load_placements();
+    harness.run_with_cancellation(Duration::from_secs(6));
+    // A user has cancelled the job meanwhile, so that its keys are deleted.
+    let deletes = |request: &KvRequest| {
+        let deletes_chunk = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "run/job-000001/0");
+        matches!(request, KvRequest::Txn { changes, .. } if changes.iter().any(deletes_chunk))
     };
-    assert!(bench.taken(drops).is_some(), "the placement stays for ever");
+    assert!(harness.take_call(deletes).is_some(), "the placement was not deleted");
 }
 
-/// A node that gave the key up, and finds its own key still there, does not lead under the
-/// same token again: its earlier commands and hires would pass for new ones.
+/// A node that has given up the lease and still finds its own leader record does not lead under the same
+/// token again, because its earlier commands and rentals would count as new ones.
 #[test]
-fn nobody_leads_twice_under_one_token() {
-    let mut bench = Bench::new();
-    bench.wins(41);
-    bench.loads();
-    let holder = r#"{"host":"plank-0","boot":1,"hold":41}"#;
-    // The history of changes is gone, so that it has to read anew.
-    bench.reply(
+fn a_node_does_not_lead_twice_under_one_token() {
+    let mut harness = NodeHarness::new();
+    harness.elect(41);
+    harness.load();
+    let leader = r#"{"host":"plank-0","boot":1,"hold":41}"#;
+    // The history of changes has been compacted, so that the node must read everything again.
+    harness.reply(
         |request| matches!(request, KvRequest::Watch { prefix, .. } if prefix == "job/"),
         Ok(KvReply::Compacted),
     );
-    bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
-    let led = |b: &Bench| {
-        b.effects
+    harness.advance(ms(300));
+    harness.reply(is_get("lead"), Ok(KvReply::Value(Some(row("lead", leader, 41)))));
+    let elections = |harness: &NodeHarness| {
+        harness
+            .effects
             .iter()
             .filter(|e| matches!(e, Effect::Log(_, text) if text.starts_with("leadership won: token=")))
             .count()
     };
-    assert_eq!(led(&bench), 1);
-    // Its own claim whose answer was lost is another matter.
-    let mut bench = Bench::new();
-    bench.reply(gets("lead"), Ok(KvReply::Value(None)));
-    bench.reply(
+    assert_eq!(elections(&harness), 1);
+    // A node whose acquisition succeeded without a reply does lead under that token.
+    let mut harness = NodeHarness::new();
+    harness.reply(is_get("lead"), Ok(KvReply::Value(None)));
+    harness.reply(
         |request| matches!(request, KvRequest::GrantLease { .. }),
         Ok(KvReply::LeaseGranted { lease: 41 }),
     );
-    bench.reply(writes("lead"), Err(CallError::OutcomeUnknown));
-    bench.pass(ms(300));
-    bench.reply(gets("lead"), Ok(KvReply::Value(Some(row("lead", holder, 41)))));
-    assert_eq!(led(&bench), 1);
+    harness.reply(is_put("lead"), Err(CallError::OutcomeUnknown));
+    harness.advance(ms(300));
+    harness.reply(is_get("lead"), Ok(KvReply::Value(Some(row("lead", leader, 41)))));
+    assert_eq!(elections(&harness), 1);
 }
 
-/// After the state service has failed this node, another may confirm cancellations that
-/// it does not see: it starts nothing until it has seen the jobs again.
+/// After the state service has refused this leader, another node may confirm cancellations that it does
+/// not see. It starts nothing until it has seen the jobs again.
 #[test]
-fn nothing_starts_after_the_state_service_failed_this_node() {
+fn nothing_starts_after_a_failed_lease_renewal() {
     for failed in [false, true] {
-        let mut bench = Bench::new();
-        bench.wins(41);
-        bench.loads();
-        let touch = if failed { Err(CallError::Refused) } else { Ok(KvReply::LeaseRenewed) };
-        bench.pass(ms(450));
-        bench.reply(|request| matches!(request, KvRequest::RenewLease { .. }), touch);
-        bench.pass(ms(50));
-        // The machine has not begun the task that was placed there.
-        let mut idle = report(1, 7);
+        let mut harness = NodeHarness::new();
+        harness.elect(41);
+        harness.load();
+        let renewal = if failed { Err(CallError::Refused) } else { Ok(KvReply::LeaseRenewed) };
+        harness.advance(ms(450));
+        harness.reply(|request| matches!(request, KvRequest::RenewLease { .. }), renewal);
+        harness.advance(ms(50));
+        // The machine has not started the task that was placed on it.
+        let mut idle = heartbeat(1, 7);
         idle.tasks = [].into();
-        let beat = bench.ask(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
-        let Some(Response::Commands { commands, .. }) = bench.answer(beat) else { panic!() };
-        let runs = commands.iter().any(|o| matches!(o, WorkerCommand::Run { .. }));
-        assert_eq!(runs, !failed, "{commands:?}");
+        let request = harness.send(|request| Event::Heartbeat { request, heartbeat: idle, relayed: false });
+        let Some(Response::Commands { commands, .. }) = harness.response(request) else { panic!() };
+        let starts = commands.iter().any(|command| matches!(command, WorkerCommand::Run { .. }));
+        assert_eq!(starts, !failed, "{commands:?}");
     }
 }
 
-/// A job is called off while the answer to its creation is under way: its user, who has
-/// heard so, does not hear of a queued job afterwards.
+/// A job is cancelled while the reply to its creation is in flight. The response to the submission must
+/// not say that the job is queued after the user was told that it is cancelled.
 #[test]
-fn a_late_answer_to_a_submission_is_not_older_than_the_cancellation() {
-    let mut bench = Bench::new();
-    bench.step(vec![Event::CloudReply {
-        call: catalog(&bench),
+fn a_late_response_to_a_submission_reports_the_cancellation() {
+    let mut harness = NodeHarness::new();
+    harness.step(vec![Event::CloudReply {
+        call: machine_type_call(&harness),
         reply: Ok(CloudReply::MachineTypes(vec![MachineType {
             name: "r".into(),
             cpus: 8.0,
@@ -478,32 +510,32 @@
             zones: vec!["z".into()],
         }])),
     }]);
-    let submit = bench.ask(|request| Event::Submit { request, id: id(), job: Ok(spec("a", 1, 100.0)) });
-    let create = bench.taken(writes("job/job-000001")).unwrap();
-    bench.ask(|request| Event::Cancel { request, id: id() });
-    let live = record(JobPhase::Active, bench.now);
-    bench.reply(gets("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &live, 5)))));
-    bench.reply(writes("job/job-000001"), Ok(KvReply::Committed { revision: 6 }));
-    bench.reply_to(create.0, Ok(KvReply::Committed { revision: 5 }));
+    let submit = harness.send(|request| Event::Submit { request, id: id(), job: Ok(spec("a", 1, 100.0)) });
+    let create_call = harness.take_call(is_put("job/job-000001")).unwrap();
+    harness.send(|request| Event::Cancel { request, id: id() });
+    let active = job_record(JobPhase::Active, harness.now);
+    harness.reply(is_get("job/job-000001"), Ok(KvReply::Value(Some(row("job/job-000001", &active, 5)))));
+    harness.reply(is_put("job/job-000001"), Ok(KvReply::Committed { revision: 6 }));
+    harness.reply_to(create_call.0, Ok(KvReply::Committed { revision: 5 }));
     assert!(
-        matches!(bench.answer(submit), Some(Response::Job { status: JobStatus::Cancelled, .. })),
+        matches!(harness.response(submit), Some(Response::Job { status: JobStatus::Cancelled, .. })),
         "{:?}",
-        bench.answer(submit)
+        harness.response(submit)
     );
 }
 
-fn catalog(bench: &Bench) -> CallId {
-    let question = |e: &Effect| match e {
+fn machine_type_call(harness: &NodeHarness) -> CallId {
+    let is_list_call = |e: &Effect| match e {
         Effect::CallCloud { call, request: CloudRequest::ListMachineTypes } => Some(*call),
         _ => None,
     };
-    bench.effects.iter().find_map(question).unwrap()
+    harness.effects.iter().find_map(is_list_call).unwrap()
 }
 
-/// A node that was replaced goes on claiming to lead: where fencing is on, what it tells of
-/// jobs is passed over and counted, and nobody is sent to it.
+/// A former leader still claims to lead. With fencing on, the job progress that it sends is ignored and
+/// counted as refused, and no worker is redirected to it.
 #[test]
-fn a_claim_under_a_token_that_is_over_is_refused() {
+fn a_claim_with_an_outdated_token_is_rejected() {
     let progress = vec![JobProgress { id: id().to_string(), done: 0, running: 1 }];
     let claim = |token| PeerHeartbeat {
         host: "plank-1".into(),
@@ -511,81 +543,93 @@
         token,
         progress: progress.clone(),
     };
-    for (fenced, sent) in [(false, Some("plank-1")), (true, None)] {
-        let mut bench =
-            Bench::of(Settings { fencing: Fencing { enabled: fenced, ..Fencing::default() }, ..settings() });
-        bench.step(vec![Event::PeerHeartbeat(claim(50))]);
-        let early = bench.beat(1, 7);
-        assert!(matches!(bench.answer(early), Some(Response::Redirect { host: Some(_) })));
-        // Another leads meanwhile, as a worker shows; then the first is heard again.
-        let mut later = report(2, 60);
+    for (fenced, redirect) in [(false, Some("plank-1")), (true, None)] {
+        let mut harness = NodeHarness::with_settings(Settings {
+            fencing: Fencing { enabled: fenced, ..Fencing::default() },
+            ..settings()
+        });
+        harness.step(vec![Event::PeerHeartbeat(claim(50))]);
+        let early = harness.send_heartbeat(1, 7);
+        assert!(matches!(harness.response(early), Some(Response::Redirect { host: Some(_) })));
+        // A worker's heartbeat shows that another node leads by now; then the first one claims to lead again.
+        let mut later = heartbeat(2, 60);
         later.machine = "i-2".into();
-        bench.ask(|request| Event::Heartbeat { request, heartbeat: later, relayed: false });
-        bench.step(vec![Event::PeerHeartbeat(claim(50))]);
-        let mut third = report(3, 7);
+        harness.send(|request| Event::Heartbeat { request, heartbeat: later, relayed: false });
+        harness.step(vec![Event::PeerHeartbeat(claim(50))]);
+        let mut third = heartbeat(3, 7);
         third.machine = "i-3".into();
-        let question = bench.ask(|request| Event::Heartbeat { request, heartbeat: third, relayed: false });
-        let Some(Response::Redirect { host: foreman }) = bench.answer(question) else { panic!("no answer") };
-        assert_eq!(foreman.as_deref(), sent, "fenced: {fenced}");
-        let view = bench.ask(|request| Event::View { request });
-        let Some(Response::View(view)) = bench.answer(view) else { panic!("no view") };
+        let request = harness.send(|request| Event::Heartbeat { request, heartbeat: third, relayed: false });
+        let Some(Response::Redirect { host }) = harness.response(request) else { panic!("no response") };
+        assert_eq!(host.as_deref(), redirect, "fenced: {fenced}");
+        let view = harness.send(|request| Event::View { request });
+        let Some(Response::View(view)) = harness.response(view) else { panic!("no view") };
         assert_eq!(view["tokens"]["refused"], u64::from(fenced));
     }
 }
 
-/// A former leader had begun to give the machine back: the next one places nothing there,
-/// asks the cloud for the return again, and drops the record once that is answered.
+/// A former leader has recorded the return of a machine. The next leader places nothing on it, requests the
+/// return again once, and deletes the intent when the cloud has confirmed the return.
 #[test]
-fn nothing_is_placed_on_a_machine_whose_return_is_open() {
+fn nothing_is_placed_on_a_machine_with_an_open_return() {
     let fencing = Fencing { enabled: true, ..Fencing::default() };
-    let mut bench = Bench::of(Settings { fencing, ..settings() });
-    bench.wins(41);
-    let rows = vec![row("job/job-000001", &record(JobPhase::Active, bench.now), 5)];
-    bench.reply(lists("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
-    bench.reply(lists("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
-    let back = InstanceReturn { machines: vec!["i-1".into()], reason: ReturnReason::Surplus };
-    let duty = Intent::intended(IdempotencyKey::new("30.1"), 30, CloudAction::Return(back), 0);
-    let value = plankhead_fencing::record::encode([&duty].into_iter());
+    let mut harness = NodeHarness::with_settings(Settings { fencing, ..settings() });
+    harness.elect(41);
+    let rows = vec![row("job/job-000001", &job_record(JobPhase::Active, harness.now), 5)];
+    harness.reply(is_list("job/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+    harness.reply(is_list("run/"), Ok(KvReply::Page { rows: Vec::new(), truncated: false, revision: 9 }));
+    let instances = InstanceReturn { machines: vec!["i-1".into()], reason: ReturnReason::Surplus };
+    let intent = Intent::intended(IdempotencyKey::new("30.1"), 30, CloudAction::Return(instances), 0);
+    let value = plankhead_fencing::record::encode([&intent].into_iter());
     let rows = vec![row("duty/30/0", &value, 8)];
-    bench.reply(lists("duty/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
-    bench.reply(gets("target"), Ok(KvReply::Value(None)));
-    bench.sees_the_cloud();
-    // The machine is there, idle, with room for the waiting job.
+    harness.reply(is_list("duty/"), Ok(KvReply::Page { rows, truncated: false, revision: 9 }));
+    harness.reply(is_get("target"), Ok(KvReply::Value(None)));
+    harness.answer_cloud_lists();
+    // The machine is up and idle, with room for the pending job.
     for sequence in 1..12 {
-        assert_eq!(bench.idle("i-1", sequence), Vec::new(), "something was placed there");
-        bench.lives_quietly(ms(300));
+        assert_eq!(
+            harness.heartbeat_when_idle("i-1", sequence),
+            Vec::new(),
+            "a task was placed on the machine"
+        );
+        harness.run_without_events(ms(300));
     }
-    let released = |e: &Effect| released(e).is_some_and(|hosts| hosts.iter().all(|h| &**h == "i-1"));
-    let call = bench.effects.iter().find(|e| released(e)).map(|e| match e {
+    let is_release =
+        |e: &Effect| released_machines(e).is_some_and(|machines| machines.iter().all(|h| &**h == "i-1"));
+    let call = harness.effects.iter().find(|e| is_release(e)).map(|e| match e {
         Effect::CallCloud { call, .. } => *call,
         _ => 0,
     });
-    assert_eq!(bench.effects.iter().filter(|e| released(e)).count(), 1, "the return was not asked for once");
-    bench.step(vec![Event::CloudReply { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
-    bench.lives_quietly(Duration::from_secs(6));
-    let drops = |request: &KvRequest| {
-        let of = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "duty/30/0");
-        matches!(request, KvRequest::Txn { conditions, changes } if changes.iter().any(of)
+    assert_eq!(
+        harness.effects.iter().filter(|e| is_release(e)).count(),
+        1,
+        "the return was not requested exactly once"
+    );
+    harness.step(vec![Event::CloudReply { call: call.unwrap(), reply: Ok(CloudReply::Released) }]);
+    harness.run_without_events(Duration::from_secs(6));
+    let deletes = |request: &KvRequest| {
+        let deletes_intent = |c: &KvChange| matches!(c, KvChange::Delete { key } if key == "duty/30/0");
+        matches!(request, KvRequest::Txn { conditions, changes } if changes.iter().any(deletes_intent)
             && conditions.contains(&Condition { key: "lead".into(), mod_revision: 41 })
             && conditions.contains(&Condition { key: "duty/30/0".into(), mod_revision: 8 }))
     };
-    assert!(bench.written.iter().any(drops), "its record is kept: {:?}", bench.written);
-    let answered = bench.beat(20, 41);
+    assert!(harness.committed.iter().any(deletes), "the intent was not deleted: {:?}", harness.committed);
+    let request = harness.send_heartbeat(20, 41);
     assert!(
-        !matches!(bench.answer(answered), Some(Response::Commands { .. })),
-        "a machine that is gone is heard"
+        !matches!(harness.response(request), Some(Response::Commands { .. })),
+        "a heartbeat of a released machine got commands"
     );
-    // Another machine like it takes the job.
-    let commands: Vec<WorkerCommand> = (1..8).flat_map(|sequence| bench.idle("i-2", sequence)).collect();
+    // Another machine of the same type gets the job.
+    let commands: Vec<WorkerCommand> =
+        (1..8).flat_map(|sequence| harness.heartbeat_when_idle("i-2", sequence)).collect();
     assert!(
-        commands.iter().any(|order| matches!(order, WorkerCommand::Run { .. })),
-        "nothing was placed at all"
+        commands.iter().any(|command| matches!(command, WorkerCommand::Run { .. })),
+        "no task was placed"
     );
 }
 
-/// The reasons for which jobs are refused, as users get them.
+/// Users receive the reasons for which jobs are rejected with exactly these texts.
 #[test]
-fn refusals_keep_their_texts() {
+fn rejection_texts_are_unchanged() {
     use plankhead_core::protocol::{SpecRejection, UnsatisfiableSpec};
     let text = |reason: UnsatisfiableSpec| reason.to_string();
     assert_eq!(SpecRejection::Malformed("a field is missing".into()).to_string(), "a field is missing");
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -1,7 +1,7 @@
-//! What the nodes decide in fixed histories, as one digest each, against the digests in
-//! `fixtures/trace-digests.txt`: changes to the code that are to leave its decisions as they
-//! are leave these as they are. A change that is meant to decide otherwise records them
-//! anew with `UPDATE_TRACE_DIGESTS=1`, and its commit says what differs and why.
+//! Digests of the decisions that the nodes make in fixed histories, compared with those in
+//! `fixtures/trace-digests.txt`. A refactoring must leave the digests unchanged. A change that alters
+//! decisions on purpose records new digests with `UPDATE_TRACE_DIGESTS=1`, and its commit says what
+//! differs and why.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,16 +21,16 @@
 const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
 const SHARDED: Deployment =
     Deployment { fencing: true, sharding: true, rotate_shards: Some(ms(2500)), ..SMALL };
-const REACHING: Deployment = Deployment { fencing: true, reachability: true, ..SMALL };
+const REACHABILITY: Deployment = Deployment { fencing: true, reachability: true, ..SMALL };
 const SHARDED_FLEET: Deployment = Deployment { fencing: true, sharding: true, ..FLEET };
 
-/// Failures of machines, nodes and links.
+/// Returns faults of machines, nodes and links.
 fn failures() -> Faults {
     Faults { preemption_notices: 3, ..Faults::mixed() }
 }
 
-/// Users and messages that come at odd times.
-fn odd_times() -> Faults {
+/// Returns faults in the timing of user requests and messages.
+fn timing_faults() -> Faults {
     Faults {
         node_crashes: 4,
         dropped_heartbeats: 1,
@@ -47,7 +47,7 @@
     }
 }
 
-/// One history's digest.
+/// Runs a history and returns the digest of its decisions. `set` adds its scripted events.
 fn digest(
     deployment: Deployment,
     jobs: usize,
@@ -64,21 +64,21 @@
     world.trace.finish()
 }
 
-fn links_cut(world: &mut World) {
+fn cut_leader_links(world: &mut World) {
     for (n, links) in [&STATE_LINKS[..], &WORKER_LINKS].into_iter().enumerate() {
         let at = secs(15 + 30 * n as u64);
         world.schedule_at(at, SimEvent::FaultLeader(Fault::CutLinks(links, CutMode::Stall, secs(15))));
     }
 }
 
-fn leaders_paused(world: &mut World) {
+fn pause_leaders(world: &mut World) {
     for nth in 1..5 {
         let pause = SimEvent::FaultLeader(Fault::Pause(secs(4)));
         world.on_trigger(Trigger::IntentWritten, 3 * nth, vec![(ms(1), pause)]);
     }
 }
 
-/// All histories, a line each.
+/// Returns a line for each history, with its name, seed and digest.
 fn digests() -> String {
     let mut lines = String::new();
     let mut add = |name: &str, seed: u64, digest: String| writeln!(lines, "{name} {seed} {digest}").unwrap();
@@ -86,11 +86,11 @@
     for seed in SEEDS {
         add("quiet", seed, digest(SMALL, 24, seed, Faults::default(), |_| {}));
         add("failures", seed, digest(SMALL, 24, seed, failures(), |_| {}));
-        add("odd times", seed, digest(SMALL, 24, seed, odd_times(), |_| {}));
+        add("odd times", seed, digest(SMALL, 24, seed, timing_faults(), |_| {}));
         add("upgrade", seed, digest(SMALL, 24, seed, upgrade, |_| {}));
-        add("fenced", seed, digest(FENCED, 24, seed, failures(), leaders_paused));
+        add("fenced", seed, digest(FENCED, 24, seed, failures(), pause_leaders));
         add("sharded", seed, digest(SHARDED, 24, seed, failures(), |_| {}));
-        add("reaching", seed, digest(REACHING, 24, seed, failures(), links_cut));
+        add("reaching", seed, digest(REACHABILITY, 24, seed, failures(), cut_leader_links));
     }
     let fleet = Faults {
         node_crashes: 2,
@@ -106,31 +106,32 @@
 }
 
 #[test]
-fn decisions_are_those_recorded() {
-    let found = digests();
+fn decisions_match_the_recorded_digests() {
+    let current = digests();
     if std::env::var_os("UPDATE_TRACE_DIGESTS").is_some() {
-        std::fs::write(DIGESTS, &found).unwrap();
+        std::fs::write(DIGESTS, &current).unwrap();
     }
     let recorded = std::fs::read_to_string(DIGESTS).unwrap();
-    for (recorded, found) in recorded.lines().zip(found.lines()) {
-        assert_eq!(recorded, found);
+    for (recorded, current) in recorded.lines().zip(current.lines()) {
+        assert_eq!(recorded, current);
     }
-    assert_eq!(recorded.lines().count(), found.lines().count());
+    assert_eq!(recorded.lines().count(), current.lines().count());
 }
 
-/// Rows of one kind of key that a history gives to the fixtures at the most.
-const ROWS_OF_A_KIND: usize = 4;
+/// The maximum number of rows per key prefix that are recorded at one time of a history.
+const MAX_ROWS_PER_PREFIX: usize = 4;
 
-/// The keys of some histories, for `tests/stored.rs`: recorded by the version whose values
-/// the next ones must read.
+/// Records the keys of some histories as fixtures for `tests/stored.rs`. It is run with the version whose
+/// stored values later versions must read.
 #[test]
-#[ignore = "records fixtures with the version that is to be read later"]
+#[ignore = "records the fixtures of stored values"]
 fn record_stored_values() {
     let mut lines = String::new();
     let upgrade = Faults { upgrade: true, ..Faults::default() };
-    let everything =
+    let all_features =
         Deployment { sharding: true, rotate_shards: Some(ms(2500)), reachability: true, ..FENCED };
-    for (name, deployment, faults) in [("upgrade", SMALL, upgrade), ("all", everything, Faults::default())] {
+    for (name, deployment, faults) in [("upgrade", SMALL, upgrade), ("all", all_features, Faults::default())]
+    {
         let mut world = World::with_deployment(deployment, 7, faults);
         world.plan(24, secs(90));
         for job in &mut world.jobs {
@@ -141,9 +142,9 @@
             for prefix in ["job/", "over/", "run/", "lead", "target", "node/", "duty/", "shard/", "machines/"]
             {
                 let mut rows = world.stored_rows(prefix);
-                // Chunks are read with the records of their jobs.
+                // Chunks are decoded with the records of their jobs, so all rows of both are kept.
                 if !matches!(prefix, "job/" | "run/") {
-                    rows.truncate(ROWS_OF_A_KIND);
+                    rows.truncate(MAX_ROWS_PER_PREFIX);
                 }
                 for (key, value, revision) in rows {
                     let history = format!("{name} after {second} s");
--- a/crates/plankhead-core/tests/upgrade.rs
+++ b/crates/plankhead-core/tests/upgrade.rs
@@ -1,5 +1,6 @@
-//! What the versions share: bytes recorded from the version in production before
-//! gangs (9ca3cb3), and what this one writes, read by that version's frozen readers.
+//! Compatibility between versions during an upgrade: this version reads bytes recorded from the last
+//! production version without gangs (9ca3cb3), and copies of that version's decoders read what this one
+//! writes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,43 +22,47 @@
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1000);
-const SPEC: &str = r#"{"class":"calib","team":"requests","urgency":"urgent","tasks":12,"each":{"cpus":4.0,"gpus":0.0,"ram":10.5},"image":"img-7","image_gb":0.7,"rigs":["r"],"zone":null,"one_zone":true,"scatter":false,"spot":true,"estimate":20.25,"checkpoint":0.0,"save":0.0,"due":90.0}"#;
-const RUN: &str = r#"{"h":[["i-000001",3,"z"],["i-000002",3,"z"]],"t":[[0,1,0],[1,1,0],[2,1,1]],"d":[]}"#;
+const SPEC_JSON: &str = r#"{"class":"calib","team":"requests","urgency":"urgent","tasks":12,"each":{"cpus":4.0,"gpus":0.0,"ram":10.5},"image":"img-7","image_gb":0.7,"rigs":["r"],"zone":null,"one_zone":true,"scatter":false,"spot":true,"estimate":20.25,"checkpoint":0.0,"save":0.0,"due":90.0}"#;
+const CHUNK_JSON: &str =
+    r#"{"h":[["i-000001",3,"z"],["i-000002",3,"z"]],"t":[[0,1,0],[1,1,0],[2,1,1]],"d":[]}"#;
 
-fn live() -> String {
-    format!(r#"{{"phase":"live","spec":{SPEC},"tasks":12,"per_chunk":400,"accepted_ms":1790000000123}}"#)
+fn active_record() -> String {
+    format!(r#"{{"phase":"live","spec":{SPEC_JSON},"tasks":12,"per_chunk":400,"accepted_ms":1790000000123}}"#)
 }
 
 fn id() -> JobId {
     JobId::parse("job-000412").unwrap()
 }
 
-/// Records are read, and written again byte for byte.
+/// Records of the previous version are decoded, and encoded again as the same bytes.
 #[test]
-fn records_of_the_version_before() {
+fn records_of_the_previous_version_round_trip() {
     let cancelled = format!(
-        r#"{{"phase":"cancelled","spec":{SPEC},"tasks":12,"per_chunk":400,"accepted_ms":1790000000123,"cancelled_ms":1790000004567}}"#
+        r#"{{"phase":"cancelled","spec":{SPEC_JSON},"tasks":12,"per_chunk":400,"accepted_ms":1790000000123,"cancelled_ms":1790000004567}}"#
     );
     let done = r#"{"phase":"done","tasks":12,"per_chunk":0,"accepted_ms":0}"#;
-    for (text, phase) in
-        [(live(), JobPhase::Active), (cancelled, JobPhase::Cancelled), (done.to_string(), JobPhase::Done)]
-    {
+    for (text, phase) in [
+        (active_record(), JobPhase::Active),
+        (cancelled, JobPhase::Cancelled),
+        (done.to_string(), JobPhase::Done),
+    ] {
         let record: JobRecord = serde_json::from_str(&text).unwrap();
         assert_eq!(record.phase, phase);
         assert!(!record.spec.as_ref().is_some_and(|s| s.gang));
         assert_eq!(serde_json::to_string(&record).unwrap(), text);
         assert!(before::reads("job/job-000412", &text));
     }
-    let holder = r#"{"host":"plank-1","boot":7,"hold":9}"#;
-    let read: LeaderRecord = serde_json::from_str(holder).unwrap();
-    assert_eq!(serde_json::to_string(&read).unwrap(), holder);
+    let leader = r#"{"host":"plank-1","boot":7,"hold":9}"#;
+    let read: LeaderRecord = serde_json::from_str(leader).unwrap();
+    assert_eq!(serde_json::to_string(&read).unwrap(), leader);
     let target = r#"{"round":4,"at_ms":1790000000123,"rigs":{"r":{"machines":7,"ordinary":2}}}"#;
     let read: Target = serde_json::from_str(target).unwrap();
     assert_eq!(read.sizes["r"], Size { machines: 7, ordinary: 2 });
     assert_eq!(serde_json::to_string(&read).unwrap(), target);
 }
 
-fn loaded(record: &str) -> JobTable {
+/// Returns a table with the job of this record, without its placements.
+fn table_with_job(record: &str) -> JobTable {
     let mut job_table = JobTable::default();
     let record: JobRecord = serde_json::from_str(record).unwrap();
     let per_chunk = record.per_chunk;
@@ -72,92 +77,95 @@
     job_table
 }
 
-/// Placements are read, and written again so that the version before reads them.
+/// Placements of the previous version are decoded, and encoded so that it can decode them.
 #[test]
-fn placements_of_the_version_before() {
-    let mut job_table = loaded(&live());
-    job_table.load_chunk(&id(), 0, RUN, 7, NOW).unwrap();
+fn placements_of_the_previous_version_round_trip() {
+    let mut job_table = table_with_job(&active_record());
+    job_table.load_chunk(&id(), 0, CHUNK_JSON, 7, NOW).unwrap();
     job_table.finish_loading();
     let entry = &job_table.jobs[&id()];
     assert_eq!((entry.placed, entry.pending(), entry.first_unplaced), (3, 9, 3));
     let text = job_table.encode_chunk(&id(), 0).unwrap().value;
-    assert_eq!(text, RUN);
+    assert_eq!(text, CHUNK_JSON);
     let read: before::ChunkText = serde_json::from_str(&text).unwrap();
     assert_eq!((read.h.len(), read.t.len()), (2, 3));
 }
 
-/// A gang would be run as an array by the version before: the frozen readers tell.
+/// The previous version would run a gang as an array, so `before::reads` rejects the record of a gang.
 #[test]
-fn a_gang_is_nothing_for_the_version_before() {
-    let mut record: JobRecord = serde_json::from_str(&live()).unwrap();
+fn the_previous_version_does_not_support_gangs() {
+    let mut record: JobRecord = serde_json::from_str(&active_record()).unwrap();
     if let Some(spec) = &mut record.spec {
         spec.gang = true;
     }
     let text = serde_json::to_string(&record).unwrap();
     assert!(!before::reads("job/job-000412", &text));
-    assert!(serde_json::from_str::<before::JobRecord>(&text).is_ok(), "it would run it as an array");
+    assert!(
+        serde_json::from_str::<before::JobRecord>(&text).is_ok(),
+        "the previous version would run the gang as an array"
+    );
     assert!(serde_json::from_str::<JobRecord>(&text).unwrap().spec.unwrap().gang);
 }
 
-/// Of 120 tasks in one chunk of the version before: 40 done, 40 on machines and 40
-/// that have ended. Nothing is larger than what may be written, and whenever the
-/// leader stops between two writes, the next one knows the same.
+/// Of the 120 tasks in one chunk of the previous version, 40 are done, 40 are on machines and 40 wait
+/// for another attempt. After the limit of a value is lowered, no larger value is written, and a new
+/// leader reads the same state whenever the old one stops between two writes.
 #[test]
-fn chunks_for_larger_values_are_laid_anew() {
-    let most = 1024;
-    let small = tasks_per_chunk(most);
-    let record = live().replace("\"tasks\":12", "\"tasks\":120");
+fn chunks_are_split_for_smaller_values() {
+    let max_value_bytes = 1024;
+    let per_chunk = tasks_per_chunk(max_value_bytes);
+    let record = active_record().replace("\"tasks\":12", "\"tasks\":120");
     let machine = |i: u32| format!("[\"i-{i:06}\",1,\"raekoja-hall\"]");
     let hosts: Vec<String> = (0..40).map(machine).collect();
     let tasks: Vec<String> = (40..80).map(|i| format!("[{i},2,{}]", i - 40)).collect();
-    let idle: Vec<String> = (80..120).map(|i| format!("[{i},1,-1]")).collect();
-    let base = format!(
+    let waiting: Vec<String> = (80..120).map(|i| format!("[{i},1,-1]")).collect();
+    let old_chunk = format!(
         "{{\"h\":[{}],\"t\":[{},{}],\"d\":[[0,39]]}}",
         hosts.join(","),
         tasks.join(","),
-        idle.join(",")
+        waiting.join(",")
     );
-    assert!(base.len() > most);
+    assert!(old_chunk.len() > max_value_bytes);
 
-    let mut job_table = loaded(&record);
-    job_table.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
+    let mut job_table = table_with_job(&record);
+    job_table.load_chunk(&id(), 0, &old_chunk, 7, NOW).unwrap();
     job_table.finish_loading();
-    // One more placement is on its way and must be waited for.
+    // The write of another placement is in flight, and its outcome must be awaited.
     let placed = job_table.place(&id(), &"i-000099".into(), 1, &"z".into(), NOW).unwrap();
     job_table.jobs.get_mut(&id()).unwrap().chunks.get_mut(&0).unwrap().write_in_flight = true;
-    assert!(job_table.rechunk(small));
+    assert!(job_table.rechunk(per_chunk));
     job_table.chunk_write_failed(&id(), 0, false);
-    assert!(!job_table.rechunk(small));
-    assert!(!job_table.may_start(&placed), "a placement that no value holds counts as written");
-    let all = |l: &JobTable| {
-        let entry = &l.jobs[&id()];
+    assert!(!job_table.rechunk(per_chunk));
+    assert!(!job_table.may_start(&placed), "a placement that is not stored counts as written");
+    let state_of = |table: &JobTable| {
+        let entry = &table.jobs[&id()];
         let tasks = entry.chunks.values().flat_map(|c| &c.tasks).map(|(i, t)| {
-            let place = match &t.state {
+            let placement = match &t.state {
                 TaskState::Placed(a) => Some((a.machine.clone(), a.incarnation, a.number)),
                 _ => None,
             };
-            (*i, place)
+            (*i, placement)
         });
         (entry.done, entry.placed, entry.pending(), tasks.collect::<BTreeMap<_, _>>())
     };
-    // Step by step: one more end, one more chunk written.
+    // Each round writes the changed chunks one by one, and then one more task ends.
     let mut stored: BTreeMap<u32, String> = BTreeMap::new();
     for round in 0..6 {
         for (job, number) in job_table.dirty_chunks.clone() {
             let EncodedChunk { value: text, version } = job_table.encode_chunk(&job, number).unwrap();
-            assert!(text.len() <= most, "{} bytes", text.len());
+            assert!(text.len() <= max_value_bytes, "{} bytes", text.len());
             assert!(!before::reads(&job.chunk_key(number, true), &text));
             stored.insert(number, text);
             job_table.chunk_committed(&job, number, version, 20 + round);
-            let mut next = loaded(&record);
-            next.load_chunk(&id(), 0, &base, 7, NOW).unwrap();
-            next.rechunk(small);
+            let mut next = table_with_job(&record);
+            next.load_chunk(&id(), 0, &old_chunk, 7, NOW).unwrap();
+            next.rechunk(per_chunk);
             for (number, text) in &stored {
                 next.load_chunk(&id(), *number, text, 9, NOW).unwrap();
             }
             next.finish_loading();
-            let (mut known, read) = (all(&job_table), all(&next));
-            // What is not written yet is not known to the next one.
+            let (mut known, read) = (state_of(&job_table), state_of(&next));
+            // The next leader does not know changes that are not written yet.
             if !job_table.dirty_chunks.is_empty() {
                 known.1 = read.1;
             }
@@ -168,7 +176,7 @@
         let task = TaskId { job: id(), index: 41 + round as u32 };
         let machine = job_table.attempt(&task).unwrap().machine.clone();
         let seen = TaskStatus::Exited(ExitReason::Completed);
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine,
             address: "a".into(),
             machine_type: "r".into(),
@@ -180,7 +188,7 @@
             preemption_notice: None,
             tasks: [ReportedTask { task, attempt: 2, status: seen }].into(),
         };
-        let ended = job_table.observe_heartbeat(&report, true, NOW).ended;
+        let ended = job_table.observe_heartbeat(&heartbeat, true, NOW).ended;
         assert_eq!(ended.len(), 1);
     }
     assert!(job_table.may_start(&placed));
@@ -188,16 +196,16 @@
         job_table.jobs[&id()].stored_keys(&id()).into_iter().map(|stored| stored.key).collect();
     assert!(
         keys.contains(&"run/job-000412/0".to_string()),
-        "the old chunk is dropped with the job: {keys:?}"
+        "the old chunk is deleted with the job: {keys:?}"
     );
-    assert!(keys.contains(&id().chunk_key(placed.index / small, true)), "{keys:?}");
+    assert!(keys.contains(&id().chunk_key(placed.index / per_chunk, true)), "{keys:?}");
 }
 
-/// A job with the longest lists that the version before took is cancelled under the
-/// lower limits: its record would have been too large for ever.
+/// A job with the longest list of machine types that the previous version accepted can be cancelled under
+/// the lower limits, although its full record is then too large to be written.
 #[test]
-fn a_large_record_can_be_cancelled() {
-    let mut record: JobRecord = serde_json::from_str(&live()).unwrap();
+fn a_job_with_a_large_record_can_be_cancelled() {
+    let mut record: JobRecord = serde_json::from_str(&active_record()).unwrap();
     if let Some(spec) = &mut record.spec {
         spec.machine_types = Some((0..64).map(|i| format!("{i:0>100}")).collect());
         (spec.image, spec.class) = ("i".repeat(200), "c".repeat(200));
@@ -211,7 +219,7 @@
     assert_eq!((spec.team.as_str(), spec.tasks, spec.demand.cpus), ("requests", 12, 4.0));
 }
 
-/// Three nodes, and limits that will fall.
+/// Returns settings with three nodes and limits of the state service that will be lowered.
 fn settings() -> Settings {
     Settings {
         nodes: 3,
@@ -223,16 +231,16 @@
     }
 }
 
-/// The barrier opens once every node has shown this version, and not for one that has
-/// shown an earlier format; nothing closes it.
+/// The version barrier opens once every node has written at least this version's format. A missing node or
+/// an earlier format keeps it closed. Once open, it stays open.
 #[test]
-fn gangs_wait_for_every_node() {
+fn version_barrier_waits_for_every_node() {
     let row = |machine: &str, format: u32| KeyValue {
         key: format!("node/{machine}"),
         value: format!("{{\"format\":{format}}}"),
         mod_revision: 1,
     };
-    let look = |rows: Vec<KeyValue>| {
+    let barrier_after_listing = |rows: Vec<KeyValue>| {
         let (mut version_barrier, mut out) = (VersionBarrier::new(&settings()), EffectSink::default());
         version_barrier.tick(NOW, &mut out);
         version_barrier.handle_reply(
@@ -248,10 +256,14 @@
         );
         version_barrier
     };
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1)]).is_open());
-    assert!(!look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).is_open());
-    let mut version_barrier =
-        look(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 2), row("plank-9", 1)]);
+    assert!(!barrier_after_listing(vec![row("plank-0", 1), row("plank-1", 1)]).is_open());
+    assert!(!barrier_after_listing(vec![row("plank-0", 1), row("plank-1", 1), row("plank-2", 0)]).is_open());
+    let mut version_barrier = barrier_after_listing(vec![
+        row("plank-0", 1),
+        row("plank-1", 1),
+        row("plank-2", 2),
+        row("plank-9", 1),
+    ]);
     assert!(version_barrier.is_open());
     let mut out = EffectSink::default();
     version_barrier.handle_reply(VersionBarrierCall::ListVersions, Err(CallError::OutcomeUnknown), &mut out);
