--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -1,8 +1,8 @@
-//! Leaders that are paused and wake after others have taken over: what the cloud then did
-//! for them, counted by the model from what it knows itself.
+//! Leaders that are paused and resume after another leader was elected. The model counts from its own
+//! knowledge what the cloud then did on their behalf.
 //!
-//! An effect is stale if the lease is not its actor's any more, in the very term in which
-//! the actor decided, and no open record in the state service names its subject.
+//! An effect is stale if its actor no longer holds the lease of the term in which it decided on the call,
+//! and no open intent in the state service covers the effect's subject.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,13 +15,13 @@
 use world::Fault::*;
 use world::{ms, secs, Clock, CloudEffects, Deployment, Faults, SimEvent, Trigger, World, SMALL, TRUE_CLOCK};
 
-/// A few machines that come and go, under leaders that record what they ask for.
+/// A few machines that are rented and returned often, by leaders that record intents.
 const FENCED: Deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..SMALL };
 const UNFENCED: Deployment = Deployment { fencing: false, ..FENCED };
-/// Longer than the leader's lease, and than a watch on it.
-const PAUSE: u64 = 4_000;
+/// A pause longer than the leader's lease and than the timeout of a watch on it.
+const PAUSE_MS: u64 = 4_000;
 
-/// Plays a history until every job has come to its end.
+/// Plays a history until every job has ended.
 fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
@@ -30,22 +30,23 @@
     world
 }
 
-fn sum(all: &mut CloudEffects, one: CloudEffects) {
-    all.all += one.all;
-    all.by_former_leaders += one.by_former_leaders;
-    all.stale += one.stale;
-    all.compelled += one.compelled;
-    all.compelled_stale += one.compelled_stale;
+fn add(total: &mut CloudEffects, one: CloudEffects) {
+    total.all += one.all;
+    total.by_former_leaders += one.by_former_leaders;
+    total.stale += one.stale;
+    total.compelled += one.compelled;
+    total.compelled_stale += one.compelled_stale;
 }
 
-/// Pauses at random instants and at chosen ones, each longer than the lease.
-fn freezes(world: &mut World, seed: u64) {
+/// Schedules pauses at many times and at chosen moments of cloud actions. The latter are longer than the
+/// lease.
+fn schedule_pauses(world: &mut World, seed: u64) {
     for n in 0..10u64 {
         let at = ms(4_000 + 8_300 * n + 97 * (seed * 7 + n) % 4_000);
         let node = ((seed + n) % 3) as usize;
         world.schedule_at(at, SimEvent::PauseProcess { node, duration: ms(500 + 1_100 * ((seed + n) % 7)) });
     }
-    let pause = ms(PAUSE + 800 * (seed % 5));
+    let pause = ms(PAUSE_MS + 800 * (seed % 5));
     for n in 0..5u32 {
         let nth = 1 + (seed as u32 + 2 * n) % 9;
         world.on_trigger(
@@ -66,43 +67,51 @@
     }
 }
 
-/// The cloud is slow, too: calls are carried out up to 20 s late.
-fn slow() -> Faults {
+/// Returns faults by which replies are lost, and requests to the state service and the cloud are carried out
+/// up to 20 s late.
+fn late_requests() -> Faults {
     Faults { lost_replies: 0.05, late_requests: 0.3, ..Faults::default() }
 }
 
-/// A thousand pauses, and not one stale effect.
+/// None of a thousand pauses leads to a stale effect.
 #[test]
-fn a_thousand_pauses() {
+fn no_stale_effects_after_a_thousand_pauses() {
     let (mut pauses, mut effects) = (0, CloudEffects::default());
     for seed in 0..60 {
-        let world = play("pauses", FENCED, slow(), seed, |world| freezes(world, seed));
+        let world = play("pauses", FENCED, late_requests(), seed, |world| schedule_pauses(world, seed));
         assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
         pauses += world.pauses;
-        sum(&mut effects, world.cloud_effects);
+        add(&mut effects, world.cloud_effects);
     }
     assert!(pauses >= 1_000, "{pauses} pauses");
     assert!(effects.by_former_leaders > 20, "{effects:?}");
-    assert_eq!(effects.compelled, 0, "the state service never failed a leader: {effects:?}");
+    assert_eq!(
+        effects.compelled, 0,
+        "no return was to be forced, since the state service never failed: {effects:?}"
+    );
 }
 
-/// The same with the gate open: the check finds stale effects.
+/// Without fencing, the same histories have stale effects, which shows that the check detects them.
 #[test]
-fn without_the_gate_there_are_stale_effects() {
+fn there_are_stale_effects_without_fencing() {
     let mut effects = CloudEffects::default();
     for seed in 0..20 {
-        sum(&mut effects, play("open", UNFENCED, slow(), seed, |world| freezes(world, seed)).cloud_effects);
+        add(
+            &mut effects,
+            play("unfenced", UNFENCED, late_requests(), seed, |world| schedule_pauses(world, seed))
+                .cloud_effects,
+        );
     }
     assert!(effects.stale > 20, "{effects:?}");
 }
 
-/// A holder is paused past its lease around one duty: before its record is sent, while the
-/// record is under way, before it hears that it is durable, and between that and the call.
+/// A leader is paused for longer than its lease at each step of a cloud action: before the intent is sent,
+/// while it is in flight, before the leader learns that it is stored, and between that and the call.
 #[test]
-fn paused_at_each_step_of_a_duty() {
-    let freeze = |blow| move |after| (after, SimEvent::FaultLeader(blow));
-    let pause = ms(PAUSE);
-    for (moment, after, blow) in [
+fn leader_paused_at_each_step_of_a_cloud_action() {
+    let fault_leader = |fault| move |after| (after, SimEvent::FaultLeader(fault));
+    let pause = ms(PAUSE_MS);
+    for (moment, after, fault) in [
         (Trigger::IntentSent, ms(0), PauseBeforeSending(pause)),
         (Trigger::IntentSent, ms(1), Pause(pause)),
         (Trigger::IntentWritten, ms(0), Pause(pause)),
@@ -111,27 +120,28 @@
         (Trigger::CloudActionSent, ms(1), Pause(pause)),
         (Trigger::CloudActionSent, ms(90), Pause(pause)),
     ] {
-        let (mut of_former, mut pauses) = (0, 0);
+        let (mut by_former_leaders, mut pauses) = (0, 0);
         for seed in 0..8 {
             let world = play("steps", FENCED, Faults::default(), seed, |world| {
                 for nth in 1..=5 {
-                    world.on_trigger(moment, nth, vec![freeze(blow)(after)]);
+                    world.on_trigger(moment, nth, vec![fault_leader(fault)(after)]);
                 }
             });
             assert_eq!(world.cloud_effects.stale, 0, "{moment:?}, seed {seed}: {:?}", world.cloud_effects);
-            of_former += world.cloud_effects.by_former_leaders;
+            by_former_leaders += world.cloud_effects.by_former_leaders;
             pauses += world.pauses;
         }
         assert!(pauses >= 24, "{moment:?}: {pauses} pauses");
-        // A call that is under way when its holder is paused is carried out under it.
-        let held_back = matches!((moment, blow), (Trigger::CloudActionSent, PauseBeforeSending(_)));
-        assert!(!held_back || of_former > 0, "nothing came of calls held back");
+        // Only a call that the pause holds back is carried out after the lease was lost. Calls in flight
+        // at the start of a pause are carried out while the leader still holds the lease.
+        let held_back = matches!((moment, fault), (Trigger::CloudActionSent, PauseBeforeSending(_)));
+        assert!(!held_back || by_former_leaders > 0, "no held-back call was carried out");
     }
 }
 
-/// Answers are lost, and writes of records are carried out late, after the takeover.
+/// Replies are lost, and writes of intents are carried out late, after another leader was elected.
 #[test]
-fn records_written_late() {
+fn intents_written_late() {
     let faults = Faults { lost_replies: 0.2, late_requests: 0.7, ..Faults::default() };
     for seed in 0..15 {
         let world = play("late", FENCED, faults, seed, |world| {
@@ -139,7 +149,7 @@
                 world.on_trigger(
                     Trigger::IntentSent,
                     nth,
-                    vec![(ms(0), SimEvent::FaultLeader(Pause(ms(PAUSE))))],
+                    vec![(ms(0), SimEvent::FaultLeader(Pause(ms(PAUSE_MS))))],
                 );
             }
         });
@@ -147,17 +157,17 @@
     }
 }
 
-/// The same process loses the lease and wins it back, since the others are away.
+/// The same process loses the lease and acquires it again, because the other nodes are paused.
 #[test]
-fn the_lease_is_won_back_by_the_same_process() {
+fn the_same_process_acquires_the_lease_again() {
     for seed in 0..10 {
         let world = play("back", FENCED, Faults::default(), seed, |world| {
             for node in [1, 2] {
                 world.schedule_at(ms(300), SimEvent::PauseProcess { node, duration: secs(100) });
             }
             for nth in 1..=4 {
-                let blow = if nth % 2 == 0 { Pause(ms(PAUSE)) } else { PauseBeforeSending(ms(PAUSE)) };
-                world.on_trigger(Trigger::CloudActionSent, nth, vec![(ms(0), SimEvent::FaultLeader(blow))]);
+                let fault = if nth % 2 == 0 { Pause(ms(PAUSE_MS)) } else { PauseBeforeSending(ms(PAUSE_MS)) };
+                world.on_trigger(Trigger::CloudActionSent, nth, vec![(ms(0), SimEvent::FaultLeader(fault))]);
             }
         });
         assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
@@ -165,10 +175,10 @@
     }
 }
 
-/// Three leaders in a row, each paused with a record just written: the third finds the
-/// records of both.
+/// Three leaders in a row are each paused just after an intent was written, so that the third one finds the
+/// intents of the first two.
 #[test]
-fn three_leaders_leave_their_intentions() {
+fn intents_of_several_former_leaders_are_inherited() {
     let mut inherited = 0;
     for seed in 0..10 {
         let world = play("three", FENCED, Faults::default(), seed, |world| {
@@ -183,21 +193,20 @@
         assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
         inherited += world.inherited_intents;
     }
-    assert!(inherited >= 20, "{inherited} records were inherited");
+    assert!(inherited >= 20, "{inherited} intents were inherited");
 }
 
-/// The state service refuses the holder alone, who is paused on top of it, while users
-/// call jobs off whose machines hang. What it has returned without a record was forced,
-/// and the state service had failed it.
+/// The state service refuses only the leader, which is also paused, while users cancel jobs on machines that
+/// hang. The leader then forces returns without a stored intent. None of them may be stale.
 #[test]
-fn the_state_service_refuses_the_holder_alone() {
+fn the_state_service_refuses_only_the_leader() {
     for seed in 0..12 {
         let world = play("refused", FENCED, Faults::default(), seed, |world| {
             for n in 0..4 {
                 let at = secs(12 + 18 * n) + ms(211 * seed);
                 world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(12))));
                 world.schedule_at(at + ms(700), SimEvent::CancelRunningJobs { count: 6, hang: secs(30) });
-                world.schedule_at(at + ms(1_300), SimEvent::FaultLeader(Pause(ms(PAUSE))));
+                world.schedule_at(at + ms(1_300), SimEvent::FaultLeader(Pause(ms(PAUSE_MS))));
             }
         });
         assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
@@ -205,10 +214,10 @@
     }
 }
 
-/// In an outage a cancelled task on a machine that hangs must go all the same: its return
-/// goes without a record, and nobody else leads meanwhile.
+/// A cancelled task on a hanging machine must end in time during an outage of the state service, too: the
+/// machine is returned without a stored intent. No other node can become leader meanwhile.
 #[test]
-fn an_outage_compels_returns_without_records() {
+fn an_outage_forces_returns_without_intents() {
     let mut compelled = 0;
     for seed in 0..8 {
         let world = play("outage", FENCED, Faults::default(), seed, |world| {
@@ -228,19 +237,19 @@
     assert!(compelled > 0, "no return was forced");
 }
 
-/// Clocks that run apart by the protocol's bound and far beyond it, and times of day that
-/// jump by an hour: no decision about duties depends on them.
+/// The rates of the nodes' clocks differ by the protocol's bound and by far more, and wall clocks jump by an
+/// hour. No decision about intents depends on them.
 #[test]
-fn clocks_disagree() {
+fn clocks_differ() {
     let hour = secs(3600);
     for (rates, jumps) in [([1.0005, 0.9995, 1.0], ms(100)), ([1.25, 0.8, 1.0], hour)] {
         for seed in 0..10 {
-            let world = play("clocks", FENCED, slow(), seed, |world| {
+            let world = play("clocks", FENCED, late_requests(), seed, |world| {
                 world.drop_cancellations();
                 for (clock, rate) in world.clocks.iter_mut().zip(rates) {
                     *clock = Clock { rate, jumps };
                 }
-                freezes(world, seed);
+                schedule_pauses(world, seed);
             });
             assert_eq!(
                 world.cloud_effects.stale, 0,
@@ -252,12 +261,12 @@
     assert_eq!(TRUE_CLOCK.rate, 1.0);
 }
 
-/// Fencing is switched on node by node, off again and on again, under load: records that
-/// an unfenced leader never looks at wait for the next fenced one.
+/// Fencing is enabled node by node, disabled and enabled again under load. An unfenced leader does not read
+/// intents, so that open ones wait for the next fenced leader.
 #[test]
-fn switched_on_and_off_and_on() {
+fn fencing_enabled_disabled_and_enabled_again() {
     for seed in 0..10 {
-        let world = play("rollback", UNFENCED, slow(), seed, |world| {
+        let world = play("rollback", UNFENCED, late_requests(), seed, |world| {
             for (round, fenced) in [(0, true), (1, false), (2, true)] {
                 for node in 0..3 {
                     let at = secs(10 + 28 * round + 6 * node as u64) + ms(97 * seed);
@@ -271,44 +280,44 @@
             );
         });
         assert!(world.fencing.iter().all(|fenced| *fenced));
-        assert!(world.open_intents() <= 2, "seed {seed}: {} records are left", world.open_intents());
+        assert!(world.open_intents() <= 2, "seed {seed}: {} intents are still open", world.open_intents());
     }
 }
 
-/// What is stored but can't be read, or is of another format, is never acted on, never
-/// removed, and hurts nobody.
+/// Stored pages of intents that can't be decoded or have another format are neither acted upon nor deleted,
+/// and they do not disturb the nodes.
 #[test]
-fn strange_records_are_left_alone() {
-    let returns = r#"{"format":9,"duties":[{"key":"1.1","intended_ms":1,"digest":"00","kind":"return","hosts":["i-000001"]}]}"#;
-    let forged = r#"{"format":1,"duties":[{"key":"1.1","intended_ms":1,"digest":"00","kind":"return","hosts":["i-000001"]}]}"#;
-    let many = format!(
+fn unreadable_intents_are_left_unchanged() {
+    let unknown_format = r#"{"format":9,"duties":[{"key":"1.1","intended_ms":1,"digest":"00","kind":"return","hosts":["i-000001"]}]}"#;
+    let wrong_digest = r#"{"format":1,"duties":[{"key":"1.1","intended_ms":1,"digest":"00","kind":"return","hosts":["i-000001"]}]}"#;
+    let incomplete = format!(
         r#"{{"format":1,"duties":[{{"key":"1.2","kind":"rent","count":99{}}}]}}"#,
         ",\"x\":0".repeat(50)
     );
-    let strange = [
+    let unreadable = [
         ("duty/0/0", "[]"),
-        ("duty/0/1", returns),
-        ("duty/0/2", forged),
-        ("duty/0/3", many.as_str()),
+        ("duty/0/1", unknown_format),
+        ("duty/0/2", wrong_digest),
+        ("duty/0/3", incomplete.as_str()),
         ("duty/none/at-all", "{}"),
-        ("duty/99999999999/0", forged),
+        ("duty/99999999999/0", wrong_digest),
     ];
     for seed in 0..4 {
-        let world = play("strange", FENCED, slow(), seed, |world| {
-            strange.iter().for_each(|(key, value)| world.write_key(key, value));
+        let world = play("unreadable", FENCED, late_requests(), seed, |world| {
+            unreadable.iter().for_each(|(key, value)| world.write_key(key, value));
             world.schedule_at(secs(20), SimEvent::FaultLeader(Restart(secs(5))));
         });
         assert_eq!(world.cloud_effects.stale, 0, "seed {seed}: {:?}", world.cloud_effects);
-        for (key, _) in &strange {
-            assert_eq!(world.count_keys(key), 1, "{key} is gone");
+        for (key, _) in &unreadable {
+            assert_eq!(world.count_keys(key), 1, "{key} was deleted");
         }
     }
 }
 
-/// A fleet's returns and rentals, at the limits of values and transactions that the model
-/// asserts (1 KiB, 4 changes), with leaders that end and are paused.
+/// The rentals and returns of a large fleet stay within the limits of values and transactions that the model
+/// enforces (1 KiB, 4 changes), while leaders crash and are paused.
 #[test]
-fn a_fleet_within_the_limits() {
+fn a_large_fleet_stays_within_the_limits() {
     let deployment = Deployment { fencing: true, ..FLEET };
     for seed in 0..2 {
         let mut world = World::with_deployment(
@@ -318,7 +327,7 @@
         );
         world.plan(60, secs(120));
         for at in [20, 50, 80] {
-            world.schedule_at(secs(at), SimEvent::FaultLeader(Pause(ms(PAUSE))));
+            world.schedule_at(secs(at), SimEvent::FaultLeader(Pause(ms(PAUSE_MS))));
         }
         world.run(secs(900));
         assert!(world.all_jobs_ended(), "seed {seed}");
--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -1,4 +1,5 @@
-//! The core against the slow plain model of `world`, over seeded histories.
+//! Seeded random histories of the core in the simulated environment of `world`, which checks its rules
+//! after every event.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,17 +13,18 @@
 use world::deployment::FLEET;
 use world::{secs, Deployment, Faults, SimEvent, World, SMALL};
 
-/// Plays histories and expects every job to come to its end.
+/// Plays histories and asserts that every job ends.
 fn play(seeds: std::ops::Range<u64>, faults: Faults) {
     play_on(SMALL, 24, seeds, faults);
 }
 
 fn play_on(deployment: Deployment, jobs: usize, seeds: std::ops::Range<u64>, faults: Faults) {
-    play_called(false, deployment, jobs, seeds, faults);
+    play_with_calls(false, deployment, jobs, seeds, faults);
 }
 
-/// `on_demand`: nodes are called when they asked to be, instead of ten times a second.
-fn play_called(
+/// Plays histories and asserts that every job ends. With `on_demand`, nodes are called when they asked for
+/// it instead of ten times a second.
+fn play_with_calls(
     on_demand: bool,
     deployment: Deployment,
     jobs: usize,
@@ -34,27 +36,27 @@
         world.on_demand = on_demand;
         world.plan(jobs, secs(90));
         world.run(secs(1500));
-        let left: Vec<_> =
+        let unfinished: Vec<_> =
             world.jobs.iter().filter(|j| !j.has_ended()).map(|j| (j.id.clone(), j.last_status)).collect();
-        assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
+        assert!(unfinished.is_empty(), "seed {seed}: unfinished {unfinished:?}");
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
-            let (since, began) =
+            let (since, started_at) =
                 (job.accepted_at.unwrap().max(world.faults_over_at), job.started_at.unwrap());
-            assert!(began <= since + secs(240), "seed {seed}: the large {:?} began late", job.id);
+            assert!(started_at <= since + secs(240), "seed {seed}: the large {:?} started late", job.id);
         }
         assert!(world.starts > 0, "nothing_ran");
     }
 }
 
 #[test]
-fn quiet() {
+fn no_faults() {
     play(0..10, Faults::default());
 }
 
-/// A node that is called only when it asked to be, or when something comes, forgets
-/// nothing: whatever time alone brings about happens all the same.
+/// A node that is called only when it asked for it, or when an event arrives, still does everything that
+/// becomes due by time alone.
 #[test]
-fn nodes_act_when_they_asked_to() {
+fn nodes_do_all_due_work_when_called_on_demand() {
     let crashes = Faults {
         node_crashes: 8,
         all_nodes_crash: 1,
@@ -62,7 +64,7 @@
         late_requests: 0.5,
         ..Faults::default()
     };
-    let state =
+    let kv_failures =
         Faults { kv_outages: 3, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..Faults::default() };
     let machines = Faults {
         machine_cuts: 4,
@@ -71,10 +73,11 @@
         preemption_notices: 4,
         ..Faults::default()
     };
-    let alone = Faults { cut_from_kv_and_peers: 4, worker_partitions: 1, node_cuts: 2, ..Faults::default() };
+    let network =
+        Faults { cut_from_kv_and_peers: 4, worker_partitions: 1, node_cuts: 2, ..Faults::default() };
     let upgrade = Faults { upgrade: true, node_crashes: 2, ..Faults::default() };
-    for faults in [Faults::default(), crashes, state, machines, alone, upgrade] {
-        play_called(true, SMALL, 24, 0..12, faults);
+    for faults in [Faults::default(), crashes, kv_failures, machines, network, upgrade] {
+        play_with_calls(true, SMALL, 24, 0..12, faults);
     }
 }
 
@@ -120,14 +123,14 @@
 }
 
 #[test]
-fn everything_fails() {
+fn mixed_faults() {
     play(0..40, Faults::mixed());
 }
 
-/// Copies of reports, up to more than three leases old, come to old and new
-/// leaders: a new one has no newer report to compare them with.
+/// Late copies of heartbeats, some more than three leases old, reach old and new leaders. A new leader has
+/// no newer heartbeat to compare them with.
 #[test]
-fn reports_come_again_late() {
+fn late_copies_of_heartbeats() {
     play(
         0..25,
         Faults {
@@ -141,12 +144,12 @@
 }
 
 #[test]
-fn machines_hear_nothing() {
+fn machines_receive_no_responses() {
     play(0..25, Faults { dropped_responses: 5, node_crashes: 2, ..Faults::default() });
 }
 
-/// Workers that can't reach the leader are heard through another node: none of
-/// their leases runs out, nor is any of their machines returned.
+/// Heartbeats of workers that can't reach the leader are relayed by another node, so that no lease expires
+/// and no machine is returned.
 #[test]
 fn workers_reach_a_leader_through_another_node() {
     let mut relayed = 0;
@@ -159,21 +162,21 @@
         assert_eq!(world.killed_by_release, 0, "seed {seed}");
         relayed += world.relayed;
     }
-    assert!(relayed > 50, "{relayed} reports");
+    assert!(relayed > 50, "{relayed} relayed heartbeats");
 }
 
-/// A former leader that has lost the state service, with or without its siblings,
-/// held its workers until a cancellation could have come: 23 s.
+/// A former leader that had lost the state service, with or without its peers, kept its workers until a
+/// cancellation could have been confirmed elsewhere: for 23 s.
 #[test]
-fn nodes_lose_all_but_their_workers() {
+fn nodes_reach_only_their_workers() {
     play(
         0..25,
         Faults { cut_from_kv_and_peers: 4, node_crashes: 1, lost_replies: 0.01, ..Faults::default() },
     );
-    let alone = Faults { cut_from_kv_and_peers: 3, ..Faults::default() };
+    let cut_off = Faults { cut_from_kv_and_peers: 3, ..Faults::default() };
     let refused = Faults { kv_refusals: 4, ..Faults::default() };
-    // Where two are adrift at once, a worker may be sent from one to the other.
-    for (faults, most) in [(alone, 9), (refused, 3)] {
+    // If two nodes are cut off at once, one of them may redirect a worker to the other.
+    for (faults, limit) in [(cut_off, 9), (refused, 3)] {
         let mut longest = Duration::ZERO;
         for seed in 0..25 {
             let mut world = World::new(seed, faults);
@@ -181,14 +184,17 @@
             world.run(secs(1500));
             longest = longest.max(world.longest_stale_acceptance);
         }
-        assert!(longest > Duration::ZERO && longest < secs(most), "held for {longest:?}");
+        assert!(
+            longest > Duration::ZERO && longest < secs(limit),
+            "a former leader kept workers for {longest:?}"
+        );
     }
 }
 
-/// A leader that lost the network took every machine for silent, and its
-/// releases were carried out when the cut ended: a whole fleet at work.
+/// A leader that had lost the network took all machines for silent. Its release requests were carried out
+/// when the cut ended, and a whole fleet was lost while it ran tasks.
 #[test]
-fn a_cut_leader_gives_no_machine_back() {
+fn a_leader_without_network_returns_no_machines() {
     for seed in 0..25 {
         let mut world = World::new(seed, Faults { node_cuts: 4, ..Faults::default() });
         world.plan(24, secs(90));
@@ -198,8 +204,8 @@
     }
 }
 
-/// Hundreds of machines that report every 5 s, of which dozens fail at a time, under
-/// leaders that crash, some back within a fraction of a second, late copies and cuts.
+/// Dozens out of hundreds of machines, with a heartbeat interval of 5 s, fail at a time. Meanwhile leaders
+/// crash, some of them restart within a fraction of a second, late copies arrive and links are cut.
 #[test]
 fn many_machines_fail_together() {
     let faults = Faults {
@@ -221,12 +227,12 @@
     play_on(FLEET, 200, 0..6, faults);
 }
 
-/// A new leader that did not know the machines yet hired as many anew, gave idle
-/// ones back by a round of its own, and took workers that report seldom for silent.
+/// A new leader that did not know the machines yet rented as many again, returned idle ones after its own
+/// sizing round, and took workers with a long heartbeat interval for silent.
 #[test]
-fn a_takeover_costs_no_machine() {
+fn a_change_of_leader_loses_no_machine() {
     for (deployment, jobs) in [(SMALL, 24), (FLEET, 200)] {
-        let (mut calm, mut rented) = (0, 0);
+        let (mut rented_without_crashes, mut rented) = (0, 0);
         for seed in 0..4 {
             let play = |crashes| {
                 let mut world = World::with_deployment(
@@ -239,26 +245,30 @@
                 assert!(world.all_jobs_ended(), "seed {seed}");
                 (world.killed_by_release, world.machines)
             };
-            let (quiet, rough) = (play(0), play(6));
-            assert_eq!((quiet.0, rough.0), (0, 0), "seed {seed}: tasks lost with machines given back");
-            (calm, rented) = (calm + quiet.1, rented + rough.1);
+            let (quiet, crashes) = (play(0), play(6));
+            assert_eq!((quiet.0, crashes.0), (0, 0), "seed {seed}: tasks lost on returned machines");
+            (rented_without_crashes, rented) = (rented_without_crashes + quiet.1, rented + crashes.1);
         }
-        // In all, since a single climb doubles the fleet or doesn't.
-        assert!(rented <= calm * 3 / 2 + 4, "{rented} rented instead of {calm}");
+        // The sums are compared, since one fleet size search more or less may double the fleet of a seed.
+        assert!(
+            rented <= rented_without_crashes * 3 / 2 + 4,
+            "{rented} machines rented instead of {rented_without_crashes}"
+        );
     }
 }
 
-/// Versions side by side: nodes of the one before are replaced one after the other,
-/// among crashes that bring them back as they were, takeovers in both directions,
-/// outages and late replies; then the limits fall. What is stored is readable to the
-/// older ones as long as there are any, and nothing is too large afterwards, though
-/// chunks of 120 tasks were stored before.
+/// Two versions run side by side: nodes of the previous version are upgraded one after another during
+/// crashes after which they restart with the same version, changes of the leader in both directions,
+/// outages and late replies. Then the state service lowers its limits. All stored data is readable to the
+/// previous version while nodes of it remain. Afterwards no value is too large, although chunks of 120
+/// tasks were stored before.
 #[test]
-fn an_upgrade_among_troubles() {
+fn an_upgrade_during_faults() {
     let upgrade = Faults { upgrade: true, ..Faults::default() };
     let crashes =
         Faults { node_crashes: 8, all_nodes_crash: 1, lost_replies: 0.03, late_requests: 0.5, ..upgrade };
-    let state = Faults { kv_outages: 2, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..upgrade };
+    let kv_failures =
+        Faults { kv_outages: 2, kv_refusals: 3, node_crashes: 2, lost_replies: 0.01, ..upgrade };
     let cuts = Faults {
         node_cuts: 2,
         cut_from_kv_and_peers: 2,
@@ -268,17 +278,17 @@
         machine_deaths: 2,
         ..crashes
     };
-    for faults in [upgrade, crashes, state, cuts] {
+    for faults in [upgrade, crashes, kv_failures, cuts] {
         play_on(SMALL, 40, 0..15, faults);
     }
     play_on(FLEET, 200, 0..2, crashes);
 }
 
-/// A gang that has to leave a machine saves as a whole: all its tasks are told in
-/// time, however many machines they are on.
+/// When the cloud takes a machine of a gang, all tasks of the gang checkpoint: they are told in time, on
+/// however many machines they run.
 #[test]
-fn gangs_save_when_a_machine_is_taken() {
-    let (mut saves, mut spoilt) = (0, 0);
+fn gangs_checkpoint_when_a_machine_is_preempted() {
+    let (mut saved, mut lost) = (0, 0);
     for seed in 0..25 {
         let mut world = World::new(seed, Faults { preemption_notices: 8, ..Faults::default() });
         world.plan(40, secs(90));
@@ -287,48 +297,52 @@
         }
         world.run(secs(1500));
         assert!(world.all_jobs_ended(), "seed {seed}");
-        (saves, spoilt) = (saves + world.checkpoints_saved, spoilt + world.checkpoints_lost);
+        (saved, lost) = (saved + world.checkpoints_saved, lost + world.checkpoints_lost);
     }
-    assert!(saves > 20 && spoilt == 0, "{saves} saved, {spoilt} could not");
+    assert!(saved > 20 && lost == 0, "{saved} checkpoints saved, {lost} lost");
 }
 
-/// The rules that histories under these troubles break.
-fn broken(faults: Faults) -> Vec<String> {
+/// Returns the failures of 40 histories with these faults. Each begins with the name of the violated rule.
+fn rule_violations(faults: Faults) -> Vec<String> {
     let history = |seed| {
         let play = || {
             let mut world = World::new(seed, faults);
             world.plan(40, secs(90));
             world.run(secs(400));
         };
-        let why = std::panic::catch_unwind(play).err()?;
-        why.downcast_ref::<String>().cloned().or_else(|| why.downcast_ref::<&str>().map(|s| s.to_string()))
+        let panic = std::panic::catch_unwind(play).err()?;
+        panic
+            .downcast_ref::<String>()
+            .cloned()
+            .or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()))
     };
     (0..40).filter_map(history).collect()
 }
 
-/// The model catches rules that are broken on purpose. Here the evidence itself
-/// is false: a cloud confirms releases that it does not carry out, copies tell of
-/// shifts that have not begun, or answers reach nobody.
+/// The model detects violated rules. Here the evidence that the nodes rely on is false on purpose: the cloud
+/// confirms releases that it does not carry out, copies of heartbeats name incarnations that have not begun,
+/// or users ignore responses.
 #[test]
-fn false_evidence_is_caught() {
+fn the_model_detects_violated_rules() {
     let cloud =
         Faults { machine_hangs: 10, machine_cuts: 6, unperformed_releases: true, ..Faults::default() };
     let copies = Faults { duplicate_heartbeats: 0.2, falsified_duplicates: true, ..Faults::default() };
-    let mute = Faults { unanswered_first_job: true, ..Faults::default() };
-    for (faults, rules) in
-        [(cloud, vec!["ran_twice", "quota"]), (copies, vec!["ran_twice"]), (mute, vec!["forgotten"])]
-    {
-        let found = broken(faults);
+    let ignored_responses = Faults { unanswered_first_job: true, ..Faults::default() };
+    for (faults, rules) in [
+        (cloud, vec!["ran_twice", "quota"]),
+        (copies, vec!["ran_twice"]),
+        (ignored_responses, vec!["forgotten"]),
+    ] {
+        let violations = rule_violations(faults);
         for rule in rules {
-            assert!(found.iter().any(|r| r.starts_with(rule)), "{rule} is not among {found:?}");
+            assert!(violations.iter().any(|r| r.starts_with(rule)), "{rule} is not among {violations:?}");
         }
     }
 }
 
-/// With no machine and no work, a leader went on with a round, a write and a
-/// log line every 5 s.
+/// With no machine and no job, a leader still ran a sizing round with a write and a log line every 5 s.
 #[test]
-fn an_idle_service_is_quiet() {
+fn an_idle_service_writes_little() {
     let mut world = World::new(1, Faults::default());
     world.plan(6, secs(20));
     world.run(secs(300));
@@ -336,18 +350,18 @@
     let (writes, at) = (world.kv_revision(), world.now);
     world.run_for(secs(300));
     assert!(world.now >= at + secs(250));
-    // One round in 20 s, and at first the jobs that are over are put away, so that
-    // a new leader reads none of them.
+    // There is one sizing round in 20 s. At first the jobs that have ended are also moved to `over/`, so that
+    // a new leader does not read them.
     assert!(world.kv_revision() - writes <= 300 / 20 + 3, "{} writes", world.kv_revision() - writes);
     assert_eq!((world.count_keys("job/"), world.count_keys("run/"), world.count_keys("over/")), (0, 0, 6));
 }
 
-/// Urgent tasks found every machine full of standard work and waited for it. That
-/// goes for gangs on either side, too: a standard one is stopped as a whole, after it
-/// has saved.
+/// Urgent tasks waited while standard work occupied every machine. Standard work must be preempted for them.
+/// This holds for gangs on either side as well: all tasks of a standard gang are stopped, after they have
+/// checkpointed.
 #[test]
-fn urgent_work_makes_room() {
-    for (lesser, urgent) in [(false, false), (false, true), (true, false), (true, true)] {
+fn urgent_work_preempts_standard_work() {
+    for (standard_gang, urgent_gang) in [(false, false), (false, true), (true, false), (true, true)] {
         let mut world = World::new(2, Faults::default());
         world.capacity = 3;
         world.plan(2, secs(1));
@@ -362,22 +376,26 @@
             (job.spec.allows_spot, job.spec.zone) = (true, None);
             (job.spec.single_zone, job.spec.spread) = (false, false);
             (job.spec.checkpoint_interval_s, job.spec.checkpoint_duration_s) = (100.0, 1.0);
-            job.spec.gang = if n == 0 { lesser } else { urgent };
+            job.spec.gang = if n == 0 { standard_gang } else { urgent_gang };
         }
         world.reschedule_submission(0, secs(1));
         world.reschedule_submission(1, secs(30));
         world.run(secs(90));
-        let which = format!("gangs: {lesser}, {urgent}");
-        assert!(world.jobs[1].has_ended(), "the urgent job waits behind a standard one; {which}");
-        assert!(!world.jobs[0].has_ended(), "{which}");
-        assert_eq!((world.checkpoints_saved, world.checkpoints_lost), (u32::from(lesser), 0), "{which}");
+        let case = format!("gangs: {standard_gang}, {urgent_gang}");
+        assert!(world.jobs[1].has_ended(), "the urgent job waits behind a standard one; {case}");
+        assert!(!world.jobs[0].has_ended(), "{case}");
+        assert_eq!(
+            (world.checkpoints_saved, world.checkpoints_lost),
+            (u32::from(standard_gang), 0),
+            "{case}"
+        );
     }
 }
 
-/// A gang of three whole machines in one zone raises a fleet that is too small for it
-/// at once, there, and no later round takes that apart before it has run; meanwhile
-/// small tasks that keep coming don't keep it out: in 3 of these 60 histories it began after
-/// 76 to 133 s, since they waited for idle machines that were kept for it.
+/// A gang needs three whole machines in one zone, and the fleet is too small for it. The fleet must grow in
+/// one zone at once, no later sizing round may shrink it before the gang has run, and a steady stream of
+/// small tasks must not delay the gang. In 3 of these 60 histories it started only after 76 to 133 s, since
+/// small tasks waited for idle machines that were reserved for it.
 #[test]
 fn a_wide_gang_gets_its_machines_in_one_zone() {
     for seed in 0..60 {
@@ -402,13 +420,13 @@
         world.run(secs(1500));
         assert!(world.all_jobs_ended(), "seed {seed}");
         let wide = &world.jobs[0];
-        let (since, began) = (wide.accepted_at.unwrap(), wide.started_at.unwrap());
-        assert!(began <= since + secs(75), "seed {seed}: began after {:?}", began - since);
+        let (since, started_at) = (wide.accepted_at.unwrap(), wide.started_at.unwrap());
+        assert!(started_at <= since + secs(75), "seed {seed}: started after {:?}", started_at - since);
     }
 }
 
-/// Urgent tasks of half a machine that keep coming must not keep tasks of a
-/// whole one out for ever: these begin within four minutes.
+/// A steady stream of urgent tasks of half a machine must not starve tasks that need a whole machine: these
+/// start within four minutes.
 #[test]
 fn small_jobs_do_not_starve_a_wide_one() {
     for seed in 0..6 {
@@ -432,29 +450,32 @@
         }
         world.run(secs(1500));
         let wide = &world.jobs[0];
-        assert!(wide.started_at.unwrap() <= wide.accepted_at.unwrap() + secs(240), "seed {seed}: began late");
+        assert!(
+            wide.started_at.unwrap() <= wide.accepted_at.unwrap() + secs(240),
+            "seed {seed}: the wide job started late"
+        );
         assert!(world.all_jobs_ended(), "seed {seed}");
     }
 }
 
-/// The only machine was taken by the cloud, and the leader took its silence for its own
-/// fault: it rented no other, for ever. One that ends by itself is listed as failed.
+/// The cloud took the only machine, and the leader attributed its silence to a fault of its own: it never
+/// rented another. A machine that dies is listed as failed instead.
 #[test]
-fn the_only_machine_is_lost() {
+fn the_only_machine_is_replaced() {
     for seed in 0..4 {
         let deployment = Deployment { machines_per_pool: 1, max_machines: 1, ..SMALL };
         let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(1, secs(5));
         let job = &mut world.jobs[0];
         (job.spec.tasks, job.spec.spread, job.runtime_s) = (2, false, 40.0);
-        let ends = if seed % 2 == 0 {
+        let loss = if seed % 2 == 0 {
             SimEvent::KillMachine
         } else {
             SimEvent::PreemptionNotice { notice: secs(0) }
         };
-        world.schedule_at(secs(25), ends);
+        world.schedule_at(secs(25), loss);
         world.run(secs(600));
-        let left: Vec<_> = world.jobs.iter().filter(|j| !j.has_ended()).map(|j| &j.id).collect();
-        assert!(left.is_empty(), "seed {seed}: unfinished {left:?}");
+        let unfinished: Vec<_> = world.jobs.iter().filter(|j| !j.has_ended()).map(|j| &j.id).collect();
+        assert!(unfinished.is_empty(), "seed {seed}: unfinished {unfinished:?}");
     }
 }
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -1,5 +1,5 @@
-//! Half-open cuts in the plain model, which asserts every rule after every event: one link
-//! in one direction, links that flap, nodes that see different halves.
+//! Partial link failures in the simulated environment, which checks all rules after every event: single links
+//! in one direction, flapping links, and nodes that reach different parts of the system.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,7 +16,7 @@
 use world::Fault::*;
 use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
-const REACH: Deployment = Deployment { reachability: true, ..SMALL };
+const REACHABILITY: Deployment = Deployment { reachability: true, ..SMALL };
 const ALL_LINKS: [Link; 10] = [
     Link::Reads,
     Link::Writes,
@@ -29,7 +29,7 @@
     Link::PeersOut,
     Link::Cloud,
 ];
-/// The same, one each, to be cut alone.
+/// The same links one by one, to be cut separately.
 const SINGLE: [&[Link]; 10] = [
     &[Link::Reads],
     &[Link::Writes],
@@ -43,7 +43,7 @@
     &[Link::Cloud],
 ];
 
-/// Plays a history until every job has come to its end.
+/// Plays a history until every job has ended.
 fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
@@ -52,14 +52,14 @@
     world
 }
 
-/// One link of the leader, in one way, for long enough to matter.
+/// A single link of the leader fails in one way for 25 s.
 #[test]
 fn each_link_of_the_leader_cut_alone() {
     for links in SINGLE {
         for how in CUT_MODES {
             for seed in 0..3 {
                 let name = format!("{links:?} {how:?}");
-                play(&name, REACH, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
+                play(&name, REACHABILITY, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
                     world.schedule_at(secs(25), SimEvent::FaultLeader(CutLinks(links, how, secs(25))));
                 });
             }
@@ -67,15 +67,15 @@
     }
 }
 
-/// Links that flap at periods around the lease, the interval of reports and the half-life
-/// of the damping, at every node in turn.
+/// Links flap at each node in turn, with periods around the lease, the heartbeat interval and the half-life of
+/// the flap damping.
 #[test]
-fn links_flap() {
+fn flapping_links() {
     for period in [ms(700), ms(1_500), ms(2_000), ms(4_000), ms(10_000), ms(20_000)] {
         for (seed, links) in [(0, &STATE_LINKS[..]), (1, &WORKER_LINKS[..]), (2, &ALL_LINKS[..])] {
             for how in CUT_MODES {
                 let name = format!("flap {period:?} {links:?} {how:?}");
-                play(&name, REACH, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
+                play(&name, REACHABILITY, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
                     for node in 0..3 {
                         let from = 10 + 30 * node as u64;
                         world.flap(node, links, how, period, (from, from + 30));
@@ -86,11 +86,11 @@
     }
 }
 
-/// Every node is half-blind at a time, each in another way.
+/// Each node loses other links than the rest at the same time.
 #[test]
-fn every_node_sees_another_half() {
+fn every_node_loses_different_links() {
     for seed in 0..8 {
-        play("halves", REACH, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
+        play("halves", REACHABILITY, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
             let (state, workers) = (&STATE_LINKS[..], &WORKER_LINKS[..]);
             world.cut_links((seed % 3) as usize, state, CUT_MODES[(seed % 3) as usize], (20, 50));
             world.cut_links(((seed + 1) % 3) as usize, workers, CutMode::Stall, (22, 52));
@@ -99,11 +99,12 @@
     }
 }
 
-/// Half of the workers beyond each of two nodes: the lease does not go back and forth.
+/// Two nodes can each not reach a different half of the workers. Leadership must not go back and forth
+/// between them.
 #[test]
-fn half_of_the_workers_beyond_each_of_two_nodes() {
+fn two_nodes_without_half_of_the_workers_each() {
     for seed in 0..8 {
-        let world = play("beyond", REACH, Faults::default(), seed, |world| {
+        let world = play("beyond", REACHABILITY, Faults::default(), seed, |world| {
             world.partitions_odd_machines[1] = true;
             for node in 0..2 {
                 world.schedule_at(secs(20), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
@@ -113,41 +114,45 @@
     }
 }
 
-/// The leader hears no worker: it hands over to a node that does, soon, and only once.
-/// Gives the longest time until another leads.
-fn blind_leader(deployment: Deployment) -> (Duration, u32) {
+/// Cuts all links between the leader and the workers in several histories. Returns the longest time until
+/// another node leads and the largest number of terms that begin within 45 s.
+fn handover_of_leader_without_workers(deployment: Deployment) -> (Duration, u32) {
     let (mut longest, mut terms) = (Duration::ZERO, 0);
     for seed in 0..10 {
         let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(24, secs(90));
         world.run_for(secs(30));
-        let before = world.leader().unwrap();
-        let (cut_at, first) = (world.now, world.terms);
+        let old_leader = world.leader().unwrap();
+        let (cut_at, terms_before) = (world.now, world.terms);
         world.schedule_at(ms(0), SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(60))));
-        while world.leader().is_none_or(|node| node == before) && world.now < cut_at + secs(40) {
+        while world.leader().is_none_or(|node| node == old_leader) && world.now < cut_at + secs(40) {
             world.run_for(ms(50));
         }
         longest = longest.max(world.now - cut_at);
         world.run_for(cut_at + secs(45) - world.now);
-        terms = terms.max(world.terms - first);
+        terms = terms.max(world.terms - terms_before);
     }
     (longest, terms)
 }
 
+/// A leader that receives no heartbeat hands over to a node that does, soon and only once.
 #[test]
-fn a_leader_that_hears_no_worker_hands_over() {
-    let (longest, terms) = blind_leader(REACH);
-    let (before, terms_before) = blind_leader(SMALL);
-    println!("until another leads: {longest:?}, {terms} terms; without: {before:?}, {terms_before} terms");
+fn a_leader_that_reaches_no_worker_hands_over() {
+    let (longest, terms) = handover_of_leader_without_workers(REACHABILITY);
+    let (longest_without, terms_without) = handover_of_leader_without_workers(SMALL);
+    println!(
+        "until another node leads: {longest:?}, {terms} terms; without reachability: {longest_without:?}, \
+         {terms_without} terms"
+    );
     assert!(longest < secs(14), "{longest:?}");
     assert!(terms <= 2, "{terms} terms");
 }
 
-/// The node to which the lease is handed dies at once: another takes it.
+/// The node to which leadership is handed over crashes at once, and another node becomes leader.
 #[test]
-fn the_best_placed_node_dies_in_the_hand_over() {
+fn the_next_leader_crashes_during_the_handover() {
     for seed in 0..8 {
-        play("dies", REACH, Faults::default(), seed, |world| {
+        play("dies", REACHABILITY, Faults::default(), seed, |world| {
             world.schedule_at(
                 secs(25),
                 SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(40))),
@@ -163,19 +168,19 @@
     }
 }
 
-/// Cuts that heal within a fraction of a second, in elections.
+/// All links of a new leader fail for a fraction of a second during and after its election.
 #[test]
-fn cuts_heal_within_elections() {
+fn short_link_failures_during_elections() {
     for seed in 0..10 {
         let how = CUT_MODES[(seed % 3) as usize];
-        play("heals", REACH, Faults { node_crashes: 6, ..Faults::default() }, seed, |world| {
+        play("heals", REACHABILITY, Faults { node_crashes: 6, ..Faults::default() }, seed, |world| {
             for nth in 1..=6 {
                 for after in [0, 40, 400] {
-                    let blow = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
+                    let fault = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
                     world.on_trigger(
                         Trigger::LeaderElected,
                         nth,
-                        vec![(ms(after), SimEvent::FaultLeader(blow))],
+                        vec![(ms(after), SimEvent::FaultLeader(fault))],
                     );
                 }
             }
@@ -183,11 +188,11 @@
     }
 }
 
-/// A process that was paused finds all its links broken as it wakes, and is whole soon.
+/// To a process that resumes after a pause, all its links look failed. Its mode must soon be `Whole` again.
 #[test]
-fn a_paused_process_is_whole_soon_after() {
+fn a_resumed_process_soon_returns_to_mode_whole() {
     for seed in 0..6 {
-        let mut world = World::with_deployment(REACH, seed, Faults::default());
+        let mut world = World::with_deployment(REACHABILITY, seed, Faults::default());
         world.plan(24, secs(90));
         world.run_for(secs(30));
         for node in 0..3 {
@@ -204,9 +209,9 @@
     }
 }
 
-/// The right mode, within three seconds of a cut and of its end.
+/// A node enters the right mode within the four seconds for which some of its links fail.
 #[test]
-fn modes_follow_cuts() {
+fn modes_follow_link_failures() {
     let cases = [
         (&STATE_LINKS[..], Mode::WorkersOnly),
         (&[Link::Writes, Link::Renewal][..], Mode::WorkersOnly),
@@ -215,7 +220,7 @@
     ];
     for (links, mode) in cases {
         for how in CUT_MODES {
-            let mut world = World::with_deployment(REACH, 4, Faults::default());
+            let mut world = World::with_deployment(REACHABILITY, 4, Faults::default());
             world.plan(24, secs(90));
             world.run_for(secs(40));
             let leader = world.leader().unwrap();
@@ -224,63 +229,67 @@
                 let cut = world::cuts::LinkCut { node: leader, link: *link, how, until };
                 world.schedule_at(ms(0), SimEvent::CutLink(cut));
             }
-            let mut seen = Vec::new();
+            let mut modes = Vec::new();
             for _ in 0..40 {
                 world.run_for(ms(100));
-                seen.extend(world.mode_of(leader));
+                modes.extend(world.mode_of(leader));
             }
-            println!("{links:?} {how:?}: {:?} tenths", seen.iter().position(|other| *other == mode));
-            assert!(seen.contains(&mode), "{links:?} {how:?}: {seen:?}");
+            println!(
+                "{links:?} {how:?}: {mode:?} at sample {:?} of 100 ms",
+                modes.iter().position(|other| *other == mode)
+            );
+            assert!(modes.contains(&mode), "{links:?} {how:?}: {modes:?}");
         }
     }
 }
 
-/// Changes of mode in an hour of node time without any cut.
-fn wrong_changes(faults: Faults) -> u32 {
+/// Returns the number of mode changes in one hour of node time without link failures.
+fn spurious_mode_changes(faults: Faults) -> u32 {
     let mut changes = 0;
     for seed in 0..10 {
-        let mut world = World::with_deployment(REACH, seed, faults);
+        let mut world = World::with_deployment(REACHABILITY, seed, faults);
         world.plan(24, secs(90));
         let mut modes = [Some(Mode::Whole); 3];
         for _ in 0..1_200 {
             world.run_for(ms(100));
-            for (node, before) in modes.iter_mut().enumerate() {
-                let mode = world.mode_of(node).or(*before);
-                changes += u32::from(mode != *before);
-                *before = mode;
+            for (node, previous) in modes.iter_mut().enumerate() {
+                let mode = world.mode_of(node).or(*previous);
+                changes += u32::from(mode != *previous);
+                *previous = mode;
             }
         }
     }
     changes
 }
 
-/// No link is cut: modes change by chance only. Each spell counts twice, there and back.
+/// Without link failures, modes change only by chance. Each such episode counts twice, at its start and its
+/// end.
 #[test]
-fn jitter_alone_changes_few_modes() {
+fn jitter_causes_few_mode_changes() {
     let lossy = Faults { lost_replies: 0.02, duplicate_heartbeats: 0.02, ..Faults::default() };
-    // One call in fifty is lost: two in a row are taken for a cut. 12 were seen.
-    let changes = wrong_changes(lossy);
+    // One call in fifty is lost, and two losses in a row count as a link failure. This led to 12 changes.
+    let changes = spurious_mode_changes(lossy);
     assert!(changes <= 24, "{changes} changes in an hour, lossy");
-    // Replies take up to 1.5 s, longer than calls are waited for in the service: 10, 18 and
-    // 36 were seen, as the events fell. A bound for gross faults only.
-    let changes = wrong_changes(Faults { slow_kv: true, ..lossy });
+    // Replies take up to 1.5 s, which is longer than the call timeout of the service. This led to 10, 18 and
+    // 36 changes, depending on the order of events. The limit detects only gross faults.
+    let changes = spurious_mode_changes(Faults { slow_kv: true, ..lossy });
     assert!(changes <= 60, "{changes} changes in an hour, slow and lossy");
 }
 
-/// A job is called off through another node while the leader sees workers only: its tasks
-/// are gone within `cancel_s`, on machines that hang, too.
+/// Jobs are cancelled through another node while the leader is in mode `WorkersOnly`. Their tasks must end
+/// within `cancel_s`, also on machines that hang.
 #[test]
-fn cancelled_elsewhere_while_the_leader_sees_workers_only() {
-    const BLIND: [Link; 6] =
+fn cancellation_through_another_node_while_the_leader_reaches_only_workers() {
+    const ALL_BUT_WORKERS: [Link; 6] =
         [Link::Reads, Link::Writes, Link::Watch, Link::Renewal, Link::PeersIn, Link::PeersOut];
     for seed in 0..12 {
         let how = CUT_MODES[(seed % 3) as usize];
-        play("elsewhere", REACH, Faults::default(), seed, |world| {
+        play("cancelled through another node", REACHABILITY, Faults::default(), seed, |world| {
             for job in world.jobs.iter_mut() {
                 (job.runtime_s, job.spec.estimated_runtime_s) = (40.0, 40.0);
                 job.spec.tasks = job.spec.tasks.min(4);
             }
-            world.schedule_at(secs(30), SimEvent::FaultLeader(CutLinks(&BLIND, how, secs(45))));
+            world.schedule_at(secs(30), SimEvent::FaultLeader(CutLinks(&ALL_BUT_WORKERS, how, secs(45))));
             for n in 0..4 {
                 let hang = if n % 2 == 0 { secs(0) } else { secs(20) };
                 world.schedule_at(secs(31 + 2 * n), SimEvent::CancelRunningJobs { count: 2, hang });
@@ -289,23 +298,24 @@
     }
 }
 
-/// The holder of open duties goes half-blind at each step of them.
+/// Links of a leader with open intents fail at each step of a cloud action.
 #[test]
-fn open_duties_of_a_half_blind_holder() {
-    let deployment = Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACH };
+fn link_failures_at_each_step_of_a_cloud_action() {
+    let deployment =
+        Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACHABILITY };
     for moment in [Trigger::IntentSent, Trigger::IntentWritten, Trigger::CloudActionSent] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
                 let how = CUT_MODES[(seed % 3) as usize];
                 let world = play(
-                    "duties",
+                    "intents",
                     deployment,
                     Faults { cancel_bursts: 1, ..Faults::default() },
                     seed,
                     |world| {
                         for nth in [2, 4, 6] {
-                            let blow = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
-                            world.on_trigger(moment, nth, vec![(ms(0), blow)]);
+                            let fault = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
+                            world.on_trigger(moment, nth, vec![(ms(0), fault)]);
                         }
                     },
                 );
@@ -319,10 +329,10 @@
     }
 }
 
-/// Random cuts of random links, with other troubles: thousands with `WORLD_CUTS=n` times
-/// as many histories.
+/// Random failures of random links beside other faults. `WORLD_CUTS=n` plays n times as many histories, for
+/// thousands of link failures.
 #[test]
-fn many_cuts() {
+fn many_random_link_failures() {
     let factor: u64 = std::env::var("WORLD_CUTS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let mut cuts = 0;
     for seed in 0..20 * factor {
@@ -333,9 +343,9 @@
             machine_hangs: 1,
             ..Faults::default()
         };
-        play("many", REACH, faults, seed, |world| {
+        play("many", REACHABILITY, faults, seed, |world| {
             for n in 0..16 {
-                // A number for each choice, without a second source of chance.
+                // Hashes the seed instead of drawing from a second random number generator.
                 let draw = (seed * 16 + n).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
                 let node = (draw % 3) as usize;
                 let link = ALL_LINKS[(draw / 3 % 10) as usize];
@@ -350,9 +360,9 @@
     assert!(cuts >= 300);
 }
 
-/// A large fleet, half of which is beyond the leader.
+/// Two nodes can each not reach a different half of a large fleet.
 #[test]
-fn half_of_a_fleet_beyond_the_leader() {
+fn two_nodes_without_half_of_a_large_fleet_each() {
     let deployment = Deployment { reachability: true, ..FLEET };
     for seed in 0..2 {
         play("fleet", deployment, Faults { cancel_bursts: 1, ..Faults::default() }, seed, |world| {
@@ -364,13 +374,13 @@
     }
 }
 
-/// Nodes of the version before never hear of coverage, nor send any.
+/// Nodes of the previous version neither send nor receive coverage messages.
 #[test]
-fn beside_the_version_before() {
+fn upgrade_from_the_previous_version() {
     for seed in 0..6 {
         play(
             "upgrade",
-            REACH,
+            REACHABILITY,
             Faults { upgrade: true, node_crashes: 1, ..Faults::default() },
             seed,
             |world| {
@@ -387,15 +397,15 @@
     }
 }
 
-/// The model's rules catch a table that allows too much: leases kept without sight of the
-/// jobs. The state service refuses the leader alone, jobs are called off, and then nobody
-/// reaches it.
+/// The model's rules detect a permission table that allows too much: leases are kept by a leader that can't
+/// see the jobs. The state service refuses only the leader, jobs are cancelled through another node, and then
+/// no node reaches the state service.
 #[test]
-fn a_broken_table_breaks_a_rule() {
-    let play_gap = |table: &PermissionTable, seed: u64| {
+fn a_permission_table_that_allows_too_much_violates_a_rule() {
+    let play_outage = |table: &PermissionTable, seed: u64| {
         let table = table.clone();
         std::panic::catch_unwind(move || {
-            play("gap", REACH, Faults::default(), seed, |world| {
+            play("outage", REACHABILITY, Faults::default(), seed, |world| {
                 world.permissions = table.clone();
                 for job in world.jobs.iter_mut() {
                     (job.runtime_s, job.spec.estimated_runtime_s) = (60.0, 60.0);
@@ -408,9 +418,9 @@
         })
     };
     let standard = PermissionTable::standard();
-    let keeps = |mode| standard.clone().with(mode, Action::KeepLeases, Permission::Allowed);
-    assert!((0..4).all(|seed| play_gap(&standard, seed).is_ok()), "the standard table");
-    let broken = keeps(Mode::WorkersOnly);
-    let caught = (0..4).filter(|seed| play_gap(&broken, *seed).is_err()).count();
-    assert!(caught > 0, "leases kept without sight, and no rule broke");
+    let allow_keep_leases = |mode| standard.clone().with(mode, Action::KeepLeases, Permission::Allowed);
+    assert!((0..4).all(|seed| play_outage(&standard, seed).is_ok()), "the standard table");
+    let too_permissive = allow_keep_leases(Mode::WorkersOnly);
+    let violations = (0..4).filter(|seed| play_outage(&too_permissive, *seed).is_err()).count();
+    assert!(violations > 0, "leases were kept without access to the jobs, and no rule was violated");
 }
