--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Links flap at each node in turn, with periods around the lease, the heartbeat interval and the half-life of
-/// the flap damping.
+/// Links flap at each node in turn, with periods around the lease, the heartbeat interval and the
+/// half-life of the flap damping.
 #[test]
 fn flapping_links() {
     for period in [ms(700), ms(1_500), ms(2_000), ms(4_000), ms(10_000), ms(20_000)] {
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -1,6 +1,6 @@
-//! Divided machines against the plain model: shards that move while jobs run, and
-//! controllers that fail at each step of it. The model's rules are asserted throughout, and
-//! under each token only one node ever tells a machine something.
+//! Sharding in the simulated environment: shards move while jobs run, and nodes fail at each step of a move.
+//! All rules are checked throughout, among them that only one node sends commands to a machine under each
+//! token.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,16 +23,16 @@
 use world::Fault::{self, *};
 use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
-/// Machines divided, a shard moved every two and a half seconds.
+/// Sharding with a shard move every 2.5 s.
 const MOVING: Deployment = Deployment { sharding: true, rotate_shards: Some(ms(2500)), ..SMALL };
-/// The same with nothing moved on purpose.
-const RESTING: Deployment = Deployment { rotate_shards: None, ..MOVING };
-/// Teams that are at their limit most of the time.
+/// Sharding without shard moves that are made for the test only.
+const STATIC: Deployment = Deployment { rotate_shards: None, ..MOVING };
+/// Sharding with shard moves and teams that are at their limits most of the time.
 const TIGHT: Deployment = Deployment { cpu_limit: 8.0, machines_per_pool: 3, ..MOVING };
 
-/// Seeds played beside those of CI.
-fn more(seeds: u64) -> u64 {
-    std::env::var("WORLD_SHARD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(seeds)
+/// Returns the number of seeds to play: `WORLD_SHARD_SEEDS`, or else this default.
+fn seed_count(default: u64) -> u64 {
+    std::env::var("WORLD_SHARD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 fn play_one(
@@ -49,17 +49,16 @@
     world
 }
 
-/// Plays histories until every job has come to its end; how often a shard changed hands.
+/// Plays histories until every job has ended, and returns the number of shard moves.
 fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, set: impl Fn(&mut World)) -> u32 {
     let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
-    let seeds = only.map_or(0..more(seeds), |seed| seed..seed + 1);
+    let seeds = only.map_or(0..seed_count(seeds), |seed| seed..seed + 1);
     seeds.map(|seed| play_one(name, deployment, faults, seed, &set).shard_moves).sum()
 }
 
-/// Steady load, shards that move all the time, and troubles of each kind. No job is lost, and
-/// none runs twice.
+/// Shards move all the time under steady load and faults of each kind. No job is lost and none runs twice.
 #[test]
-fn shards_move_under_load_and_troubles() {
+fn shards_move_under_load_and_faults() {
     let crashes = Faults {
         node_crashes: 6,
         all_nodes_crash: 1,
@@ -67,7 +66,7 @@
         late_requests: 0.5,
         ..Faults::default()
     };
-    let pauses = Faults {
+    let kv_failures = Faults {
         kv_refusals: 2,
         kv_outages: 1,
         cut_from_kv_and_peers: 2,
@@ -90,10 +89,10 @@
         delayed_commands: 0.1,
         ..Faults::default()
     };
-    let quiet = play("quiet", MOVING, Faults::default(), 6, |_| {});
-    assert!(quiet >= 6 * 20, "{quiet} moves");
+    let moves = play("no faults", MOVING, Faults::default(), 6, |_| {});
+    assert!(moves >= 6 * 20, "{moves} moves");
     for (name, faults) in
-        [("crashes", crashes), ("pauses", pauses), ("machines", machines), ("network", network)]
+        [("crashes", crashes), ("state service", kv_failures), ("machines", machines), ("network", network)]
     {
         let moves = play(name, MOVING, faults, 6, |world| {
             for n in 0..4 {
@@ -108,13 +107,13 @@
     }
 }
 
-/// No urgent task waits longer, while a machine that fits has room, than without moves, but
-/// for a report's time and a round trip.
+/// While a suitable machine has room, an urgent task waits at most a heartbeat interval and a round trip
+/// longer with shard moves than without.
 #[test]
-fn the_urgent_queue_is_never_blocked() {
-    let longest = |deployment| {
-        let waits = (0..more(10)).map(|seed| {
-            let steady = |world: &mut World| {
+fn shard_moves_hardly_delay_urgent_tasks() {
+    let longest_wait = |deployment| {
+        let waits = (0..seed_count(10)).map(|seed| {
+            let adjust_jobs = |world: &mut World| {
                 for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
                     (job.spec.spread, job.spec.tasks) = (false, job.spec.tasks.min(6));
                     if job.id.as_str().ends_with(['0', '2', '4', '6', '8']) {
@@ -122,27 +121,32 @@
                     }
                 }
             };
-            play_one("urgent", deployment, Faults::default(), seed, steady).longest_urgent_wait
+            play_one("urgent", deployment, Faults::default(), seed, adjust_jobs).longest_urgent_wait
         });
         waits.max().unwrap()
     };
-    let (resting, moving) = (longest(RESTING), longest(MOVING));
-    println!("the longest urgent wait beside room: {resting:?} resting, {moving:?} moving");
-    let allowed = resting + MOVING.heartbeat_interval.mul_f64(1.25) + ms(100);
-    assert!(moving <= allowed, "{moving:?} with moves, {resting:?} without");
+    let (without_moves, with_moves) = (longest_wait(STATIC), longest_wait(MOVING));
+    println!(
+        "longest wait of an urgent task despite room: {without_moves:?} without moves, {with_moves:?} with \
+         moves"
+    );
+    let limit = without_moves + MOVING.heartbeat_interval.mul_f64(1.25) + ms(100);
+    assert!(with_moves <= limit, "{with_moves:?} with moves, {without_moves:?} without");
 }
 
-/// Who ends in a measurement.
+/// The node that crashes in a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ends {
+enum Crashed {
     Leader,
+    /// The shard holder with the most machines.
     Holder,
 }
 
-/// From a controller's end to the next start on machines that it answered, in each of some
-/// histories of steady load, shortest first. Workers take four seconds to give it up.
-fn until_next_start(deployment: Deployment, ends: Ends) -> Vec<Duration> {
-    let one = |seed| {
+/// Returns the times from the crash of a node to the next start of a task, for several histories of steady
+/// load, in ascending order. After the crash of a holder, only starts on the machines that it held count.
+/// Workers wait four seconds before they turn to another node.
+fn times_to_next_start(deployment: Deployment, crashed: Crashed) -> Vec<Duration> {
+    let time_to_next_start = |seed| {
         let mut world = World::with_deployment(deployment, seed, Faults::default());
         world.plan(120, secs(120));
         for job in world.jobs.iter_mut().filter(|job| !job.spec.gang) {
@@ -151,48 +155,52 @@
         world.run_for(secs(60));
         let leader = world.leader().unwrap();
         let holders = || (0..3).filter(|node| *node != leader);
-        let node = match ends {
-            Ends::Leader => leader,
-            Ends::Holder => holders().max_by_key(|node| world.machines_held_by(*node).len()).unwrap(),
+        let node = match crashed {
+            Crashed::Leader => leader,
+            Crashed::Holder => holders().max_by_key(|node| world.machines_held_by(*node).len()).unwrap(),
         };
         let machines = world.machines_held_by(node);
-        let end = world.now;
+        let crashed_at = world.now;
         world.schedule_at(Duration::ZERO, SimEvent::Crash { node });
         world.run_for(secs(40));
-        let there = |machine| ends == Ends::Leader || machines.contains(machine);
-        let next = world.start_times.iter().find(|(at, machine)| *at > end && there(machine));
-        next.map_or(secs(40), |(at, _)| *at - end)
+        let counts = |machine| crashed == Crashed::Leader || machines.contains(machine);
+        let next = world.start_times.iter().find(|(at, machine)| *at > crashed_at && counts(machine));
+        next.map_or(secs(40), |(at, _)| *at - crashed_at)
     };
-    let mut times: Vec<Duration> = (0..more(12)).map(one).collect();
+    let mut times: Vec<Duration> = (0..seed_count(12)).map(time_to_next_start).collect();
     times.sort();
     times
 }
 
-/// Starts go on soon after a leader or a holder has ended, and no worker is left without an
-/// answer for long while its shard moves.
+/// Tasks start again soon after a leader or a holder has crashed, and no worker is without a response
+/// for long while its shard moves.
 #[test]
-fn starts_go_on_soon_after_an_end() {
-    let undivided = until_next_start(Deployment { sharding: false, ..RESTING }, Ends::Leader);
-    let divided = until_next_start(RESTING, Ends::Leader);
-    let holder = until_next_start(RESTING, Ends::Holder);
-    let middle = |times: &[Duration]| times[times.len() / 2];
-    for (what, times) in [("leader, undivided", &undivided), ("leader", &divided), ("holder", &holder)] {
+fn tasks_start_again_soon_after_a_crash() {
+    let unsharded = times_to_next_start(Deployment { sharding: false, ..STATIC }, Crashed::Leader);
+    let sharded = times_to_next_start(STATIC, Crashed::Leader);
+    let holder = times_to_next_start(STATIC, Crashed::Holder);
+    let median = |times: &[Duration]| times[times.len() / 2];
+    for (what, times) in [("leader without sharding", &unsharded), ("leader", &sharded), ("holder", &holder)]
+    {
         println!(
-            "from an end of a {what} to the next start: {:?}, at most {:?}",
-            middle(times),
+            "time from the crash of a {what} to the next start: median {:?}, maximum {:?}",
+            median(times),
             times.last()
         );
     }
-    assert!(middle(&divided) <= middle(&undivided) + secs(1), "{divided:?}, {undivided:?}");
-    assert!(middle(&holder) < secs(12), "{holder:?}");
-    let gap = |deployment| play_one("gap", deployment, Faults::default(), 4, |_| {}).longest_renewal_gap;
-    let (resting, moving) = (gap(RESTING), gap(MOVING));
-    println!("the longest time between two answers: {resting:?} resting, {moving:?} moving");
-    assert!(moving <= MOVING.heartbeat_interval.mul_f64(1.25) + secs(4), "{moving:?}");
+    assert!(median(&sharded) <= median(&unsharded) + secs(1), "{sharded:?}, {unsharded:?}");
+    assert!(median(&holder) < secs(12), "{holder:?}");
+    let gap =
+        |deployment| play_one("renewal gap", deployment, Faults::default(), 4, |_| {}).longest_renewal_gap;
+    let (without_moves, with_moves) = (gap(STATIC), gap(MOVING));
+    println!(
+        "longest time between two responses: {without_moves:?} without moves, {with_moves:?} with moves"
+    );
+    assert!(with_moves <= MOVING.heartbeat_interval.mul_f64(1.25) + secs(4), "{with_moves:?}");
 }
 
-/// What may befall a controller, shorter and longer than its lease.
-const BLOWS: [Fault; 9] = [
+/// Faults of a node, some shorter and some longer than its lease.
+const FAULTS: [Fault; 9] = [
     Restart(ms(300)),
     Restart(secs(6)),
     Pause(secs(4)),
@@ -204,45 +212,44 @@
     CutLinks(&WORKER_LINKS, CutMode::Stall, secs(10)),
 ];
 
-/// The old holder, or the next one, fails at each step of a handover and comes back.
+/// The old or the next holder fails at each step of a shard move and recovers.
 #[test]
-fn holders_fail_at_each_step_of_a_handover() {
-    for (moment, whom) in [
+fn holders_fail_at_each_step_of_a_move() {
+    for (moment, party) in [
         (Trigger::MoveStarted, OldHolder),
         (Trigger::MoveStarted, NextHolder),
         (Trigger::HolderAssigned, OldHolder),
         (Trigger::HolderAssigned, NextHolder),
     ] {
-        for (n, blow) in BLOWS.into_iter().enumerate() {
+        for (n, fault) in FAULTS.into_iter().enumerate() {
             let moves = play("steps", MOVING, Faults::default(), 1, |world| {
-                strike(world, moment, whom, blow, n as u64);
+                schedule_faults_of_moves(world, moment, party, fault, n as u64);
             });
-            assert!(moves >= 10, "{moment:?} {whom:?} {blow:?}: {moves} moves");
+            assert!(moves >= 10, "{moment:?} {party:?} {fault:?}: {moves} moves");
         }
     }
 }
 
-/// Lets something befall a controller at several moves of a history, ever so long after the
-/// move's step.
-fn strike(world: &mut World, moment: Trigger, whom: ShardParty, blow: Fault, n: u64) {
+/// Schedules a fault of a party of several shard moves, with different delays after the step of the move.
+fn schedule_faults_of_moves(world: &mut World, moment: Trigger, party: ShardParty, fault: Fault, n: u64) {
     for (nth, after) in [(4, 0), (9, 3), (15, 40), (22, 400)] {
         let after = ms(after + n % 3);
-        world.on_trigger(moment, nth, vec![(after, SimEvent::FaultMoveParty(whom, blow))]);
+        world.on_trigger(moment, nth, vec![(after, SimEvent::FaultMoveParty(party, fault))]);
     }
 }
 
-/// The leader ends during a move, also where it holds shards itself; ten leaders in two
-/// minutes. A move that stopped half-way is finished or undone from the records.
+/// The leader crashes during a shard move, also if it holds shards itself, and in another history ten leaders
+/// crash within two minutes. An unfinished move is completed or undone from the records.
 #[test]
-fn leaders_end_during_moves() {
+fn leaders_crash_during_moves() {
     for after in [0, 3, 30, 300] {
-        for back in [ms(200), secs(4)] {
-            play("leader ends", MOVING, Faults::default(), 2, |world| {
+        for downtime in [ms(200), secs(4)] {
+            play("leader crashes", MOVING, Faults::default(), 2, |world| {
                 for nth in [3, 7, 12, 18] {
                     world.on_trigger(
                         Trigger::MoveStarted,
                         nth,
-                        vec![(ms(after), SimEvent::FaultLeader(Restart(back)))],
+                        vec![(ms(after), SimEvent::FaultLeader(Restart(downtime)))],
                     );
                 }
             });
@@ -255,14 +262,15 @@
     });
 }
 
-/// Placements are written, and starts are under way, while the shard moves: commands and
-/// answers are lost or come seconds late.
+/// Placements are written and start commands are in flight while the shard moves. Commands and responses are
+/// lost or arrive seconds late.
 #[test]
-fn moves_begin_while_jobs_are_placed() {
-    let held = Faults { delayed_commands: 0.3, lost_replies: 0.03, late_requests: 0.5, ..Faults::default() };
+fn shards_move_while_jobs_are_placed() {
+    let delays =
+        Faults { delayed_commands: 0.3, lost_replies: 0.03, late_requests: 0.5, ..Faults::default() };
     for rotate in [1_000, 1_300, 1_900] {
         let deployment = Deployment { rotate_shards: Some(ms(rotate)), ..MOVING };
-        let moves = play("placing", deployment, held, 4, |world| {
+        let moves = play("placing", deployment, delays, 4, |world| {
             for nth in [2, 5, 9] {
                 let cut = CutLinks(&WORKER_LINKS, CutMode::LoseResponses, secs(3));
                 world.on_trigger(
@@ -276,20 +284,20 @@
     }
 }
 
-/// Records are written late, or only their answers are lost.
+/// Writes of shard records are carried out late, or their replies are lost.
 #[test]
-fn records_are_written_late() {
+fn shard_records_written_late() {
     let late = Faults { lost_replies: 0.15, late_requests: 0.7, ..Faults::default() };
     assert!(play("late records", MOVING, late, 6, |_| {}) > 60);
 }
 
-/// Leader and holders can't reach each other while all reach the state service and the
-/// workers, and the other way round.
+/// First one node and its peers can't reach each other, while all nodes reach the state service and the
+/// workers. Then it loses the state service or the workers, but not its peers.
 #[test]
-fn leader_and_holders_are_cut_from_each_other() {
+fn links_between_leader_and_holders_fail() {
     for links in [&PEER_LINKS[..], &PEER_LINKS[..1], &PEER_LINKS[1..]] {
         for node in 0..3 {
-            play("peers", RESTING, Faults::default(), 1, |world| {
+            play("peers", STATIC, Faults::default(), 1, |world| {
                 world.flap(node, links, CutMode::Stall, secs(24), (15, 90));
             });
         }
@@ -303,9 +311,9 @@
     }
 }
 
-/// All controllers but one are gone for a minute; a zone is cut off with its controller.
+/// All nodes but one are down for a minute, or a zone is cut off with its node.
 #[test]
-fn one_controller_is_left() {
+fn only_one_node_is_left() {
     for (first, second) in [(0, 1), (1, 2), (0, 2)] {
         play("one left", MOVING, Faults::default(), 2, |world| {
             for n in 0..15 {
@@ -322,59 +330,58 @@
     }
 }
 
-/// Jobs that run for long, so that few end by themselves while the troubles last.
-fn long(world: &mut World, runs: f64) {
+/// Makes jobs run for this long, so that few complete during the faults.
+fn set_runtimes(world: &mut World, runtime_s: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runtime_s, job.spec.estimated_runtime_s) = (runs, runs);
+        (job.runtime_s, job.spec.estimated_runtime_s) = (runtime_s, runtime_s);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
 
-/// Jobs are cancelled while the shard changes hands, on machines that hang beyond the time
-/// that a cancellation has.
+/// Jobs are cancelled while a shard moves, on machines that hang for longer than a cancellation may take.
 #[test]
-fn cancellations_while_a_shard_changes_hands() {
+fn cancellations_during_a_shard_move() {
     for (moment, hang) in
         [(Trigger::MoveStarted, 0), (Trigger::MoveStarted, 50), (Trigger::HolderAssigned, 44)]
     {
-        let mut cut_short = 0;
-        for seed in 0..more(4) {
+        let mut cancelled = 0;
+        for seed in 0..seed_count(4) {
             let world = play_one("cancelled", MOVING, Faults::default(), seed, |world| {
-                long(world, 40.0);
+                set_runtimes(world, 40.0);
                 for nth in [8, 14, 20] {
                     let cancel = SimEvent::CancelRunningJobs { count: 4, hang: secs(hang) };
                     world.on_trigger(moment, nth, vec![(ms(2), cancel)]);
                 }
             });
-            cut_short += world.cancelled_while_running();
+            cancelled += world.cancelled_while_running();
         }
-        assert!(cut_short > 4, "{cut_short} jobs were cancelled while they ran");
+        assert!(cancelled > 4, "{cancelled} jobs were cancelled while they ran");
     }
 }
 
-/// The gap with holders in the leader's place: the state service refuses them alone, no other
-/// controller reaches them, jobs are cancelled through the leader, and then the state service is
-/// out for all for longer than a cancellation may take, while workers keep reporting to their
-/// holders. Leases must run out in time. Where the controllers don't hear each other, or the leader
-/// ends, nobody can give a machine that hangs back in the outage, divided or not: none hangs there.
+/// The state service refuses only the holders, and in some cases no other node reaches them. Jobs are
+/// cancelled through the leader, and then the state service is unavailable to all nodes for longer than
+/// a cancellation may take, while workers continue to report to their holders. Their leases must expire
+/// in time. When nodes don't reach each other or the leader crashes, no node can return a hanging
+/// machine during the outage, with or without sharding, so no machine hangs in these cases.
 #[test]
-fn the_gap_at_a_holder() {
+fn leases_at_holders_expire_after_a_cancellation_they_do_not_see() {
     for (hang, refused, outage) in [(0, 200, 1000), (0, 1300, 1700), (70, 200, 1000)] {
-        for (peers, ends) in [(false, false), (true, false), (true, true)] {
-            if hang > 0 && (peers || ends) {
+        for (peers_cut, leader_crashes) in [(false, false), (true, false), (true, true)] {
+            if hang > 0 && (peers_cut || leader_crashes) {
                 continue;
             }
-            play("gap", RESTING, Faults::default(), 4, |world| {
-                long(world, 70.0);
+            play("unseen cancellation", STATIC, Faults::default(), 4, |world| {
+                set_runtimes(world, 70.0);
                 let leader = 0;
                 for node in (0..3).filter(|node| *node != leader) {
                     let until = world.now + secs(30) + secs(14);
                     world.schedule_at(secs(30), SimEvent::RefuseNode { node, until });
-                    if peers {
+                    if peers_cut {
                         world.cut_links(node, &PEER_LINKS, CutMode::Stall, (30, 95));
                     }
                 }
-                if ends {
+                if leader_crashes {
                     world.schedule_at(secs(30) + ms(outage - 30), SimEvent::FaultLeader(Restart(secs(70))));
                 }
                 world.schedule_at(
@@ -388,41 +395,41 @@
     }
 }
 
-/// The state service is out, and the leader is gone: holders that see neither jobs nor records
-/// answer workers for as long as the bound allows, and no longer.
+/// The state service is unavailable and the leader is down. Holders that see neither jobs nor records
+/// respond to workers for as long as the limit allows, and no longer.
 #[test]
-fn blind_holders_let_leases_run_out() {
-    let mut world = divided();
-    let begin = world.now;
-    world.schedule_at(Duration::ZERO, SimEvent::Outage { until: begin + secs(70) });
+fn holders_without_the_state_service_let_leases_expire() {
+    let mut world = sharded_world();
+    let outage_at = world.now;
+    world.schedule_at(Duration::ZERO, SimEvent::Outage { until: outage_at + secs(70) });
     world.schedule_at(ms(10), SimEvent::FaultLeader(Restart(secs(80))));
     world.run_for(secs(65));
-    let bound = SMALL.cancel_within - SMALL.worker_lease - secs(2);
-    let answered = world.last_heartbeat_response_at - begin;
-    assert!(answered <= bound, "a worker was answered {answered:?} after the last sight");
-    assert!(answered > bound - secs(4), "only until {answered:?}");
+    let limit = SMALL.cancel_within - SMALL.worker_lease - secs(2);
+    let responded_for = world.last_heartbeat_response_at - outage_at;
+    assert!(responded_for <= limit, "a worker got a response {responded_for:?} after the outage began");
+    assert!(responded_for > limit - secs(4), "workers got responses for only {responded_for:?}");
 }
 
-/// A start that the leader ordered before it heard of the cancellation is not passed on by a
-/// holder that has.
+/// A holder that knows of a cancellation does not forward a start of that job, which the leader sent
+/// before it learned of the cancellation.
 #[test]
-fn a_holder_starts_nothing_of_a_cancelled_job() {
-    let mut world = divided();
-    long(&mut world, 60.0);
+fn a_holder_forwards_no_start_of_a_cancelled_job() {
+    let mut world = sharded_world();
+    set_runtimes(&mut world, 60.0);
     world.schedule_at(secs(10), SimEvent::CancelRunningJobs { count: 1, hang: secs(20) });
     world.run_for(secs(13));
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
-    let here = |machine: &plankhead_core::protocol::MachineName| {
+    let in_shard = |machine: &plankhead_core::protocol::MachineName| {
         ShardId::of(&world.workers[machine].zone, machine, 2) == shard
     };
-    let machine = world.machines_held_by(node).into_iter().find(here).unwrap();
-    // The first start is the cancelled job's: were it sent, the machine would be busy with it.
-    let runs = |world: &mut World, cancelled: bool| {
-        let of = |job: &&world::Job| job.accepted && job.cancelled_at.is_some() == cancelled;
-        let job = world.jobs.iter().find(of).unwrap().id.clone();
-        let (token, answers) = (world.leader_token(), world.latest_sequence(node));
-        let mut commands = orders(token, answers, vec![(shard.clone(), epoch)]);
+    let machine = world.machines_held_by(node).into_iter().find(in_shard).unwrap();
+    // The start of the cancelled job comes first: if it were sent, the machine would be busy with it.
+    let is_forwarded = |world: &mut World, cancelled: bool| {
+        let matches_state = |job: &&world::Job| job.accepted && job.cancelled_at.is_some() == cancelled;
+        let job = world.jobs.iter().find(matches_state).unwrap().id.clone();
+        let (token, acknowledged) = (world.leader_token(), world.latest_sequence(node));
+        let mut commands = leader_commands(token, acknowledged, vec![(shard.clone(), epoch)]);
         commands.stamp.sequence += u64::from(!cancelled);
         commands.machines[0].machine = machine.clone();
         commands.machines[0].commands =
@@ -430,37 +437,37 @@
         let (delivery, effects) =
             world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Accepted);
-        let run =
-            |order: &WorkerCommand| matches!(order, WorkerCommand::Run { task, .. } if task.index == 90);
-        effects
-            .iter()
-            .any(|effect| matches!(effect, Effect::SendCommands { commands, .. } if commands.iter().any(run)))
+        let is_run =
+            |command: &WorkerCommand| matches!(command, WorkerCommand::Run { task, .. } if task.index == 90);
+        effects.iter().any(
+            |effect| matches!(effect, Effect::SendCommands { commands, .. } if commands.iter().any(is_run)),
+        )
     };
-    assert!(!runs(&mut world, true), "a cancelled job's");
-    assert!(runs(&mut world, false), "a live job's is passed on");
+    assert!(!is_forwarded(&mut world, true), "a start of a cancelled job was forwarded");
+    assert!(is_forwarded(&mut world, false), "a start of an active job was not forwarded");
 }
 
-/// Gangs over several shards of which one moves, and teams at their limits.
+/// Shards move while gangs run on several shards and teams are at their limits.
 #[test]
 fn gangs_and_full_teams_while_shards_move() {
-    let narrow = |world: &mut World| {
+    let shrink_gangs = |world: &mut World| {
         for job in world.jobs.iter_mut().filter(|job| job.spec.gang) {
             (job.spec.tasks, job.spec.demand.cpus) = (2, 2.0);
         }
     };
     let crashes = Faults { node_crashes: 4, machine_hangs: 2, ..Faults::default() };
-    assert!(play("full teams", TIGHT, crashes, 4, narrow) > 40);
-    let gangs = |world: &mut World| {
+    assert!(play("full teams", TIGHT, crashes, 4, shrink_gangs) > 40);
+    let spread_gangs = |world: &mut World| {
         for job in world.jobs.iter_mut().filter(|job| job.spec.gang) {
             (job.spec.tasks, job.spec.demand.cpus, job.spec.single_zone) = (5, 4.0, false);
         }
     };
-    assert!(play("gangs", MOVING, crashes, 4, gangs) > 40);
+    assert!(play("gangs", MOVING, crashes, 4, spread_gangs) > 40);
 }
 
-/// Late copies of reports reach former holders, and leaders that have just begun.
+/// Late copies of heartbeats reach former holders and newly elected leaders.
 #[test]
-fn late_copies_reach_former_holders() {
+fn late_copies_of_heartbeats_reach_former_holders() {
     let copies = Faults {
         duplicate_heartbeats: 0.3,
         duplicates_for_next_leader: 0.2,
@@ -471,9 +478,9 @@
     assert!(play("copies", MOVING, copies, 4, |_| {}) > 40);
 }
 
-/// Hundreds of machines whose shards move while dozens of them fail.
+/// The shards of hundreds of machines move while dozens of machines fail.
 #[test]
-fn a_fleet_moves() {
+fn shards_of_a_large_fleet_move() {
     let deployment = Deployment { sharding: true, rotate_shards: Some(secs(4)), ..FLEET };
     let faults = Faults {
         node_crashes: 3,
@@ -489,16 +496,16 @@
     assert!(world.shard_moves >= 20, "{} moves", world.shard_moves);
 }
 
-/// A version before, or one with machines undivided, leads and follows beside others.
+/// Nodes of the previous version, which has no sharding, lead and follow beside upgraded nodes.
 #[test]
-fn beside_the_version_before() {
+fn upgrade_from_the_previous_version() {
     let upgrade = Faults { upgrade: true, node_crashes: 3, lost_replies: 0.01, ..Faults::default() };
-    play("upgrade", RESTING, upgrade, 6, |_| {});
+    play("upgrade", STATIC, upgrade, 6, |_| {});
 }
 
-/// A world in which node 0 leads and the others hold shards.
-fn divided() -> World {
-    let mut world = World::with_deployment(RESTING, 5, Faults::default());
+/// Returns a world in which node 0 leads and other nodes hold shards.
+fn sharded_world() -> World {
+    let mut world = World::with_deployment(STATIC, 5, Faults::default());
     world.plan(6, secs(20));
     world.run_for(secs(15));
     assert_eq!(world.leader(), Some(0));
@@ -506,7 +513,7 @@
     world
 }
 
-fn orders(token: u64, answers: u64, shards: Vec<(ShardId, u64)>) -> LeaderCommands {
+fn leader_commands(token: u64, acknowledged: u64, shards: Vec<(ShardId, u64)>) -> LeaderCommands {
     let task = TaskId { job: JobId::parse("job-000000").unwrap(), index: 0 };
     let run = MachineCommands {
         machine: "i-000001".into(),
@@ -517,7 +524,7 @@
     LeaderCommands {
         host: "plank-0".into(),
         stamp: MessageStamp { boot: 77, sequence: 1 << 50 },
-        acknowledged: answers,
+        acknowledged,
         token,
         latest_epoch: 0,
         machines: if shards.is_empty() { Vec::new() } else { vec![run] },
@@ -527,24 +534,26 @@
     }
 }
 
-/// Messages that a holder refuses: outdated, under a token that is over, of an unknown
-/// controller, for shards that it does not hold or under another epoch. Nothing changes by
-/// them, and no worker is told anything.
+/// A holder rejects commands that are late copies, have an outdated token, come from an unknown node, or name
+/// shards that it does not hold or another epoch. They change nothing, and no worker gets a command.
 #[test]
-fn a_holder_refuses_bad_orders() {
-    let mut world = divided();
+fn a_holder_rejects_invalid_commands() {
+    let mut world = sharded_world();
     let (key, (node, epoch)) = world.holders().into_iter().find(|(_, (node, _))| *node != 0).unwrap();
     let shard = ShardId::from_key(&key).unwrap();
     let (token, sent) = (world.leader_token(), world.latest_sequence(node));
     let other = ShardId { zone: "nowhere".into(), index: 0 };
-    let bad = [
-        ("a token that is over", orders(token - 1, sent, vec![(shard.clone(), epoch)])),
-        ("another epoch", orders(token, sent, vec![(shard.clone(), epoch - 1)])),
-        ("an unknown shard", orders(token, sent, vec![(other, epoch)])),
-        ("an answer to nothing", orders(token, sent + 1_000, vec![(shard.clone(), epoch)])),
-        ("a message of long ago", orders(token, 1, vec![(shard.clone(), epoch)])),
+    let invalid = [
+        ("an outdated token", leader_commands(token - 1, sent, vec![(shard.clone(), epoch)])),
+        ("another epoch", leader_commands(token, sent, vec![(shard.clone(), epoch - 1)])),
+        ("an unknown shard", leader_commands(token, sent, vec![(other, epoch)])),
+        (
+            "an acknowledgement of a message that was not sent",
+            leader_commands(token, sent + 1_000, vec![(shard.clone(), epoch)]),
+        ),
+        ("an old message", leader_commands(token, 1, vec![(shard.clone(), epoch)])),
     ];
-    for (what, commands) in bad {
+    for (what, commands) in invalid {
         let (delivery, effects) =
             world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(commands)));
         assert_eq!(delivery, Delivery::Rejected, "{what}");
@@ -553,24 +562,28 @@
             "{what}: {effects:?}"
         );
     }
-    let stranger = LeaderCommands { host: "plank-9".into(), ..orders(token, sent, Vec::new()) };
-    let (delivery, _) = world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(stranger)));
-    assert_eq!(delivery, Delivery::Rejected, "somebody else's name");
-    let (delivery, _) = world
-        .deliver_shard_message(0, ShardMessage::LeaderCommands(Box::new(orders(token, sent, Vec::new()))));
-    assert_eq!(delivery, Delivery::Rejected, "the leader itself takes none");
+    let from_unknown_node =
+        LeaderCommands { host: "plank-9".into(), ..leader_commands(token, sent, Vec::new()) };
+    let (delivery, _) =
+        world.deliver_shard_message(node, ShardMessage::LeaderCommands(Box::new(from_unknown_node)));
+    assert_eq!(delivery, Delivery::Rejected, "an unknown node");
+    let (delivery, _) = world.deliver_shard_message(
+        0,
+        ShardMessage::LeaderCommands(Box::new(leader_commands(token, sent, Vec::new()))),
+    );
+    assert_eq!(delivery, Delivery::Rejected, "commands to the leader itself");
     world.run(secs(1500));
     assert!(world.all_jobs_ended());
 }
 
-/// Messages that a leader refuses: of a term that is over, of an unknown controller, late
-/// copies, and news of machines that somebody else holds.
+/// A leader rejects status messages of an earlier term, of an unknown node and late copies, and it ignores
+/// statements about shards that the sender does not hold.
 #[test]
-fn a_leader_refuses_bad_reports() {
-    let mut world = divided();
+fn a_leader_rejects_invalid_status_messages() {
+    let mut world = sharded_world();
     let token = world.leader_token();
-    let report = |machine: &str, term, sequence| HolderStatus {
-        host: machine.into(),
+    let status = |host: &str, term, sequence| HolderStatus {
+        host: host.into(),
         stamp: MessageStamp { boot: 1, sequence },
         zone: "x".into(),
         term,
@@ -586,16 +599,16 @@
         alive: Default::default(),
         alive_age: Duration::ZERO,
     };
-    let before = world.holders();
-    let stale = world.latest_stamp(1);
-    let mut told =
-        |report: HolderStatus| world.deliver_shard_message(0, ShardMessage::HolderStatus(Box::new(report))).0;
-    assert_eq!(told(report("plank-1", token - 1, 1)), Delivery::Rejected, "a term that is over");
-    assert_eq!(told(report("plank-9", token, 1)), Delivery::Rejected, "an unknown controller");
-    let copy = HolderStatus { stamp: stale, ..report("plank-1", token, 0) };
-    assert_eq!(told(copy), Delivery::Rejected, "a copy of what came already");
+    let holders_before = world.holders();
+    let stale_stamp = world.latest_stamp(1);
+    let mut deliver =
+        |status: HolderStatus| world.deliver_shard_message(0, ShardMessage::HolderStatus(Box::new(status))).0;
+    assert_eq!(deliver(status("plank-1", token - 1, 1)), Delivery::Rejected, "an earlier term");
+    assert_eq!(deliver(status("plank-9", token, 1)), Delivery::Rejected, "an unknown node");
+    let copy = HolderStatus { stamp: stale_stamp, ..status("plank-1", token, 0) };
+    assert_eq!(deliver(copy), Delivery::Rejected, "a late copy");
     world.run_for(secs(3));
-    assert_eq!(world.holders(), before, "a shard that was said to be released under another epoch");
+    assert_eq!(world.holders(), holders_before, "a release under another epoch had an effect");
     world.run(secs(1500));
     assert!(world.all_jobs_ended());
 }
