--- a/crates/plankhead-core/tests/fencing.rs
+++ b/crates/plankhead-core/tests/fencing.rs
@@ -22,10 +22,10 @@
 const PAUSE_MS: u64 = 4_000;
 
 /// Plays a history until every job has ended.
-fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, setup: impl Fn(&mut World)) -> World {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
-    set(&mut world);
+    setup(&mut world);
     world.run_to_end(name, seed, secs(90));
     world
 }
@@ -111,7 +111,7 @@
 fn leader_paused_at_each_step_of_a_cloud_action() {
     let fault_leader = |fault| move |after| (after, SimEvent::FaultLeader(fault));
     let pause = ms(PAUSE_MS);
-    for (moment, after, fault) in [
+    for (trigger, after, fault) in [
         (Trigger::IntentSent, ms(0), PauseBeforeSending(pause)),
         (Trigger::IntentSent, ms(1), Pause(pause)),
         (Trigger::IntentWritten, ms(0), Pause(pause)),
@@ -124,17 +124,17 @@
         for seed in 0..8 {
             let world = play("steps", FENCED, Faults::default(), seed, |world| {
                 for nth in 1..=5 {
-                    world.on_trigger(moment, nth, vec![fault_leader(fault)(after)]);
+                    world.on_trigger(trigger, nth, vec![fault_leader(fault)(after)]);
                 }
             });
-            assert_eq!(world.cloud_effects.stale, 0, "{moment:?}, seed {seed}: {:?}", world.cloud_effects);
+            assert_eq!(world.cloud_effects.stale, 0, "{trigger:?}, seed {seed}: {:?}", world.cloud_effects);
             by_former_leaders += world.cloud_effects.by_former_leaders;
             pauses += world.pauses;
         }
-        assert!(pauses >= 24, "{moment:?}: {pauses} pauses");
+        assert!(pauses >= 24, "{trigger:?}: {pauses} pauses");
         // Only a call that the pause holds back is carried out after the lease was lost. Calls in flight
         // at the start of a pause are carried out while the leader still holds the lease.
-        let held_back = matches!((moment, fault), (Trigger::CloudActionSent, PauseBeforeSending(_)));
+        let held_back = matches!((trigger, fault), (Trigger::CloudActionSent, PauseBeforeSending(_)));
         assert!(!held_back || by_former_leaders > 0, "no held-back call was carried out");
     }
 }
@@ -161,7 +161,7 @@
 #[test]
 fn the_same_process_acquires_the_lease_again() {
     for seed in 0..10 {
-        let world = play("back", FENCED, Faults::default(), seed, |world| {
+        let world = play("same process", FENCED, Faults::default(), seed, |world| {
             for node in [1, 2] {
                 world.schedule_at(ms(300), SimEvent::PauseProcess { node, duration: secs(100) });
             }
--- a/crates/plankhead-core/tests/meetings.rs
+++ b/crates/plankhead-core/tests/meetings.rs
@@ -1,5 +1,5 @@
-//! Troubles that meet, each pair brought about on purpose: set at the instant that
-//! hurts, over several instants and seeds. `docs/meetings.md` names the test of each.
+//! Combinations of faults. Each is scripted for the critical moment, and played with several delays and
+//! seeds. `docs/meetings.md` names the test of each combination.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,12 +13,12 @@
 use world::Fault::*;
 use world::{ms, secs, Deployment, Faults, SimEvent, Trigger, World, SMALL};
 
-/// A few machines, teams that are at their limit most of the time.
+/// A few machines, and teams that are at their limits most of the time.
 const TIGHT: Deployment = Deployment { cpu_limit: 8.0, machines_per_pool: 3, ..SMALL };
 
-/// Plays the history until every job has come to its end.
-fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, set: impl Fn(&mut World, u64)) {
-    play_jobs(name, deployment, faults, 24, seeds, set);
+/// Plays histories until every job has ended.
+fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, setup: impl Fn(&mut World, u64)) {
+    play_jobs(name, deployment, faults, 24, seeds, setup);
 }
 
 fn play_jobs(
@@ -27,49 +27,53 @@
     faults: Faults,
     jobs: usize,
     seeds: u64,
-    set: impl Fn(&mut World, u64),
+    setup: impl Fn(&mut World, u64),
 ) {
-    let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
-    // A seed asked for may lie beyond those that are always played.
-    for seed in only.map_or(0..seeds, |seed| seed..seed + 1) {
+    let only_seed: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
+    // `WORLD_SEED` may be beyond the seeds that are played by default.
+    for seed in only_seed.map_or(0..seeds, |seed| seed..seed + 1) {
         let mut world = World::with_deployment(deployment, seed, faults);
         world.plan(jobs, secs(90));
-        set(&mut world, seed);
-        // The longest of the scripted troubles is over by then.
+        setup(&mut world, seed);
+        // The longest scripted fault ends within 90 s after the planned ones.
         world.run_to_end(name, seed, secs(90));
         for job in world.jobs.iter().filter(|j| j.spec.tasks > 6 && !j.cancelling) {
-            let (since, began) =
+            let (since, started_at) =
                 (job.accepted_at.unwrap().max(world.faults_over_at), job.started_at.unwrap());
-            assert!(began <= since + secs(240), "{name}, seed {seed}: the large {:?} began late", job.id);
+            assert!(
+                started_at <= since + secs(240),
+                "{name}, seed {seed}: the large {:?} started late",
+                job.id
+            );
         }
     }
 }
 
-/// Jobs that run for long, so that few end by themselves while the troubles last; not
-/// more of them than the teams' limits let begin in four minutes.
-fn long(world: &mut World, runs: f64) {
+/// Makes jobs run for this long, so that few complete during the faults. Limits their tasks to as many
+/// as the team limits allow to start within four minutes.
+fn set_runtimes(world: &mut World, runtime_s: f64) {
     for job in world.jobs.iter_mut() {
-        (job.runtime_s, job.spec.estimated_runtime_s) = (runs, runs);
+        (job.runtime_s, job.spec.estimated_runtime_s) = (runtime_s, runtime_s);
         job.spec.tasks = job.spec.tasks.min(4);
     }
 }
 
-/// Gangs as wide as the limit of [`TIGHT`] are refused: narrower ones.
-fn narrow(world: &mut World) {
+/// Makes gangs small, because gangs over the team limits of [`TIGHT`] are rejected.
+fn shrink_gangs(world: &mut World) {
     for job in world.jobs.iter_mut().filter(|j| j.spec.gang) {
         (job.spec.tasks, job.spec.demand.cpus) = (2, 2.0);
     }
 }
 
-/// The state service refuses the leader alone, jobs are called off through another
-/// node, and then it is out for all for longer than a cancellation may take, while
-/// workers keep reporting to the old leader. Leases must run out in time. Some machines
-/// hang at the moment of the cancellation, for the whole outage.
+/// The state service refuses only the leader, and jobs are cancelled through another node. Then the
+/// state service is unavailable to all nodes for longer than a cancellation may take, while workers
+/// continue to report to the old leader. Their leases must expire in time. In one case some machines
+/// hang from the cancellation on for the whole outage.
 #[test]
-fn the_gap() {
+fn leases_expire_after_a_cancellation_the_leader_does_not_see() {
     for (hang, refused, outage) in [(0, 200, 1000), (0, 1300, 1700), (0, 400, 2600), (70, 200, 1000)] {
-        play("gap", SMALL, Faults::default(), 6, |world, seed| {
-            long(world, 70.0);
+        play("unseen cancellation", SMALL, Faults::default(), 6, |world, seed| {
+            set_runtimes(world, 70.0);
             let at = secs(30) + ms(137 * seed);
             world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(14))));
             world.schedule_at(at + ms(refused), SimEvent::CancelRunningJobs { count: 12, hang: secs(hang) });
@@ -79,12 +83,13 @@
     }
 }
 
-/// The same at the first confirmation itself, again and again within one history.
+/// The same sequence, but the state service begins to refuse the leader at or shortly after a confirmed
+/// cancellation.
 #[test]
-fn the_gap_begins_with_a_confirmation() {
+fn the_leader_is_refused_at_a_cancellation() {
     for after in [0, 5, 40, 300, 1000] {
-        play("gap", SMALL, Faults::default(), 6, |world, seed| {
-            long(world, 50.0);
+        play("unseen cancellation", SMALL, Faults::default(), 6, |world, seed| {
+            set_runtimes(world, 50.0);
             let until = |w: &World| w.now + secs(40) + SMALL.cancel_within + secs(18);
             let outage = SimEvent::Outage { until: until(world) };
             let refuse = SimEvent::FaultLeader(RefuseKv(secs(14)));
@@ -95,17 +100,17 @@
     }
 }
 
-/// One new leader after the other wins the key, can't read the jobs and ends: the time
-/// for which each keeps the workers must not add up.
+/// Several leaders in a row are elected, can't read the jobs and crash. The times for which each of them
+/// renews workers' leases must not add up.
 #[test]
-fn takeovers_without_sight_do_not_add_up() {
-    let mut lost = 0;
-    for pause in [2500, 4500, 6500] {
+fn lease_renewals_by_successive_leaders_do_not_add_up() {
+    let mut cancelled = 0;
+    for interval in [2500, 4500, 6500] {
         for seed in 0..6 {
             let mut world = World::new(seed, Faults::default());
             world.plan(24, secs(20));
-            long(&mut world, 100.0);
-            // From here on the jobs can't be read, while elections go on.
+            set_runtimes(&mut world, 100.0);
+            // From then on, jobs can't be listed, but elections still succeed.
             world.schedule_at(secs(30), SimEvent::RefuseLists { until: world.now + secs(90) });
             world.schedule_at(
                 secs(30) + ms(200),
@@ -113,26 +118,26 @@
             );
             world.schedule_at(secs(30) + ms(600), SimEvent::FaultLeader(Restart(secs(3))));
             for n in 1..14u64 {
-                world.schedule_at(secs(30) + ms(600 + n * pause), SimEvent::FaultLeader(Restart(secs(3))));
+                world.schedule_at(secs(30) + ms(600 + n * interval), SimEvent::FaultLeader(Restart(secs(3))));
             }
             world.faults_over_at += secs(120);
             world.run(secs(1500));
             assert!(world.all_jobs_ended(), "seed {seed}");
-            lost += world.cancelled_while_running();
+            cancelled += world.cancelled_while_running();
         }
     }
-    assert!(lost > 20, "{lost} jobs were cancelled while they ran: the test says nothing");
+    assert!(cancelled > 20, "only {cancelled} jobs were cancelled while they ran");
 }
 
-/// A leader loses the state service and its siblings, not its workers and users, and
-/// jobs are called off through the new one.
+/// A leader loses the state service and its peers, but not its workers and users, and jobs are cancelled
+/// through the next leader.
 #[test]
-fn a_leader_adrift_while_jobs_are_called_off() {
-    for (last, hang) in [(15, 0), (50, 0), (50, 45)] {
-        play("adrift", SMALL, Faults::default(), 8, |world, seed| {
-            long(world, 60.0);
+fn jobs_are_cancelled_while_the_old_leader_is_cut_off() {
+    for (cut, hang) in [(15, 0), (50, 0), (50, 45)] {
+        play("cut off", SMALL, Faults::default(), 8, |world, seed| {
+            set_runtimes(world, 60.0);
             let at = secs(30) + ms(210 * seed);
-            world.schedule_at(at, SimEvent::FaultLeader(CutFromKvAndPeers(secs(last))));
+            world.schedule_at(at, SimEvent::FaultLeader(CutFromKvAndPeers(secs(cut))));
             for n in 0..4 {
                 let cancel = SimEvent::CancelRunningJobs { count: 3, hang: secs(hang) };
                 world.schedule_at(at + ms(700 + 1700 * n), cancel);
@@ -141,111 +146,121 @@
     }
 }
 
-/// Jobs are called off in the seconds in which the leader's work changes hands, before,
-/// while and after the new one reads.
+/// Jobs are cancelled in the seconds around a change of the leader: before, while and after the new
+/// leader reads the jobs.
 #[test]
-fn cancellations_as_the_leader_changes() {
-    let both = [(false, secs(4)), (true, secs(4)), (true, ms(150))];
+fn cancellations_during_a_change_of_leader() {
+    let cases = [(false, secs(4)), (true, secs(4)), (true, ms(150))];
     for (deployment, hang) in [(SMALL, secs(0)), (SMALL, SMALL.cancel_within + secs(8)), (TIGHT, secs(12))] {
-        for (slow, end) in both {
-            play("handover", deployment, Faults { slow_kv: slow, ..Faults::default() }, 12, |world, seed| {
-                long(world, 40.0);
-                narrow(world);
-                world.schedule_at(secs(30), SimEvent::FaultLeader(Restart(end)));
-                world.schedule_at(secs(30) + ms(200 * seed), SimEvent::CancelRunningJobs { count: 2, hang });
-                let cancel = |n| (ms(n + seed), SimEvent::CancelRunningJobs { count: 1, hang });
-                let steps = [1, 20, 60, 150, 300, 400, 550, 700, 900, 1200, 1600, 2500];
-                world.on_trigger(Trigger::LeaderElected, 2, steps.map(cancel).into());
-            });
+        for (slow, downtime) in cases {
+            play(
+                "change of leader",
+                deployment,
+                Faults { slow_kv: slow, ..Faults::default() },
+                12,
+                |world, seed| {
+                    set_runtimes(world, 40.0);
+                    shrink_gangs(world);
+                    world.schedule_at(secs(30), SimEvent::FaultLeader(Restart(downtime)));
+                    world.schedule_at(
+                        secs(30) + ms(200 * seed),
+                        SimEvent::CancelRunningJobs { count: 2, hang },
+                    );
+                    let cancel = |n| (ms(n + seed), SimEvent::CancelRunningJobs { count: 1, hang });
+                    let steps = [1, 20, 60, 150, 300, 400, 550, 700, 900, 1200, 1600, 2500];
+                    world.on_trigger(Trigger::LeaderElected, 2, steps.map(cancel).into());
+                },
+            );
         }
     }
 }
 
-/// Every team is at its limit while jobs are called off whose machines hang, are cut off
-/// or deaf, and the leader changes: what is not proven gone counts.
+/// All teams are at their limits. Jobs are cancelled on machines that hang, are cut off or receive no
+/// responses, and the leader changes. Attempts still count against the limit until there is evidence of
+/// their end.
 #[test]
-fn teams_at_their_limit() {
-    for end in [secs(4), ms(100)] {
+fn cancellations_with_teams_at_their_limits() {
+    for downtime in [secs(4), ms(100)] {
         play(
             "limit",
             TIGHT,
             Faults { machine_cuts: 3, dropped_responses: 2, ..Faults::default() },
             12,
             |world, seed| {
-                long(world, 15.0);
-                narrow(world);
+                set_runtimes(world, 15.0);
+                shrink_gangs(world);
                 for n in 0..5 {
                     let at = secs(20 + 14 * n) + ms(333 * seed);
                     world.schedule_at(at, SimEvent::CancelRunningJobs { count: 3, hang: secs(25) });
-                    world.schedule_at(at + ms(150 * seed), SimEvent::FaultLeader(Restart(end)));
+                    world.schedule_at(at + ms(150 * seed), SimEvent::FaultLeader(Restart(downtime)));
                 }
             },
         );
     }
 }
 
-/// The leader ends after a placement was written, told to a worker, or a job's end
-/// written; late and lost writes beside it.
+/// The leader crashes after placements were written, a start or a kill was sent to a worker, or the end
+/// of a job was written. At the same time writes are carried out late and replies are lost.
 #[test]
-fn the_leader_ends_at_every_step() {
-    let moments = [Trigger::PlacementsWritten, Trigger::RunSent, Trigger::KillSent, Trigger::JobDoneWritten];
-    for moment in moments {
-        for back in [ms(60), secs(5)] {
+fn the_leader_crashes_at_every_step() {
+    let triggers = [Trigger::PlacementsWritten, Trigger::RunSent, Trigger::KillSent, Trigger::JobDoneWritten];
+    for trigger in triggers {
+        for downtime in [ms(60), secs(5)] {
             let faults = Faults { lost_replies: 0.08, late_requests: 0.7, ..Faults::default() };
             play("steps", SMALL, faults, 8, |world, seed| {
                 for nth in [1, 4, 9, 20, 40] {
-                    let end = SimEvent::FaultLeader(Restart(back));
-                    world.on_trigger(moment, nth + seed as u32, vec![(ms(seed % 3 * 2), end)]);
+                    let crash = SimEvent::FaultLeader(Restart(downtime));
+                    world.on_trigger(trigger, nth + seed as u32, vec![(ms(seed % 3 * 2), crash)]);
                 }
             });
         }
     }
 }
 
-/// Transactions without an answer are carried out at once, or late and after newer ones
-/// of the same node, while users look closely.
+/// Transactions whose replies are lost are carried out at once, or late and after newer ones of the same
+/// node. Users request the status of a job from all nodes as soon as they learn of a change.
 #[test]
-fn lost_answers_under_close_looks() {
-    for (late, cancel_at_end) in [(0.0, 0.0), (1.0, 0.0), (0.5, 0.5)] {
+fn lost_replies_with_immediate_status_requests() {
+    for (late_requests, cancel_at_end) in [(0.0, 0.0), (1.0, 0.0), (0.5, 0.5)] {
         let faults = Faults {
             lost_replies: 0.1,
-            late_requests: late,
+            late_requests,
             cancel_at_end,
             immediate_polls: true,
             ..Faults::default()
         };
-        play("lost answers", SMALL, faults, 10, |_, _| {});
+        play("lost replies", SMALL, faults, 10, |_, _| {});
     }
 }
 
-/// A cancellation, a question or a repeated submission meets the end of the last task,
-/// with no other trouble, and then while the leader changes.
+/// A cancellation, a status request or a repeated submission coincides with the end of a job's last
+/// task, without other faults and then during a change of the leader.
 #[test]
-fn requests_meet_the_end() {
+fn requests_at_the_end_of_a_job() {
     let faults =
         Faults { cancel_at_end: 1.0, immediate_polls: true, invalid_requests: 40, ..Faults::default() };
     play("end", SMALL, faults, 10, |_, _| {});
-    play("end and leader", SMALL, faults, 10, |world, seed| {
+    play("end and change of leader", SMALL, faults, 10, |world, seed| {
         for nth in [2, 5, 9] {
-            let end = SimEvent::FaultLeader(Restart(ms(400)));
-            world.on_trigger(Trigger::JobDoneWritten, nth, vec![(ms(3 * seed), end)]);
+            let crash = SimEvent::FaultLeader(Restart(ms(400)));
+            world.on_trigger(Trigger::JobDoneWritten, nth, vec![(ms(3 * seed), crash)]);
         }
     });
 }
 
-/// Odd requests on every node, in elections, right after restarts, in outages: final
-/// answers, or "later" while the state service can't be read; nothing is accepted.
+/// Invalid requests reach every node during elections, right after restarts and in outages. The response
+/// is final, or `Unavailable` while the state service can't be read. No such job is accepted.
 #[test]
-fn odd_requests_at_any_time() {
+fn invalid_requests_at_any_time() {
     let faults =
         Faults { invalid_requests: 200, node_crashes: 6, kv_outages: 2, kv_refusals: 2, ..Faults::default() };
-    play("odd", SMALL, faults, 12, |_, _| {});
+    play("invalid requests", SMALL, faults, 12, |_, _| {});
 }
 
-/// New machines are up within two seconds and get work at once, while writes are slow,
-/// lost or late, and the leader ends.
+/// New machines are up within two seconds and get tasks at once, while writes are slow, lost or late and
+/// the leader crashes.
 #[test]
-fn quick_machines_and_lagging_writes() {
+fn quick_boots_and_slow_writes() {
     let faults = Faults {
         quick_boots: true,
         slow_kv: true,
@@ -253,39 +268,40 @@
         late_requests: 0.8,
         ..Faults::default()
     };
-    play("quick", SMALL, faults, 12, |world, seed| {
+    play("quick boots", SMALL, faults, 12, |world, seed| {
         for nth in [1, 3, 8, 20] {
-            let end = SimEvent::FaultLeader(Restart(if seed % 2 == 0 { ms(200) } else { secs(5) }));
-            world.on_trigger(Trigger::PlacementsWritten, nth + seed as u32, vec![(ms(seed * 7), end)]);
+            let crash = SimEvent::FaultLeader(Restart(if seed % 2 == 0 { ms(200) } else { secs(5) }));
+            world.on_trigger(Trigger::PlacementsWritten, nth + seed as u32, vec![(ms(seed * 7), crash)]);
         }
     });
 }
 
-/// Old reports, of earlier sessions and attempts too, reach every node just as a new
-/// leader begins; and one is held back until the new leader has acted.
+/// Old heartbeats, some of earlier incarnations and attempts, reach every node just when a new leader is
+/// elected. In another history, copies are delayed until the new leader has acted.
 #[test]
-fn old_reports_meet_a_new_leader() {
-    let next = Faults {
+fn late_copies_of_heartbeats_reach_a_new_leader() {
+    let at_election = Faults {
         duplicates_for_next_leader: 0.05,
         task_errors: 0.2,
         machine_hangs: 4,
         node_crashes: 6,
         ..Faults::default()
     };
-    play("for the next", SMALL, next, 12, |_, _| {});
-    let held = Faults { duplicate_heartbeats: 0.2, machine_cuts: 6, machine_hangs: 3, ..Faults::default() };
-    play("held back", SMALL, held, 12, |world, seed| {
+    play("copies at an election", SMALL, at_election, 12, |_, _| {});
+    let delayed =
+        Faults { duplicate_heartbeats: 0.2, machine_cuts: 6, machine_hangs: 3, ..Faults::default() };
+    play("delayed copies", SMALL, delayed, 12, |world, seed| {
         for n in 0..4 {
             world.schedule_at(secs(15 + 18 * n) + ms(100 * seed), SimEvent::FaultLeader(RefuseKv(secs(4))));
         }
     });
 }
 
-/// Jobs of two or three tasks that end far apart, across changes of the leader.
+/// The two or three tasks of a job end at very different times, with changes of the leader in between.
 #[test]
-fn tasks_that_end_far_apart() {
+fn tasks_with_very_different_runtimes() {
     play(
-        "far apart",
+        "different runtimes",
         SMALL,
         Faults { duplicate_heartbeats: 0.05, ..Faults::default() },
         10,
@@ -304,33 +320,33 @@
     );
 }
 
-/// Workers can't open connections to any node, while direct commands reach them; and a
-/// leader changes meanwhile, jobs are called off.
+/// Workers can't open connections to any node, while direct commands reach them. Meanwhile the leader
+/// changes and jobs are cancelled.
 #[test]
-fn mute_machines() {
+fn workers_cannot_send_heartbeats() {
     let faults = Faults { dropped_heartbeats: 8, cancel_bursts: 4, ..Faults::default() };
-    play("mute", SMALL, faults, 12, |world, seed| {
-        long(world, 20.0);
+    play("no heartbeats", SMALL, faults, 12, |world, seed| {
+        set_runtimes(world, 20.0);
         if seed % 2 == 0 {
             world.schedule_at(secs(40), SimEvent::FaultLeader(Restart(secs(4))));
         }
     });
 }
 
-/// The leader ends while machines with long tasks can't be reached, or don't hear the
-/// new leader's answer; cancellations fall into that.
+/// The leader crashes while machines with long tasks can't be reached, do not receive the new leader's
+/// responses or can't send heartbeats. Meanwhile jobs are cancelled.
 #[test]
-fn machines_out_of_reach_of_a_new_leader() {
-    for (cuts, deaf, mute) in [(6, 0, 0), (0, 6, 0), (2, 2, 2)] {
+fn machines_unreachable_for_a_new_leader() {
+    for (machine_cuts, dropped_responses, dropped_heartbeats) in [(6, 0, 0), (0, 6, 0), (2, 2, 2)] {
         let faults = Faults {
-            machine_cuts: cuts,
-            dropped_responses: deaf,
-            dropped_heartbeats: mute,
+            machine_cuts,
+            dropped_responses,
+            dropped_heartbeats,
             cancel_bursts: 3,
             ..Faults::default()
         };
-        play("out of reach", SMALL, faults, 10, |world, seed| {
-            long(world, 30.0);
+        play("unreachable machines", SMALL, faults, 10, |world, seed| {
+            set_runtimes(world, 30.0);
             for n in 0..3 {
                 world.schedule_at(
                     secs(20 + 22 * n) + ms(300 * seed),
@@ -341,10 +357,10 @@
     }
 }
 
-/// Commands and their answers are held up for seconds, machines hang and go on, and
-/// leaders change.
+/// Direct commands and their replies are delayed by seconds, machines hang and recover, and leaders
+/// change.
 #[test]
-fn commands_held_up() {
+fn delayed_commands() {
     let faults = Faults {
         delayed_commands: 0.3,
         machine_hangs: 5,
@@ -352,13 +368,13 @@
         node_crashes: 4,
         ..Faults::default()
     };
-    play("held up", SMALL, faults, 16, |_, _| {});
+    play("delayed commands", SMALL, faults, 16, |_, _| {});
 }
 
-/// A zone with machines and a node is cut off for longer than a lease; jobs bound to one
-/// zone, arrays too, lose machines there.
+/// A zone with machines and a node is cut off for longer than a worker's lease. Jobs that are restricted
+/// to one zone, including arrays, lose machines there.
 #[test]
-fn a_zone_cut_off() {
+fn a_zone_is_cut_off() {
     let faults =
         Faults { zone_cuts: 2, machine_deaths: 2, cancel_bursts: 3, node_crashes: 1, ..Faults::default() };
     play("zone", SMALL, faults, 16, |world, _| {
@@ -371,16 +387,16 @@
     });
 }
 
-/// All nodes are away for longer than a lease, or all end and one is back within a
-/// second; jobs are called off just before and after.
+/// All nodes are down for longer than a worker's lease, or all crash and one restarts within a second.
+/// Jobs are cancelled shortly before and after.
 #[test]
-fn all_nodes_away() {
+fn all_nodes_down() {
     let faults = Faults { all_nodes_stopped: 2, cancel_bursts: 4, ..Faults::default() };
-    play("away", SMALL, faults, 12, |world, _| long(world, 25.0));
-    play("one is back", SMALL, Faults { cancel_bursts: 3, ..Faults::default() }, 12, |world, seed| {
+    play("all nodes down", SMALL, faults, 12, |world, _| set_runtimes(world, 25.0));
+    play("one node restarts", SMALL, Faults { cancel_bursts: 3, ..Faults::default() }, 12, |world, seed| {
         for n in 0..3 {
             let at = secs(15 + 25 * n) + ms(170 * seed);
-            // The leader is back at once, the others seconds later.
+            // The leader restarts at once, the others seconds later.
             world.schedule_at(at, SimEvent::FaultLeader(Restart(ms(80 + 120 * n))));
             world.schedule_at(at + ms(40), SimEvent::StopAllNodes { duration: secs(5) });
             world.schedule_at(at + ms(600), SimEvent::FaultLeader(Restart(ms(100))));
@@ -388,15 +404,18 @@
     });
 }
 
-/// Leaders change ten times in two minutes, also within an outage.
+/// The leader changes ten times in two minutes, also during outages of the state service.
 #[test]
 fn ten_leaders_in_two_minutes() {
     for outage in [false, true] {
         let faults = Faults { duplicates_for_next_leader: 0.01, cancel_bursts: 4, ..Faults::default() };
         play("ten leaders", SMALL, faults, 10, |world, seed| {
             for n in 0..10 {
-                let back = if n % 2 == 0 { ms(100) } else { secs(6) };
-                world.schedule_at(secs(10 + 12 * n) + ms(250 * seed), SimEvent::FaultLeader(Restart(back)));
+                let downtime = if n % 2 == 0 { ms(100) } else { secs(6) };
+                world.schedule_at(
+                    secs(10 + 12 * n) + ms(250 * seed),
+                    SimEvent::FaultLeader(Restart(downtime)),
+                );
             }
             if outage {
                 for at in [33, 80] {
@@ -408,10 +427,10 @@
     }
 }
 
-/// The state service answers slowly, refuses the leader alone and then everybody for
-/// longer than `cancel_s`, while users cancel and ask.
+/// The state service replies slowly, then refuses only the leader, and then is unavailable to all nodes
+/// for longer than `cancel_s`, while users cancel jobs and request their status.
 #[test]
-fn slow_then_refused_then_out() {
+fn slow_refusing_and_unavailable_state_service() {
     let faults = Faults {
         slow_kv: true,
         immediate_polls: true,
@@ -419,8 +438,8 @@
         cancel_at_end: 0.3,
         ..Faults::default()
     };
-    play("slow", SMALL, faults, 8, |world, seed| {
-        long(world, 20.0);
+    play("slow state service", SMALL, faults, 8, |world, seed| {
+        set_runtimes(world, 20.0);
         let at = secs(35) + ms(400 * seed);
         world.schedule_at(at, SimEvent::FaultLeader(RefuseKv(secs(14))));
         let until = world.now + at + SMALL.cancel_within + secs(12);
@@ -428,7 +447,7 @@
     });
 }
 
-/// One-task jobs come four a second for two minutes, a quarter of them is called off.
+/// Four jobs of one task are submitted per second for two minutes, and a quarter of them is cancelled.
 #[test]
 fn a_stream_of_small_jobs() {
     for faults in [
@@ -461,9 +480,10 @@
     }
 }
 
-/// More work than room, urgent and not, over slow and lossy calls: everybody's turn comes.
+/// Urgent and standard jobs need more machines than there are, while calls are slow and replies are
+/// lost. Every job must end all the same.
 #[test]
-fn more_work_than_room() {
+fn more_work_than_capacity() {
     let faults = Faults {
         slow_kv: true,
         delayed_commands: 0.1,
@@ -489,57 +509,60 @@
     );
 }
 
-/// A process whose processor time is used up sends starts with the answers to reports
-/// alone; kills still go at once, and nothing is late by the rules for it.
+/// A process that has used up its CPU time sends starts only with responses to heartbeats, while kills
+/// are still sent at once. The rules of the model must hold regardless.
 #[test]
-fn what_gives_way_when_the_process_is_behind() {
+fn a_process_that_is_behind_sends_no_direct_starts() {
     let faults = Faults { cancel_bursts: 3, machine_hangs: 2, node_crashes: 2, ..Faults::default() };
-    play("behind", SMALL, faults, 8, |world, _| world.timer_lag = ms(400));
+    play("process behind", SMALL, faults, 8, |world, _| world.timer_lag = ms(400));
 }
 
-/// Any two or three troubles together, with cancellations and close looks.
+/// Two or three kinds of faults together, with cancellations and in some cases immediate status
+/// requests.
 #[test]
-fn any_troubles_together() {
+fn any_faults_together() {
     for seed in 0..90u64 {
-        let mut t = Faults { cancel_bursts: 2, ..Faults::default() };
-        for pick in [seed % 15, (seed / 15 * 4 + seed * 7 + 1) % 15, (seed * 11 + 5) % 15] {
-            match pick {
-                0 => t.node_crashes = 5,
-                1 => t.kv_outages = 2,
-                2 => t.kv_refusals = 3,
-                3 => t.machine_cuts = 4,
-                4 => t.machine_hangs = 4,
-                5 => (t.lost_replies, t.late_requests) = (0.05, 0.7),
-                6 => t.duplicate_heartbeats = 0.1,
-                7 => t.duplicates_for_next_leader = 0.03,
-                8 => t.dropped_responses = 3,
-                9 => t.dropped_heartbeats = 3,
-                10 => t.cut_from_kv_and_peers = 2,
-                11 => t.zone_cuts = 1,
-                12 => (t.immediate_polls, t.invalid_requests, t.cancel_at_end) = (true, 30, 0.5),
-                13 => (t.quick_boots, t.slow_kv, t.delayed_commands) = (true, true, 0.2),
-                _ => (t.all_nodes_stopped, t.worker_partitions) = (1, 2),
+        let mut faults = Faults { cancel_bursts: 2, ..Faults::default() };
+        for kind in [seed % 15, (seed / 15 * 4 + seed * 7 + 1) % 15, (seed * 11 + 5) % 15] {
+            match kind {
+                0 => faults.node_crashes = 5,
+                1 => faults.kv_outages = 2,
+                2 => faults.kv_refusals = 3,
+                3 => faults.machine_cuts = 4,
+                4 => faults.machine_hangs = 4,
+                5 => (faults.lost_replies, faults.late_requests) = (0.05, 0.7),
+                6 => faults.duplicate_heartbeats = 0.1,
+                7 => faults.duplicates_for_next_leader = 0.03,
+                8 => faults.dropped_responses = 3,
+                9 => faults.dropped_heartbeats = 3,
+                10 => faults.cut_from_kv_and_peers = 2,
+                11 => faults.zone_cuts = 1,
+                12 => {
+                    (faults.immediate_polls, faults.invalid_requests, faults.cancel_at_end) = (true, 30, 0.5)
+                }
+                13 => (faults.quick_boots, faults.slow_kv, faults.delayed_commands) = (true, true, 0.2),
+                _ => (faults.all_nodes_stopped, faults.worker_partitions) = (1, 2),
             }
         }
-        let mut world = World::new(seed, t);
+        let mut world = World::new(seed, faults);
         world.plan(24, secs(90));
         world.stop_call_faults = true;
         world.run(secs(1500));
-        assert!(world.all_jobs_ended(), "seed {seed}: {t:?}");
+        assert!(world.all_jobs_ended(), "seed {seed}: {faults:?}");
     }
 }
 
-/// All nodes are away until moments before cancellations are due on machines that hang:
-/// whoever leads then has no time to hear the workers first. Found by histories with
-/// fencing on, in which a leader was back 0.5 s before such a cancellation was due.
+/// All nodes are down until shortly before cancellations are due on machines that hang, so that the next
+/// leader has no time to wait for heartbeats of the workers. Histories with fencing showed this: a
+/// leader restarted 0.5 s before such a cancellation was due.
 #[test]
-fn a_leader_comes_just_before_a_cancellation_is_due() {
-    for away in [32_500, 33_500, 34_300, 35_000] {
+fn a_leader_is_elected_just_before_a_cancellation_is_due() {
+    for downtime in [32_500, 33_500, 34_300, 35_000] {
         play("just before", SMALL, Faults::default(), 6, |world, seed| {
-            long(world, 70.0);
+            set_runtimes(world, 70.0);
             let at = secs(30) + ms(137 * seed);
             world.schedule_at(at, SimEvent::CancelRunningJobs { count: 12, hang: secs(60) });
-            world.schedule_at(at + ms(50), SimEvent::StopAllNodes { duration: ms(away) });
+            world.schedule_at(at + ms(50), SimEvent::StopAllNodes { duration: ms(downtime) });
         });
     }
 }
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -44,10 +44,10 @@
 ];
 
 /// Plays a history until every job has ended.
-fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, set: impl Fn(&mut World)) -> World {
+fn play(name: &str, deployment: Deployment, faults: Faults, seed: u64, setup: impl Fn(&mut World)) -> World {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
-    set(&mut world);
+    setup(&mut world);
     world.run_to_end(name, seed, secs(60));
     world
 }
@@ -99,8 +99,8 @@
     }
 }
 
-/// Two nodes can each not reach a different half of the workers. Leadership must not go back and forth
-/// between them.
+/// Each of two nodes can't reach half of the workers, and the two halves differ. Leadership must not go back
+/// and forth between these nodes.
 #[test]
 fn two_nodes_without_half_of_the_workers_each() {
     for seed in 0..8 {
@@ -303,7 +303,7 @@
 fn link_failures_at_each_step_of_a_cloud_action() {
     let deployment =
         Deployment { fencing: true, max_machines: 6, cloud_requests_per_s: 10.0, ..REACHABILITY };
-    for moment in [Trigger::IntentSent, Trigger::IntentWritten, Trigger::CloudActionSent] {
+    for trigger in [Trigger::IntentSent, Trigger::IntentWritten, Trigger::CloudActionSent] {
         for (links, seeds) in [(&STATE_LINKS[..], 0..4), (&WORKER_LINKS[..], 4..8), (&ALL_LINKS[..], 8..12)] {
             for seed in seeds {
                 let how = CUT_MODES[(seed % 3) as usize];
@@ -315,13 +315,13 @@
                     |world| {
                         for nth in [2, 4, 6] {
                             let fault = SimEvent::FaultLeader(CutLinks(links, how, secs(8)));
-                            world.on_trigger(moment, nth, vec![(ms(0), fault)]);
+                            world.on_trigger(trigger, nth, vec![(ms(0), fault)]);
                         }
                     },
                 );
                 assert_eq!(
                     world.cloud_effects.stale, 0,
-                    "{moment:?} {links:?}, seed {seed}: {:?}",
+                    "{trigger:?} {links:?}, seed {seed}: {:?}",
                     world.cloud_effects
                 );
             }
@@ -360,7 +360,7 @@
     assert!(cuts >= 300);
 }
 
-/// Two nodes can each not reach a different half of a large fleet.
+/// Each of two nodes can't reach half of a large fleet, and the two halves differ.
 #[test]
 fn two_nodes_without_half_of_a_large_fleet_each() {
     let deployment = Deployment { reachability: true, ..FLEET };
--- a/crates/plankhead-core/tests/sharding.rs
+++ b/crates/plankhead-core/tests/sharding.rs
@@ -40,20 +40,20 @@
     deployment: Deployment,
     faults: Faults,
     seed: u64,
-    set: impl Fn(&mut World),
+    setup: impl Fn(&mut World),
 ) -> World {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.plan(24, secs(90));
-    set(&mut world);
+    setup(&mut world);
     world.run_to_end(name, seed, secs(90));
     world
 }
 
 /// Plays histories until every job has ended, and returns the number of shard moves.
-fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, set: impl Fn(&mut World)) -> u32 {
-    let only: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
-    let seeds = only.map_or(0..seed_count(seeds), |seed| seed..seed + 1);
-    seeds.map(|seed| play_one(name, deployment, faults, seed, &set).shard_moves).sum()
+fn play(name: &str, deployment: Deployment, faults: Faults, seeds: u64, setup: impl Fn(&mut World)) -> u32 {
+    let only_seed: Option<u64> = std::env::var("WORLD_SEED").ok().and_then(|s| s.parse().ok());
+    let seeds = only_seed.map_or(0..seed_count(seeds), |seed| seed..seed + 1);
+    seeds.map(|seed| play_one(name, deployment, faults, seed, &setup).shard_moves).sum()
 }
 
 /// Shards move all the time under steady load and faults of each kind. No job is lost and none runs twice.
@@ -215,7 +215,7 @@
 /// The old or the next holder fails at each step of a shard move and recovers.
 #[test]
 fn holders_fail_at_each_step_of_a_move() {
-    for (moment, party) in [
+    for (trigger, party) in [
         (Trigger::MoveStarted, OldHolder),
         (Trigger::MoveStarted, NextHolder),
         (Trigger::HolderAssigned, OldHolder),
@@ -223,18 +223,19 @@
     ] {
         for (n, fault) in FAULTS.into_iter().enumerate() {
             let moves = play("steps", MOVING, Faults::default(), 1, |world| {
-                schedule_faults_of_moves(world, moment, party, fault, n as u64);
+                schedule_faults_of_moves(world, trigger, party, fault, n as u64);
             });
-            assert!(moves >= 10, "{moment:?} {party:?} {fault:?}: {moves} moves");
+            assert!(moves >= 10, "{trigger:?} {party:?} {fault:?}: {moves} moves");
         }
     }
 }
 
-/// Schedules a fault of a party of several shard moves, with different delays after the step of the move.
-fn schedule_faults_of_moves(world: &mut World, moment: Trigger, party: ShardParty, fault: Fault, n: u64) {
+/// Schedules a fault of the old or the next holder for several shard moves, with different delays after the
+/// step of the move.
+fn schedule_faults_of_moves(world: &mut World, trigger: Trigger, party: ShardParty, fault: Fault, n: u64) {
     for (nth, after) in [(4, 0), (9, 3), (15, 40), (22, 400)] {
         let after = ms(after + n % 3);
-        world.on_trigger(moment, nth, vec![(after, SimEvent::FaultMoveParty(party, fault))]);
+        world.on_trigger(trigger, nth, vec![(after, SimEvent::FaultMoveParty(party, fault))]);
     }
 }
 
@@ -341,7 +342,7 @@
 /// Jobs are cancelled while a shard moves, on machines that hang for longer than a cancellation may take.
 #[test]
 fn cancellations_during_a_shard_move() {
-    for (moment, hang) in
+    for (trigger, hang) in
         [(Trigger::MoveStarted, 0), (Trigger::MoveStarted, 50), (Trigger::HolderAssigned, 44)]
     {
         let mut cancelled = 0;
@@ -350,7 +351,7 @@
                 set_runtimes(world, 40.0);
                 for nth in [8, 14, 20] {
                     let cancel = SimEvent::CancelRunningJobs { count: 4, hang: secs(hang) };
-                    world.on_trigger(moment, nth, vec![(ms(2), cancel)]);
+                    world.on_trigger(trigger, nth, vec![(ms(2), cancel)]);
                 }
             });
             cancelled += world.cancelled_while_running();
@@ -496,7 +497,7 @@
     assert!(world.shard_moves >= 20, "{} moves", world.shard_moves);
 }
 
-/// Nodes of the previous version, which has no sharding, lead and follow beside upgraded nodes.
+/// Nodes of the previous version, without sharding, lead and follow beside upgraded nodes.
 #[test]
 fn upgrade_from_the_previous_version() {
     let upgrade = Faults { upgrade: true, node_crashes: 3, lost_replies: 0.01, ..Faults::default() };
@@ -534,7 +535,7 @@
     }
 }
 
-/// A holder rejects commands that are late copies, have an outdated token, come from an unknown node, or name
+/// A holder rejects commands that are outdated, have an earlier token, come from an unknown node, or name
 /// shards that it does not hold or another epoch. They change nothing, and no worker gets a command.
 #[test]
 fn a_holder_rejects_invalid_commands() {
@@ -544,14 +545,14 @@
     let (token, sent) = (world.leader_token(), world.latest_sequence(node));
     let other = ShardId { zone: "nowhere".into(), index: 0 };
     let invalid = [
-        ("an outdated token", leader_commands(token - 1, sent, vec![(shard.clone(), epoch)])),
+        ("an earlier token", leader_commands(token - 1, sent, vec![(shard.clone(), epoch)])),
         ("another epoch", leader_commands(token, sent, vec![(shard.clone(), epoch - 1)])),
         ("an unknown shard", leader_commands(token, sent, vec![(other, epoch)])),
         (
             "an acknowledgement of a message that was not sent",
             leader_commands(token, sent + 1_000, vec![(shard.clone(), epoch)]),
         ),
-        ("an old message", leader_commands(token, 1, vec![(shard.clone(), epoch)])),
+        ("an acknowledgement of an old message", leader_commands(token, 1, vec![(shard.clone(), epoch)])),
     ];
     for (what, commands) in invalid {
         let (delivery, effects) =
--- a/crates/plankhead-core/tests/trace.rs
+++ b/crates/plankhead-core/tests/trace.rs
@@ -47,18 +47,18 @@
     }
 }
 
-/// Runs a history and returns the digest of its decisions. `set` adds its scripted events.
+/// Runs a history and returns the digest of its decisions. `setup` adds its scripted events.
 fn digest(
     deployment: Deployment,
     jobs: usize,
     seed: u64,
     faults: Faults,
-    set: impl Fn(&mut World),
+    setup: impl Fn(&mut World),
 ) -> String {
     let mut world = World::with_deployment(deployment, seed, faults);
     world.trace.enable();
     world.plan(jobs, secs(90));
-    set(&mut world);
+    setup(&mut world);
     world.run(secs(400));
     assert!(world.starts > 0, "nothing_ran");
     world.trace.finish()
