--- a/crates/plankhead-core/tests/histories.rs
+++ b/crates/plankhead-core/tests/histories.rs
@@ -257,10 +257,10 @@
     }
 }
 
-/// Two versions run side by side: nodes of the previous version are upgraded one after another during
-/// crashes after which they restart with the same version, changes of the leader in both directions,
-/// outages and late replies. Then the state service lowers its limits. All stored data is readable to the
-/// previous version while nodes of it remain. Afterwards no value is too large, although chunks of 120
+/// Nodes of the previous version are upgraded one after another. Meanwhile nodes crash and restart with the
+/// version that they had, leaders of either version follow each other, the state service has outages and
+/// replies are late. Then the state service lowers its limits. The previous version must be able to read all
+/// stored data while it still runs on a node. Afterwards no value may be too large, although chunks of 120
 /// tasks were stored before.
 #[test]
 fn an_upgrade_during_faults() {
@@ -459,7 +459,7 @@
 }
 
 /// The cloud took the only machine, and the leader attributed its silence to a fault of its own: it never
-/// rented another. A machine that dies is listed as failed instead.
+/// rented another. A machine that dies by itself is different, since the cloud lists it as failed.
 #[test]
 fn the_only_machine_is_replaced() {
     for seed in 0..4 {
--- a/crates/plankhead-core/tests/node.rs
+++ b/crates/plankhead-core/tests/node.rs
@@ -354,7 +354,8 @@
 }
 
 /// A late copy of a heartbeat from an earlier incarnation reaches a new leader before the machine itself
-/// does. The response to the copy has no effect, which must not count as a machine that ignores commands.
+/// does. The response to the copy has no effect, but the machine must not be taken for one that ignores
+/// commands.
 #[test]
 fn a_late_copy_before_the_first_heartbeat_returns_no_machine() {
     let mut harness = NodeHarness::new();
@@ -551,7 +552,7 @@
         harness.step(vec![Event::PeerHeartbeat(claim(50))]);
         let early = harness.send_heartbeat(1, 7);
         assert!(matches!(harness.response(early), Some(Response::Redirect { host: Some(_) })));
-        // A worker's heartbeat shows that another node leads by now; then the first one claims to lead again.
+        // A worker's heartbeat shows that another node leads by now. Then the first one claims to lead again.
         let mut later = heartbeat(2, 60);
         later.machine = "i-2".into();
         harness.send(|request| Event::Heartbeat { request, heartbeat: later, relayed: false });
--- a/crates/plankhead-core/tests/reachability.rs
+++ b/crates/plankhead-core/tests/reachability.rs
@@ -90,12 +90,18 @@
 #[test]
 fn every_node_loses_different_links() {
     for seed in 0..8 {
-        play("halves", REACHABILITY, Faults { cancel_bursts: 2, ..Faults::default() }, seed, |world| {
-            let (state, workers) = (&STATE_LINKS[..], &WORKER_LINKS[..]);
-            world.cut_links((seed % 3) as usize, state, CUT_MODES[(seed % 3) as usize], (20, 50));
-            world.cut_links(((seed + 1) % 3) as usize, workers, CutMode::Stall, (22, 52));
-            world.cut_links(((seed + 2) % 3) as usize, &[Link::Writes], CutMode::Refuse, (24, 48));
-        });
+        play(
+            "different links",
+            REACHABILITY,
+            Faults { cancel_bursts: 2, ..Faults::default() },
+            seed,
+            |world| {
+                let (state, workers) = (&STATE_LINKS[..], &WORKER_LINKS[..]);
+                world.cut_links((seed % 3) as usize, state, CUT_MODES[(seed % 3) as usize], (20, 50));
+                world.cut_links(((seed + 1) % 3) as usize, workers, CutMode::Stall, (22, 52));
+                world.cut_links(((seed + 2) % 3) as usize, &[Link::Writes], CutMode::Refuse, (24, 48));
+            },
+        );
     }
 }
 
@@ -104,7 +110,7 @@
 #[test]
 fn two_nodes_without_half_of_the_workers_each() {
     for seed in 0..8 {
-        let world = play("beyond", REACHABILITY, Faults::default(), seed, |world| {
+        let world = play("partitioned workers", REACHABILITY, Faults::default(), seed, |world| {
             world.partitions_odd_machines[1] = true;
             for node in 0..2 {
                 world.schedule_at(secs(20), SimEvent::PartitionWorkers { node, until: world.now + secs(70) });
@@ -152,7 +158,7 @@
 #[test]
 fn the_next_leader_crashes_during_the_handover() {
     for seed in 0..8 {
-        play("dies", REACHABILITY, Faults::default(), seed, |world| {
+        play("crash during handover", REACHABILITY, Faults::default(), seed, |world| {
             world.schedule_at(
                 secs(25),
                 SimEvent::FaultLeader(CutLinks(&WORKER_LINKS, CutMode::Stall, secs(40))),
@@ -173,18 +179,24 @@
 fn short_link_failures_during_elections() {
     for seed in 0..10 {
         let how = CUT_MODES[(seed % 3) as usize];
-        play("heals", REACHABILITY, Faults { node_crashes: 6, ..Faults::default() }, seed, |world| {
-            for nth in 1..=6 {
-                for after in [0, 40, 400] {
-                    let fault = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
-                    world.on_trigger(
-                        Trigger::LeaderElected,
-                        nth,
-                        vec![(ms(after), SimEvent::FaultLeader(fault))],
-                    );
+        play(
+            "short link failures",
+            REACHABILITY,
+            Faults { node_crashes: 6, ..Faults::default() },
+            seed,
+            |world| {
+                for nth in 1..=6 {
+                    for after in [0, 40, 400] {
+                        let fault = CutLinks(&ALL_LINKS, how, ms(80 + 60 * (seed % 6)));
+                        world.on_trigger(
+                            Trigger::LeaderElected,
+                            nth,
+                            vec![(ms(after), SimEvent::FaultLeader(fault))],
+                        );
+                    }
                 }
-            }
-        });
+            },
+        );
     }
 }
 
--- a/crates/plankhead-core/tests/scheduling.rs
+++ b/crates/plankhead-core/tests/scheduling.rs
@@ -321,8 +321,9 @@
     assert_eq!(jobs_within_guarantee(&needs, &[team(8.0, 99.0)]), vec![false, true, true]);
 }
 
-/// The search tries the minimum size and then halves the distance to the limit: 4, ceil((4+32)/2) and so
-/// on. It exceeds the limit only on overload, and ends when a trial brings no improvement.
+/// The search of the paper (section 3.3) tries the minimum size and then halves the distance to the limit:
+/// 4, ceil((4+32)/2) and so on. It exceeds the limit only on overload, and ends when a trial brings no
+/// improvement.
 #[test]
 fn fleet_size_search_halves_the_distance_to_the_limit() {
     let search = |min_size, slowdown: &dyn Fn(u32) -> f64| {
