--- a/crates/plankhead-core/src/node/heartbeats.rs
+++ b/crates/plankhead-core/src/node/heartbeats.rs
@@ -155,7 +155,7 @@
             }
             HolderRoute::Leader => {}
         }
-        let min_token = heartbeat.token.max(self.highest_token());
+        let min_token = heartbeat.token.max(self.highest_seen_token());
         match self.known_leader(now, min_token) {
             Some(leader) => {
                 let target = RedirectTarget { host: leader.host, token: leader.token };
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -91,7 +91,7 @@
 
     /// Returns the highest fencing token seen, or 0 if fencing is off. Adapters use it to reject
     /// relayed answers under an older token.
-    pub fn highest_token(&self) -> u64 {
+    pub fn highest_seen_token(&self) -> u64 {
         if self.settings.fencing.enabled {
             self.token_guard.highest()
         } else {
--- a/crates/plankhead/src/runtime/event_loop.rs
+++ b/crates/plankhead/src/runtime/event_loop.rs
@@ -88,7 +88,7 @@
             self.effects.run(effect);
         }
         self.status.healthy.store(self.node.is_healthy(times.now), Ordering::Relaxed);
-        self.status.highest_token.store(self.node.highest_token(), Ordering::Relaxed);
+        self.status.highest_token.store(self.node.highest_seen_token(), Ordering::Relaxed);
         self.next_wake(times.now, now)
     }
 
