--- a/crates/plankhead-standins/src/cloud.rs
+++ b/crates/plankhead-standins/src/cloud.rs
@@ -90,7 +90,7 @@
 async fn handle_request(cloud: Arc<Cloud>, sender: String, request: Request<Incoming>) -> Reply {
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     let second_page = request.uri().query().unwrap_or_default().contains("after=");
-    let body = match http::body(request, http::MAX_REQUEST).await {
+    let body = match http::read_body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
--- a/crates/plankhead-standins/src/kv_store.rs
+++ b/crates/plankhead-standins/src/kv_store.rs
@@ -91,7 +91,7 @@
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
-    let body = match http::body(request, http::MAX_REQUEST).await {
+    let body = match http::read_body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
--- a/crates/plankhead-standins/src/workers.rs
+++ b/crates/plankhead-standins/src/workers.rs
@@ -197,7 +197,7 @@
 async fn handle_command(workers: Arc<Workers>, request: Request<Incoming>) -> Reply {
     workers.counts.add(RequestKind::Command);
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default().to_owned();
-    let body = match http::body(request, http::MAX_REQUEST).await {
+    let body = match http::read_body(request, http::MAX_REQUEST).await {
         Ok(body) => serde_json::from_slice::<Value>(&body).unwrap_or(Value::Null),
         Err(reply) => return reply,
     };
--- a/crates/plankhead/src/http/mod.rs
+++ b/crates/plankhead/src/http/mod.rs
@@ -4,4 +4,4 @@
 mod server;
 
 pub use client::Client;
-pub use server::{body, serve, serve_per_connection, Reply, IDLE_TIMEOUT, MAX_REQUEST};
+pub use server::{read_body, serve, serve_per_connection, Reply, IDLE_TIMEOUT, MAX_REQUEST};
--- a/crates/plankhead/src/http/server.rs
+++ b/crates/plankhead/src/http/server.rs
@@ -64,7 +64,7 @@
 }
 
 /// Reads a request's body of at most `max_bytes`. On failure, returns the error reply to the request.
-pub async fn body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Reply> {
+pub async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Reply> {
     let mut collecting = pin!(Limited::new(request.into_body(), max_bytes).collect());
     // Usually the body has arrived together with the header, so no timer is needed.
     let immediate = poll_fn(|context| Poll::Ready(collecting.as_mut().poll(context))).await;
--- a/crates/plankhead/src/server/controller_port.rs
+++ b/crates/plankhead/src/server/controller_port.rs
@@ -36,7 +36,7 @@
 }
 
 async fn receive_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, heartbeat::MAX_MESSAGE).await?;
+    let body = http::read_body(request, heartbeat::MAX_MESSAGE).await?;
     let heartbeat = heartbeat::decode(&body).ok_or_else(|| {
         tracing::debug!("peer heartbeat rejected: reason=malformed");
         Reply::error(400, "not a pulse")
@@ -46,7 +46,7 @@
 
 /// Malformed coverage is passed to the core, too, since it shows that its sender can reach this node.
 async fn receive_coverage(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, coverage::MAX_MESSAGE).await?;
+    let body = http::read_body(request, coverage::MAX_MESSAGE).await?;
     let coverage = coverage::decode(&body).map(Box::new);
     let error = coverage.as_ref().err().map(ToString::to_string);
     let reply = enqueue(node, Event::Coverage(coverage))?;
@@ -55,7 +55,7 @@
 
 /// Malformed messages are passed to the core, too, which counts them.
 async fn receive_shard_message(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, shards::MAX_MESSAGE).await?;
+    let body = http::read_body(request, shards::MAX_MESSAGE).await?;
     let message = shards::decode(&body);
     let error = message.as_ref().err().map(ToString::to_string);
     let reply = node.reply(NodeRequest::ShardMessage { message }).await;
@@ -63,7 +63,7 @@
 }
 
 async fn receive_relayed_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, relay::MAX_MESSAGE).await?;
+    let body = http::read_body(request, relay::MAX_MESSAGE).await?;
     let heartbeat = relay::decode_request(&body).and_then(|body| parse_heartbeat(&body).ok());
     let heartbeat = heartbeat.ok_or_else(|| Reply::error(400, "not a report"))?;
     let reply = node.reply(NodeRequest::Heartbeat { heartbeat, relayed: true }).await;
--- a/crates/plankhead/src/server/public_port.rs
+++ b/crates/plankhead/src/server/public_port.rs
@@ -42,7 +42,7 @@
 }
 
 async fn submit(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, MAX_REQUEST).await?;
+    let body = http::read_body(request, MAX_REQUEST).await?;
     let Submission { id, job } =
         parse_submission(&body).map_err(|error| Reply::error(400, &error.to_string()))?;
     Ok(node.reply(NodeRequest::Submit { id, job }).await)
@@ -61,7 +61,7 @@
     connection: &ConnectionState,
     request: Request<Incoming>,
 ) -> Result<Reply, Reply> {
-    let body = http::body(request, MAX_REQUEST).await?;
+    let body = http::read_body(request, MAX_REQUEST).await?;
     let heartbeat = connection.lock().unwrap_or_else(PoisonError::into_inner).read(&body);
     let heartbeat = heartbeat.map_err(|error| {
         tracing::debug!("heartbeat rejected: reason={error}");
--- a/crates/plankhead/src/tests/standins.rs
+++ b/crates/plankhead/src/tests/standins.rs
@@ -98,7 +98,8 @@
             }
         }
         (Method::POST, "/txn") => {
-            let body: Value = serde_json::from_slice(&http::body(request, 1 << 16).await.unwrap()).unwrap();
+            let body: Value =
+                serde_json::from_slice(&http::read_body(request, 1 << 16).await.unwrap()).unwrap();
             let mut state = state.lock().unwrap();
             let stamp = |k: &str| state.keys.get(k).map_or(0, |(_, s)| *s);
             let is_unmet = |c: &&Value| stamp(c["k"].as_str().unwrap()) != c["stamp"].as_u64().unwrap();
@@ -137,7 +138,8 @@
             "localGb": 10, "pullGbPerS": 1.0, "rate": 1.0, "marketPrice": 0.3, "readyS": 1, "yards": ["a"]}]})),
         (Method::GET, "/hosts") => ok(json!({"hosts": [], "truncated": false})),
         (Method::POST, path) => {
-            let body: Value = serde_json::from_slice(&http::body(request, 1 << 16).await.unwrap()).unwrap();
+            let body: Value =
+                serde_json::from_slice(&http::read_body(request, 1 << 16).await.unwrap()).unwrap();
             let mut state = state.lock().unwrap();
             if path == "/hosts/release" {
                 let names = body["hosts"].as_array().unwrap().iter().map(|h| h.as_str().unwrap().to_owned());
@@ -232,7 +234,8 @@
     let handle = move |request: Request<Incoming>| {
         let worker = direct_worker.clone();
         async move {
-            let body: Value = serde_json::from_slice(&http::body(request, 1 << 16).await.unwrap()).unwrap();
+            let body: Value =
+                serde_json::from_slice(&http::read_body(request, 1 << 16).await.unwrap()).unwrap();
             let mut worker = worker.lock().unwrap();
             worker.carry_out(&body);
             ok(worker.heartbeat(name, address))
