--- a/crates/plankhead-standins/src/cloud.rs
+++ b/crates/plankhead-standins/src/cloud.rs
@@ -109,7 +109,7 @@
         (Method::POST, "/hosts") => cloud.rent(&sender, &body),
         _ => (404, json!({})),
     };
-    Reply { status, body: body.to_string().into_bytes(), retry: None }
+    Reply { status, body: body.to_string().into_bytes(), retry_after: None }
 }
 
 impl Cloud {
--- a/crates/plankhead-standins/src/kv_store.rs
+++ b/crates/plankhead-standins/src/kv_store.rs
@@ -119,7 +119,7 @@
         }
         _ => (400, json!({})),
     };
-    Reply { status, body: body.to_string().into_bytes(), retry: None }
+    Reply { status, body: body.to_string().into_bytes(), retry_after: None }
 }
 
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
--- a/crates/plankhead-standins/src/workers.rs
+++ b/crates/plankhead-standins/src/workers.rs
@@ -207,7 +207,7 @@
     worker.execute_commands(&body, &workers);
     worker.changed.notify_one();
     let heartbeat = worker.heartbeat(workers.port, &workers);
-    Reply { status: 200, body: heartbeat.to_string().into_bytes(), retry: None }
+    Reply { status: 200, body: heartbeat.to_string().into_bytes(), retry_after: None }
 }
 
 impl Worker {
--- a/crates/plankhead/src/http/server.rs
+++ b/crates/plankhead/src/http/server.rs
@@ -39,7 +39,7 @@
     /// JSON, or an encoded message between controllers.
     pub body: Vec<u8>,
     /// The time after which the client should repeat the request (`Retry-After`).
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Reply {
@@ -47,8 +47,8 @@
     /// the request.
     pub fn error(status: u16, reason: &str) -> Self {
         let body = serde_json::json!({"error": reason}).to_string().into_bytes();
-        let retry = matches!(status, 429 | 503).then_some(RETRY_INTERVAL);
-        Self { status, body, retry }
+        let retry_after = matches!(status, 429 | 503).then_some(RETRY_INTERVAL);
+        Self { status, body, retry_after }
     }
 }
 
@@ -56,8 +56,8 @@
     let mut built = Response::new(Full::new(Bytes::from(reply.body)));
     *built.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     built.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(retry) = reply.retry {
-        let seconds = retry.as_secs_f64().ceil() as u64;
+    if let Some(delay) = reply.retry_after {
+        let seconds = delay.as_secs_f64().ceil() as u64;
         built.headers_mut().insert(RETRY_AFTER, seconds.into());
     }
     built
--- a/crates/plankhead/src/peer_messages/relay.rs
+++ b/crates/plankhead/src/peer_messages/relay.rs
@@ -35,13 +35,13 @@
 
 /// Encodes the reply to a worker. Returns `None` if it can't be encoded.
 pub fn encode_reply(reply: &Reply) -> Option<Vec<u8>> {
-    let retry_ms = reply.retry.map(|retry| retry.as_millis() as u64);
+    let retry_ms = reply.retry_after.map(|delay| delay.as_millis() as u64);
     encode_archive(&RelayReply { status: reply.status, body: reply.body.clone(), retry_ms })
 }
 
 /// Decodes the reply to a worker. Returns `None` if it is malformed.
 pub fn decode_reply(bytes: &[u8]) -> Option<Reply> {
     let message: RelayReply = decode_archive(bytes).ok()?;
-    let retry = message.retry_ms.map(Duration::from_millis);
-    Some(Reply { status: message.status, body: message.body, retry })
+    let retry_after = message.retry_ms.map(Duration::from_millis);
+    Some(Reply { status: message.status, body: message.body, retry_after })
 }
--- a/crates/plankhead/src/server/controller_port.rs
+++ b/crates/plankhead/src/server/controller_port.rs
@@ -30,7 +30,7 @@
 /// Adds an event to the node's queue and replies without waiting until it is processed.
 fn enqueue(node: &NodeHandle, event: Event) -> Result<Reply, Reply> {
     match node.send(NodeMessage::Event(event)) {
-        Ok(()) => Ok(Reply { status: 200, body: Vec::new(), retry: None }),
+        Ok(()) => Ok(Reply { status: 200, body: Vec::new(), retry_after: None }),
         Err(_) => Err(Reply::error(503, "too much to do")),
     }
 }
@@ -68,5 +68,5 @@
     let heartbeat = heartbeat.ok_or_else(|| Reply::error(400, "not a report"))?;
     let reply = node.reply(NodeRequest::Heartbeat { heartbeat, relayed: true }).await;
     let body = relay::encode_reply(&reply).ok_or_else(|| Reply::error(503, "no answer"))?;
-    Ok(Reply { status: 200, body, retry: None })
+    Ok(Reply { status: 200, body, retry_after: None })
 }
--- a/crates/plankhead/src/server/public_port.rs
+++ b/crates/plankhead/src/server/public_port.rs
@@ -35,7 +35,7 @@
 
 fn health(node: &NodeHandle) -> Reply {
     if node.is_healthy() {
-        Reply { status: 200, body: b"{}".to_vec(), retry: None }
+        Reply { status: 200, body: b"{}".to_vec(), retry_after: None }
     } else {
         Reply::error(503, "the state service refuses this node")
     }
--- a/crates/plankhead/src/tests/peer_messages.rs
+++ b/crates/plankhead/src/tests/peer_messages.rs
@@ -33,9 +33,9 @@
     assert_eq!(hex(&request), RELAY_REQUEST);
     assert_eq!(decode_request(&request).as_deref(), Some(worker_heartbeat.as_slice()));
     let body = br#"{"baton":41,"orders":[]}"#.to_vec();
-    let reply = Reply { status: 200, body: body.clone(), retry: Some(Duration::from_millis(1500)) };
+    let reply = Reply { status: 200, body: body.clone(), retry_after: Some(Duration::from_millis(1500)) };
     let bytes = encode_reply(&reply).unwrap();
     assert_eq!(hex(&bytes), RELAY_REPLY);
     let decoded = decode_reply(&bytes).unwrap();
-    assert_eq!((decoded.status, decoded.body, decoded.retry), (200, body, reply.retry));
+    assert_eq!((decoded.status, decoded.body, decoded.retry_after), (200, body, reply.retry_after));
 }
--- a/crates/plankhead/src/tests/service.rs
+++ b/crates/plankhead/src/tests/service.rs
@@ -290,7 +290,7 @@
 async fn idle_connections_are_closed_and_active_ones_stay() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let answer = |_| async { http::Reply { status: 200, body: b"{}".to_vec(), retry: None } };
+    let answer = |_| async { http::Reply { status: 200, body: b"{}".to_vec(), retry_after: None } };
     tokio::spawn(http::serve(listener, 100, answer));
     let mut idle = TcpStream::connect(address).await.unwrap();
     let mut partial = TcpStream::connect(address).await.unwrap();
--- a/crates/plankhead/src/tests/standins.rs
+++ b/crates/plankhead/src/tests/standins.rs
@@ -38,11 +38,11 @@
 pub type SharedState = Arc<Mutex<StandInState>>;
 
 fn ok(value: Value) -> Reply {
-    Reply { status: 200, body: value.to_string().into_bytes(), retry: None }
+    Reply { status: 200, body: value.to_string().into_bytes(), retry_after: None }
 }
 
 fn reply(status: u16, value: Value) -> Reply {
-    Reply { status, body: value.to_string().into_bytes(), retry: None }
+    Reply { status, body: value.to_string().into_bytes(), retry_after: None }
 }
 
 fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
--- a/crates/plankhead/src/tests/wire_bytes.rs
+++ b/crates/plankhead/src/tests/wire_bytes.rs
@@ -47,7 +47,7 @@
     ];
     for (response, status, retry, body) in expected {
         let reply = encode_response(&response);
-        assert_eq!((reply.status, reply.retry, text(reply.body).as_str()), (status, retry, body));
+        assert_eq!((reply.status, reply.retry_after, text(reply.body).as_str()), (status, retry, body));
     }
 }
 
--- a/crates/plankhead/src/wire/responses.rs
+++ b/crates/plankhead/src/wire/responses.rs
@@ -31,7 +31,7 @@
         Response::Unprocessable(reason) => error(422, &reason.to_string()),
         Response::NotFound => error(404, "no such job"),
         Response::Unavailable { retry_after } => {
-            Reply { retry: Some(*retry_after), ..error(503, "try again later") }
+            Reply { retry_after: Some(*retry_after), ..error(503, "try again later") }
         }
         Response::Commands { token, commands } => json(200, &CommandsResponse::new(*token, commands)),
         Response::Redirect { host } => json(421, &RedirectResponse { leader: host.as_deref() }),
@@ -43,7 +43,7 @@
 
 fn encode_delivery(delivery: Delivery) -> Reply {
     match delivery {
-        Delivery::Accepted => Reply { status: 200, body: Vec::new(), retry: None },
+        Delivery::Accepted => Reply { status: 200, body: Vec::new(), retry_after: None },
         Delivery::FullSyncNeeded => error(410, "the stream is not known"),
         Delivery::Unsupported => error(404, "machines are not divided"),
         Delivery::Rejected | Delivery::NoResponse => error(409, "not taken"),
@@ -51,7 +51,7 @@
 }
 
 fn json(status: u16, message: &impl Serialize) -> Reply {
-    Reply { status, body: to_json(message), retry: None }
+    Reply { status, body: to_json(message), retry_after: None }
 }
 
 fn error(status: u16, reason: &str) -> Reply {
