--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -20,7 +20,7 @@
     pub(super) fn permits(&self, action: Action, now: Duration) -> bool {
         match self.settings.reachability.table.of(self.evidence.mode(), action) {
             Permission::Allowed => true,
-            Permission::Within(precondition) => self.is_satisfied(precondition, now),
+            Permission::AllowedWhile(precondition) => self.is_satisfied(precondition, now),
             Permission::Deferred(_) | Permission::Forbidden(_) => false,
         }
     }
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -107,7 +107,7 @@
     /// The action is allowed.
     Allowed,
     /// The action is allowed while the precondition holds.
-    Within(Precondition),
+    AllowedWhile(Precondition),
     /// The action is not allowed now, but is done once the mode permits it.
     Deferred(DenialReason),
     /// The action is refused.
@@ -148,7 +148,7 @@
         (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(StateServiceUnreachable),
         // A final result needs neither side.
         (Action::AnswerFromMemory, _) => Allowed,
-        (Action::Place | Action::Start, Whole) => Within(JobsSynced),
+        (Action::Place | Action::Start, Whole) => AllowedWhile(JobsSynced),
         (Action::Place | Action::Start, StateOnly) => Deferred(WorkersUnreachable),
         (Action::Place | Action::Start, WorkersOnly) => Forbidden(StateServiceUnreachable),
         (Action::Place | Action::Start, Isolated) => Forbidden(BothUnreachable),
@@ -157,12 +157,12 @@
         (Action::Kill, _) => Allowed,
         // The heartbeat itself shows that its worker reaches this node.
         (Action::ProcessHeartbeats, _) => Allowed,
-        (Action::RenewLeases, _) => Within(LeasesExpireInTime),
+        (Action::RenewLeases, _) => AllowedWhile(LeasesExpireInTime),
         (Action::AcknowledgeEnds, Whole | StateOnly) => Allowed,
         (Action::AcknowledgeEnds, WorkersOnly | Isolated) => Deferred(StateServiceUnreachable),
         // A rental needs only the state service and the cloud. The first heartbeat of the new machine shows
         // whether it can reach this node.
-        (Action::Rent, Whole | StateOnly) => Within(JobsSynced),
+        (Action::Rent, Whole | StateOnly) => AllowedWhile(JobsSynced),
         (Action::Rent, WorkersOnly | Isolated) => Forbidden(StateServiceUnreachable),
         (Action::Return, Whole) => Allowed,
         (Action::Return, StateOnly) => Forbidden(WorkersUnreachable),
@@ -171,7 +171,7 @@
         // The deadline of a cancellation requires it, and the cloud's answer proves that the task is over.
         (Action::ReclaimOverdue, _) => Allowed,
         (Action::RemoveSilent, Whole) => Allowed,
-        (Action::RemoveSilent, StateOnly) => Within(NoPeerReceivesHeartbeats),
+        (Action::RemoveSilent, StateOnly) => AllowedWhile(NoPeerReceivesHeartbeats),
         (Action::RemoveSilent, WorkersOnly | Isolated) => Forbidden(OwnLinksSuspect),
         (Action::Lead, Whole) => Allowed,
         (Action::Lead, StateOnly) => Deferred(BetterConnectedNode),
--- a/crates/plankhead-reachability/tests/table.rs
+++ b/crates/plankhead-reachability/tests/table.rs
@@ -7,9 +7,9 @@
 fn permission_letter(permission: Permission) -> char {
     match permission {
         Permission::Allowed => 'a',
-        Permission::Within(Precondition::JobsSynced) => 'j',
-        Permission::Within(Precondition::LeasesExpireInTime) => 'c',
-        Permission::Within(Precondition::NoPeerReceivesHeartbeats) => 'p',
+        Permission::AllowedWhile(Precondition::JobsSynced) => 'j',
+        Permission::AllowedWhile(Precondition::LeasesExpireInTime) => 'c',
+        Permission::AllowedWhile(Precondition::NoPeerReceivesHeartbeats) => 'p',
         Permission::Deferred(_) => 'd',
         Permission::Forbidden(_) => 'f',
     }
@@ -49,7 +49,7 @@
     let table = PermissionTable::standard();
     let rank = |permission: Permission| match permission {
         Permission::Allowed => 3,
-        Permission::Within(_) => 2,
+        Permission::AllowedWhile(_) => 2,
         Permission::Deferred(_) => 1,
         Permission::Forbidden(_) => 0,
     };
