--- a/crates/plankhead-core/src/fleet/inventory.rs
+++ b/crates/plankhead-core/src/fleet/inventory.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Fleet {
-    /// Applies a complete inventory. The inventory may be out of date, so a missing machine is only
-    /// counted as missed here.
+    /// Applies a complete inventory. The inventory may be out of date, so a machine that is missing from
+    /// it is not removed here; only the consecutive inventories without it are counted.
     pub fn observe_inventory(&mut self, instances: &[Instance], now: Duration) {
         let mut listed: BTreeSet<&MachineName> = BTreeSet::new();
         for instance in instances {
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -1,5 +1,5 @@
 //! Decides which machines to return to the cloud: silent machines, machines that did not come up,
-//! and machines on which tasks fail repeatedly.
+//! machines missing from the cloud's inventory, and machines on which tasks fail repeatedly.
 
 use crate::fleet::machine::{Machine, RemovalReason};
 use crate::fleet::Fleet;
@@ -12,13 +12,14 @@
 const MAX_BOOT_TIME_FACTOR: f64 = 2.6;
 /// The boot time assumed for an unknown machine type.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(60);
-/// The number of consecutive unanswered commands after which a machine with a late heartbeat is
-/// unresponsive.
+/// The number of consecutive unanswered commands after which a machine with a late heartbeat
+/// counts as unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
 /// Machines are probed only up to this number of direct commands in flight.
 const MAX_PROBES_IN_FLIGHT: usize = 64;
 /// Unresponsive machines count as lost only if there is at most one per this many machines. If more
-/// are unresponsive, they may be unreachable from this node only and return through a peer.
+/// are unresponsive, perhaps only this node cannot reach them, and their heartbeats will arrive
+/// through a peer.
 const MIN_MACHINES_PER_UNRESPONSIVE: usize = 50;
 /// The time for which a peer's statement that it receives a machine's heartbeats is valid.
 const PEER_COVERAGE_TIMEOUT: Duration = Duration::from_secs(6);
@@ -32,7 +33,8 @@
     now: Duration,
     /// The time since the last heartbeat after which the next one is late.
     heartbeat_timeout: Duration,
-    /// The longest time until a worker is heard again after one lost response.
+    /// The longest time between two heartbeats of a worker when one heartbeat between them, or the
+    /// response to it, is lost.
     failover_heartbeat_timeout: Duration,
     worker_lease: Duration,
     /// The zones considered cut off from this node.
@@ -102,8 +104,9 @@
             self.failover_heartbeat_timeout
         };
         let silence = self.elapsed_since(machine.heartbeat_times.last_heard_at);
-        // The boot time applies only to machines that have never been up. One that failed before
-        // this leader's term never reports to it, and is judged by its silence alone.
+        // The limit on the boot time applies only to machines that are not known to have been up. Another
+        // machine that has sent no heartbeat to this leader may have failed before the leader's term, so
+        // only its silence counts.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
             let max_boot_time = boot_time.mul_f64(MAX_BOOT_TIME_FACTOR);
             let is_late = self.elapsed_since(machine.rented_at) > max_boot_time && silence > max_silence;
@@ -130,15 +133,17 @@
 }
 
 impl Fleet {
-    /// Marks the machines to be removed, and returns how many were marked: silent machines,
-    /// machines that did not come up, and machines on which tasks fail repeatedly.
+    /// Marks the machines to be removed, and returns how many were marked: silent machines, machines
+    /// that did not come up, machines missing from the cloud's inventory, and machines on which tasks
+    /// fail repeatedly.
     ///
-    /// If most machines of a zone fall silent, the zone is probably cut off and its machines may
-    /// soon be heard through a peer. They are kept until their leases have expired and half the
-    /// boot time of a replacement has passed.
+    /// If most machines of a zone fall silent, the zone is probably cut off, and the heartbeats of
+    /// its machines may soon arrive through a peer. The machines are kept until their leases have
+    /// expired and half the boot time of a replacement has passed.
     ///
     /// Machines with late heartbeats are probed with direct commands. A machine that does not
-    /// answer them is lost long before the time allowed for recovery from a lost response is over.
+    /// answer them counts as lost after the heartbeat timeout, without the additional time that a
+    /// worker needs to reach another node after a lost response.
     pub fn mark_for_removal(&mut self, now: Duration, settings: &Settings) -> usize {
         let criteria = RemovalCriteria::new(self.machines.values(), now, settings);
         let mut marked = 0;
--- a/crates/plankhead-core/src/fleet/response_tracking.rs
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -3,10 +3,10 @@
 use crate::protocol::{EffectKind, ExpectedEffect, Heartbeat, ReportedTask, TaskStatus, WorkerCommand};
 use std::time::Duration;
 
-/// A worker lease that expires within this time after a response was not renewed by that response:
-/// the response did not arrive.
+/// If a worker lease expires within this time after a response was sent, that response did not arrive,
+/// because it would have renewed the lease.
 const MIN_RENEWED_LEASE: Duration = Duration::from_millis(4500);
-/// The number of consecutive responses without effect after which a worker ignores commands.
+/// The number of consecutive responses without effect after which a worker counts as ignoring commands.
 const MAX_IGNORED_RESPONSES: u32 = 3;
 
 /// The responses to one worker's heartbeats.
@@ -40,7 +40,8 @@
         self.ignored_in_a_row >= MAX_IGNORED_RESPONSES
     }
 
-    /// Drops the expected effects, so that the next heartbeat counts as effective.
+    /// Drops the expected effects. The next heartbeat need not show any, and ends the series of responses
+    /// without effect.
     pub(super) fn clear_expected_effects(&mut self) {
         self.expected_effects.clear();
     }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -74,9 +74,10 @@
     evidence: Evidence,
     persistence: Persistence,
     garbage: Garbage,
-    /// The jobs that are not over in the state service, with their attempts.
+    /// The unfinished jobs with their attempts. A finished job stays until its end is stored and none of
+    /// its attempts is left.
     pub job_table: JobTable,
-    /// All machines that are rented or expected to appear.
+    /// All machines that are or may be rented.
     pub fleet: Fleet,
     placement: Placement,
     target: TargetState,
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The margin by which a leader that cannot see cancellations stops renewing leases early, for clock
-/// drift and messages in flight.
+/// A leader that cannot see cancellations stops renewing leases this much earlier than the deadline
+/// requires, to allow for clock drift and messages in flight.
 const CLOCK_MARGIN: Duration = Duration::from_secs(2);
 /// The time after the last sync of the job records from which no starts are allowed.
 const JOBS_STALE_AFTER: Duration = Duration::from_secs(4);
@@ -39,7 +39,7 @@
     }
 
     /// Returns the facts about this leader that the node's reachability monitoring uses.
-    /// `lease_undisputed` tells that its lease is valid and the latest renewal has not failed.
+    /// `lease_undisputed` is whether its lease is valid and the latest renewal has not failed.
     pub fn reachability_facts(&self, now: Duration, lease_undisputed: bool) -> LeaderFacts {
         let timeout = self.settings.heartbeat_timeout() + Duration::from_secs(1);
         let recent = |at: Duration| now.saturating_sub(at) < timeout;
--- a/crates/plankhead-core/src/leader/persistence/mod.rs
+++ b/crates/plankhead-core/src/leader/persistence/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct Persistence {
     budget: TokenBucket,
-    /// No transaction is sent before this time, after a failed call.
+    /// The time until which no transaction is sent. Set after a failed call.
     paused_until: Duration,
     txns_in_flight: usize,
     /// The keys that are being read again because their revisions are uncertain.
@@ -260,7 +260,8 @@
             }
             requests.record_ended(&id, JobStatus::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
-                // A new leader would wait for proof that the attempts stored under these keys are over.
+                // Deleted first, because a new leader that reads these keys waits for proof that the
+                // attempts stored under them are over.
                 self.garbage.add_urgent(entry.stored_keys(&id));
                 let record = JobRecord::finished(JobPhase::Cancelled, 0);
                 self.garbage.archive(FinishedJob { id, mod_revision: entry.mod_revision, record });
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -84,8 +84,9 @@
         self.next_pass_at = next_at;
     }
 
-    /// Returns when to check for a due pass, if one is needed: `retry` if its regular time has come
-    /// and it only waits for earlier placements to be written.
+    /// Returns when to check whether a pass is due, or `None` if no pass is needed. This is the regular
+    /// time of the pass, or `retry` if that time has come and the pass only waits for earlier placements
+    /// to be written.
     pub(super) fn next_pass_due(&self, now: Duration, retry: Duration) -> Option<Duration> {
         let due = if self.next_pass_at > now { self.next_pass_at } else { retry };
         self.pass_needed.then_some(due)
--- a/crates/plankhead-core/src/leader/preemption.rs
+++ b/crates/plankhead-core/src/leader/preemption.rs
@@ -62,7 +62,7 @@
 /// A task that may be preempted.
 #[derive(Debug, Clone)]
 struct Victim {
-    /// The progress lost by stopping the task, which for a task of a gang counts all tasks of the gang.
+    /// The run time lost by stopping the task; for a task of a gang, the run time of all its tasks.
     ran_for: Duration,
     task: TaskId,
     demand: Resources,
@@ -173,7 +173,8 @@
         self.slots.iter().enumerate().filter_map(cost).min()
     }
 
-    /// Moves the victims that a cost stands for from the candidates to `chosen`.
+    /// Moves the victims counted in `cost` from the candidates of its slot to `chosen`, and counts their
+    /// resources as free.
     fn take_victims(&mut self, cost: PreemptionCost, chosen: &mut Vec<ChosenVictim>) {
         let slot_index = cost.slot_index;
         let victims: Vec<Victim> = self.candidates[slot_index].tasks.drain(..cost.victims).collect();
@@ -189,8 +190,9 @@
 }
 
 impl Leader {
-    /// Stops less urgent tasks to make room for urgent tasks that would otherwise start too late,
-    /// those with the least progress first. Stopped tasks return to the queue.
+    /// Stops less urgent tasks to make room for urgent tasks that would otherwise start too late.
+    /// Prefers machines where this stops no gang and loses the least progress. Stopped tasks return to
+    /// the queue.
     pub(super) fn preempt(&mut self, now: Duration, pass: PassOutcome<'_>, effects: &mut EffectSink) {
         let PassOutcome { machines, slots, work, teams } = pass;
         let shortages: Vec<Shortage> = work.iter().map(|work| Shortage::of(work, slots, now)).collect();
@@ -198,6 +200,7 @@
         if order.is_empty() {
             return;
         }
+        // Limits a gang that must run in one zone to the zone of its shortage.
         for (work, shortage) in work.iter_mut().zip(&shortages) {
             if let Some(zone) = shortage.zone {
                 work.add_to_zone(zone);
@@ -239,9 +242,11 @@
         }
     }
 
-    /// Returns the tasks on a machine that may be preempted, the least urgent first, then those with the
-    /// least progress: tasks below the highest priority that have run for less than half of their
-    /// estimated time and were not restarted too often.
+    /// Returns the tasks on a machine that may be preempted, the least urgent first. Within a priority,
+    /// tasks of gangs come last, and those with less progress first.
+    ///
+    /// A task may be preempted if the worker has reported it, its priority is below the highest, it has
+    /// run for less than half of its estimated time, and it was not restarted too often.
     fn preemption_candidates(
         &self,
         now: Duration,
--- a/crates/plankhead-core/src/settings.rs
+++ b/crates/plankhead-core/src/settings.rs
@@ -126,7 +126,7 @@
     pub sharding: Sharding,
 }
 
-/// The time until a worker that got no response is heard again: 4 s to detect this, 1 s to ask
+/// The time until a worker that got no response reaches another node: 4 s to detect this, 1 s to ask
 /// another node and 0.5 s to reach the node that it is redirected to.
 const MAX_REROUTE_TIME: Duration = Duration::from_millis(5500);
 /// The largest network delay of a heartbeat.
@@ -158,8 +158,8 @@
             .clamp(MIN_MESSAGE_INTERVAL, MAX_MESSAGE_INTERVAL)
     }
 
-    /// Returns the time within which a running worker is heard again even if one of its heartbeats
-    /// got no response.
+    /// Returns the longest time between the arrivals of two heartbeats of a running worker when one
+    /// heartbeat between them, or the response to it, is lost.
     pub fn failover_heartbeat_timeout(&self) -> Duration {
         self.heartbeat_timeout() + MAX_REROUTE_TIME
     }
--- a/crates/plankhead-reachability/src/mode.rs
+++ b/crates/plankhead-reachability/src/mode.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The sides that a node reaches.
+/// Which of the two sides, the state service and the workers, a node reaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
@@ -21,7 +21,7 @@
 pub const MODES: [Mode; 4] = [Mode::Whole, Mode::StateOnly, Mode::WorkersOnly, Mode::Isolated];
 
 impl Mode {
-    /// Returns the mode of a node that reaches the sides given as `true`.
+    /// Returns the mode of a node, given whether it reaches the state service and the workers.
     pub fn of(state: bool, workers: bool) -> Self {
         match (state, workers) {
             (true, true) => Self::Whole,
