--- a/crates/plankhead-core/src/fleet/heartbeat_times.rs
+++ b/crates/plankhead-core/src/fleet/heartbeat_times.rs
@@ -1,8 +1,8 @@
-//! The times at which a machine was last heard, by kind of evidence.
+//! The times at which a machine was last heard from, by kind of evidence.
 
 use std::time::Duration;
 
-/// The times at which a machine was last heard. The first three start at the time when this node
+/// The times at which a machine was last heard from. The first three start at the time when this node
 /// began to expect the machine.
 #[derive(Debug, Clone)]
 pub struct HeartbeatTimes {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Records that the holder of the machine's shard heard the machine at `at`.
+    /// Records that the holder of the machine's shard received a heartbeat of the machine at `at`.
     pub(super) fn observe_alive(&mut self, at: Duration) {
         self.last_heard_at = self.last_heard_at.max(at);
         self.last_new_at = self.last_new_at.max(at);
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -112,7 +112,7 @@
     pub last_heartbeat_id: Option<HeartbeatId>,
     /// The newest heartbeat.
     pub last_heartbeat: Option<Heartbeat>,
-    /// The times at which the machine was last heard.
+    /// The times at which the machine was last heard from.
     pub heartbeat_times: HeartbeatTimes,
     /// Whether the last heartbeat was relayed by a peer.
     pub is_relayed: bool,
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Records that the holder of the machine's shard heard an unchanged heartbeat at `at`. Has no
+    /// Records that the holder of the machine's shard received an unchanged heartbeat at `at`. Has no
     /// effect on a machine that is not confirmed.
     pub fn observe_alive(&mut self, name: &str, at: Duration) {
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -55,7 +55,7 @@
 }
 
 impl StatusStream {
-    /// Begins a new stream, in which all the given machines are reported anew.
+    /// Begins a new stream, in which all the given machines are reported again.
     pub fn restart(&mut self, machines: impl Iterator<Item = MachineName>) {
         self.stream += 1;
         self.stream_accepted = false;
@@ -183,7 +183,7 @@
         updates
     }
 
-    /// Begins a new stream, in which all machines are reported anew under new numbers.
+    /// Begins a new stream, in which all machines are reported again under new numbers.
     pub(super) fn restart_stream(&mut self) {
         self.status.restart(self.fleet.machines.keys().cloned());
     }
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -77,8 +77,8 @@
         Response::Commands { token, commands }
     }
 
-    /// Records a heartbeat in the fleet and the job table. `is_command_reply` tells that the
-    /// heartbeat is the reply to a direct command of this leader.
+    /// Records a heartbeat in the fleet and the job table. `is_command_reply` is
+    /// whether the heartbeat is the reply to a direct command of this leader.
     pub(super) fn observe_machine(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Marks a machine as confirmed and heard at `heard_at`, if the holder of its shard has confirmed it.
+    /// Marks a machine as confirmed, with its last heartbeat at `heard_at`, if the holder of its shard has
+    /// confirmed it.
     fn apply_confirmation(&mut self, name: &MachineName, confirmed: bool, heard_at: Duration) {
         let Some(machine) = self.fleet.machines.get_mut(name).filter(|_| confirmed) else { return };
         if !std::mem::replace(&mut machine.confirmed, true) {
--- a/crates/plankhead-core/src/protocol/events.rs
+++ b/crates/plankhead-core/src/protocol/events.rs
@@ -43,7 +43,8 @@
     CommandReply { call: CallId, reply: CommandReply },
     /// A peer's heartbeat.
     PeerHeartbeat(PeerHeartbeat),
-    /// A peer's coverage, which tells whose heartbeats it receives, or why its message was refused.
+    /// A peer's coverage, which lists the machines whose heartbeats it receives, or why its message was
+    /// refused.
     Coverage(Result<Box<Coverage>, CoverageError>),
     /// A peer's message about shards, or why it was refused.
     ShardMessage { request: RequestId, message: Result<ShardMessage, ShardMessageError> },
--- a/crates/plankhead-core/src/shards/messages.rs
+++ b/crates/plankhead-core/src/shards/messages.rs
@@ -77,7 +77,7 @@
     pub ignores_commands: bool,
     /// The number of consecutive commands that the worker did not answer.
     pub unanswered_commands: u32,
-    /// The time since the machine was last heard.
+    /// The time since the machine was last heard from.
     pub age: Duration,
 }
 
--- a/crates/plankhead/src/peer_messages/coverage.rs
+++ b/crates/plankhead/src/peer_messages/coverage.rs
@@ -1,5 +1,5 @@
-//! Coverage messages, which tell the peers the machines that a node hears. A peer whose version does not
-//! support the path replies with 404, which still shows that it is reachable.
+//! Coverage messages, which tell the peers from which machines a node receives heartbeats. A peer whose
+//! version does not support the path replies with 404, which still shows that it is reachable.
 
 use super::{decode_archive, encode_archive};
 use plankhead_reachability::bitmap;
--- a/crates/plankhead/src/settings/reachability.rs
+++ b/crates/plankhead/src/settings/reachability.rs
@@ -29,7 +29,8 @@
     /// The flap penalty, in failures, at which a suppressed side may count as up again.
     #[cfg_attr(test, schemars(range(min = 0.1, max = 1.0)))]
     pub reuse: f64,
-    /// Milliseconds between two messages that tell the peers which machines this node hears (coverage).
+    /// Milliseconds between two coverage messages, which tell the peers from which machines this node
+    /// receives heartbeats.
     #[cfg_attr(test, schemars(range(min = 200, max = 2_500)))]
     pub coverage_interval_ms: u64,
     /// Milliseconds for which another node must have clearly better links before the leader hands over to it.
--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 /// The age of a peer's last heartbeat, in seconds, below which a node without reachability checks counts as
-/// hearing the peer.
+/// receiving heartbeats from the peer.
 const PEER_HEARTBEAT_TIMEOUT_S: f64 = 4.0;
 
 /// One controller's view of its own links and of the other controllers.
@@ -66,13 +66,13 @@
     }
 }
 
-/// Returns which peers a node hears according to the condition of its links.
+/// Returns whether a node receives heartbeats from each peer, judged by the condition of its links.
 fn heard_by_link(links: &[Value]) -> BTreeMap<String, bool> {
     let heartbeat_links = links.iter().filter(|link| link["link"] == "peerIn");
     heartbeat_links.filter_map(|link| Some((text(&link["peer"])?, link["condition"] != "down"))).collect()
 }
 
-/// Returns which peers a node hears according to the age of their last heartbeats.
+/// Returns whether a node receives heartbeats from each peer, judged by the age of the last ones.
 fn heard_by_age(view: &Value) -> BTreeMap<String, bool> {
     // The previous version calls the peers `siblings`.
     let peers = view.get("peers").unwrap_or(&view["siblings"]).as_array().into_iter().flatten();
