--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -234,9 +234,10 @@
         self.commands.end(starts, incarnation, reply);
     }
 
-    /// Returns whether to redirect the worker to another node, and records the redirect. If
-    /// `node_is_disconnected`, another node may lead by now. Redirects are spaced so that a worker
-    /// that finds no other leader returns before its lease expires.
+    /// Returns whether to redirect the worker to another node, and records the redirect. A worker is
+    /// redirected only if `node_is_disconnected`, because another node may lead by then. There is a
+    /// minimum time between two redirects, so that a worker that finds no other leader is answered
+    /// here before its lease expires.
     pub fn take_redirect(&mut self, node_is_disconnected: bool, lease: Duration, now: Duration) -> bool {
         let interval = lease.mul_f64(REDIRECT_INTERVAL_LEASES);
         let is_due =
--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -118,7 +118,7 @@
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.confirmed = true;
             machine.commands.unanswered = 0;
-            // The response to the worker's last heartbeat may not have arrived yet.
+            // The worker may have sent this reply before the response to its last heartbeat arrived.
             machine.responses.clear_expected_effects();
         }
         self.observe_heartbeat(heartbeat, own_token, now)
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -1,5 +1,5 @@
-//! What the leader knows about its own links: which sides it reaches, and whether missing
-//! heartbeats are the fault of the workers or of its own links.
+//! What the leader knows about its own links: whether it reaches the state service and the workers,
+//! and whether missing heartbeats are the fault of the workers or of its own links.
 
 use plankhead_reachability::mode::Mode;
 use std::time::Duration;
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -27,9 +27,9 @@
         self.loading.is_ready() && self.permits(Action::RenewLeases, now)
     }
 
-    /// Returns whether starts may be sent, which requires that no cancellation is likely to have
-    /// been confirmed without this leader seeing it. If the lease was uncertain at any time since the
-    /// jobs were last synced, another node may have confirmed one.
+    /// Returns whether starts may be sent. They may not if a cancellation that this leader has not
+    /// seen may have been confirmed, such as by another node while the lease was uncertain. A lease
+    /// that was uncertain before the jobs were last synced does no harm.
     pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
         self.permits(Action::Start, now)
             && !self.evidence.is_lease_uncertain_since(self.job_watch.synced_at())
@@ -77,8 +77,8 @@
         Response::Commands { token, commands }
     }
 
-    /// Records a heartbeat in the fleet and the job table. `is_command_reply` is
-    /// whether the heartbeat is the reply to a direct command of this leader.
+    /// Records a heartbeat in the fleet and the job table. `is_command_reply` is whether
+    /// the heartbeat is the reply to a direct command of this leader.
     pub(super) fn observe_machine(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -24,8 +24,8 @@
 const RETURN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leader {
-    /// Requests an action that can't be undone in the cloud; there is no other way to do so. Without
-    /// fencing the action is sent at once, otherwise once its intent is durable. An action that was
+    /// Requests an action of the cloud that can't be undone. All such actions go through this method.
+    /// Without fencing the action is sent at once, otherwise once its intent is durable. An action that was
     /// requested before under the same key is sent again. Returns false if the intent was not accepted.
     pub(super) fn request_cloud_action(
         &mut self,
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -18,7 +18,7 @@
     Ready,
 }
 
-/// A stored chunk that has been read, kept until all chunks are.
+/// A stored chunk that has been read, kept until all chunks have been read.
 #[derive(Debug)]
 struct StoredChunk {
     job: JobId,
--- a/crates/plankhead-core/src/leader/machine_checks.rs
+++ b/crates/plankhead-core/src/leader/machine_checks.rs
@@ -89,7 +89,8 @@
     /// Marks machines with silent workers for removal, unless this node's own links may be at fault.
     fn check_silent_machines(&mut self, now: Duration, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let receives_heartbeats = self.receives_heartbeats(now);
-        // If no node receives heartbeats, the links of this node are not at fault.
+        // A node in mode state-only may remove silent machines only while no peer receives heartbeats
+        // either, so the silence is not the fault of its links.
         let silence_counts = receives_heartbeats || self.evidence.mode() == Mode::StateOnly;
         if evidence.lease_valid && silence_counts && self.permits(Action::RemoveSilent, now) {
             if self.evidence.mark_silence_reliable() {
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -71,11 +71,11 @@
     commands_due: BTreeSet<MachineName>,
     /// The commands that were last sent for each machine.
     sent: HashMap<MachineName, SentCommands>,
-    /// Shards that the node holds only now, and for whose machines it has not been sent the latest
+    /// Shards that the node has begun to hold, and for whose machines it has not been sent the latest
     /// heartbeats yet.
     newly_held: BTreeSet<ShardId>,
-    /// Whether a shard was given to another node and this node, which may not have read the new record
-    /// yet, has not been told so.
+    /// Whether a shard of the node was assigned to another node and the node is still to be told. It may
+    /// not have read the new record yet.
     shard_taken: bool,
     /// Machines that the cloud has released, of which the node is still to be told.
     removed: BTreeSet<MachineName>,
--- a/crates/plankhead-core/src/leader/wide_jobs.rs
+++ b/crates/plankhead-core/src/leader/wide_jobs.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the pools with machines that stay, with the numbers of these machines.
+    /// Returns the pools that have machines that stay, each with the count of these machines.
     fn held_pools(&mut self) -> Vec<HeldPool> {
         let is_staying = |m: &&Machine| m.removal.is_none() && !m.has_preemption_notice;
         let mut held: BTreeMap<Pool, u32> = BTreeMap::new();
--- a/crates/plankhead-core/src/placement/slot.rs
+++ b/crates/plankhead-core/src/placement/slot.rs
@@ -6,7 +6,7 @@
 
 /// The upper limit of an estimated image fetch time, in seconds.
 const MAX_FETCH_S: f64 = 3600.0;
-/// The divisor of a task's estimated run time that gives its remaining run time once overdue.
+/// The remaining run time assumed for an overdue task is its estimated run time divided by this number.
 const OVERDUE_DIVISOR: u32 = 5;
 
 /// A machine as seen by a pass.
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -26,8 +26,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time beyond the heartbeat timeout for which no heartbeats of workers arrive before the link on
-/// which they arrive counts as failed.
+/// The link on which workers' heartbeats arrive counts as failed once none has arrived for the heartbeat
+/// timeout plus this time.
 const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The state of the leader on this node, as far as reachability depends on it.
