--- a/crates/plankhead-core/src/leader/preemption.rs
+++ b/crates/plankhead-core/src/leader/preemption.rs
@@ -10,7 +10,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The maximum number of tasks preempted in one pass.
+/// A pass that has chosen this many tasks to preempt makes room for no further task. It may choose a few
+/// more, because room for one task can take several.
 const MAX_PREEMPTIONS_PER_PASS: usize = 64;
 /// The highest attempt number that may be preempted, so that no task is restarted again and again.
 const MAX_ATTEMPTS_TO_PREEMPT: u64 = 2;
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -244,7 +244,7 @@
             return;
         }
         self.sizing.next_round_at = now + self.round_interval();
-        // The backlog of the first seconds does not predict later arrivals either.
+        // In a cold round, the arrivals so far are a first backlog, which does not predict later ones.
         let expected_arrivals = if cold { Vec::new() } else { self.expected_arrivals(now) };
         let slots = self.available_slots(now).slots;
         let is_running = |e: &&JobEntry| e.phase == JobPhase::Active && e.placed > 0 && e.pending() == 0;
