--- a/crates/plankhead-core/src/fleet/mod.rs
+++ b/crates/plankhead-core/src/fleet/mod.rs
@@ -118,7 +118,7 @@
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.confirmed = true;
             machine.commands.unanswered = 0;
-            // The response to the worker's last heartbeat may not have arrived yet.
+            // The worker may have sent this reply before the response to its last heartbeat arrived.
             machine.responses.clear_expected_effects();
         }
         self.observe_heartbeat(heartbeat, own_token, now)
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Records that the holder of the machine's shard heard an unchanged heartbeat at `at`. Has no
+    /// Records that the holder of the machine's shard received an unchanged heartbeat at `at`. Has no
     /// effect on a machine that is not confirmed.
     pub fn observe_alive(&mut self, name: &str, at: Duration) {
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/crates/plankhead/src/server/controller_port.rs
+++ b/crates/plankhead/src/server/controller_port.rs
@@ -30,13 +30,13 @@
 /// Adds an event to the node's queue and replies without waiting until it is processed.
 fn enqueue(node: &NodeHandle, event: Event) -> Result<Reply, Reply> {
     match node.send(NodeMessage::Event(event)) {
-        Ok(()) => Ok(Reply { status: 200, body: Vec::new(), retry: None }),
+        Ok(()) => Ok(Reply { status: 200, body: Vec::new(), retry_after: None }),
         Err(_) => Err(Reply::error(503, "too much to do")),
     }
 }
 
 async fn receive_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, heartbeat::MAX_MESSAGE).await?;
+    let body = http::read_body(request, heartbeat::MAX_MESSAGE).await?;
     let heartbeat = heartbeat::decode(&body).ok_or_else(|| {
         tracing::debug!("peer heartbeat rejected: reason=malformed");
         Reply::error(400, "not a pulse")
@@ -46,7 +46,7 @@
 
 /// Malformed coverage is passed to the core, too, since it shows that its sender can reach this node.
 async fn receive_coverage(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, coverage::MAX_MESSAGE).await?;
+    let body = http::read_body(request, coverage::MAX_MESSAGE).await?;
     let coverage = coverage::decode(&body).map(Box::new);
     let error = coverage.as_ref().err().map(ToString::to_string);
     let reply = enqueue(node, Event::Coverage(coverage))?;
@@ -55,7 +55,7 @@
 
 /// Malformed messages are passed to the core, too, which counts them.
 async fn receive_shard_message(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, shards::MAX_MESSAGE).await?;
+    let body = http::read_body(request, shards::MAX_MESSAGE).await?;
     let message = shards::decode(&body);
     let error = message.as_ref().err().map(ToString::to_string);
     let reply = node.reply(NodeRequest::ShardMessage { message }).await;
@@ -63,10 +63,10 @@
 }
 
 async fn receive_relayed_heartbeat(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, relay::MAX_MESSAGE).await?;
+    let body = http::read_body(request, relay::MAX_MESSAGE).await?;
     let heartbeat = relay::decode_request(&body).and_then(|body| parse_heartbeat(&body).ok());
     let heartbeat = heartbeat.ok_or_else(|| Reply::error(400, "not a report"))?;
     let reply = node.reply(NodeRequest::Heartbeat { heartbeat, relayed: true }).await;
     let body = relay::encode_reply(&reply).ok_or_else(|| Reply::error(503, "no answer"))?;
-    Ok(Reply { status: 200, body, retry: None })
+    Ok(Reply { status: 200, body, retry_after: None })
 }
