--- a/crates/plankhead/src/server/public_port.rs
+++ b/crates/plankhead/src/server/public_port.rs
@@ -35,14 +35,14 @@
 
 fn health(node: &NodeHandle) -> Reply {
     if node.is_healthy() {
-        Reply { status: 200, body: b"{}".to_vec(), retry: None }
+        Reply { status: 200, body: b"{}".to_vec(), retry_after: None }
     } else {
         Reply::error(503, "the state service refuses this node")
     }
 }
 
 async fn submit(node: &NodeHandle, request: Request<Incoming>) -> Result<Reply, Reply> {
-    let body = http::body(request, MAX_REQUEST).await?;
+    let body = http::read_body(request, MAX_REQUEST).await?;
     let Submission { id, job } =
         parse_submission(&body).map_err(|error| Reply::error(400, &error.to_string()))?;
     Ok(node.reply(NodeRequest::Submit { id, job }).await)
@@ -61,7 +61,7 @@
     connection: &ConnectionState,
     request: Request<Incoming>,
 ) -> Result<Reply, Reply> {
-    let body = http::body(request, MAX_REQUEST).await?;
+    let body = http::read_body(request, MAX_REQUEST).await?;
     let heartbeat = connection.lock().unwrap_or_else(PoisonError::into_inner).read(&body);
     let heartbeat = heartbeat.map_err(|error| {
         tracing::debug!("heartbeat rejected: reason={error}");
