--- a/crates/plankhead-core/src/requests/mod.rs
+++ b/crates/plankhead-core/src/requests/mod.rs
@@ -27,11 +27,11 @@
 /// The time after which a user whose request can't be handled now should retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The shares of the state service's limits that user requests may use; the leader's own calls need
-/// the rest.
-const READ_RATE_SHARE: f64 = 0.5;
-const READ_BURST_SHARE: f64 = 0.7;
-const WRITE_BURST_SHARE: f64 = 0.4;
+/// The shares of the state service's limits per second that the user requests of all nodes may use; the
+/// leader's own calls need the rest. A burst of writes may be as large as the whole limit per second.
+const READ_RATE_SHARE: f64 = 0.7;
+const READ_BURST_SHARE: f64 = 0.5;
+const WRITE_RATE_SHARE: f64 = 0.4;
 
 /// The numbers of a job's tasks that have completed and that are running.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -63,13 +63,13 @@
 /// Returns the budget of one node for changes on behalf of its users.
 fn write_budget(changes_per_s: f64, nodes: usize) -> TokenBucket {
     let nodes = nodes.max(1) as f64;
-    TokenBucket::new(changes_per_s * WRITE_BURST_SHARE / nodes, changes_per_s / nodes)
+    TokenBucket::new(changes_per_s * WRITE_RATE_SHARE / nodes, changes_per_s / nodes)
 }
 
 /// Returns the budget of one node for reads on behalf of its users.
 fn read_budget(requests_per_s: f64, nodes: usize) -> TokenBucket {
     let nodes = nodes.max(1) as f64;
-    TokenBucket::new(requests_per_s * READ_BURST_SHARE / nodes, requests_per_s * READ_RATE_SHARE / nodes)
+    TokenBucket::new(requests_per_s * READ_RATE_SHARE / nodes, requests_per_s * READ_BURST_SHARE / nodes)
 }
 
 fn respond_unavailable(request: RequestId, effects: &mut EffectSink) {
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Handles a reply of the state service. Returns the rows of job records that were written, which are
-    /// meant for the leader if this node leads.
+    /// Handles a reply of the state service. Returns the rows of job records that were written, so that a
+    /// leader on this node learns of them.
     pub fn handle_reply(
         &mut self,
         times: StepTime,
