--- a/crates/plankhead-core/src/leadership/election.rs
+++ b/crates/plankhead-core/src/leadership/election.rs
@@ -38,7 +38,7 @@
 struct Term {
     token: u64,
     lease: u64,
-    /// When the latest successful renewal was sent.
+    /// When the latest successful renewal was sent or, before the first one, when the term began.
     renewed_at: Duration,
     next_renewal_at: Duration,
     renewal_in_flight: bool,
@@ -52,7 +52,7 @@
     Unknown,
     /// Another node, or an earlier term of this one, holds the key. Changes after `revision` are
     /// watched.
-    HeldByPeer { revision: u64 },
+    HeldByOther { revision: u64 },
     /// No node holds the key, so this node tries to acquire it.
     Vacant { since: Duration },
     /// This node holds the key and leads.
@@ -84,7 +84,7 @@
     /// The lease of an attempt to acquire the key whose outcome is unknown. If the key turns out to
     /// be held under this lease, the attempt has succeeded.
     uncertain_acquire: Option<u64>,
-    /// The duration of the lease: how long the key remains after its leader has stopped renewing it.
+    /// The duration of the lease, for which the key outlives its leader's last renewal.
     lease_duration: Duration,
     /// Whether peers are better placed to lead.
     defers_to_peers: bool,
@@ -161,7 +161,7 @@
             KeyState::Held(term) => return term.renew_if_due(now, effects),
             _ if !can_call => return,
             KeyState::Unknown => (ElectionCall::Read, KvRequest::Get { key: KEY.into() }),
-            KeyState::HeldByPeer { revision } => {
+            KeyState::HeldByOther { revision } => {
                 let request = KvRequest::Watch { prefix: KEY.into(), after: *revision, wait: WATCH_TIMEOUT };
                 (ElectionCall::Watch, request)
             }
@@ -239,7 +239,7 @@
                 _ => {}
             }
         }
-        if let KeyState::HeldByPeer { revision: watched } = &mut self.key {
+        if let KeyState::HeldByOther { revision: watched } = &mut self.key {
             *watched = (*watched).max(revision);
         }
         change
@@ -309,7 +309,7 @@
         } else {
             self.known_leader = Some(LeaderId { token: row.mod_revision, host: record.host });
         }
-        self.key = KeyState::HeldByPeer { revision: row.mod_revision };
+        self.key = KeyState::HeldByOther { revision: row.mod_revision };
         LeadershipChange::Unchanged
     }
 
--- a/crates/plankhead-core/src/leadership/version_barrier.rs
+++ b/crates/plankhead-core/src/leadership/version_barrier.rs
@@ -13,10 +13,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The format of stored values that this version can read. Format 1 adds gangs and rechunked jobs.
+/// The latest format of stored values that this version can read. Format 1 adds gangs and rechunked jobs.
 const FORMAT: u32 = 1;
 const PREFIX: &str = "node/";
-/// The time between two calls, whether or not the first one succeeded.
+/// The time between two calls, whether or not they succeed. Only the first list follows the write of this
+/// node's key at once.
 const CALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The value of a `node/<host>` key.
@@ -115,9 +116,9 @@
         }
     }
 
-    /// Opens the barrier and returns whether it was closed before. This is also correct before all keys
-    /// have been seen if the state service has lowered its limits, because it does so only after every
-    /// node is upgraded.
+    /// Opens the barrier and returns whether it was closed before. The caller may do so before all keys
+    /// have been seen if the state service has lowered its limits, which happens only after every node
+    /// is upgraded.
     pub fn open(&mut self, effects: &mut EffectSink) -> bool {
         if self.is_open() {
             return false;
