--- a/crates/plankhead-core/src/calls.rs
+++ b/crates/plankhead-core/src/calls.rs
@@ -94,7 +94,7 @@
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
     pub(crate) reason: LookupReason,
-    /// Whether the archive key is read, because there was no record under the key of live jobs.
+    /// Whether the archive key is read, because there was no record under the key of active jobs.
     pub(crate) archived: bool,
 }
 
@@ -104,7 +104,8 @@
     pub(crate) request: RequestId,
     pub(crate) id: JobId,
     pub(crate) record: JobRecord,
-    /// The number of earlier attempts that failed because the record had changed.
+    /// The number of earlier attempts that failed because the record had changed, or whose outcome is
+    /// unknown.
     pub(crate) attempts: u32,
 }
 
@@ -117,7 +118,7 @@
     RepeatedSubmission,
     /// To reject the request with this response, unless the job exists.
     RejectUnlessKnown(Response),
-    /// To cancel the job. `attempts` is the number of earlier attempts that failed.
+    /// To cancel the job. `attempts` is as in [`Cancellation`].
     Cancel { attempts: u32 },
 }
 
@@ -208,7 +209,7 @@
     SendShardCommands { to: String, sent: SentShardCommands },
 }
 
-/// The content of one transaction.
+/// The content of one [`LeaderCall::Commit`] transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WriteBatch {
     /// The chunks that are written, each as its job, its number in the job and its version.
@@ -221,7 +222,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedJob {
     pub id: JobId,
-    /// The revision of the job's record under the key of live jobs.
+    /// The revision of the job's record under the key of active jobs.
     pub mod_revision: u64,
     /// The record to be stored under the archive key.
     pub record: JobRecord,
--- a/crates/plankhead-core/src/requests/lookups.rs
+++ b/crates/plankhead-core/src/requests/lookups.rs
@@ -72,8 +72,8 @@
 
     /// Handles a lookup whose key does not exist.
     fn record_missing(&mut self, now: Duration, lookup: Lookup, effects: &mut EffectSink) {
-        // The job may have been archived before the read: one transaction moves the record to its
-        // archive key.
+        // The job may have been archived. One transaction moves its record, so the archive key exists
+        // as soon as the key of active jobs does not.
         if !lookup.archived {
             return self.send_lookup(now, Lookup { archived: true, ..lookup }, effects);
         }
--- a/crates/plankhead-core/src/requests/submission.rs
+++ b/crates/plankhead-core/src/requests/submission.rs
@@ -47,7 +47,7 @@
 /// The decision about a submitted job.
 enum Decision {
     Accepted(JobSpec),
-    /// The job is answered with this response, unless its id is already known.
+    /// The request is answered with this response, unless a job with its id already exists.
     Rejected(Response),
 }
 
