--- a/crates/plankhead-core/src/reachability/coverage.rs
+++ b/crates/plankhead-core/src/reachability/coverage.rs
@@ -1,5 +1,5 @@
 //! Coverage, the set of machines whose heartbeats a node receives: its exchange with peers, and the
-//! handover of the leader's lease to a peer that receives the heartbeats of more machines.
+//! handover of the leadership to a peer that receives the heartbeats of more machines.
 
 use super::{LeaderFacts, Reachability};
 use crate::effects::EffectSink;
@@ -67,7 +67,7 @@
     }
 
     /// Sends this node's coverage to all peers. `facts` is given if this node leads, `successor` if it
-    /// hands its lease over to that node.
+    /// hands the leadership over to that node.
     pub(super) fn send_coverage(
         &mut self,
         facts: Option<&LeaderFacts>,
@@ -95,8 +95,8 @@
         effects.queued.push(Effect::SendCoverage(Box::new(coverage)));
     }
 
-    /// Returns the peer to which this leader should now hand over its lease, if there is one, and tells all
-    /// peers its name.
+    /// Returns the peer to which this leader should now hand over the leadership, if there is one, and tells
+    /// all peers its name.
     pub fn successor(
         &mut self,
         facts: &LeaderFacts,
--- a/crates/plankhead-core/src/reachability/evidence.rs
+++ b/crates/plankhead-core/src/reachability/evidence.rs
@@ -80,8 +80,8 @@
         self.reporting_machines.record(machine, now);
     }
 
-    /// Records the first heartbeat of a worker after a reply to it. `confirmed` says whether the heartbeat
-    /// shows that the worker has received the reply.
+    /// Records what the heartbeat that follows a reply to a worker shows. `confirmed` says whether the worker
+    /// has received the reply.
     pub fn answer_confirmed(&mut self, confirmed: bool, now: Duration) {
         match confirmed {
             true => self.monitor.record_confirmation(LinkId::HeartbeatReplies, now),
--- a/crates/plankhead-core/src/reachability/mod.rs
+++ b/crates/plankhead-core/src/reachability/mod.rs
@@ -26,8 +26,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time beyond the heartbeat timeout for which no heartbeats of workers arrive before the link on
-/// which they arrive counts as failed.
+/// The link on which heartbeats of workers arrive counts as failed once none has arrived for this time
+/// beyond the heartbeat timeout.
 const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The state of the leader on this node, as far as reachability depends on it.
@@ -43,7 +43,7 @@
     pub machines_up: usize,
     /// Machines whose recent heartbeats came directly, not relayed by a peer.
     pub reporting_directly: Vec<MachineName>,
-    /// Machines that are confirmed, have sent a heartbeat recently and were sent a reply.
+    /// Machines that are up, have sent a heartbeat recently and were sent a reply.
     pub replied_to: Vec<MachineName>,
 }
 
@@ -116,7 +116,7 @@
         matches!(self.settings.reachability.table.of(mode, action), Permission::Allowed)
     }
 
-    /// Returns what this node may currently do for users. Each request depends on the state service's own
+    /// Returns what this node may currently do for users. No request succeeds without the state service's own
     /// answer, so it is sufficient that no link to the service is down at the moment, even if flap
     /// damping still treats the service as not reached.
     pub fn user_permissions(&self) -> UserPermissions {
@@ -132,9 +132,9 @@
         }
     }
 
-    /// Whether this node should leave a vacant lease to its peers for a short time. This is the case if a
-    /// peer names another node as its successor, or if this node may not lead in its mode and a peer
-    /// reaches both the state service and workers.
+    /// Whether this node should leave a vacant leader key to its peers for a short time. This is the case if
+    /// a peer names a node other than this one as its successor, or if this node may not lead in its mode
+    /// and a peer reaches both the state service and workers.
     pub fn defers_to_peers(&self, now: Duration) -> bool {
         let may_not_lead = !self.allows(self.mode(), Action::Lead);
         let names_another =
@@ -203,8 +203,8 @@
         self.numbering.take_check_due(now)
     }
 
-    /// Writes the next page of the numbering that must change so that these machines, and no others, have
-    /// numbers. The write succeeds only if the leader with this fencing token still leads.
+    /// Writes the next page of the numbering that must change for exactly these machines to have numbers. The
+    /// write succeeds only if the leader with this fencing token still leads.
     pub fn write_numbering(
         &mut self,
         machines: &BTreeSet<MachineName>,
--- a/crates/plankhead-core/src/reachability/numbering.rs
+++ b/crates/plankhead-core/src/reachability/numbering.rs
@@ -107,8 +107,8 @@
         due
     }
 
-    /// Writes the next page that must change so that these machines, and no others, have numbers. The write
-    /// succeeds only if the leader with this fencing token still leads and the page has not changed.
+    /// Writes the next page that must change for exactly these machines to have numbers. The write succeeds
+    /// only if the leader with this fencing token still leads and the page has not changed.
     pub fn write_page(
         &mut self,
         machines: &BTreeSet<MachineName>,
@@ -145,7 +145,7 @@
                 // More pages may have to be written.
                 self.next_check_at = now;
             }
-            // The page has changed since it was read, or may have: read the numbering again.
+            // The page may differ from the one that was read: read the numbering again.
             _ => self.next_list_at = now,
         }
     }
--- a/crates/plankhead-core/src/reachability/probes.rs
+++ b/crates/plankhead-core/src/reachability/probes.rs
@@ -11,8 +11,8 @@
 /// The interval at which failing links without other calls are probed. While writes fail, jobs of users
 /// are refused, so that no other write would show that the link has recovered.
 pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// A mod revision that no key ever has. A transaction on the condition of this revision is refused, which
-/// shows that the link for writes works.
+/// A mod revision that no key ever has. A transaction on the condition of this revision changes nothing, but
+/// its reply, a conflict, shows that the link for writes works.
 const IMPOSSIBLE_REVISION: u64 = u64::MAX / 2;
 
 /// Probes the links for reads and writes that need it.
