--- a/crates/plankhead-core/src/protocol/cloud.rs
+++ b/crates/plankhead-core/src/protocol/cloud.rs
@@ -1,4 +1,5 @@
-//! Requests to the cloud, which rents out machines, its replies, and its machine types and inventory.
+//! The messages exchanged with the cloud, which rents out machines: requests, replies, machine types and
+//! the inventory.
 
 use super::{Heartbeat, MachineName};
 use plankhead_fencing::gate::PermittedAction;
@@ -96,7 +97,7 @@
 /// A machine's state in the cloud's inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceStatus {
-    /// The machine is booting, or came up only recently, since the inventory lags behind.
+    /// The machine is booting, or has come up so recently that the inventory does not show it yet.
     Booting,
     /// The machine is up.
     Running,
--- a/crates/plankhead-core/src/protocol/kv.rs
+++ b/crates/plankhead-core/src/protocol/kv.rs
@@ -105,7 +105,7 @@
     NoSuchLease,
     /// Answers [`KvRequest::GrantLease`] with the new lease.
     LeaseGranted { lease: u64 },
-    /// Answers [`KvRequest::RenewLease`].
+    /// Answers [`KvRequest::RenewLease`] and [`KvRequest::RevokeLease`].
     LeaseRenewed,
     /// Answers [`KvRequest::Watch`] with the changes up to `revision`, or with none after a time-out.
     Events { revision: u64, events: Vec<WatchEvent> },
--- a/crates/plankhead-core/src/protocol/users.rs
+++ b/crates/plankhead-core/src/protocol/users.rs
@@ -36,8 +36,8 @@
     },
     /// To a worker, 421: the node that it should send heartbeats to, if that is known.
     Redirect { host: Option<String> },
-    /// To the adapter: relay the worker's heartbeat to this node and pass the response back. The worker
-    /// already knows the node, so it evidently can't reach it.
+    /// To the adapter: relay the worker's heartbeat to the node `host` and pass the response back. The
+    /// worker already knows of that node, so it evidently can't reach it.
     Relay { host: String },
     /// To an operator: the JSON document of `GET /view`.
     View(serde_json::Value),
--- a/crates/plankhead-core/src/shards/messages.rs
+++ b/crates/plankhead-core/src/shards/messages.rs
@@ -63,7 +63,7 @@
     pub released: bool,
 }
 
-/// The latest heartbeat of a machine, and the holder's state of the machine.
+/// The latest heartbeat of a machine, and what the holder knows about the machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineUpdate {
     /// The machine's number in the stream.
@@ -77,7 +77,7 @@
     pub ignores_commands: bool,
     /// The number of consecutive commands that the worker did not answer.
     pub unanswered_commands: u32,
-    /// The time since the machine was last heard from.
+    /// The time since the machine was last known to be alive.
     pub age: Duration,
 }
 
