--- a/crates/plankhead-fencing/src/errors.rs
+++ b/crates/plankhead-fencing/src/errors.rs
@@ -31,7 +31,7 @@
     /// No open intent has this key.
     #[error("there is no open intent {0}")]
     Unknown(IdempotencyKey),
-    /// The intent's record is not durable, and the intent has not been forced.
+    /// The intent's record is not durable, and an issue without it has not been permitted.
     #[error("the record of intent {0} is not durable")]
     NotDurable(IdempotencyKey),
     /// The intent's state does not allow issuing it.
--- a/crates/plankhead-fencing/src/gate.rs
+++ b/crates/plankhead-fencing/src/gate.rs
@@ -1,7 +1,8 @@
 //! The fencing gate, the only source of the [`PermittedAction`]s that the cloud adapters accept.
 //!
 //! [`PermittedAction`] and [`IssueProof`] have no public constructors. Proofs are created only by
-//! [`IntentLog`](crate::intent_log::IntentLog), for intents that are durable or forced.
+//! [`IntentLog`](crate::intent_log::IntentLog), for intents that are durable and for forced returns, which
+//! are returns that [`allow_unrecorded_issue`](crate::intent_log::IntentLog::allow_unrecorded_issue) permits.
 
 use crate::action::{ActionDigest, CloudAction};
 use crate::intent::IdempotencyKey;
--- a/crates/plankhead-fencing/src/intent.rs
+++ b/crates/plankhead-fencing/src/intent.rs
@@ -39,7 +39,7 @@
     Issued,
     /// The outcome is certain: the action took effect or never will.
     Confirmed,
-    /// The intent was given up without a known effect.
+    /// The intent was given up, although its outcome is not certain.
     Abandoned,
 }
 
--- a/crates/plankhead-fencing/src/intent_log.rs
+++ b/crates/plankhead-fencing/src/intent_log.rs
@@ -261,9 +261,9 @@
         self.mark_recording_failed();
     }
 
-    /// Clears the failed attempts to record intents. A failure permits an issue without a record only
-    /// in the step in which the failure becomes known, so a leader that was paused after a failure has
-    /// to make a new attempt first.
+    /// Clears the failed attempts to record intents. The caller does so before a step ends, so that a
+    /// failure permits an issue without a record only in the step in which it becomes known. A leader
+    /// that was paused after a failure must attempt to record the intent again.
     pub fn clear_recording_failures(&mut self) {
         for tracked in self.open.values_mut() {
             tracked.recording_failed = false;
--- a/crates/plankhead-fencing/src/lib.rs
+++ b/crates/plankhead-fencing/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`page_writes`]: the writes to the state service that the log requests;
 //! - [`errors`]: the errors of the log;
 //! - [`gate`]: the only module that permits actions on the cloud;
-//! - [`token`]: the highest fencing token seen, which guards resources that plankhead owns.
+//! - [`token`]: the highest fencing token that a node has seen, and the refusal of lower ones.
 
 #![warn(missing_docs)]
 
--- a/crates/plankhead-fencing/src/pages.rs
+++ b/crates/plankhead-fencing/src/pages.rs
@@ -20,9 +20,10 @@
     /// Whether a write of the page had an unknown outcome or conflicted, so that the page's revision
     /// must be read before the next write.
     pub uncertain: bool,
-    /// Whether a former leader wrote the page. Such a page is deleted in the end but never rewritten.
+    /// Whether a former leader wrote the page. Such a page is never rewritten. It is deleted once all of
+    /// its intents have ended.
     pub from_former_leader: bool,
-    /// Whether some of the page could not be loaded. A later version may have written it, so the
+    /// Whether a part of the page could not be loaded. A later version may have written it, so the
     /// page is never deleted.
     pub unreadable: bool,
 }
--- a/crates/plankhead-fencing/src/token.rs
+++ b/crates/plankhead-fencing/src/token.rs
@@ -1,4 +1,4 @@
-//! The highest fencing token seen, which guards resources that plankhead owns.
+//! The highest fencing token that a node has seen, and the refusal of lower ones.
 
 use thiserror::Error;
 
