--- a/crates/plankhead-sharding/src/lib.rs
+++ b/crates/plankhead-sharding/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`state`]: the states of a shard and the transitions between them;
 //! - [`registry`]: the records that the leader writes;
 //! - [`balance`]: the distribution of shards among nodes;
-//! - [`read_times`]: the limits on a holder by the age of what it has read from the state service;
+//! - [`read_times`]: what a holder may do, depending on the age of its reads from the state service;
 //! - [`sequence`] and [`machine_numbers`]: parts of the messages between holders and the leader;
 //! - [`settings`]: the operators' settings.
 
--- a/crates/plankhead-sharding/src/record.rs
+++ b/crates/plankhead-sharding/src/record.rs
@@ -49,7 +49,7 @@
     /// The record has a format that this version does not know.
     #[error("unknown format {0}")]
     Format(u32),
-    /// The holder's name or the number of shards is out of range.
+    /// The length of the holder's name or the number of shards is out of range.
     #[error("the holder's name or the number of shards is out of range")]
     Range,
 }
--- a/crates/plankhead-sharding/src/registry/moves.rs
+++ b/crates/plankhead-sharding/src/registry/moves.rs
@@ -59,8 +59,8 @@
         Some(PlannedMove { shard: best.shard, to: best.to, reason: NamingReason::Balance })
     }
 
-    /// Returns the move of the shard that has been with its holder for the longest time to the next
-    /// node by name.
+    /// Returns the move of the shard whose record has been unchanged for the longest time. The shard
+    /// moves to the node that follows its holder by name, or to the first one if the holder is the last.
     fn rotation_move(&self, input: &RegistryInput) -> Option<PlannedMove> {
         let held = self.shards.iter().filter(|(_, tracked)| tracked.term == self.term);
         let (shard, tracked) = held.min_by_key(|(_, tracked)| tracked.since)?;
--- a/crates/plankhead-sharding/src/shard.rs
+++ b/crates/plankhead-sharding/src/shard.rs
@@ -25,7 +25,7 @@
 
 impl ShardId {
     /// Returns the shard of a machine in a zone with `shards` shards. The index is the XXH3 hash of
-    /// the machine's name modulo the number of shards, on which all versions of plankhead must agree.
+    /// the machine's name modulo the number of shards. All versions of plankhead must compute it alike.
     pub fn of(zone: &str, machine: &str, shards: u32) -> Self {
         let index = xxh3_64(machine.as_bytes()) % u64::from(shards.max(1));
         Self { zone: zone.into(), index: index as u32 }
--- a/crates/plankhead-sharding/src/state.rs
+++ b/crates/plankhead-sharding/src/state.rs
@@ -28,7 +28,7 @@
     },
     /// The holder has confirmed the release. The next holder is to be named.
     Released {
-        /// The node that holds the shard.
+        /// The node that has released the shard.
         holder: String,
         /// The revision at which the holder was named.
         epoch: u64,
