--- a/crates/plankhead-reachability/src/coverage.rs
+++ b/crates/plankhead-reachability/src/coverage.rs
@@ -21,7 +21,7 @@
 const MAX_NAME_BYTES: usize = 200;
 /// The maximum number of peers in a message.
 const MAX_PEERS: usize = 64;
-/// The maximum number of former starts of a peer that are remembered.
+/// The maximum number of former boot ids that are remembered for a peer.
 const MAX_FORMER_BOOTS: usize = 8;
 
 /// The message that a node sends to its peers.
@@ -29,9 +29,9 @@
 pub struct Coverage {
     /// The sender's name.
     pub host: String,
-    /// An id of the start of the sender's process.
+    /// The boot id of the sender's process, which is new at every start of the process.
     pub boot: u64,
-    /// The number of the message, which increases with every message of one start.
+    /// The number of the message, which increases with every message of the process.
     pub sequence: u64,
     /// The fencing token under which the sender leads, or 0 if it does not lead.
     pub token: u64,
@@ -118,7 +118,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     latest: Option<ReceivedCoverage>,
-    /// The boot ids of former starts, the latest last. Their messages are rejected.
+    /// The boot ids of the peer's former processes, the latest last. Their messages are rejected.
     former_boots: VecDeque<u64>,
 }
 
--- a/crates/plankhead-reachability/src/latency.rs
+++ b/crates/plankhead-reachability/src/latency.rs
@@ -9,7 +9,7 @@
 const MAX_BINS: u32 = 256;
 /// The duration in seconds below which durations are not distinguished.
 const MIN_SECONDS: f64 = 1e-4;
-/// The minimum number of durations in a window from which quantiles are computed.
+/// The minimum number of durations that a window must have for its quantiles to be used.
 const MIN_COUNT: usize = 16;
 /// The quantile that [`Latency::p99`] returns.
 const P99: f64 = 0.99;
@@ -61,7 +61,7 @@
         [Some(&self.current), self.previous.as_ref()].into_iter().flatten()
     }
 
-    fn full_windows(&self) -> impl Iterator<Item = &DDSketch> {
+    fn sufficient_windows(&self) -> impl Iterator<Item = &DDSketch> {
         self.windows().filter(|sketch| sketch.count() >= MIN_COUNT)
     }
 
@@ -72,14 +72,15 @@
 
     /// Returns the longest recent duration, or `None` if there are too few durations.
     pub fn longest(&self) -> Option<Duration> {
-        let longest = self.full_windows().filter_map(DDSketch::max).fold(f64::NAN, f64::max);
+        let longest = self.sufficient_windows().filter_map(DDSketch::max).fold(f64::NAN, f64::max);
         Duration::try_from_secs_f64(longest).ok()
     }
 
-    /// Returns the larger of both windows' quantiles, so that a recent slowdown is not hidden by the
-    /// durations before it. Returns `None` if there are too few durations.
+    /// Returns the quantile `share`, from 0 to 1. It is the larger of both windows' quantiles, so that a
+    /// recent slowdown is not hidden by the durations before it. Returns `None` if there are too few
+    /// durations.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
-        let quantiles = self.full_windows().filter_map(|sketch| sketch.quantile(share).ok().flatten());
+        let quantiles = self.sufficient_windows().filter_map(|sketch| sketch.quantile(share).ok().flatten());
         Duration::try_from_secs_f64(quantiles.fold(f64::NAN, f64::max)).ok()
     }
 }
--- a/crates/plankhead-reachability/src/link/call_link.rs
+++ b/crates/plankhead-reachability/src/link/call_link.rs
@@ -18,7 +18,7 @@
 const ROUND_TRIP_WINDOW: Duration = Duration::from_secs(60);
 /// The minimum number of consecutive failures for a link to be down. A single failure may have other causes.
 const MIN_FAILURES: u32 = 2;
-/// The number of calls in flight from which a link that is down is not probed.
+/// The number of calls in flight at which a link that is down is not probed further.
 const MAX_PROBES: usize = 8;
 /// The time without a call after which a link that may have failed is probed.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/plankhead-reachability/src/monitor.rs
+++ b/crates/plankhead-reachability/src/monitor.rs
@@ -271,7 +271,7 @@
         matches!(condition, Some(LinkCondition::Up | LinkCondition::Suspect))
     }
 
-    /// Returns whether no link to the state service is down, but flap damping suppresses the service because
+    /// Returns whether no link to the state service is down, but flap damping suppresses that side because
     /// its links have failed repeatedly.
     pub fn state_suppressed(&mut self, now: Duration) -> bool {
         self.kv_side.links_work() && !self.kv_side.is_up() && self.kv_side.is_suppressed(now)
--- a/crates/plankhead-reachability/src/permission.rs
+++ b/crates/plankhead-reachability/src/permission.rs
@@ -143,7 +143,7 @@
     use Permission::*;
     use Precondition::*;
     match (action, mode) {
-        // Each of these depends on the state service's own answer.
+        // Each of these takes effect only by a commit to the state service.
         (Action::Accept | Action::Cancel, Whole | StateOnly) => Allowed,
         (Action::Accept | Action::Cancel, WorkersOnly | Isolated) => Forbidden(StateServiceUnreachable),
         // A final result needs neither side.
