--- a/crates/plankhead/src/subcommands/reachability.rs
+++ b/crates/plankhead/src/subcommands/reachability.rs
@@ -25,7 +25,7 @@
     /// The number of workers whose heartbeats reach the controller.
     pub workers: u64,
     /// Whether the heartbeats of each peer reach the controller.
-    pub hears: BTreeMap<String, bool>,
+    pub receives_from: BTreeMap<String, bool>,
 }
 
 /// The views by node name, with `None` for a node that did not answer.
@@ -54,7 +54,11 @@
         leader: if is_leader { text(&view["host"]) } else { text(leader_host) },
         down_links: links.iter().filter(|link| link["condition"] == "down").map(link_name).collect(),
         workers: reachability["heard"].as_u64().unwrap_or_default(),
-        hears: if reachability.is_null() { heard_by_age(view) } else { heard_by_link(&links) },
+        receives_from: if reachability.is_null() {
+            receives_by_heartbeat_age(view)
+        } else {
+            receives_by_link_condition(&links)
+        },
     }
 }
 
@@ -67,13 +71,13 @@
 }
 
 /// Returns whether a node receives heartbeats from each peer, judged by the condition of its links.
-fn heard_by_link(links: &[Value]) -> BTreeMap<String, bool> {
+fn receives_by_link_condition(links: &[Value]) -> BTreeMap<String, bool> {
     let heartbeat_links = links.iter().filter(|link| link["link"] == "peerIn");
     heartbeat_links.filter_map(|link| Some((text(&link["peer"])?, link["condition"] != "down"))).collect()
 }
 
 /// Returns whether a node receives heartbeats from each peer, judged by the age of the last ones.
-fn heard_by_age(view: &Value) -> BTreeMap<String, bool> {
+fn receives_by_heartbeat_age(view: &Value) -> BTreeMap<String, bool> {
     // The previous version calls the peers `siblings`.
     let peers = view.get("peers").unwrap_or(&view["siblings"]).as_array().into_iter().flatten();
     peers
@@ -87,8 +91,8 @@
         views.iter().filter_map(|(node, view)| Some((node, view.as_ref()?))).collect();
     let mut lines = leader_disagreements(&answered);
     for (node, view) in &answered {
-        for (peer, hears) in &view.hears {
-            lines.extend(link_disagreement(views, node, peer, *hears));
+        for (peer, receives) in &view.receives_from {
+            lines.extend(link_disagreement(views, node, peer, *receives));
         }
     }
     lines
@@ -110,10 +114,10 @@
         .collect()
 }
 
-fn link_disagreement(views: &NodeViews, node: &str, peer: &str, hears: bool) -> Option<String> {
+fn link_disagreement(views: &NodeViews, node: &str, peer: &str, receives: bool) -> Option<String> {
     let peer_view = views.get(peer).and_then(Option::as_ref);
-    let peer_hears = peer_view.and_then(|view| view.hears.get(node)).copied();
-    match (hears, peer_hears) {
+    let peer_receives = peer_view.and_then(|view| view.receives_from.get(node)).copied();
+    match (receives, peer_receives) {
         (false, Some(true)) => Some(format!("{node} does not hear {peer}, which hears {node}")),
         (true, None) if peer_view.is_none() => Some(format!("{node} hears {peer}, which did not answer")),
         _ => None,
--- a/crates/plankhead/src/tests/reachability.rs
+++ b/crates/plankhead/src/tests/reachability.rs
@@ -82,7 +82,7 @@
     Some(NodeView {
         mode: "whole".into(),
         leader: Some(leader.into()),
-        hears: hears.iter().map(|(host, hears)| ((*host).into(), *hears)).collect(),
+        receives_from: hears.iter().map(|(host, hears)| ((*host).into(), *hears)).collect(),
         ..NodeView::default()
     })
 }
@@ -127,12 +127,12 @@
         assert_eq!((parsed.mode.as_str(), parsed.since_s, parsed.workers), ("state-only", 4.5, 3));
         assert_eq!(parsed.leader.as_deref(), Some("plank-1"));
         assert_eq!(parsed.down_links, ["reportsIn", "peerIn plank-1"]);
-        assert_eq!(parsed.hears, [("plank-1".into(), false), ("plank-2".into(), true)].into());
+        assert_eq!(parsed.receives_from, [("plank-1".into(), false), ("plank-2".into(), true)].into());
         let without = json!({"host": "plank-0", "leader": {}, "reachability": null,
             peers_key: [{"host": "plank-1", "heardS": 0.4}, {"host": "plank-2", "heardS": 9.0}]});
         let parsed = parse_view(&without);
         assert_eq!(parsed.mode, "not judged");
         assert_eq!(parsed.leader.as_deref(), Some("plank-0"));
-        assert_eq!(parsed.hears, [("plank-1".into(), true), ("plank-2".into(), false)].into());
+        assert_eq!(parsed.receives_from, [("plank-1".into(), true), ("plank-2".into(), false)].into());
     }
 }
