--- a/crates/plankhead/src/peer_messages/relay.rs
+++ b/crates/plankhead/src/peer_messages/relay.rs
@@ -1,5 +1,5 @@
-//! Relayed heartbeats: a node sends the unchanged heartbeat of a worker to the peer that answers the worker,
-//! which returns its reply to the worker.
+//! Relayed heartbeats: a node sends the unchanged heartbeat of a worker to the peer that should answer it.
+//! The peer returns its reply, and the node passes it on to the worker.
 
 use super::{decode_archive, encode_archive};
 use crate::http::{Reply, MAX_REQUEST};
--- a/crates/plankhead/src/settings/platform.rs
+++ b/crates/plankhead/src/settings/platform.rs
@@ -31,11 +31,11 @@
     let value_kb = read_limit(&mut reader, "value_kb", MAX_STORE_LIMIT).upcoming;
     let txn_changes = read_limit(&mut reader, "txn_ops", MAX_STORE_LIMIT).upcoming;
     let kv_changes_per_s = read_limit(&mut reader, "write_rps", MAX_RATE);
-    // Some versions of the platform's file do not contain it. The node then assumes a whole core
-    // and does not hold back any work.
+    // Some versions of the platform's file do not contain the CPU quota. The node then assumes a whole
+    // core, with which it limits its work least.
     let cpu_share = reader.optional_number("params.quota.cpu", 0.001, 1e4).unwrap_or(1.0);
     let sockets = reader.number("params.quota.sockets", 16.0, 1e6);
-    // Some versions of the platform's file do not contain it. The node is then in no zone.
+    // Some versions of the platform's file do not contain the location. The node is then in no zone.
     let zone = reader.optional("location").and_then(Value::as_str).unwrap_or_default().to_owned();
     let core = Settings {
         host,
--- a/crates/plankhead/src/subcommands/shards.rs
+++ b/crates/plankhead/src/subcommands/shards.rs
@@ -97,7 +97,7 @@
                 claims.extend(parse_claim(row, true));
             }
         }
-        // The holder state of a leader dates from the time before it led.
+        // A node does not act as a holder while it leads, so its holder state is outdated.
         let held = view["sharding"]["holder"]["shards"].as_array().filter(|_| !is_leader);
         for row in held.into_iter().flatten() {
             claims.extend(parse_claim(row, row["acts"].as_bool().unwrap_or_default()));
--- a/crates/plankhead/src/wire/mod.rs
+++ b/crates/plankhead/src/wire/mod.rs
@@ -1,6 +1,6 @@
 //! The messages of the published protocol, and their conversion to and from the types of the core.
 //!
-//! Only this module uses the field names of the protocol, in `serde` attributes. The order of fields and
+//! Only this module uses the field names of the protocol, mostly in `serde` attributes. The order of fields and
 //! the texts of errors are part of the protocol and must not change.
 
 pub mod cloud;
--- a/crates/plankhead/src/wire/users.rs
+++ b/crates/plankhead/src/wire/users.rs
@@ -39,7 +39,7 @@
     pub job: Result<JobSpec, SubmissionError>,
 }
 
-/// Parses the body of a submission. Returns an error only if the job id is missing or invalid, since then no
+/// Parses the body of a submission. Returns an error only if the body contains no valid job id, since then no
 /// job can be looked up. Other errors are part of the submission.
 pub fn parse_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(SubmissionError::NotJson)?;
--- a/crates/plankhead/src/wire/workers.rs
+++ b/crates/plankhead/src/wire/workers.rs
@@ -306,8 +306,8 @@
     commands: Vec<CommandMessage<'a>>,
 }
 
-/// Encodes commands that are sent directly to a worker. The worker refuses them if it has started another
-/// incarnation.
+/// Encodes commands that are sent directly to a worker. The worker refuses them if it has another
+/// incarnation now.
 pub fn encode_commands(token: u64, incarnation: u64, commands: &[WorkerCommand]) -> Vec<u8> {
     let commands = commands.iter().map(CommandMessage::from).collect();
     to_json(&DirectCommands { token, incarnation, commands })
