--- a/crates/plankhead-core/src/leader/arrivals.rs
+++ b/crates/plankhead-core/src/leader/arrivals.rs
@@ -25,12 +25,12 @@
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     recent: VecDeque<RecentArrival>,
-    /// When the service's first job was accepted; zero if that was before this leader's term.
+    /// When the service's first job was accepted; zero once the service is known not to be new.
     first_job_at: Option<Duration>,
 }
 
 impl ArrivalHistory {
-    /// Records that the service is not new, so that no arrivals count as its initial backlog.
+    /// Records that the service is not new, so that no later arrival counts as its initial backlog.
     pub(super) fn mark_service_running(&mut self) {
         self.first_job_at = Some(Duration::ZERO);
     }
@@ -54,14 +54,15 @@
 }
 
 impl Leader {
-    /// Predicts the next arrivals by repeating those of the last interval.
+    /// Predicts the next arrivals by repeating those of the last sizing interval.
     pub(super) fn expected_arrivals(&mut self, now: Duration) -> Vec<Arrival> {
         let interval = self.round_interval();
         let window = interval.min(now.saturating_sub(self.started_at).max(MIN_ARRIVAL_WINDOW));
         self.arrivals.drop_before(now.saturating_sub(window));
         let recent: Vec<RecentArrival> = self.arrivals.recent.iter().cloned().collect();
-        // The extra half interval shows whether the backlog grows. A leader younger than the
-        // interval repeats its shorter history until the horizon is filled.
+        // The arrivals go half an interval beyond the next sizing round, so that a replay shows whether
+        // the backlog grows. A leader younger than the interval repeats its shorter history until the
+        // horizon is filled.
         let horizon = interval + interval / 2;
         let mut expected = Vec::new();
         let mut shift = window;
--- a/crates/plankhead-core/src/leader/evidence.rs
+++ b/crates/plankhead-core/src/leader/evidence.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Records the evidence of a step. While `is_loading`, workers are not answered yet, so their
-    /// silence does not count.
+    /// Records the evidence of a step. While `is_loading`, the time without direct heartbeats stays
+    /// zero, since heartbeats are only answered with `Unavailable` then.
     pub(super) fn update(&mut self, evidence: &LeaderEvidence, is_loading: bool, now: Duration) {
         self.cpu_starved = evidence.cpu_starved;
         self.mode = evidence.mode;
--- a/crates/plankhead-core/src/leader/garbage.rs
+++ b/crates/plankhead-core/src/leader/garbage.rs
@@ -27,8 +27,8 @@
         self.keys.extend(keys);
     }
 
-    /// Adds keys that are deleted before others, since a new leader would wait for proof that the attempts
-    /// stored under them are over.
+    /// Adds keys that are deleted before others: a new leader that still found them would wait for proof
+    /// that the attempts stored under them are over.
     pub(super) fn add_urgent(&mut self, keys: impl IntoIterator<Item = ObsoleteKey>) {
         let before = self.keys.len();
         self.keys.extend(keys);
@@ -89,8 +89,8 @@
         self.call_kv(LeaderCall::DeleteGarbage(keys), KvRequest::Txn { conditions, changes }, effects);
     }
 
-    /// Returns the keys whose revisions are known, and requests the revisions of the others. With fencing, a
-    /// key is deleted only at the revision that is known to be obsolete.
+    /// Returns the keys whose revisions are known, and requests the revisions of the others. If intents are
+    /// fenced, a key is deleted only at the revision that is known to be obsolete.
     fn with_known_revision(&self, keys: Vec<ObsoleteKey>, effects: &mut EffectSink) -> Vec<ObsoleteKey> {
         let (known, unknown): (Vec<_>, Vec<_>) = keys.into_iter().partition(|k| k.revision.is_some());
         for ObsoleteKey { key, .. } in unknown {
--- a/crates/plankhead-core/src/leader/heartbeats.rs
+++ b/crates/plankhead-core/src/leader/heartbeats.rs
@@ -19,17 +19,17 @@
     /// Returns whether responses may renew the workers' leases. Leases must expire before the
     /// deadline of a cancellation that this leader has not seen.
     ///
-    /// A leader that is still loading knows of no cancellations. The previous leader may have renewed
-    /// leases until just before, also without having seen them, and so may leaders before it. If each
-    /// of them renewed the leases for some more seconds, a few failovers in a row would keep a
+    /// A leader that is still loading knows of no cancellations. Each earlier leader may have renewed
+    /// leases until its term ended without having seen the latest cancellations either. If every new
+    /// leader renewed the leases for some more seconds, a few failovers in a row would keep a
     /// cancelled task running for longer than `cancel_s`.
     pub(super) fn may_renew_leases(&self, now: Duration) -> bool {
         self.loading.is_ready() && self.permits(Action::RenewLeases, now)
     }
 
-    /// Returns whether starts may be sent. They may not if a cancellation that this leader has not
-    /// seen may have been confirmed, such as by another node while the lease was uncertain. A lease
-    /// that was uncertain before the jobs were last synced does no harm.
+    /// Returns whether starts may be sent. Starts are forbidden while a cancellation may have been
+    /// confirmed that this leader has not seen, for example by another node while the lease was
+    /// uncertain. Once the jobs have been synced after that, starts are allowed again.
     pub(super) fn may_start_tasks(&self, now: Duration) -> bool {
         self.permits(Action::Start, now)
             && !self.evidence.is_lease_uncertain_since(self.job_watch.synced_at())
@@ -117,8 +117,8 @@
             _ => Default::default(),
         };
         if missing > 0 {
-            // A missing attempt is no longer listed, but that does not prove that it has ended. The
-            // release of the machine does.
+            // The worker no longer lists a missing attempt, but that does not prove that the attempt
+            // has ended. The release of the machine does, so it is marked for removal.
             if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                 machine.removal.get_or_insert(RemovalReason::LostAttempts);
             }
--- a/crates/plankhead-core/src/leader/job_watch.rs
+++ b/crates/plankhead-core/src/leader/job_watch.rs
@@ -35,12 +35,14 @@
         self.synced_at
     }
 
-    /// Returns when the next watch is to be sent; `None` while one is in flight or no list has been read.
+    /// Returns when the next watch is to be sent; `None` while one is in flight, and until the
+    /// first page of the list of jobs is read.
     pub(super) fn next_due(&self) -> Option<Duration> {
         (!self.in_flight && self.revision.is_some()).then_some(self.next_at)
     }
 
-    /// Records that the list of jobs is being requested, which will contain all changes made before `now`.
+    /// Records that a page of the list of jobs is requested at `now`. Until the first page is read, this
+    /// sets the time up to which all changes are known, since the list contains all changes made before.
     pub(super) fn loading_began(&mut self, now: Duration) {
         if self.revision.is_none() {
             self.synced_at = now;
--- a/crates/plankhead-core/src/leader/loading.rs
+++ b/crates/plankhead-core/src/leader/loading.rs
@@ -18,11 +18,13 @@
     Ready,
 }
 
-/// A stored chunk that has been read, kept until all chunks have been read.
+/// A stored chunk, which contains the placements of a range of a job's tasks. It is kept until all chunks
+/// have been read.
 #[derive(Debug)]
 struct StoredChunk {
     job: JobId,
-    /// Whether it is one of the smaller chunks that replace chunks laid out for a larger value limit.
+    /// Whether it is one of the smaller chunks that replace the job's original chunks after the maximum size
+    /// of values was reduced.
     rechunked: bool,
     number: u32,
     value: String,
@@ -182,8 +184,8 @@
         };
         let now = times.now;
         self.load_all_chunks(now, effects);
-        // A stored target shows that the service is not new: the existing jobs arrived over time and are
-        // not an initial backlog.
+        // A stored target shows that the service is not new, so the jobs that arrive from now on are not
+        // an initial backlog.
         if row.is_some() {
             self.arrivals.mark_service_running();
         }
@@ -229,8 +231,8 @@
         self.stop_broken_gangs(now, effects);
     }
 
-    /// Treats all known machines as heard from just now, and adds the unknown machines that tasks are
-    /// placed on as expected ones.
+    /// Treats all known machines as heard from just now. If tasks are placed on a machine that is not
+    /// known, adds the machine and expects it to be up.
     fn expect_placed_machines(&mut self, now: Duration) {
         for machine in self.fleet.machines.values_mut() {
             machine.heartbeat_times.last_heard_at = machine.heartbeat_times.last_heard_at.max(now);
@@ -278,10 +280,10 @@
                 return;
             }
             JobPhase::Cancelled => requests.record_ended(&id, JobStatus::Cancelled, 0),
-            // An outdated event of a job that is already over. While loading, such a row is accepted:
-            // it may be older than a cancellation that this node has confirmed. Without the job, its
-            // placements would have no owner, so that its tasks would not be stopped and their
-            // resources not counted. The first events of the watch then report its end.
+            // After loading, this is an outdated event of a job that has ended. While loading, the row
+            // may be older than a cancellation that this node has confirmed, but is accepted: without
+            // the job, its stored placements would be treated as garbage, so that its tasks would not be
+            // stopped and their resources not counted. The first events of the watch then report its end.
             JobPhase::Active if self.loading.is_ready() && requests.is_ended(&id) => return,
             JobPhase::Active => {}
         }
--- a/crates/plankhead-core/src/leader/maintenance.rs
+++ b/crates/plankhead-core/src/leader/maintenance.rs
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Does the periodic work of a leader that is still loading. It only completes the cloud requests
-    /// of earlier leaders and releases machines that may run cancelled tasks for too long.
+    /// Does the periodic work of a leader that is still loading: retries loading, completes the cloud
+    /// requests of earlier leaders, lists the cloud's instances, and releases silent machines that may
+    /// still run cancelled tasks.
     fn tick_loading(&mut self, times: StepTime, evidence: LeaderEvidence, effects: &mut EffectSink) {
         let now = times.now;
         if self.loading.take_due_retry(now) {
@@ -92,8 +93,8 @@
     ) {
         let lease_valid = evidence.lease_valid;
         self.check_machines(now, evidence, effects);
-        // Due reclaims go first: the rentals of a new leader can otherwise use up the cloud's rate
-        // limit while a cancellation is due.
+        // Machines with cancelled tasks that must have ended by now are released before others are
+        // rented: the rentals of a new leader could otherwise use up the cloud's rate limit.
         if self.fleet.machines.values().any(|m| m.removal == Some(RemovalReason::CancellationDue)) {
             self.release_removed_machines(now, evidence, effects);
         }
--- a/crates/plankhead-core/src/leader/mod.rs
+++ b/crates/plankhead-core/src/leader/mod.rs
@@ -77,7 +77,7 @@
     /// The unfinished jobs with their attempts. A finished job stays until its end is stored and none of
     /// its attempts is left.
     pub job_table: JobTable,
-    /// All machines that are or may be rented.
+    /// All known machines, until the cloud shows that they are no longer rented.
     pub fleet: Fleet,
     placement: Placement,
     target: TargetState,
--- a/crates/plankhead-core/src/leader/permissions.rs
+++ b/crates/plankhead-core/src/leader/permissions.rs
@@ -12,7 +12,8 @@
 /// A leader that cannot see cancellations stops renewing leases this much earlier than the deadline
 /// requires, to allow for clock drift and messages in flight.
 const CLOCK_MARGIN: Duration = Duration::from_secs(2);
-/// The time after the last sync of the job records from which no starts are allowed.
+/// How long the job records count as synced after their last sync, which the permission table requires
+/// for starts and other actions.
 const JOBS_STALE_AFTER: Duration = Duration::from_secs(4);
 
 impl Leader {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Returns the names of all machines, for the numbering used in coverage messages.
+    /// Returns the names of all machines, for the numbering of machines in coverage messages, which list the
+    /// machines whose heartbeats a node receives.
     pub fn machine_names(&self) -> BTreeSet<MachineName> {
         self.fleet.machines.keys().cloned().collect()
     }
--- a/crates/plankhead-core/src/leader/placement.rs
+++ b/crates/plankhead-core/src/leader/placement.rs
@@ -146,8 +146,9 @@
         }
         if pending.len() > MAX_JOBS_PER_PASS {
             pending.sort_by_key(|(_, w)| (std::cmp::Reverse(w.priority), !w.guaranteed, w.latest_start));
-            // The oldest job, preferably one with no task placed so far, gets at least the last place,
-            // so that a machine can be reserved for it however much more urgent work there is.
+            // The oldest of the jobs with no task placed so far or, if there are none, the oldest of all
+            // gets at least the last place, so that a machine can be reserved for it however much more
+            // urgent work there is.
             let oldest = (0..pending.len())
                 .min_by_key(|i| (pending[*i].1.has_started, pending[*i].1.accepted_at))
                 .unwrap_or(0);
