--- a/crates/plankhead-core/src/leader/intents/mod.rs
+++ b/crates/plankhead-core/src/leader/intents/mod.rs
@@ -156,8 +156,9 @@
     /// Retries refused rentals that are due, or abandons them once this leader's term has lasted for
     /// `abandon_rental_after`.
     ///
-    /// An earlier copy of a refused request may still be carried out. The cloud carries out each name at
-    /// most once, so only the success of a rental rules out that its name rents more machines later.
+    /// An earlier copy of a refused request may still be carried out. The cloud carries out at most one
+    /// request with a given name, so no copy can rent machines after one has succeeded. After a refusal,
+    /// a copy still can.
     fn retry_refused_rentals(&mut self, now: Duration, effects: &mut EffectSink) {
         for refused in std::mem::take(&mut self.intents.refused_rentals) {
             let key = IdempotencyKey::new(&refused.rental.name);
@@ -207,8 +208,8 @@
         self.intents.return_retries.push(ReturnRetry { due: now + RETURN_RETRY_INTERVAL, key });
     }
 
-    /// Returns machines to the cloud, up to the maximum number in one return. `force` states why the
-    /// return may be issued without its record.
+    /// Returns machines to the cloud, as many as one request may contain; the others stay marked for
+    /// removal. `force` states why the return may be issued without its record.
     pub(super) fn return_machines(
         &mut self,
         leaving: &[LeavingMachine],
--- a/crates/plankhead-core/src/leader/intents/records.rs
+++ b/crates/plankhead-core/src/leader/intents/records.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 /// The age, counted from the sending of the call, up to which a failure to record an intent permits a
-/// forced return. After a longer pause of the process, the leader must try to record the intent again.
-/// The limit can only forbid a forced return; elapsed time never permits one.
+/// forced return. If the process was paused for longer before it handled the failure, the leader must try
+/// to record the intent again. Elapsed time alone never permits a forced return.
 const MAX_FAILURE_AGE: Duration = Duration::from_secs(3);
 
 impl Leader {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Requests the next page of the list of stored intents.
+    /// Requests the next part of the list of stored intent pages.
     pub(in crate::leader) fn list_intents(&mut self, effects: &mut EffectSink) {
         let after = self.loading.after_key();
         if after.is_none() {
@@ -150,7 +150,7 @@
         );
     }
 
-    /// Handles a page of the list of stored intents.
+    /// Handles one part of the list of stored intent pages, and requests the next if there is more.
     pub(in crate::leader) fn intents_page_loaded(
         &mut self,
         times: StepTime,
--- a/crates/plankhead-core/src/leader/intents/state.rs
+++ b/crates/plankhead-core/src/leader/intents/state.rs
@@ -103,7 +103,7 @@
         !self.ready.is_empty() || !self.log.uncertain_pages().is_empty() || self.log.has_unrecorded()
     }
 
-    /// Returns the request to return the first of these machines, as many as one request may name.
+    /// Builds a return request for the first of these machines, as many as one request may contain.
     pub(in crate::leader) fn machines_per_return(
         &self,
         machines: &[MachineName],
--- a/crates/plankhead-core/src/leader/persistence/mod.rs
+++ b/crates/plankhead-core/src/leader/persistence/mod.rs
@@ -132,7 +132,8 @@
             let placements = self.placements_to_write();
             self.add_chunks(placements, max_changes, &mut txn);
             if flush_ends {
-                // Task ends leave half of the burst to placements that may follow.
+                // Task ends never use the last half of the burst, so that later placements can be written
+                // at once.
                 let spare = available.saturating_sub(self.persistence.budget.burst() / 2);
                 let ends = self.ends_to_write(now);
                 self.add_chunks(ends, max_changes.min(spare), &mut txn);
@@ -239,7 +240,8 @@
         }
     }
 
-    /// Returns the key of a chunk, which depends on whether the job has been rechunked.
+    /// Returns the key of a chunk. If the job was rechunked, which replaces its chunks by smaller ones, its
+    /// chunks are stored under other keys.
     pub(super) fn chunk_key(&self, id: &JobId, number: u32) -> String {
         id.chunk_key(number, self.job_table.jobs.get(id).is_some_and(|e| e.rechunked))
     }
@@ -260,8 +262,8 @@
             }
             requests.record_ended(&id, JobStatus::Cancelled, 0);
             if let Some(entry) = self.job_table.remove(&id) {
-                // Deleted first, because a new leader that reads these keys waits for proof that the
-                // attempts stored under them are over.
+                // These keys are deleted before other garbage, because a new leader that reads them waits
+                // for proof that the attempts stored under them are over.
                 self.garbage.add_urgent(entry.stored_keys(&id));
                 let record = JobRecord::finished(JobPhase::Cancelled, 0);
                 self.garbage.archive(FinishedJob { id, mod_revision: entry.mod_revision, record });
--- a/crates/plankhead-core/src/leader/preemption.rs
+++ b/crates/plankhead-core/src/leader/preemption.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A pass that has chosen this many tasks to preempt makes room for no further task. It may choose a few
-/// more, because room for one task can take several.
+/// Once a pass has chosen this many tasks to preempt, it stops making room. The final number can be
+/// slightly higher, because room for one task can take several preemptions.
 const MAX_PREEMPTIONS_PER_PASS: usize = 64;
 /// The highest attempt number that may be preempted, so that no task is restarted again and again.
 const MAX_ATTEMPTS_TO_PREEMPT: u64 = 2;
@@ -269,8 +269,8 @@
             let ran_for = attempt.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             let is_early = ran_for < self.estimated_runtime(&entry.spec) / 2;
             let often_restarted = attempt.number > MAX_ATTEMPTS_TO_PREEMPT;
-            // Stopping one task of a gang costs the progress of all its tasks, or the time for their
-            // checkpoints, so gangs come last within a priority.
+            // Stopping one task of a gang stops the whole gang, and all its tasks lose their progress or
+            // take time to write checkpoints. Gangs therefore come last within a priority.
             let gang = entry.gang.is_some();
             let ran_for = if gang { ran_for * entry.spec.tasks } else { ran_for };
             let reported = attempt.reported_status.is_some();
--- a/crates/plankhead-core/src/leader/shards/commands.rs
+++ b/crates/plankhead-core/src/leader/shards/commands.rs
@@ -17,8 +17,8 @@
 
 /// The pause before commands that did not arrive are sent again.
 const SEND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The interval between scans for machines whose commands may have changed without an event that marks
-/// them as due, such as acknowledgements of ends that have become durable.
+/// The interval between scans for machines whose commands may have changed although no event marked them
+/// as due. For example, task ends that have become durable are to be acknowledged.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The content of the next message to a holder.
--- a/crates/plankhead-core/src/leader/shards/mod.rs
+++ b/crates/plankhead-core/src/leader/shards/mod.rs
@@ -33,8 +33,8 @@
         /// The shard's epoch.
         epoch: u64,
     },
-    /// The worker knows a token that may be the epoch of a holder whose record this leader has not seen
-    /// yet.
+    /// The worker knows a token above every epoch known to this leader. It may be the epoch of a shard
+    /// record that was written although the leader does not know the outcome of the write.
     HolderUnknown,
     /// The worker knows the token of a later leader.
     Superseded,
@@ -63,7 +63,8 @@
     zone: String,
     /// Whether the node reads the shard records.
     sees_records: bool,
-    /// Identifies the numbering of machines that the node uses.
+    /// The id of the node's stream of status messages. The numbers of machines are only valid within one
+    /// stream.
     stream: u64,
     /// The machines by their numbers in that stream.
     numbered_machines: NumberedMachines,
@@ -86,7 +87,7 @@
     retry_at: Duration,
 }
 
-/// The leader's state where machines are divided into shards.
+/// The leader's sharding state, which exists only if machines are divided into shards.
 #[derive(Debug)]
 pub struct LeaderShards {
     registry: ShardRegistry,
@@ -108,7 +109,8 @@
             registry: ShardRegistry::new(token, &settings.host, settings.sharding.clone()),
             peers: BTreeMap::new(),
             sequence_guard: SequenceGuard::default(),
-            // Above every sequence number that this process used in an earlier term.
+            // Higher than every sequence number that this process used in an earlier term, since a process
+            // sends fewer than one message per microsecond.
             sequence: now.as_micros() as u64,
             refused: 0,
             next_write_at: now,
@@ -172,7 +174,8 @@
         }
     }
 
-    /// Applies the shard records that this node has read; `read_at` is when the read was sent.
+    /// Applies the shard records that this node has read. `read_at` is when the latest successful read of
+    /// all records, or watch for changes, was sent.
     pub fn apply_shard_records(&mut self, table: &ShardTable, read_at: Option<Duration>, now: Duration) {
         if let Some(shards) = &mut self.shards {
             shards.registry.apply_records(table, read_at, now);
--- a/crates/plankhead-core/src/leader/sizing_rounds.rs
+++ b/crates/plankhead-core/src/leader/sizing_rounds.rs
@@ -117,7 +117,7 @@
 #[derive(Debug)]
 struct Round {
     began: Duration,
-    /// Whether no machine was up when the round began. Such a round only raises the target.
+    /// Whether the round began with jobs waiting and no machine up. Such a round only raises the target.
     cold: bool,
     trials: Vec<SizeTrial>,
     /// The replay of the current trial.
--- a/crates/plankhead-core/src/leader/slots.rs
+++ b/crates/plankhead-core/src/leader/slots.rs
@@ -8,7 +8,7 @@
 
 /// The usual time that a task takes to exit after its stop was requested.
 const STOP_DURATION: Duration = Duration::from_millis(300);
-/// The shortest time assumed until a machine that has not reported yet takes tasks.
+/// The minimum remaining boot time that is assumed for a machine whose presence is not confirmed yet.
 const MIN_BOOT_TIME_LEFT: Duration = Duration::from_secs(3);
 
 /// The machines that accept tasks and, at the same indices, their slots.
--- a/crates/plankhead-core/src/leader/view.rs
+++ b/crates/plankhead-core/src/leader/view.rs
@@ -10,7 +10,7 @@
 
 /// The time between scans for late and stuck jobs.
 const LATENESS_SCAN_INTERVAL: Duration = Duration::from_secs(5);
-/// The time since its acceptance after which an unfinished job without any attempt counts as stuck.
+/// An unfinished job that has no attempt this long after it was accepted counts as stuck.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(120);
 /// The maximum number of jobs in each list of the view.
 const MAX_JOBS_SHOWN: usize = 1000;
--- a/crates/plankhead-core/src/leader/wide_jobs.rs
+++ b/crates/plankhead-core/src/leader/wide_jobs.rs
@@ -16,8 +16,8 @@
 }
 
 /// Returns the smallest number of machines on which the job can make progress: enough for one task, or
-/// for all tasks of a gang. For a gang that must run in one zone and needs several machines, this is
-/// enough in every zone.
+/// for all tasks of a gang. For a gang that must run in one zone and needs several machines, this number
+/// is multiplied by the number of zones, because rentals are spread over the zones.
 pub(super) fn min_machines(work: &Work, room: &Resources, zones: usize) -> u32 {
     let machines = work.min_simultaneous().div_ceil(tasks_per_machine(work, room).max(1));
     if work.gang && work.single_zone && machines > 1 {
@@ -55,9 +55,9 @@
 }
 
 impl Leader {
-    /// Raises the target at once for jobs that the fleet cannot hold even when empty: an array if no
-    /// machine can hold one of its tasks, a gang if not all its tasks fit together, in one zone if the
-    /// job requires that.
+    /// Raises the target at once for jobs that the fleet cannot hold even when empty. For a job array,
+    /// this means that no machine can hold one of its tasks; for a gang, that its tasks do not all fit at
+    /// the same time, or not within one zone if the job requires that.
     pub(super) fn raise_for_wide_jobs(&mut self, work: &[Work]) {
         let pools = self.held_pools();
         self.target.preferred_zone = None;
