--- a/crates/plankhead-core/src/holder/commands.rs
+++ b/crates/plankhead-core/src/holder/commands.rs
@@ -20,7 +20,7 @@
 pub(super) struct PendingCommands {
     pub shard: ShardId,
     pub incarnation: u64,
-    /// Commands that are not known to have been carried out.
+    /// Commands that the worker's heartbeats have not shown to be carried out yet.
     pub pending: Vec<WorkerCommand>,
     /// The expected effects of the commands already sent directly to the worker, which are not sent
     /// directly again.
@@ -66,9 +66,9 @@
         effects.send_commands(CallPurpose::Holder(call), address, epoch, incarnation, commands);
     }
 
-    /// Returns the starts and kills to be sent directly to the worker that have not been sent directly
-    /// yet. Starts are left to the answers to heartbeats if the process is short of CPU time or if a
-    /// kill of the same attempt is pending.
+    /// Returns the starts and kills that are still to be sent directly to the worker. All others are
+    /// sent only with the answers to its heartbeats: starts if the process is short of CPU time or a
+    /// kill of the same attempt is due, and kills of attempts that the latest heartbeat does not list.
     fn unsent_commands(&self, machine: &Machine, read_times: ReadTimes, now: Duration) -> Vec<WorkerCommand> {
         let commands = self.commands_for(&machine.name, read_times, now);
         let sent = self.commands.get(&machine.name).map(|entry| &entry.sent);
@@ -88,8 +88,9 @@
         commands.into_iter().filter(is_unsent).collect()
     }
 
-    /// Returns the commands that are due for a machine, according to its latest heartbeat. An attempt
-    /// is not acknowledged while a direct start of it may still be carried out.
+    /// Returns the commands that are due for a machine, according to its latest heartbeat. The end of an
+    /// attempt is not acknowledged while a directly sent start may still arrive: the worker forgets an
+    /// acknowledged attempt and would start it again.
     pub(super) fn commands_for(
         &self,
         name: &MachineName,
@@ -115,7 +116,7 @@
         commands
     }
 
-    /// Adds kills for the listed tasks of cancelled jobs, unless the leader has already sent one.
+    /// Adds a kill for each task of a cancelled job that has not exited and for which `commands` contains none yet.
     fn add_kills_for_cancelled_jobs(&self, heartbeat: &Heartbeat, commands: &mut Vec<WorkerCommand>) {
         for listed in heartbeat.tasks.iter() {
             if matches!(listed.status, TaskStatus::Exited(_)) || !self.jobs.is_cancelled(&listed.task.job) {
@@ -171,8 +172,8 @@
         }
         let shard_epoch = self.shard_epoch_of(&name, now);
         if let (CommandReply::Answered(heartbeat), Some(shard_epoch)) = (reply, shard_epoch) {
-            // A heartbeat with a later token is ignored: another node holds the shard, and the shard's
-            // record will show it.
+            // A token above this node's epoch shows that another node answers the machine by now. The
+            // heartbeat is ignored, and the shard's record will show the new holder.
             if heartbeat.machine == name && heartbeat.token <= shard_epoch.epoch {
                 self.observe_machine(now, &heartbeat, shard_epoch, true);
             }
--- a/crates/plankhead-core/src/holder/held_shards.rs
+++ b/crates/plankhead-core/src/holder/held_shards.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a holder acts under the records of a former leader that the current leader has not
-/// renewed. The current leader may run a version without sharding and never renew them.
+/// How long after a change of leader a holder still acts under a shard record that the new leader has
+/// not renewed. A leader that runs a version without sharding never renews the records.
 const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A shard that this node holds, according to the shard's record.
@@ -19,7 +19,7 @@
     pub epoch: u64,
     /// The fencing token of the leader that wrote the record.
     pub term: u64,
-    /// Whether the shard is to be handed over, in which case no tasks are started there.
+    /// Whether the shard is to be handed over. This node then starts no tasks on the shard's machines.
     pub releasing: bool,
 }
 
@@ -84,8 +84,9 @@
         }
     }
 
-    /// Marks the shards that the leader has since assigned to other nodes. Their records show this as
-    /// well, but a node that can't read them must also stop acting for these shards.
+    /// Marks the shards that the leader has reassigned: those that this node holds under an epoch below
+    /// the message's `latest_epoch` and that the message does not list under that epoch. The shard
+    /// records show this as well, but a node that can't read them must also stop acting for these shards.
     pub(super) fn mark_superseded_shards(&mut self, message: &LeaderCommands, effects: &mut EffectSink) {
         let is_listed = |shard: &ShardId, epoch: u64| message.shards.contains(&(shard.clone(), epoch));
         let superseded: Vec<(ShardId, u64)> = self
--- a/crates/plankhead-core/src/holder/jobs.rs
+++ b/crates/plankhead-core/src/holder/jobs.rs
@@ -10,11 +10,12 @@
 use std::time::Duration;
 
 const PREFIX: &str = "job/";
-/// How long one watch request waits for changes. When it returns, all cancellations up to its start
-/// have been seen.
+/// How long one watch request waits for changes. Its reply shows that every cancellation made before
+/// the request was sent has been seen, so this bounds the age of [`JobWatch::synced_at`] while no job
+/// changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches the job records. A cancelled job is kept until the leader has archived it.
+/// Watches the job records, and remembers each cancelled job until the leader has archived it.
 #[derive(Debug)]
 pub struct JobWatch {
     watch: KeyWatch,
--- a/crates/plankhead-core/src/holder/leader_messages.rs
+++ b/crates/plankhead-core/src/holder/leader_messages.rs
@@ -10,8 +10,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The maximum age of the status that a leader's message acknowledges. A message that acknowledges
-/// none, or an older one, may have been delayed for minutes.
+/// The maximum age of the status message of this holder that a leader's message acknowledges. The
+/// leader's message was sent later than that status. If it acknowledges none, or an older one, it may
+/// have been delayed for minutes.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Holder {
@@ -62,7 +63,8 @@
     }
 
     /// Whether this node holds all shards that the message names, under the same epochs and in the same
-    /// term. It does not if it has not read a record yet or a record has been replaced since.
+    /// term. This is false if this node has not read one of the records yet, or if a record has been
+    /// replaced since the message was sent.
     fn holds_all(&self, message: &LeaderCommands) -> bool {
         message.shards.iter().all(|(shard, epoch)| {
             let held = self.shards.get(shard);
--- a/crates/plankhead-core/src/holder/mod.rs
+++ b/crates/plankhead-core/src/holder/mod.rs
@@ -34,7 +34,8 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How often the machines are checked for late heartbeats.
 const MACHINE_SCAN_INTERVAL: Duration = Duration::from_millis(250);
-/// The retry delay for workers whose leases this node may not renew now.
+/// The retry delay for workers whose leases this node may not renew, because its latest reads of the
+/// jobs or the shard records are too old.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The leader, as known to a holder.
@@ -63,8 +64,9 @@
     shard_of: HashMap<MachineName, ShardId>,
     commands: HashMap<MachineName, PendingCommands>,
     leader: Option<KnownLeader>,
-    /// The fencing token and the sequence number of the latest message accepted from a leader. A token
-    /// belongs to one start of one process, so messages are ordered by these two numbers.
+    /// The fencing token and the sequence number of the latest message accepted from a leader. Together
+    /// they order the messages: the sequence numbers start again with each term, but no two terms have
+    /// the same token.
     latest_leader_message: (u64, u64),
     /// The number of rejected leader messages, and of rejected commands with an invalid shard index.
     refused: u64,
@@ -87,7 +89,7 @@
 pub struct HolderEvidence {
     /// When the latest complete read of the shard records was sent.
     pub records_synced_at: Option<Duration>,
-    /// Whether the state service has failed this node for some time.
+    /// Whether this node's calls to the state service have been failing for some time.
     pub kv_failing: bool,
     /// Whether the process is short of CPU time.
     pub cpu_starved: bool,
@@ -167,7 +169,7 @@
         let Some(machine) =
             self.fleet.machines.get_mut(&heartbeat.machine).filter(|_| change != HeartbeatChange::Stale)
         else {
-            // A late copy gets no commands and does not count as a sign of life.
+            // A late copy of an earlier heartbeat gets no commands and does not count as a sign of life.
             return Response::Commands { token: epoch, commands: Vec::new() };
         };
         machine.is_relayed = path.relayed;
--- a/crates/plankhead-core/src/holder/reporting.rs
+++ b/crates/plankhead-core/src/holder/reporting.rs
@@ -39,7 +39,7 @@
     pub unreported: BTreeSet<MachineName>,
     /// Machines that have sent only unchanged heartbeats since the last message.
     pub alive: BTreeSet<MachineName>,
-    /// When the first of these heartbeats arrived.
+    /// When the first heartbeat of the machines in `alive` arrived.
     alive_since: Duration,
     /// The numbers of machines in this stream, used as short identifiers.
     numbers: MachineNumbers,
@@ -197,7 +197,7 @@
         delivery: Delivery,
     ) {
         self.status.in_flight = false;
-        // If another leader has followed, its new stream reports all machines anyway.
+        // If there is a new leader, the stream to it reports all machines anyway.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else { return };
         leader.sharding_unsupported = delivery == Delivery::Unsupported;
         match delivery {
--- a/crates/plankhead-core/src/node/leadership.rs
+++ b/crates/plankhead-core/src/node/leadership.rs
@@ -121,8 +121,8 @@
     }
 
     /// If fencing is on, discards the progress reported under a superseded token. The heartbeat keeps
-    /// its token, so that the sender still counts as a node that claims to lead: it may renew the
-    /// leases of workers that know no later token.
+    /// its token, so that [`Peers::none_leads`](super::peers::Peers::none_leads) still counts the sender
+    /// as a leader: the sender may still renew the leases of workers that know no later token.
     fn discard_stale_progress(&mut self, heartbeat: &mut PeerHeartbeat) {
         if !self.settings.fencing.enabled || heartbeat.token == 0 {
             return;
--- a/crates/plankhead-core/src/node/mod.rs
+++ b/crates/plankhead-core/src/node/mod.rs
@@ -33,8 +33,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the state service must have failed this node before the node may report itself as
-/// unhealthy.
+/// How long this node's calls to the state service must have been failing before the node may report
+/// itself as unhealthy.
 const UNHEALTHY_AFTER: Duration = Duration::from_secs(3);
 /// The maximum number of jobs whose progress is sent in one peer heartbeat: all jobs in progress on
 /// a fleet of 2,000 machines. Other nodes report the jobs left out as queued.
@@ -73,8 +73,8 @@
     next_reachability_check_at: Duration,
     /// The state for sharding, if it is enabled.
     sharding: Option<Box<Sharding>>,
-    /// Monitors which links work, if reachability is enabled. Created at the first step, the first
-    /// call that is given the time.
+    /// Monitors which links work, if reachability is enabled. Created at the first step, because it
+    /// needs the current time, which [`Node::new`] is not given.
     reachability: Option<Reachability>,
 }
 
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Whether users should send their requests to this node. It is unhealthy if the state service has
-    /// failed it for some time and either a peer still reaches the state service or no peer's
-    /// heartbeats arrive. If the state service fails all nodes, all of them stay healthy.
+    /// Whether users should send their requests to this node. It is unhealthy if its calls to the state
+    /// service have been failing for some time and either a peer still reaches the state service or no peer's
+    /// heartbeats arrive. If the calls of all nodes fail and their heartbeats arrive, all stay healthy.
     pub fn is_healthy(&self, now: Duration) -> bool {
         let kv_failing = self.kv_health.is_failing_for_longer_than(UNHEALTHY_AFTER, now);
         !(kv_failing && (self.peers.any_reaches_kv(now) || self.peers.all_silent(now)))
@@ -146,8 +146,9 @@
         std::mem::take(&mut self.effects.queued)
     }
 
-    /// Returns when [`Node::step`] must be called next if no event arrives before. An unnecessary step
-    /// costs as much CPU time as a heartbeat.
+    /// Returns when [`Node::step`] must be called next if no event arrives before. This is at least
+    /// `MIN_WAKE_INTERVAL` after `now`, because a step without due work costs as much CPU time as one
+    /// that handles a heartbeat.
     pub fn next_wake(&self, now: Duration) -> Duration {
         let retry = now + RETRY_INTERVAL;
         let due_times = [
--- a/crates/plankhead-core/src/node/reachability.rs
+++ b/crates/plankhead-core/src/node/reachability.rs
@@ -13,7 +13,8 @@
 const REACHABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Creates the reachability state at the first step, the first call that is given the time.
+    /// Creates the reachability state at the first step: it needs the current time, which
+    /// [`Node::new`] is not given.
     pub(super) fn init_reachability(&mut self, now: Duration) {
         if self.reachability.is_none() && self.settings.reachability.enabled {
             self.reachability = Some(Reachability::new(self.settings.clone(), now));
--- a/crates/plankhead-core/src/node/replies.rs
+++ b/crates/plankhead-core/src/node/replies.rs
@@ -12,7 +12,7 @@
 /// Outages of the state service that last longer than this are logged when they end.
 const MIN_LOGGED_OUTAGE: Duration = Duration::from_secs(2);
 
-/// Returns the leader if it still leads under `token`, that of the term in which the call was made.
+/// Returns the leader if it still leads under `token`, the token of the term in which the call was made.
 fn leader_of_term(leader: &mut Option<Leader>, token: u64) -> Option<&mut Leader> {
     leader.as_mut().filter(|leader| leader.token == token)
 }
@@ -62,7 +62,8 @@
             }
             Err(CallError::RateLimited) => {}
             Err(CallError::TooLarge) => {
-                // The state service lowers its limits only after all nodes are upgraded.
+                // The state service lowers its limits only after all nodes are upgraded, so a write that
+                // exceeds a limit shows that the barrier may be opened.
                 let text = "state service write rejected: reason=too_large";
                 self.effects.log(LogLevel::Error, text.into());
                 let opened = self.version_barrier.open(&mut self.effects);
--- a/crates/plankhead-core/src/node/shards.rs
+++ b/crates/plankhead-core/src/node/shards.rs
@@ -15,7 +15,8 @@
 
 /// The maximum age of the shard records. Older ones may no longer show which node holds a shard.
 const MAX_RECORDS_AGE: Duration = Duration::from_secs(5);
-/// How long the state service must have failed this node before a holder treats it as failing.
+/// How long this node's calls to the state service must have been failing before
+/// [`HolderEvidence::kv_failing`] is set.
 const KV_FAILING_AFTER: Duration = Duration::from_secs(1);
 /// How long after a change of leader the records of earlier terms are still used to route workers.
 const FORMER_TERM_TIMEOUT: Duration = Duration::from_secs(15);
@@ -65,7 +66,9 @@
         }
     }
 
-    /// Determines which node answers a heartbeat, according to the shard records.
+    /// Determines which node answers a heartbeat: the holder of the machine's shard according to the
+    /// shard records, or the leader if no valid record shows a holder. The age of the records matters
+    /// only if another node is the holder; [`Holder::handle_heartbeat`] checks it for this node.
     pub(super) fn holder_route(&self, heartbeat: &Heartbeat, now: Duration) -> HolderRoute {
         let found = self.sharding.as_ref().and_then(|sharding| {
             let table = &sharding.records.table;
