--- a/crates/plankhead-core/src/fleet/heartbeat_times.rs
+++ b/crates/plankhead-core/src/fleet/heartbeat_times.rs
@@ -6,15 +6,16 @@
 /// began to expect the machine.
 #[derive(Debug, Clone)]
 pub struct HeartbeatTimes {
-    /// When the machine was last known to be alive. Events that excuse its silence also advance
-    /// this time.
+    /// When the machine was last known to be alive. Also advanced when its silence so far is excused,
+    /// for example by `reset_silence`.
     pub last_heard_at: Duration,
-    /// When the latest heartbeat arrived that was newer than all earlier ones, whatever its token.
+    /// When a heartbeat with a higher `HeartbeatId` than any before it last arrived, whatever its token.
     pub last_new_at: Duration,
-    /// When the machine last reached this node, or its shard's holder, without a relay. Events that
-    /// excuse its silence also advance this time.
+    /// When the machine last reached this node, or its shard's holder, without a relay. Also
+    /// advanced when its silence so far is excused.
     pub last_direct_at: Duration,
-    /// When a peer last stated that it receives this machine's heartbeats while they were late here.
+    /// When a peer last stated that it receives this machine's heartbeats. Recorded only while they are
+    /// late here.
     pub reported_to_peer_at: Option<Duration>,
     /// When the machine was last granted time to find another node.
     rerouted_at: Duration,
--- a/crates/plankhead-core/src/fleet/machine.rs
+++ b/crates/plankhead-core/src/fleet/machine.rs
@@ -93,7 +93,7 @@
     /// Whether the inventory, or attempts placed on the machine, show that it has been up, even if
     /// this node has not heard from it.
     pub known_up: bool,
-    /// The number of consecutive inventories without the machine, once it is expected in them.
+    /// The number of consecutive inventories without the machine; counted only if `is_expected`.
     pub missed_in_a_row: u32,
 }
 
@@ -235,7 +235,7 @@
     }
 
     /// Returns whether to redirect the worker to another node, and records the redirect. A worker is
-    /// redirected only if `node_is_disconnected`, because another node may lead by then. There is a
+    /// redirected only if `node_is_disconnected`, because another node may have taken over. There is a
     /// minimum time between two redirects, so that a worker that finds no other leader is answered
     /// here before its lease expires.
     pub fn take_redirect(&mut self, node_is_disconnected: bool, lease: Duration, now: Duration) -> bool {
@@ -282,10 +282,10 @@
             self.removal.get_or_insert(RemovalReason::IgnoresCommands);
         }
         self.commands.unanswered = 0;
-        // A token that is not earlier comes from this term or from a term that has replaced it.
+        // A token that is not lower than this node's comes from this term or from one that replaced it.
         self.confirmed |= heartbeat.token >= own_token;
         // A heartbeat with an earlier token may be a late copy, so it does not show that an
-        // unconfirmed machine is alive. The first heartbeat counts all the same.
+        // unconfirmed machine is alive. Only the first heartbeat counts whatever its token.
         if self.confirmed || is_first {
             self.heartbeat_times.last_heard_at = now;
         }
@@ -307,8 +307,8 @@
 
     /// Resets the state of the previous incarnation, of which the worker has kept nothing.
     fn begin_incarnation(&mut self, incarnation: u64, is_first: bool, now: Duration) {
-        // The lease expired although the heartbeats were answered: the responses do not reach the
-        // worker.
+        // A worker begins a new incarnation when its lease expires. If a response was sent so recently
+        // that it should have renewed the lease, the responses do not reach the worker.
         if !is_first && self.responses.should_have_renewed_lease(now) {
             self.removal.get_or_insert(RemovalReason::IgnoresCommands);
         }
--- a/crates/plankhead-core/src/fleet/removal.rs
+++ b/crates/plankhead-core/src/fleet/removal.rs
@@ -33,8 +33,8 @@
     now: Duration,
     /// The time since the last heartbeat after which the next one is late.
     heartbeat_timeout: Duration,
-    /// The longest time between two heartbeats of a worker when one heartbeat between them, or the
-    /// response to it, is lost.
+    /// The longest time between two heartbeats of a running worker if a heartbeat or a response is
+    /// lost in between and the worker must find another node.
     failover_heartbeat_timeout: Duration,
     worker_lease: Duration,
     /// The zones considered cut off from this node.
@@ -104,9 +104,9 @@
             self.failover_heartbeat_timeout
         };
         let silence = self.elapsed_since(machine.heartbeat_times.last_heard_at);
-        // The limit on the boot time applies only to machines that are not known to have been up. Another
-        // machine that has sent no heartbeat to this leader may have failed before the leader's term, so
-        // only its silence counts.
+        // The limit on the boot time applies only to machines that are not known to have been up. A
+        // machine that has been up, but has sent no heartbeat to this leader, may have failed before the
+        // leader's term, so only its silence counts.
         if machine.last_heartbeat_id.is_none() && !machine.inventory.known_up {
             let max_boot_time = boot_time.mul_f64(MAX_BOOT_TIME_FACTOR);
             let is_late = self.elapsed_since(machine.rented_at) > max_boot_time && silence > max_silence;
--- a/crates/plankhead-core/src/fleet/response_tracking.rs
+++ b/crates/plankhead-core/src/fleet/response_tracking.rs
@@ -40,8 +40,8 @@
         self.ignored_in_a_row >= MAX_IGNORED_RESPONSES
     }
 
-    /// Drops the expected effects. The next heartbeat need not show any, and ends the series of responses
-    /// without effect.
+    /// Drops the expected effects. The next heartbeat then need not show any, so `check_effects` resets
+    /// the count of ignored responses.
     pub(super) fn clear_expected_effects(&mut self) {
         self.expected_effects.clear();
     }
--- a/crates/plankhead-core/src/jobs/attempt.rs
+++ b/crates/plankhead-core/src/jobs/attempt.rs
@@ -28,20 +28,20 @@
     pub inherited: bool,
     /// Whether the attempt must stop: it is preempted, its machine is drained or its gang is ending.
     pub stop_requested: bool,
-    /// Whether a start was sent directly to the worker. This is done once; replies to heartbeats
-    /// repeat it.
+    /// Whether a start was sent to the worker in a direct command. Only one such command is sent; the
+    /// responses to heartbeats repeat the start.
     pub start_sent: bool,
     /// The highest fencing token or shard epoch under which this leader has offered a start to the
     /// worker, whether directly, in the reply to a heartbeat or through the holder of its shard.
     pub offered_under_token: Option<u64>,
-    /// Whether a kill was sent directly to the worker. This is done once; replies to heartbeats repeat
-    /// it.
+    /// Whether a kill was sent to the worker in a direct command. Only one such command is sent,
+    /// unless `JobTable::stop_gang` resets this; the responses to heartbeats repeat the kill.
     pub kill_sent: bool,
 }
 
 impl Attempt {
-    /// Creates an attempt whose start has not been offered to a worker. Its placement counts as
-    /// durable until `chunk_version` is set.
+    /// Creates an attempt whose start has not been offered to a worker. Its `chunk_version` is 0, which
+    /// always counts as durable; for a new placement, the caller must set it.
     pub(super) fn new(
         number: u64,
         machine: MachineName,
@@ -67,8 +67,8 @@
     }
 
     /// Whether a worker that has seen this token refuses every start of the attempt that was offered
-    /// so far. This is the case if this leader has offered none, or only under lower tokens, through
-    /// the holder of a shard that has moved since.
+    /// so far. This is the case if this leader has offered none, or only under lower tokens: those of
+    /// an earlier holder of the machine's shard.
     pub(super) fn is_fenced_by(&self, token: u64) -> bool {
         self.offered_under_token.is_none_or(|offered| offered < token)
     }
@@ -90,7 +90,7 @@
 pub struct Task {
     /// The number of the latest attempt.
     pub latest_attempt: u64,
-    /// The chunk version in which the end of the latest ended attempt was recorded.
+    /// The chunk version in which an attempt of the task was last recorded as ended.
     pub end_version: u64,
     /// The task's state.
     pub state: TaskState,
--- a/crates/plankhead-core/src/jobs/chunk.rs
+++ b/crates/plankhead-core/src/jobs/chunk.rs
@@ -37,7 +37,7 @@
     /// Whether the key's mod revision must be read again, because a write conflicted or its outcome is
     /// unknown.
     pub revision_uncertain: bool,
-    /// Since when ended attempts have been waiting to be written.
+    /// When the first of the ends of attempts that still wait to be written was recorded.
     pub ends_pending_since: Option<Duration>,
     /// The version of the latest placement; later versions only record ended attempts.
     pub placement_version: u64,
--- a/crates/plankhead-core/src/jobs/gang.rs
+++ b/crates/plankhead-core/src/jobs/gang.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{ExitReason, TaskId};
 
 impl JobTable {
-    /// Breaks the attempt of a gang of which only some tasks are placed. This occurs after a placement
+    /// Breaks the gang's attempt if only some of its tasks are placed. This occurs after a placement
     /// pass in which some task found no machine; nothing has been started then, since starts wait until
     /// all placements are durable. It also occurs after loading, if some task has ended or was never
     /// placed.
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Marks the gang's attempt as broken and stops its remaining tasks.
+    /// Breaks the gang's attempt: marks it as unable to continue and stops its remaining tasks.
     pub(super) fn break_gang(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get_mut(id) else { return };
         let Some(gang) = entry.gang.as_mut().filter(|gang| !gang.broken && !gang.completed) else { return };
@@ -27,8 +27,8 @@
         self.stop_gang(id);
     }
 
-    /// Breaks a gang's attempt after one of its tasks has ended, unless the whole gang was asked to stop
-    /// with time to checkpoint and the task exited as stopped.
+    /// Breaks a gang's attempt after one of its tasks has ended. A task that exits as stopped does not
+    /// break the attempt if the whole gang was asked to stop with time to checkpoint.
     pub(super) fn break_gang_after_end(&mut self, end: &EndedAttempt) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let Some(gang) = &entry.gang else { return };
@@ -39,7 +39,7 @@
     }
 
     /// Asks a task to stop. If it belongs to a gang, all tasks of the gang are asked, since they
-    /// checkpoint together or not at all, and none of them can be freed on its own.
+    /// checkpoint together or not at all, and one task's resources can't be freed while the others run.
     pub fn stop(&mut self, id: &TaskId) {
         let Some(entry) = self.jobs.get_mut(&id.job) else { return };
         if let Some(gang) = &mut entry.gang {
@@ -70,8 +70,8 @@
         let Some(entry) = self.jobs.get_mut(id) else { return };
         for task in entry.chunks.values_mut().flat_map(|chunk| chunk.tasks.values_mut()) {
             if let TaskState::Placed(attempt) = &mut task.state {
-                // A worker that is already writing a checkpoint is sent another kill. If the gang is
-                // broken, that one has no grace period.
+                // `kill_sent` is reset because a task may already be writing its checkpoint after an
+                // earlier kill. If the gang is broken, the second kill ends it without a grace period.
                 (attempt.stop_requested, attempt.kill_sent) = (true, false);
                 self.changed_machines.insert(attempt.machine.clone());
                 self.machines_to_stop.insert(attempt.machine.clone());
--- a/crates/plankhead-core/src/jobs/job.rs
+++ b/crates/plankhead-core/src/jobs/job.rs
@@ -195,9 +195,9 @@
     #[serde(rename = "due")]
     pub deadline_s: Option<f64>,
     /// Whether the job is a gang: either all of its tasks run at the same time, or none does. The field
-    /// is omitted from the records of job arrays, which versions without gang support also read. Those
-    /// versions treat every record as an array, so no gang may be stored while one of them may still
-    /// be running.
+    /// is omitted from the records of job arrays, because versions without gang support, which do not
+    /// know it, also read them. Those versions treat every record as an array, so no gang may be stored
+    /// while one of them may still be running.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub gang: bool,
 }
@@ -284,7 +284,7 @@
 
     /// Encodes the record, or returns `None` if the value would take more than `max_value_bytes`. If the
     /// job is cancelled, a value that is too large is encoded without the fields that only placement
-    /// needs: the record may have been stored when larger values were allowed.
+    /// needs, so that a job that was stored when larger values were allowed can still be cancelled.
     pub fn encode(&self, max_value_bytes: usize) -> Option<String> {
         let value = serde_json::to_string(self).ok()?;
         if value.len() <= max_value_bytes {
@@ -318,7 +318,8 @@
 pub struct JobRecord {
     /// The job's phase.
     pub phase: JobPhase,
-    /// The job's specification, unless the job is over.
+    /// The job's specification. Absent if the job is over, except while tasks of a cancelled job may
+    /// still be on machines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// The number of tasks in the job.
--- a/crates/plankhead-core/src/jobs/job_entry.rs
+++ b/crates/plankhead-core/src/jobs/job_entry.rs
@@ -35,7 +35,7 @@
     pub accepted_at: Duration,
     /// When the job was cancelled.
     pub cancelled_at: Option<Duration>,
-    /// The number of tasks in each chunk, unless the job was rechunked.
+    /// The number of tasks in each of the job's original chunks. Rechunking replaces them by smaller ones.
     pub tasks_per_chunk: u32,
 }
 
@@ -62,16 +62,16 @@
     pub rechunked: bool,
     /// Keys of chunks from before rechunking, which are deleted once the job is over.
     pub superseded_keys: Vec<ObsoleteKey>,
-    /// The index from which on tasks were never placed.
+    /// The tasks with this index and higher ones were never placed.
     pub first_unplaced: u32,
-    /// Indices below `first_unplaced` of pending tasks: the latest attempt is proven over without having
-    /// completed, or none is stored.
+    /// The indices of the pending tasks below `first_unplaced`. The latest attempt of such a task is
+    /// proven over without having completed, or no attempt of the task is stored.
     pub to_restart: BTreeSet<u32>,
     /// The number of tasks that are done.
     pub done: u32,
     /// The number of attempts not proven over.
     pub placed: u32,
-    /// The number of attempts that their latest heartbeats listed as running.
+    /// The number of attempts that were running according to the latest heartbeat that listed them.
     pub running: u32,
     /// The number of attempts not proven over in each zone; zones without any are left out.
     pub attempts_by_zone: BTreeMap<Arc<str>, u32>,
--- a/crates/plankhead-core/src/jobs/job_table.rs
+++ b/crates/plankhead-core/src/jobs/job_table.rs
@@ -4,7 +4,8 @@
 //! attempt is over: the worker listed it as exited, the worker reported a later incarnation, or the
 //! cloud confirmed the release of the machine. A heartbeat that does not list an attempt proves
 //! nothing by itself, and neither does the passing of time. For cancelled jobs and ending gangs,
-//! [`JobTable::observe_heartbeat`] also accepts that the worker would refuse every start.
+//! [`JobTable::observe_heartbeat`] accepts one more kind of evidence: the heartbeat does not list the
+//! attempt, and its token shows that the worker refuses every start of the attempt offered so far.
 //!
 //! The tasks of a gang share one attempt: they are placed together, start together and end together.
 //! If one of them is lost or exits without having completed, the rest of the attempt is stopped too.
@@ -36,8 +37,8 @@
     pub dirty_placements: BTreeSet<(JobId, u32)>,
     /// Machines whose attempts have changed since this set was last taken.
     pub changed_machines: BTreeSet<MachineName>,
-    /// Active jobs whose tasks are all done, and other jobs without attempts that may be alive. These
-    /// jobs can be closed.
+    /// The jobs that can be closed: active jobs whose tasks are all done, and jobs that are not active
+    /// and have no attempts left that may be alive.
     pub ended_jobs: BTreeSet<JobId>,
     /// Machines whose workers must be told without delay to stop tasks of gangs.
     pub machines_to_stop: BTreeSet<MachineName>,
@@ -165,7 +166,7 @@
         let is_current = matches!(&task.state, TaskState::Placed(current) if current.number == attempt);
         let is_end_durable = match entry.phase {
             JobPhase::Active => chunk.durable_version >= task.end_version,
-            // The final record is durable, and stands for the ends of all tasks.
+            // The job's final record is durable and includes the ends of all tasks.
             JobPhase::Done => true,
             JobPhase::Cancelled => false,
         };
@@ -270,8 +271,8 @@
         self.jobs.get_mut(id)?.chunks.get_mut(&number)
     }
 
-    /// Returns the machines with attempts not proven over. This includes machines whose last attempts
-    /// were dropped with a removed job or a superseded chunk.
+    /// Returns the machines with attempts not proven over. It also returns machines that have none left
+    /// because the last ones were dropped from the table with a removed job or a superseded chunk.
     pub fn machines(&self) -> impl Iterator<Item = &MachineName> {
         self.by_machine.keys()
     }
