--- a/crates/plankhead-standins/src/bin/link_faults.rs
+++ b/crates/plankhead-standins/src/bin/link_faults.rs
@@ -16,7 +16,7 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<ExitCode> {
     let args = CommandLine::<LinkFaultArgs>::parse();
-    let outcome = link_faults::run(&args.load, &args.own).await?;
+    let outcome = link_faults::run(&args.load, &args.program).await?;
     let verdict = &outcome.verdict;
     println!("{} cuts, {} changes of mode; {verdict}", outcome.cuts, outcome.mode_changes);
     Ok(outcome.verdict.report_faults())
--- a/crates/plankhead-standins/src/bin/shard_move_faults.rs
+++ b/crates/plankhead-standins/src/bin/shard_move_faults.rs
@@ -16,7 +16,7 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<ExitCode> {
     let args = CommandLine::<ShardMoveFaultArgs>::parse();
-    let outcome = shard_move_faults::run(&args.load, &args.own).await?;
+    let outcome = shard_move_faults::run(&args.load, &args.program).await?;
     println!(
         "{} moves, {} kills, {} pauses; {}",
         outcome.moves, outcome.kills, outcome.pauses, outcome.verdict
--- a/crates/plankhead-standins/src/kv_store.rs
+++ b/crates/plankhead-standins/src/kv_store.rs
@@ -18,7 +18,7 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
-struct Stored {
+struct StoredValue {
     value: Value,
     stamp: u64,
     lease: Option<u64>,
@@ -35,7 +35,7 @@
 struct StoredChange {
     revision: u64,
     key: String,
-    told: Value,
+    event: Value,
     at: Instant,
 }
 
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct Keys {
-    rows: BTreeMap<String, Stored>,
+    rows: BTreeMap<String, StoredValue>,
     history: Vec<StoredChange>,
     revision: u64,
     leases: BTreeMap<u64, Lease>,
@@ -76,12 +76,16 @@
         }
     });
     let serving = state.clone();
-    let handle = move |request| answer(serving.clone(), counts.clone(), request);
+    let handle = move |request| handle_request(serving.clone(), counts.clone(), request);
     tokio::spawn(http::serve(listener, MAX_CONNECTIONS, handle));
     Ok((address, state))
 }
 
-async fn answer(state: Arc<KvStore>, counts: Arc<RequestCounts>, request: Request<Incoming>) -> Reply {
+async fn handle_request(
+    state: Arc<KvStore>,
+    counts: Arc<RequestCounts>,
+    request: Request<Incoming>,
+) -> Reply {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
@@ -101,7 +105,7 @@
         }
         (Method::GET, ["follow"]) => {
             counts.add(RequestKind::StateWatch);
-            state.follow(&query).await
+            state.watch(&query).await
         }
         (Method::POST, ["txn"]) => {
             counts.add(RequestKind::StateTransaction);
@@ -121,7 +125,7 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-fn number(query: &str, name: &str) -> u64 {
+fn numeric_parameter(query: &str, name: &str) -> u64 {
     parameter(query, name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
@@ -135,30 +139,30 @@
     }
 
     /// The host that holds the leader's lease.
-    pub fn holder(&self) -> Option<String> {
+    pub fn lease_holder(&self) -> Option<String> {
         let keys = self.keys();
         Some(keys.rows.get("lead")?.value["host"].as_str()?.to_owned())
     }
 
     /// All changes so far.
     pub fn history(&self) -> Vec<KeyChange> {
-        let written = |event: &StoredChange| KeyChange {
-            revision: event.revision,
-            key: event.key.clone(),
-            value: event.told.get("write").map(|_| event.told["value"].clone()),
-            at: event.at,
+        let key_change = |change: &StoredChange| KeyChange {
+            revision: change.revision,
+            key: change.key.clone(),
+            value: change.event.get("write").map(|_| change.event["value"].clone()),
+            at: change.at,
         };
-        self.keys().history.iter().map(written).collect()
+        self.keys().history.iter().map(key_change).collect()
     }
 
     /// Waits until a key that begins so is written.
-    pub async fn written(&self, prefix: &str) {
+    pub async fn wait_for_write(&self, prefix: &str) {
         let before = self.keys().history.len();
         loop {
             let changed = self.changed.notified();
-            let news =
-                |event: &StoredChange| event.key.starts_with(prefix) && event.told.get("write").is_some();
-            if self.keys().history[before..].iter().any(news) {
+            let is_write =
+                |change: &StoredChange| change.key.starts_with(prefix) && change.event.get("write").is_some();
+            if self.keys().history[before..].iter().any(is_write) {
                 return;
             }
             changed.await;
@@ -187,25 +191,26 @@
         (200, json!({"rows": rows, "truncated": truncated, "epoch": keys.revision}))
     }
 
-    async fn follow(&self, query: &str) -> (u16, Value) {
+    async fn watch(&self, query: &str) -> (u16, Value) {
         let prefix = parameter(query, "prefix").unwrap_or_default();
-        let after = number(query, "after");
-        let until = tokio::time::Instant::now() + Duration::from_millis(number(query, "waitMs"));
+        let after = numeric_parameter(query, "after");
+        let deadline =
+            tokio::time::Instant::now() + Duration::from_millis(numeric_parameter(query, "waitMs"));
         loop {
             let changed = self.changed.notified();
             {
                 let keys = self.keys();
-                let first = keys.history.partition_point(|event| event.revision <= after);
+                let first = keys.history.partition_point(|change| change.revision <= after);
                 let events: Vec<&Value> = keys.history[first..]
                     .iter()
-                    .filter(|event| event.key.starts_with(prefix))
-                    .map(|event| &event.told)
+                    .filter(|change| change.key.starts_with(prefix))
+                    .map(|change| &change.event)
                     .collect();
                 if !events.is_empty() {
                     return (200, json!({"epoch": keys.revision, "events": events}));
                 }
             }
-            if tokio::time::timeout_at(until, changed).await.is_err() {
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
                 return (200, json!({"epoch": self.keys().revision, "events": []}));
             }
         }
@@ -222,8 +227,8 @@
             return (409, json!({"failed": failed, "epoch": keys.revision}));
         }
         let changes = list("apply");
-        let lost = |c: &Value| c["hold"].as_u64().is_some_and(|id| !keys.leases.contains_key(&id));
-        if changes.iter().any(lost) {
+        let lease_missing = |c: &Value| c["hold"].as_u64().is_some_and(|id| !keys.leases.contains_key(&id));
+        if changes.iter().any(lease_missing) {
             return (400, json!({"error": "no such lease"}));
         }
         keys.revision += 1;
@@ -252,7 +257,7 @@
                 None => (404, json!({})),
             },
             (_, id) => {
-                let ended = id.is_some_and(|id| keys.end(id));
+                let ended = id.is_some_and(|id| keys.end_lease(id));
                 drop(keys);
                 self.changed.notify_waiters();
                 (if ended { 200 } else { 404 }, json!({}))
@@ -264,7 +269,7 @@
         let mut keys = self.keys();
         let ended: Vec<u64> = keys.leases.iter().filter(|(_, l)| l.ends <= now).map(|(id, _)| *id).collect();
         for id in &ended {
-            keys.end(*id);
+            keys.end_lease(*id);
         }
         if !ended.is_empty() {
             self.changed.notify_waiters();
@@ -279,20 +284,20 @@
         change["stamp"] = json!(stamp);
         if let Some(key) = change["write"].as_str().map(str::to_owned) {
             let lease = change["hold"].as_u64();
-            self.rows.insert(key.clone(), Stored { value: change["value"].clone(), stamp, lease });
-            self.tell(stamp, key, change);
+            self.rows.insert(key.clone(), StoredValue { value: change["value"].clone(), stamp, lease });
+            self.record(stamp, key, change);
         } else if let Some(key) = change["drop"].as_str().map(str::to_owned) {
             self.rows.remove(&key);
-            self.tell(stamp, key, change);
+            self.record(stamp, key, change);
         }
     }
 
-    fn tell(&mut self, revision: u64, key: String, told: Value) {
-        self.history.push(StoredChange { revision, key, told, at: Instant::now() });
+    fn record(&mut self, revision: u64, key: String, event: Value) {
+        self.history.push(StoredChange { revision, key, event, at: Instant::now() });
     }
 
     /// Ends a lease; its keys go with it.
-    fn end(&mut self, id: u64) -> bool {
+    fn end_lease(&mut self, id: u64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
         }
--- a/crates/plankhead-standins/src/lib.rs
+++ b/crates/plankhead-standins/src/lib.rs
@@ -35,7 +35,7 @@
     pub load: LoadArgs,
     /// The program's own arguments.
     #[command(flatten)]
-    pub own: A,
+    pub program: A,
 }
 
 /// The cluster and its load.
--- a/crates/plankhead-standins/src/request_counts.rs
+++ b/crates/plankhead-standins/src/request_counts.rs
@@ -5,10 +5,10 @@
 /// The kinds that are told apart.
 #[derive(Debug, Clone, Copy)]
 pub enum RequestKind {
-    Report,
+    Heartbeat,
     Command,
     Submission,
-    Question,
+    StatusQuery,
     Cancellation,
     HealthCheck,
     StateRead,
@@ -16,21 +16,21 @@
     StateLease,
     StateWatch,
     /// A user was told that a job is over.
-    JobOver,
+    JobFinished,
 }
 
 const KINDS: [(RequestKind, &str); 11] = [
-    (RequestKind::Report, "reports"),
+    (RequestKind::Heartbeat, "reports"),
     (RequestKind::Command, "direct commands"),
     (RequestKind::Submission, "submissions"),
-    (RequestKind::Question, "questions"),
+    (RequestKind::StatusQuery, "questions"),
     (RequestKind::Cancellation, "cancellations"),
     (RequestKind::HealthCheck, "health checks"),
     (RequestKind::StateRead, "state reads"),
     (RequestKind::StateTransaction, "state transactions"),
     (RequestKind::StateLease, "state lease calls"),
     (RequestKind::StateWatch, "state watches"),
-    (RequestKind::JobOver, "jobs over"),
+    (RequestKind::JobFinished, "jobs over"),
 ];
 
 #[derive(Debug, Default)]
@@ -45,16 +45,16 @@
         std::array::from_fn(|i| self.0[i].load(Ordering::Relaxed))
     }
 
-    pub fn jobs_over(&self) -> u64 {
-        self.0[RequestKind::JobOver as usize].load(Ordering::Relaxed)
+    pub fn jobs_finished(&self) -> u64 {
+        self.0[RequestKind::JobFinished as usize].load(Ordering::Relaxed)
     }
 
     /// Prints what came since `before`, in a second.
     pub fn print(&self, before: &[u64; KINDS.len()], seconds: u64) {
         let now = self.read();
         for (kind, name) in KINDS {
-            let since = now[kind as usize] - before[kind as usize];
-            println!("{name}: {:.1} a second", since as f64 / seconds as f64);
+            let delta = now[kind as usize] - before[kind as usize];
+            println!("{name}: {:.1} a second", delta as f64 / seconds as f64);
         }
     }
 }
