--- a/crates/plankhead-standins/src/bin/load_generator.rs
+++ b/crates/plankhead-standins/src/bin/load_generator.rs
@@ -1,13 +1,13 @@
-//! A load generator for one cluster on the loopback interface: state service, cloud,
-//! workers and users, at rates set on the command line, and the real `plankhead`
-//! processes under a profiler if one is named. Run by hand:
+//! A load generator for one cluster on the loopback interface. It runs a state service, a cloud,
+//! workers and users at the rates given on the command line, and the real `plankhead` processes,
+//! of which the first can run under a profiler. It is run by hand:
 //!
 //! ```sh
 //! cargo run --release -p plankhead-standins --bin load_generator -- --machines 185 --report-s 1 --seconds 60
 //! ```
 //!
-//! It prints how often each kind of request was made and what the processes used. It is
-//! not a simulation: nothing fails, and a process has a whole core.
+//! It prints the rate of each kind of request, and the CPU time and memory that the processes used.
+//! It is not a simulation: no faults are injected, and a process has a whole core.
 
 use clap::Parser;
 use plankhead_standins::environment::Environment;
@@ -18,10 +18,10 @@
 struct Args {
     #[command(flatten)]
     load: LoadArgs,
-    /// Seconds before counting begins: machines boot and the backlog is served.
+    /// Seconds before the counts begin, in which machines boot and the initial backlog is processed.
     #[arg(long, default_value_t = 30)]
     warmup_s: u64,
-    /// Seconds counted.
+    /// Seconds over which requests and resource use are counted.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
 }
--- a/crates/plankhead-standins/src/bin/local_cluster.rs
+++ b/crates/plankhead-standins/src/bin/local_cluster.rs
@@ -1,11 +1,11 @@
-//! A small cluster on loopback to try: three controllers, a state service, a cloud and
-//! workers. It takes jobs until it is interrupted:
+//! A small cluster on loopback for trying plankhead out: three controllers, a state service, a
+//! cloud and workers. It accepts jobs until it is interrupted:
 //!
 //! ```sh
 //! cargo run --release -p plankhead-standins --bin local_cluster
 //! ```
 //!
-//! The controllers are this program, too, started with their settings.
+//! The controller processes run this same executable, with `--config` and their settings.
 
 use clap::Parser;
 use plankhead_standins::environment::Environment;
@@ -13,18 +13,18 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Arguments of a controller, which this program passes on to itself.
+/// The argument with which this program runs a controller instead of the cluster.
 const CONFIG_FLAG: &str = "--config";
 
 #[derive(Debug, Parser)]
 struct Args {
-    /// Controllers.
+    /// Number of controllers.
     #[arg(long, default_value_t = 3)]
     nodes: usize,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud offers.
     #[arg(long, default_value_t = 10)]
     machines: usize,
-    /// Further arguments of every controller, such as `--sharding deploy/sharding.json`.
+    /// Additional arguments of every controller, such as `--sharding deploy/sharding.json`.
     #[arg(long, default_value = "", allow_hyphen_values = true)]
     node_arguments: String,
 }
@@ -55,10 +55,10 @@
     let mut terminated = signal(SignalKind::terminate())?;
     let mut running = environment.cluster.start(&load)?;
     let nodes = environment.cluster.api_addresses();
-    println!("{} controllers take jobs; the first at http://{}", nodes.len(), nodes[0]);
-    println!("\nA job of two tasks, and how it stands (machines need some seconds to come up):\n");
+    println!("{} controllers accept jobs; the first listens on http://{}", nodes.len(), nodes[0]);
+    println!("\nTo submit a job of two tasks and query its status (machines take a few seconds to boot):\n");
     println!("  curl -s http://{}/work -d '{}'", nodes[0], example_job());
-    println!("  curl -s http://{}/work/job-1\n\nCtrl-C ends all.", nodes[0]);
+    println!("  curl -s http://{}/work/job-1\n\nPress Ctrl-C to stop the cluster.", nodes[0]);
     tokio::select! {
         _ = interrupted.recv() => {}
         _ = terminated.recv() => {}
--- a/crates/plankhead-standins/src/bin/shard_move_faults.rs
+++ b/crates/plankhead-standins/src/bin/shard_move_faults.rs
@@ -1,12 +1,13 @@
 //! Kills and pauses real controller processes under load while shards of machines move
-//! between them, and checks that every job reached exactly one final answer. Run by hand:
+//! between them, and checks that every job reached exactly one final answer. It is run by hand:
 //!
 //! ```sh
 //! cargo run --release -p plankhead-standins --bin shard_move_faults -- --nodes 3 --jobs 300 \
 //!     --node-arguments "--sharding rotate.json"
 //! ```
 //!
-//! It ends with an error if a job did not, or a task ran twice.
+//! It exits with a failure if the check finds a fault, such as a task that ran on two machines at
+//! the same time.
 
 use clap::Parser;
 use plankhead_standins::shard_move_faults::{self, ShardMoveFaultArgs};
--- a/crates/plankhead-standins/src/cloud.rs
+++ b/crates/plankhead-standins/src/cloud.rs
@@ -19,46 +19,49 @@
 
 #[derive(Debug, Default)]
 struct Inventory {
-    /// Machines by number, with the time of their rental.
+    /// The rented machines by number, with the times of their rentals.
     machines: BTreeMap<usize, Instant>,
+    /// The names of the machines that each rental provided, by the name of the rental.
     rentals: BTreeMap<String, Vec<String>>,
     last_number: usize,
 }
 
-/// What an effect was about.
+/// The rental or the machine that an effect concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
     Rental(String),
     Machine(String),
 }
 
-/// Something that the cloud did: machines were rented, or one was taken away.
+/// An effect that the cloud carried out: it provided the machines of a rental, or took one machine
+/// back.
 #[derive(Debug, Clone)]
 pub struct Effect {
-    /// The controller that had asked.
+    /// The controller that sent the request.
     pub sender: String,
     pub subject: Subject,
-    /// The state service's revision at that moment.
+    /// The revision of the state service when the effect was carried out.
     pub revision: u64,
     pub at: Instant,
 }
 
-/// The cloud, with all that it did.
+/// The cloud, with a record of its effects.
 #[derive(Debug)]
 pub struct Cloud {
     max_machines: usize,
     boot_time: Duration,
-    /// The least and the most seconds until a request is carried out.
+    /// The minimum and maximum delay in seconds before a request is carried out.
     delay_s: (f64, f64),
     workers: Arc<Workers>,
     state: Arc<KvStore>,
     inventory: Mutex<Inventory>,
     effects: Mutex<Vec<Effect>>,
-    /// The controller that asked for a rental or a return last.
+    /// The controller that sent the latest request for a rental or a return.
     last_caller: watch::Sender<String>,
 }
 
-/// Starts the cloud with an address for each controller, so that it knows who asks.
+/// Starts the cloud with a separate address for each controller, by which it identifies the sender
+/// of a request.
 pub async fn start(
     addresses: &[SocketAddr],
     args: &LoadArgs,
@@ -93,7 +96,8 @@
     };
     if method == Method::POST {
         cloud.last_caller.send_replace(sender.clone());
-        // As a network does, it may carry requests out whose sender is long paused.
+        // The delay simulates a slow network, in which a request may be carried out long after its
+        // sender was paused.
         let (min_s, max_s) = cloud.delay_s;
         let delay = rand::rng().random_range(min_s..=max_s);
         tokio::time::sleep(Duration::from_secs_f64(delay)).await;
@@ -113,12 +117,12 @@
         self.inventory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// All effects so far.
+    /// Returns a copy of all effects so far.
     pub fn effects(&self) -> Vec<Effect> {
         self.effects.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Waits until a rental or a return is asked for, and tells by which controller.
+    /// Waits for the next request for a rental or a return, and returns the controller that sent it.
     pub async fn next_caller(&self) -> Option<String> {
         let mut callers = self.last_caller.subscribe();
         callers.changed().await.ok()?;
@@ -134,7 +138,8 @@
 
     fn catalog(&self) -> Value {
         json!({"rigs": [{"label": workers::MACHINE_TYPE, "cpus": 16, "gpus": 0, "ramGb": 128, "localGb": 50,
-        "pullGbPerS": 0.8, "rate": 1.0, "marketPrice": 0.3, "readyS": self.boot_time.as_secs_f64(), "yards": [workers::ZONE]}]})
+            "pullGbPerS": 0.8, "rate": 1.0, "marketPrice": 0.3, "readyS": self.boot_time.as_secs_f64(),
+            "yards": [workers::ZONE]}]})
     }
 
     fn list(&self, second_page: bool) -> Value {
@@ -144,7 +149,7 @@
                 "rig": workers::MACHINE_TYPE, "yard": workers::ZONE, "loaners": true, "status": "running",
                 "heldS": since.elapsed().as_secs_f64()})
         };
-        // The last page is whatever comes after the first 500.
+        // A request with `after` returns the second page of 500 machines, which is the last one.
         let skipped = if second_page { 500 } else { 0 };
         let hosts: Vec<Value> = inventory.machines.iter().skip(skipped).take(500).map(row).collect();
         json!({"hosts": hosts, "truncated": !second_page && inventory.machines.len() > 500})
--- a/crates/plankhead-standins/src/environment.rs
+++ b/crates/plankhead-standins/src/environment.rs
@@ -1,4 +1,4 @@
-//! Everything that the processes of a cluster meet, started together.
+//! The stand-ins that a cluster needs, started together.
 
 use crate::answer_history::{self, AnswerHistory, Verdict};
 use crate::cloud::Cloud;
@@ -11,18 +11,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether all jobs are over.
+/// The interval of the check whether all jobs are finished.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The stand-ins of one cluster, and the cluster's addresses.
+/// The stand-ins of one cluster, and the addresses of its nodes.
 pub struct Environment {
-    /// The cluster, whose processes are not started yet.
+    /// The cluster. Starting the stand-ins does not start its processes.
     pub cluster: Cluster,
     /// The state service.
     pub state: Arc<KvStore>,
     /// The cloud.
     pub cloud: Arc<Cloud>,
-    /// The requests so far.
+    /// The counts of the requests so far.
     pub counts: Arc<RequestCounts>,
     /// The answers and attempts so far.
     pub history: Arc<AnswerHistory>,
@@ -30,7 +30,7 @@
 }
 
 impl Environment {
-    /// Starts the stand-ins for a cluster that reaches them directly.
+    /// Starts the stand-ins for a cluster that reaches them without proxies.
     pub async fn start(load: &LoadArgs) -> std::io::Result<Self> {
         let counts = Arc::new(RequestCounts::default());
         let (state_address, state) = kv_store::start(counts.clone()).await?;
@@ -40,7 +40,8 @@
     }
 
     /// Starts the workers and the cloud for a planned cluster. Workers send their heartbeats to
-    /// the given addresses; `commands`: filled with a proxy for each node's commands.
+    /// `heartbeat_addresses`, one for each node. If `commands` is given, a proxy for the commands
+    /// of each node is started and added to it.
     pub(crate) async fn start_with(
         load: &LoadArgs,
         cluster: Cluster,
@@ -63,15 +64,15 @@
         Ok(Self { cluster, state, cloud, counts, history, workload })
     }
 
-    /// Has users submit jobs from now on.
+    /// Starts the users, who submit jobs from now on.
     pub fn start_users(&self, load: &LoadArgs) {
         let nodes = self.cluster.api_addresses();
         let (workload, counts) = (self.workload.clone(), self.counts.clone());
         tokio::spawn(users::submit_jobs(load.clone(), nodes, workload, counts, self.history.clone()));
     }
 
-    /// Waits until all jobs are over, or the time is; stops the processes, and checks what came
-    /// of the jobs.
+    /// Waits until all jobs are finished or `timeout` has passed, stops the processes, and checks
+    /// the answers about the jobs. Fails if a process has exited by itself.
     pub async fn finish(
         &self,
         mut running: RunningNodes,
--- a/crates/plankhead-standins/src/lib.rs
+++ b/crates/plankhead-standins/src/lib.rs
@@ -1,13 +1,17 @@
-//! Stand-ins on the loopback interface for what plankhead's processes meet: a state service, a
-//! cloud, workers and users. They follow the published protocol as far as their users need it,
-//! record what they did, and fail only on purpose.
+//! Stand-ins on the loopback interface for the systems around plankhead's processes: a state
+//! service, a cloud, workers and users. They implement the parts of the published protocol that
+//! the programs below need, record their actions, and fail only where a program injects a fault.
 //!
-//! Five programs use them: `local_cluster` runs a small cluster to try, `load_generator`
-//! generates load for one cluster, `process_pauses` pauses and resumes its processes and checks
-//! what the cloud did for former leaders ([`stale_effects`]), `link_faults` fails single links
-//! through proxies ([`proxy`]) and checks that every job reached exactly one final answer
-//! ([`answer_history`]), and `shard_move_faults` does so with kills and pauses while shards of
-//! machines move.
+//! Five programs use them:
+//!
+//! - `local_cluster` runs a small cluster for trying plankhead out;
+//! - `load_generator` generates load for one cluster;
+//! - `process_pauses` pauses and resumes the processes of a cluster, and checks what the cloud did
+//!   for former leaders ([`stale_effects`]);
+//! - `link_faults` injects faults into single links through proxies ([`proxy`]), and checks that
+//!   every job reached exactly one final answer ([`answer_history`]);
+//! - `shard_move_faults` kills and pauses processes while shards of machines move, and makes the
+//!   same check.
 
 pub mod answer_history;
 pub mod cloud;
@@ -26,79 +30,79 @@
 use clap::Parser;
 use std::path::PathBuf;
 
-/// The command line of a program that puts a cluster under load, with the program's own
-/// arguments.
+/// The command line of a program that runs a cluster under load: the arguments of the cluster and
+/// its load, and those of the program.
 #[derive(Debug, Parser)]
 pub struct CommandLine<A: clap::Args> {
-    /// The load.
+    /// The cluster and its load.
     #[command(flatten)]
     pub load: LoadArgs,
-    /// The program's own arguments.
+    /// The arguments that only this program has.
     #[command(flatten)]
     pub program: A,
 }
 
-/// The cluster and its load.
+/// The arguments that describe the cluster and its load.
 #[derive(Debug, Clone, Parser)]
 pub struct LoadArgs {
-    /// The program under load.
+    /// The executable of the nodes.
     #[arg(long, default_value = "target/release/plankhead")]
     pub binary: PathBuf,
-    /// A command that the first node is started with, such as a profiler.
+    /// A command that runs the first node, such as a profiler with its arguments.
     #[arg(long, default_value = "")]
     pub wrap: String,
-    /// Further arguments of every node, such as `--fencing deploy/fencing.json`.
+    /// Additional arguments of every node, such as `--fencing deploy/fencing.json`.
     #[arg(long, default_value = "", allow_hyphen_values = true)]
     pub node_arguments: String,
-    /// Controller nodes.
+    /// Number of controller nodes.
     #[arg(long, default_value_t = 1)]
     pub nodes: usize,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud offers.
     #[arg(long, default_value_t = 185)]
     pub machines: usize,
-    /// Seconds between the reports of a worker.
+    /// Seconds between the heartbeats of a worker.
     #[arg(long, default_value_t = 1.0)]
     pub report_s: f64,
-    /// Jobs submitted in a second.
+    /// Average number of jobs submitted per second.
     #[arg(long, default_value_t = 0.5)]
     pub jobs_per_s: f64,
-    /// Jobs submitted in all; 0: without end.
+    /// Total number of jobs submitted; 0: no limit.
     #[arg(long, default_value_t = 0)]
     pub jobs: u64,
-    /// Jobs submitted at once in the beginning.
+    /// Number of jobs submitted at once at the start.
     #[arg(long, default_value_t = 20)]
     pub initial: u64,
-    /// Seconds without a submission after every tenth job.
+    /// Seconds without submissions after every tenth job.
     #[arg(long, default_value_t = 0.0)]
     pub idle_s: f64,
-    /// Seconds until a rented machine reports.
+    /// Seconds from the rental of a machine to its first heartbeat.
     #[arg(long, default_value_t = 5.0)]
     pub boot_s: f64,
-    /// Tasks of a job on average.
+    /// Average number of tasks of a job.
     #[arg(long, default_value_t = 16)]
     pub tasks: u32,
-    /// Processors that a task takes, of 16 on a machine.
+    /// CPU cores that a task takes; a machine has 16.
     #[arg(long, default_value_t = 6.0)]
     pub cpus: f64,
-    /// Run time of a task on average.
+    /// Average run time of a task in seconds.
     #[arg(long, default_value_t = 30.0)]
     pub run_s: f64,
-    /// Share of the jobs that are cancelled while they run.
+    /// Share of the jobs that their users cancel a few seconds after submission.
     #[arg(long, default_value_t = 0.04)]
     pub cancelled: f64,
-    /// Seconds that a worker goes on without an answer to its reports.
+    /// Seconds that a worker keeps its tasks running without a response to its heartbeats.
     #[arg(long, default_value_t = 11.0)]
     pub lease_s: f64,
-    /// Seconds after a cancellation until its tasks must be gone.
+    /// Seconds after the cancellation of a job by which its tasks must have stopped.
     #[arg(long, default_value_t = 36.0)]
     pub cancel_s: f64,
-    /// Connections that the platform allows a node.
+    /// Number of connections that the platform allows a node.
     #[arg(long, default_value_t = 600)]
     pub sockets: usize,
-    /// Seconds that the cloud takes at the most before it carries out a rental or a return.
+    /// Maximum delay in seconds before the cloud carries out a rental or a return.
     #[arg(long, default_value_t = 0.0)]
     pub cloud_delay_s: f64,
-    /// And at the least.
+    /// Minimum delay in seconds before the cloud carries out a rental or a return.
     #[arg(long, default_value_t = 0.0)]
     pub cloud_delay_least_s: f64,
 }
--- a/crates/plankhead-standins/src/link_faults.rs
+++ b/crates/plankhead-standins/src/link_faults.rs
@@ -1,5 +1,5 @@
-//! Cuts single links of real controller processes, one direction at a time, and checks
-//! that every job reached exactly one final answer.
+//! Injects faults into single links of real controller processes, in one direction or both, and
+//! checks that every job reached exactly one final answer.
 
 use crate::answer_history::Verdict;
 use crate::environment::Environment;
@@ -12,54 +12,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time until the first cut: the cluster elects a leader and rents its first machines.
+/// The time before the first cut, in which the cluster elects a leader and rents its first machines.
 const WARM_UP_TIME: Duration = Duration::from_secs(6);
-/// What nodes log when their reachability mode changes.
+/// The text that a node logs when its reachability mode changes.
 const MODE_CHANGE_LINE: &str = "reachability mode changed: ";
 
-/// How links are cut.
+/// The arguments that describe the cuts.
 #[derive(Debug, Clone, clap::Args)]
 pub struct LinkFaultArgs {
-    /// How many, one after the other; each of one to three links.
+    /// Number of cuts, one after the other; each affects one to three links of a node.
     #[arg(long, default_value_t = 50)]
     pub cuts: u32,
-    /// The seed of what is cut, how and for how long.
+    /// Seed for the choice of links, faults and durations.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seconds that a cut lasts at the most.
+    /// Maximum duration of a cut in seconds.
     #[arg(long, default_value_t = 6.0)]
     pub longest_s: f64,
-    /// Seconds after the last cut until every job must be over.
+    /// Seconds after the last cut by which every job must be finished.
     #[arg(long = "patience-s", default_value_t = 120.0)]
     pub finish_timeout_s: f64,
-    /// Links that flap for the whole time, at this period in seconds; 0: none do.
+    /// Period in seconds with which one link to the state service at a time goes down and up,
+    /// instead of the random cuts; 0: random cuts.
     #[arg(long, default_value_t = 0.0)]
     pub flap_s: f64,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub verdict: Verdict,
     pub cuts: u32,
-    /// Changes of mode that the nodes logged.
+    /// The number of changes of the reachability mode that the nodes logged.
     pub mode_changes: usize,
 }
 
-/// The proxies of one node: what it calls, and what calls it.
+/// The proxies of the links from one node to the services and the other nodes, and from workers to it.
 #[derive(Debug)]
 struct NodeLinks {
     state: Proxy,
     cloud: Proxy,
-    /// To each other node; to itself unused.
+    /// The links to all nodes, by number. The link of the node to itself is not used.
     peers: Vec<Proxy>,
-    /// Forward: workers' heartbeats; backward: the replies to them.
+    /// Heartbeats of workers pass forward, the responses to them backward.
     heartbeats: Proxy,
 }
 
+/// The proxies of all nodes, by number.
 #[derive(Debug)]
 struct Links {
     nodes: Vec<NodeLinks>,
+    /// The links over which the nodes send commands to workers.
     commands: Vec<Proxy>,
 }
 
@@ -90,7 +93,7 @@
         self.nodes.iter().map(route).collect()
     }
 
-    /// The proxies of one kind of link of a node.
+    /// Returns the proxies of one kind of link of a node.
     fn proxies(&self, node: usize, kind: u32) -> Vec<&Proxy> {
         let links = &self.nodes[node];
         match kind {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Cuts one to three links of one node, and heals them.
+/// Injects faults into one to three kinds of links of one node, and clears them after a random time.
 async fn cut_once(links: &Links, args: &LinkFaultArgs, random: &mut StdRng) {
     let node = random.random_range(0..links.nodes.len());
     for _ in 0..random.random_range(1..=3) {
@@ -138,7 +141,8 @@
     tokio::time::sleep(Duration::from_millis(random.random_range(100..3_000))).await;
 }
 
-/// The state link of one node after the other goes and comes.
+/// Takes the link to the state service of one node down and up again eight times, then goes on to
+/// the next node.
 async fn flap(links: &Links, args: &LinkFaultArgs) {
     let half_period = Duration::from_secs_f64(args.flap_s / 2.0);
     for n in 0..args.cuts as usize {
@@ -150,7 +154,7 @@
     }
 }
 
-/// Runs a cluster under load through proxies, cuts them, and checks what came of the jobs.
+/// Runs a cluster under load, injects faults through proxies, and checks the answers about all jobs.
 pub async fn run(load: &LoadArgs, args: &LinkFaultArgs) -> std::io::Result<Outcome> {
     let counts = Arc::new(RequestCounts::default());
     let (state_address, state) = kv_store::start(counts.clone()).await?;
--- a/crates/plankhead-standins/src/process_pauses.rs
+++ b/crates/plankhead-standins/src/process_pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses and resumes controller processes, at random instants and at chosen ones.
+//! Pauses and resumes controller processes, at random instants and at critical ones.
 
 use crate::cloud::Cloud;
 use crate::environment::Environment;
@@ -10,66 +10,68 @@
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
 
-/// How long a chosen instant is waited for.
+/// The maximum time to wait for a chosen instant, after which the pause begins in any case.
 const INSTANT_TIMEOUT: Duration = Duration::from_secs(8);
-/// The time until the first pause: the cluster elects a leader and rents its first machines.
+/// The time before the first pause, in which the cluster elects a leader and rents its first machines.
 const WARM_UP_TIME: Duration = Duration::from_secs(6);
-/// The time after the last pause, in which requests under way arrive.
+/// The time after the last pause, in which outstanding requests are carried out.
 const COOL_DOWN_TIME: Duration = Duration::from_secs(5);
 
-/// How pauses are set.
+/// The arguments that describe the pauses.
 #[derive(Debug, Clone, clap::Args)]
 pub struct PauseArgs {
-    /// How many.
+    /// Number of pauses.
     #[arg(long, default_value_t = 1000)]
     pub pauses: u32,
-    /// The seed of instants and lengths.
+    /// Seed for the choice of instants, nodes and durations.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seconds that a pause lasts at the most; the leader's lease lasts 1.5.
+    /// Maximum duration of a pause in seconds; the leader's lease lasts 1.5 s.
     #[arg(long, default_value_t = 4.0)]
     pub longest_s: f64,
-    /// Seconds that a pause lasts at the least.
+    /// Minimum duration of a pause in seconds.
     #[arg(long, default_value_t = 0.2)]
     pub shortest_s: f64,
-    /// At which instants.
+    /// Instants at which processes are paused.
     #[arg(long, value_enum, default_value_t = PauseInstant::Any)]
     pub instants: PauseInstant,
 }
 
-/// At which instants processes are paused.
+/// The instants at which processes are paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum PauseInstant {
-    /// Any of the others, drawn each time.
+    /// One of the other values, chosen at random for each pause.
     Any,
+    /// A random instant.
     Random,
-    /// A record of duties was just written.
+    /// A record of intents has just been written.
     RecordWritten,
-    /// A rental or a return has just reached the cloud, which has not carried it out.
+    /// A request for a rental or a return has just reached the cloud, which has not carried it out yet.
     CloudCalled,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub effect_counts: EffectCounts,
     pub pauses: u32,
-    /// Changes of the state service, and those of records of duties.
+    /// The number of changes of keys in the state service.
     pub changes: usize,
-    pub duty_changes: usize,
-    /// From the end of a lease to the first effect of the next leader, each time.
+    /// The number of these changes that concern records of intents.
+    pub intent_changes: usize,
+    /// For each end of a lease, the time to the first effect after the lease was acquired again.
     pub gaps: Vec<Duration>,
     pub jobs_finished: u64,
 }
 
-/// Runs a cluster under load, pauses its processes, and checks what the cloud did.
+/// Runs a cluster under load, pauses its processes, and checks the effects of the cloud.
 pub async fn run(load: &LoadArgs, args: &PauseArgs) -> std::io::Result<Outcome> {
     let environment = Environment::start(load).await?;
     let (state, cloud) = (&environment.state, &environment.cloud);
     let mut running = environment.cluster.start(load)?;
     environment.start_users(load);
-    // A fleet that has its size may call the cloud no more for a minute: the first rental
-    // is the one call that is sure to come.
+    // Once the fleet has its target size, the leader may not call the cloud for a minute. Only the
+    // first rental is certain, so pauses at calls to the cloud begin without a warm-up.
     if args.instants != PauseInstant::CloudCalled {
         tokio::time::sleep(WARM_UP_TIME).await;
     }
@@ -84,7 +86,7 @@
         effect_counts: stale_effects::check(&history, &effects),
         pauses: args.pauses,
         changes: history.len(),
-        duty_changes: history.iter().filter(|change| change.key.starts_with("duty/")).count(),
+        intent_changes: history.iter().filter(|change| change.key.starts_with("duty/")).count(),
         gaps: gaps(state, cloud),
         jobs_finished: environment.counts.jobs_finished(),
     })
@@ -125,7 +127,7 @@
     running.resume(node);
 }
 
-/// From each end of a lease to the next effect of a sender that holds it.
+/// For each end of a lease, returns the time to the first effect after the lease was acquired again.
 fn gaps(state: &KvStore, cloud: &Cloud) -> Vec<Duration> {
     let (history, effects) = (state.history(), cloud.effects());
     let mut gaps = Vec::new();
--- a/crates/plankhead-standins/src/proxy.rs
+++ b/crates/plankhead-standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! TCP proxies on loopback that fail on purpose, each direction by itself.
+//! TCP proxies on loopback that inject faults, separately for each direction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use tokio::sync::watch;
 
 const CHUNK_BYTES: usize = 16 * 1024;
-/// What a dripping direction lets through at a time.
+/// The number of bytes that a throttled direction passes in each interval.
 const THROTTLED_CHUNK_BYTES: usize = 8;
 
-/// Which way bytes go: with the one that connects as the sender.
+/// A direction of a connection. `Forward` is from the side that opened the connection to the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     Forward,
@@ -26,20 +26,20 @@
     }
 }
 
-/// How a proxy fails.
+/// A fault that a proxy injects.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Fault {
     #[default]
     None,
-    /// Connections are accepted, and nothing passes until the fault ends.
+    /// Connections are accepted, but no bytes pass until the fault ends.
     Stall(Direction),
-    /// All connections are closed, those that come as well.
+    /// Existing connections are closed, and new ones as soon as they are accepted.
     Refuse,
-    /// What is under way is closed; new connections pass.
+    /// Existing connections are closed, and new ones after the connection to the target was opened.
     Reset,
-    /// Each chunk is late by this time.
+    /// Each chunk is forwarded after this delay.
     Delay(Direction, Duration),
-    /// A few bytes pass in each of these times.
+    /// A small chunk passes in each interval of this length.
     Throttle(Direction, Duration),
 }
 
@@ -55,8 +55,8 @@
         Self::listen(TcpListener::bind("127.0.0.1:0").await?, target)
     }
 
-    /// One that listens on all loopback addresses, and connects to the same address of
-    /// another port.
+    /// Starts a proxy that listens on all local addresses, and forwards a connection to `port` of
+    /// the address on which it arrived.
     pub async fn start_on_all_addresses(port: u16) -> std::io::Result<Self> {
         Self::listen(TcpListener::bind("0.0.0.0:0").await?, SocketAddr::from(([0, 0, 0, 0], port)))
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Carries one direction until either end closes.
+/// Forwards one direction until either end closes the connection.
 async fn forward_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/plankhead-standins/src/request_counts.rs
+++ b/crates/plankhead-standins/src/request_counts.rs
@@ -1,8 +1,8 @@
-//! How often each kind of request was made.
+//! Counts of the requests of each kind.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The kinds that are told apart.
+/// The kinds of requests and events that are counted separately.
 #[derive(Debug, Clone, Copy)]
 pub enum RequestKind {
     Heartbeat,
@@ -15,22 +15,22 @@
     StateTransaction,
     StateLease,
     StateWatch,
-    /// A user was told that a job is over.
+    /// A user received the answer that a job is done or cancelled.
     JobFinished,
 }
 
 const KINDS: [(RequestKind, &str); 11] = [
-    (RequestKind::Heartbeat, "reports"),
+    (RequestKind::Heartbeat, "heartbeats"),
     (RequestKind::Command, "direct commands"),
     (RequestKind::Submission, "submissions"),
-    (RequestKind::StatusQuery, "questions"),
+    (RequestKind::StatusQuery, "status queries"),
     (RequestKind::Cancellation, "cancellations"),
     (RequestKind::HealthCheck, "health checks"),
     (RequestKind::StateRead, "state reads"),
     (RequestKind::StateTransaction, "state transactions"),
     (RequestKind::StateLease, "state lease calls"),
     (RequestKind::StateWatch, "state watches"),
-    (RequestKind::JobFinished, "jobs over"),
+    (RequestKind::JobFinished, "jobs finished"),
 ];
 
 #[derive(Debug, Default)]
@@ -49,12 +49,12 @@
         self.0[RequestKind::JobFinished as usize].load(Ordering::Relaxed)
     }
 
-    /// Prints what came since `before`, in a second.
+    /// Prints the rate of each kind. `before` holds the counts from `seconds` ago.
     pub fn print(&self, before: &[u64; KINDS.len()], seconds: u64) {
         let now = self.read();
         for (kind, name) in KINDS {
             let delta = now[kind as usize] - before[kind as usize];
-            println!("{name}: {:.1} a second", delta as f64 / seconds as f64);
+            println!("{name}: {:.1}/s", delta as f64 / seconds as f64);
         }
     }
 }
--- a/crates/plankhead-standins/src/stale_effects.rs
+++ b/crates/plankhead-standins/src/stale_effects.rs
@@ -1,25 +1,25 @@
-//! Counts what the cloud did for nodes that did not lead any more.
+//! Counts the effects that the cloud carried out for nodes that were no longer the leader.
 //!
-//! The check reads what the stand-ins kept, and calls nothing of the code under test. An
-//! effect is a rental that rents machines or a return that takes machines away which were
-//! there. It is **stale** if, at the revision of the state service at which the cloud
-//! carried it out, the lease's key was not its sender's, and no record under `duty/` named
-//! the rental or the machine. A record counts only if it was written while the lease was
-//! its writer's: the key holds the lease's revision.
+//! The check reads what the stand-ins recorded, and calls none of the code under test. An
+//! effect is a rental that provided machines, or the return of a machine that was rented. It is
+//! **stale** if, at the revision of the state service at which the cloud carried it out, its
+//! sender did not hold the leader's lease, and no record under `duty/` named the rental or the
+//! machine. A record counts only if its writer held the lease when it was written: the key of the
+//! record contains the revision at which its writer acquired the lease.
 
 use crate::cloud::{Effect, Subject};
 use crate::kv_store::KeyChange;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What was found.
+/// The numbers of effects that the check found.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EffectCounts {
     pub effects: usize,
-    /// Effects for senders whose lease was over.
+    /// Effects whose sender did not hold the lease.
     pub by_former_leaders: usize,
     pub stale: usize,
-    /// Terms of the lease.
+    /// The number of times that the lease was acquired.
     pub terms: usize,
 }
 
--- a/crates/plankhead-standins/src/users.rs
+++ b/crates/plankhead-standins/src/users.rs
@@ -1,4 +1,4 @@
-//! Users who submit jobs, ask about them until they are over, and cancel some.
+//! Users who submit jobs, query their status until they are finished, and cancel some.
 
 use crate::answer_history::{AnswerHistory, Event, JobAnswer};
 use crate::request_counts::{RequestCounts, RequestKind};
@@ -15,13 +15,14 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const STATUS_INTERVAL: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// The team and class of all jobs; also in the settings of the nodes.
+/// The team of all jobs, which is also in the settings of the nodes.
 pub const TEAM: &str = "team";
+/// The class of all jobs, which is also in the settings of the nodes.
 pub const CLASS: &str = "class";
-/// Images that jobs are spread over.
+/// The number of images from which jobs choose theirs at random.
 const IMAGES: u32 = 10;
 
-/// Run times of the tasks of all jobs, which only the workers learn.
+/// The run time of the tasks of each job, which only the workers read.
 #[derive(Debug, Default)]
 pub struct Workload(Mutex<HashMap<String, Duration>>);
 
@@ -30,14 +31,14 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(job.into(), run_time);
     }
 
-    /// How long a task of the job runs.
+    /// Returns the run time of the tasks of a job.
     pub fn run_time(&self, job: &str) -> Duration {
         let jobs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         jobs.get(job).copied().unwrap_or(Duration::from_secs(1))
     }
 }
 
-/// Submits jobs for ever.
+/// Submits jobs until their number reaches `args.jobs`, or without end if that is 0.
 pub async fn submit_jobs(
     args: LoadArgs,
     nodes: Vec<SocketAddr>,
@@ -68,7 +69,7 @@
     }
 }
 
-/// An array as the protocol describes it.
+/// Returns the message that submits an array of tasks.
 pub fn job(id: &str, urgency: &str, tasks: u32, cpus: f64, image: &str, run_s: f64) -> Value {
     json!({"nameId": id, "lane": CLASS, "crew": TEAM, "shape": "array", "urgency": urgency,
         "pieces": tasks, "cpus": cpus, "gpus": 0.0, "ramGb": 4.0, "bundle": image, "imageGb": 1.0,
@@ -105,7 +106,7 @@
         self.history.add(Event::Answered { job: self.id.clone(), tasks, status });
     }
 
-    fn record_reply(&self, tasks: u64, response: &Value) {
+    fn record_response(&self, tasks: u64, response: &Value) {
         let status = match response["status"].as_str() {
             Some("done") => JobAnswer::Done,
             Some("cancelled") => JobAnswer::Cancelled,
@@ -129,14 +130,14 @@
                 let abort = format!("{path}/abort");
                 let response = self.call(RequestKind::Cancellation, Method::POST, &abort, Vec::new()).await;
                 if let Some(response) = response {
-                    self.record_reply(tasks, &response);
+                    self.record_response(tasks, &response);
                     self.counts.add(RequestKind::JobFinished);
                     return;
                 }
             }
             let response = self.call(RequestKind::StatusQuery, Method::GET, &path, Vec::new()).await;
             if let Some(response) = &response {
-                self.record_reply(tasks, response);
+                self.record_response(tasks, response);
             }
             let status = response.as_ref().and_then(|a| a["status"].as_str());
             if matches!(status, Some("done" | "cancelled")) {
--- a/crates/plankhead-standins/src/workers.rs
+++ b/crates/plankhead-standins/src/workers.rs
@@ -1,5 +1,5 @@
-//! Workers that report, fetch images and run tasks, each on a loopback address of its
-//! own.
+//! Workers that send heartbeats, fetch images and run tasks, each on its own loopback address. A
+//! task does no work, but lasts for its run time.
 
 use crate::answer_history::{AnswerHistory, AttemptEvent, Event};
 use crate::proxy::Proxy;
@@ -22,10 +22,12 @@
 pub const MACHINE_TYPE: &str = "large";
 pub const ZONE: &str = "zone-a";
 const MAX_CONNECTIONS: usize = 10_000;
-/// Reports on a change are at least this far apart.
+/// The minimum pause between two heartbeats of a worker, unless its regular interval is shorter.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+/// The delay before a worker turns to the next node after a failed heartbeat.
 const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
+/// The time from a command to run a task to the start of the task.
 const IMAGE_FETCH_TIME: Duration = Duration::from_millis(1_250);
 
 pub fn name(number: usize) -> String {
@@ -36,7 +38,7 @@
     name.strip_prefix("i-")?.parse().ok()
 }
 
-/// A machine's address: the whole of 127.0.0.0/8 is loopback.
+/// Returns the address of a machine. The whole of 127.0.0.0/8 is loopback.
 pub fn address(number: usize, port: u16) -> String {
     format!("127.1.{}.{}:{port}", number / 250 % 250, number % 250 + 1)
 }
@@ -48,46 +50,55 @@
 /// All workers of the cluster.
 #[derive(Debug)]
 pub struct Workers {
-    /// Where each node sends its commands.
+    /// The port of the workers to which each node sends its commands.
     pub command_ports: Vec<u16>,
+    /// The port on which all workers listen.
     pub port: u16,
     heartbeat_interval: Duration,
     nodes: Vec<SocketAddr>,
     workload: Arc<Workload>,
     counts: Arc<RequestCounts>,
     history: Arc<AnswerHistory>,
-    lease: Duration,
+    lease_duration: Duration,
+    /// The rented workers, by IP address.
     by_address: Mutex<HashMap<String, Arc<Worker>>>,
 }
 
 #[derive(Debug, Default)]
 struct Worker {
     number: usize,
+    /// Notified when the worker has received a command.
     changed: Notify,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum TaskState {
+    /// The image is being fetched until this time.
     Fetching(Instant),
+    /// The attempt runs until this time.
     Running(Instant),
+    /// The attempt has ended for this cause.
     Ended(&'static str),
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     stopped: bool,
+    /// The sequence number of the latest heartbeat.
     sequence: u64,
     token: u64,
-    /// Sessions that were over: each lease that ran out ends one.
+    /// The number of past sessions. A session ends when the lease expires.
     expired_sessions: u64,
-    /// When the last report was sent that was answered.
+    /// The time at which the latest heartbeat with a valid response was sent.
     lease_renewed_at: Option<Instant>,
+    /// The attempts on this worker, by task and attempt number.
     tasks: BTreeMap<(String, u64), TaskState>,
 }
 
 impl Workers {
-    /// `commands`: filled with a proxy for each node's commands.
+    /// Starts the server of all workers. If `commands` is given, a proxy for the commands of each node
+    /// is started and added to it.
     pub async fn start(
         args: &LoadArgs,
         nodes: Vec<SocketAddr>,
@@ -106,7 +117,7 @@
             workload,
             counts,
             history,
-            lease: Duration::from_secs_f64(args.lease_s),
+            lease_duration: Duration::from_secs_f64(args.lease_s),
             by_address: Mutex::default(),
         };
         if let Some(commands) = commands {
@@ -123,7 +134,7 @@
         Ok(workers)
     }
 
-    /// A machine was rented: it reports once it is up.
+    /// Adds the worker of a rented machine. It sends heartbeats once the machine has booted.
     pub fn boot(self: &Arc<Self>, number: usize, boot_time: Duration) {
         let worker = Arc::new(Worker { number, ..Worker::default() });
         let mut by_address = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
@@ -139,6 +150,7 @@
         self.history.add(Event::Attempt { task: task.into(), host: number, event });
     }
 
+    /// Stops the worker of a machine that was returned.
     pub fn stop(&self, number: usize) {
         let mut by_address = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(worker) = by_address.remove(&ip_address(number)) {
@@ -181,7 +193,7 @@
     }
 }
 
-/// A command sent straight to a worker; the host header tells which one is meant.
+/// Handles a command that a node sent directly to a worker. The host header identifies the worker.
 async fn handle_command(workers: Arc<Workers>, request: Request<Incoming>) -> Reply {
     workers.counts.add(RequestKind::Command);
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default().to_owned();
@@ -203,14 +215,14 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the next report's time or for a change of a task.
+    /// Waits until the next heartbeat is due, or earlier if the state of a task changes or
+    /// a command arrives.
     async fn wait_for_next_heartbeat(&self, heartbeat_interval: Duration) {
         let jitter = rand::rng().random_range(0.75..1.25);
         let regular = Instant::now() + heartbeat_interval.mul_f64(jitter);
         tokio::time::sleep(MIN_HEARTBEAT_INTERVAL.min(heartbeat_interval)).await;
         let next = self.inner().next_change().map_or(regular, |at| at.min(regular));
         let pause = next.saturating_duration_since(Instant::now());
-        // A command also counts as a change.
         let _ = tokio::time::timeout(pause, self.changed.notified()).await;
     }
 
@@ -227,11 +239,12 @@
         };
         let tasks: Vec<Value> = inner.tasks.iter().map(describe_task).collect();
         json!({"host": name(self.number), "address": address(self.number, port), "rig": MACHINE_TYPE,
-            "yard": ZONE, "loaners": true, "shift": 1 + inner.expired_sessions, "tick": inner.sequence, "baton": inner.token,
-            "warningS": null, "pieces": tasks})
+            "yard": ZONE, "loaners": true, "shift": 1 + inner.expired_sessions, "tick": inner.sequence,
+            "baton": inner.token, "warningS": null, "pieces": tasks})
     }
 
-    /// A report was answered: the lease goes on from when it was sent.
+    /// Handles the response to a heartbeat, which renews the lease from the time at which the
+    /// heartbeat was sent.
     fn handle_response(&self, body: &Value, sent_at: Instant, workers: &Workers) {
         let token = body["baton"].as_u64().unwrap_or_default();
         let mut inner = self.inner();
@@ -288,7 +301,7 @@
         self.tasks.values().filter_map(change_time).min()
     }
 
-    /// The machine is taken away.
+    /// Stops the worker, because its machine is taken away.
     fn stop(&mut self, history: &AnswerHistory, number: usize) {
         self.stopped = true;
         self.drop_tasks(history, number);
@@ -303,8 +316,9 @@
     }
 
     fn advance(&mut self, now: Instant, number: usize, workers: &Workers) {
-        let expired =
-            self.lease_renewed_at.is_some_and(|at| now.saturating_duration_since(at) > workers.lease);
+        let expired = self
+            .lease_renewed_at
+            .is_some_and(|at| now.saturating_duration_since(at) > workers.lease_duration);
         if expired {
             self.drop_tasks(&workers.history, number);
             self.expired_sessions += 1;
--- a/crates/plankhead-standins/tests/stop.rs
+++ b/crates/plankhead-standins/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Processes under load are ended in a bounded time, whatever they do with an interrupt.
+//! Processes under load are stopped in a bounded time, however they handle an interrupt.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,9 +7,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Starts a shell that says when it is set up, and waits for that. It does not ignore the
-/// interrupt by itself: where this test runs in the background, its children would, and a shell
-/// can't trap what it was started to ignore.
+/// Starts a shell, and waits until its script prints a line to say that its trap is set. The shell
+/// starts with the default handling of the interrupt: if this test runs in the background, its
+/// children inherit an ignored interrupt, and a shell cannot trap a signal that was ignored when it
+/// started.
 fn start(script: &str) -> Child {
     let shell = ["--default-signal=INT", "sh", "-c", script];
     let mut child = Command::new("env").args(shell).stdout(Stdio::piped()).spawn().unwrap();
@@ -17,8 +18,8 @@
     child
 }
 
-/// A script that runs in the background starts its children with the interrupt ignored:
-/// `.ci/run` stood for ever at the end of a test there.
+/// A script that runs in the background starts its children with the interrupt ignored. Before
+/// such processes were killed, `.ci/run` hung forever at the end of a test.
 #[test]
 fn processes_that_ignore_the_interrupt_are_killed() {
     let start_ignoring = || start("trap '' INT; echo; exec sleep 600");
@@ -29,7 +30,7 @@
     assert!(begin.elapsed() < Duration::from_secs(10), "{:?}", begin.elapsed());
 }
 
-/// A profiler has the time to write what it found.
+/// A profiler has time to write its results after the interrupt.
 #[test]
 fn processes_that_end_on_the_interrupt_are_waited_for() {
     let directory = std::env::temp_dir().join(format!("plankhead-stop-{}", std::process::id()));
